--- a/crates/consensus/tests/stored_format.rs
+++ b/crates/consensus/tests/stored_format.rs
@@ -55,7 +55,9 @@
     fn deliver(&mut self, to: &Name, event: Event) {
         let mut queue = VecDeque::from([(to.clone(), event)]);
         while let Some((to, event)) = queue.pop_front() {
-            let Some(voter) = self.voters_by_name.get_mut(&to) else { continue };
+            let Some(voter) = self.voters_by_name.get_mut(&to) else {
+                continue;
+            };
             let (actions, written) = voter.handle_events(self.now, vec![event]);
             written.unwrap();
             self.capture();
@@ -126,7 +128,7 @@
 /// Bootstrap, a command of each kind, more entries than a snapshot covers, and one voter replaced by a newcomer that
 /// begins with a snapshot.
 fn written_folders() -> BTreeMap<&'static str, Files> {
-    let (hour, second) = (Duration::from_secs(3600), Duration::from_secs(1));
+    let hour = Duration::from_secs(3600);
     let mut group = Group::new(BOOTSTRAP_VOTERS.map(|name| (name.into(), Files::new())).into());
     group.capture();
     group.tick_until("a leader", |group| group.leader().is_some());
@@ -157,31 +159,37 @@
         voters.len() == 3 && voters.contains(&"d".into()) && !voters.contains(&replaced)
     });
     group.voters_by_name.remove(&replaced);
+    change_leases(&mut group, &leader);
+    for (name, disk) in &group.disks {
+        let fixture = match &**name {
+            "a" => "a-final",
+            "b" => "b-final",
+            "c" => "c-final",
+            _ => "d-final",
+        };
+        group.captured.insert(fixture, disk.copy_files());
+    }
+    group.captured
+}
+
+/// Proposes one command of each kind on the leases that the log was filled with.
+fn change_leases(group: &mut Group, leader: &Name) {
+    let second = Duration::from_secs(1);
     group.propose(acquire("short", "m1", second, 1));
     for _ in 0..15 {
         group.tick();
     }
-    let token = group.voters_by_name[&leader].voter().leases().lease("lease-0").unwrap().holders[0].token;
+    let token = group.voters_by_name[leader].voter().leases().lease("lease-0").unwrap().holders[0].token;
     group.propose(Command::Transfer { lease: "lease-0".into(), token, to: "m9".into() });
-    let held = group.voters_by_name[&leader].voter().leases().lease("lease-1").unwrap().holders.clone();
+    let held = group.voters_by_name[leader].voter().leases().lease("lease-1").unwrap().holders.clone();
     group.propose(Command::Revoke { lease: "lease-1".into(), token: held[0].token });
     let (lease, owner, token) = ("lease-1".into(), held[1].owner.clone(), Some(held[1].token));
     group.propose(Command::Release { lease, owner, token });
-    let waiting = group.voters_by_name[&leader].voter().leases().lease("lease-2").unwrap().queue[0].clone();
+    let waiting = group.voters_by_name[leader].voter().leases().lease("lease-2").unwrap().queue[0].clone();
     group.propose(Command::Release { lease: "lease-2".into(), owner: waiting.owner, token: None });
-    let held = group.voters_by_name[&leader].voter().leases().lease("lease-3").unwrap().holders[0].clone();
+    let held = group.voters_by_name[leader].voter().leases().lease("lease-3").unwrap().holders[0].clone();
     group.propose(Command::Expire { lease: "lease-3".into(), owner: held.owner, renewal: held.renewal });
     group.tick();
-    for (name, disk) in &group.disks {
-        let fixture = match &**name {
-            "a" => "a-final",
-            "b" => "b-final",
-            "c" => "c-final",
-            _ => "d-final",
-        };
-        group.captured.insert(fixture, disk.copy_files());
-    }
-    group.captured
 }
 
 fn golden(fixture: &str) -> PathBuf {
--- a/crates/fault-injection/src/random_faults.rs
+++ b/crates/fault-injection/src/random_faults.rs
@@ -60,25 +60,10 @@
     let window = draw_window(rng, end);
     let TimeWindow { from: at, to } = window;
     match rng.usize(0..9) {
-        0 => {
-            let flap = rng.bool().then(|| 0.05 + rng.f64());
-            Fault::Partition { window, a: target, b: other, one_way: rng.bool(), flap }
-        }
-        // One member against all others.
-        1 => {
-            let one_way = rng.usize(0..3) == 0;
-            Fault::Partition { window, a: target, b: String::new(), one_way, flap: None }
-        }
-        // All links.
-        2 => {
-            let (loss, duplication) = (0.4 * rng.f64(), 0.4 * rng.f64());
-            let delay_ms = 200.0 * rng.f64();
-            Fault::DegradedLinks { window, target: String::new(), loss, delay_ms, duplication }
-        }
-        3 => {
-            let delay_ms = 1500.0 * rng.f64();
-            Fault::DegradedLinks { window, target, loss: 0.1, delay_ms, duplication: 0.1 }
-        }
+        0 => draw_partition(rng, window, target, other),
+        1 => draw_isolation(rng, window, target),
+        2 => draw_degraded_network(rng, window),
+        3 => draw_slow_member(rng, window, target),
         4 | 5 => {
             let is_emptied = !*has_emptied_directory && rng.usize(0..6) == 0;
             *has_emptied_directory |= is_emptied;
@@ -94,6 +79,30 @@
     }
 }
 
+fn draw_partition(rng: &mut fastrand::Rng, window: TimeWindow, a: String, b: String) -> Fault {
+    let flap = rng.bool().then(|| 0.05 + rng.f64());
+    Fault::Partition { window, a, b, one_way: rng.bool(), flap }
+}
+
+/// One member against all others.
+fn draw_isolation(rng: &mut fastrand::Rng, window: TimeWindow, member: String) -> Fault {
+    let one_way = rng.usize(0..3) == 0;
+    Fault::Partition { window, a: member, b: String::new(), one_way, flap: None }
+}
+
+/// Loss, delay and duplication on all links.
+fn draw_degraded_network(rng: &mut fastrand::Rng, window: TimeWindow) -> Fault {
+    let (loss, duplication) = (0.4 * rng.f64(), 0.4 * rng.f64());
+    let delay_ms = 200.0 * rng.f64();
+    Fault::DegradedLinks { window, target: String::new(), loss, delay_ms, duplication }
+}
+
+/// Long delays on the links of one member.
+fn draw_slow_member(rng: &mut fastrand::Rng, window: TimeWindow, target: String) -> Fault {
+    let delay_ms = 1500.0 * rng.f64();
+    Fault::DegradedLinks { window, target, loss: 0.1, delay_ms, duplication: 0.1 }
+}
+
 /// Leaves out one fault after the other for as long as the plan still fails.
 pub fn minimize_faults(plan: &Plan, fails: impl Fn(&Plan) -> bool) -> Plan {
     let mut plan = plan.clone();
--- a/crates/peer-protocol/tests/frames.rs
+++ b/crates/peer-protocol/tests/frames.rs
@@ -13,26 +13,8 @@
 };
 use tulipgap_peer_protocol::{Envelope, FrameCodec, FrameError, Message};
 
-/// One message of each kind.
-fn one_of_each_kind() -> Vec<Envelope> {
-    let owner = Owner { name: "north-1".into(), incarnation: Incarnation(7) };
-    let command = Command::Acquire {
-        lease: "prober".into(),
-        owner: owner.clone(),
-        ttl: Duration::from_secs(2),
-        capacity: 1,
-        wait: true,
-    };
-    let lease = Lease {
-        spec: LeaseSpec { ttl: Duration::from_secs(2), capacity: 1 },
-        holders: vec![LeaseHolder {
-            owner: owner.clone(),
-            token: FencingToken(5),
-            renewal: RenewalNumber(9),
-            revoked: false,
-        }],
-        queue: vec![QueuedOwner { owner, renewal: RenewalNumber(10) }],
-    };
+/// A request of the membership to probe on behalf of another member, with an update.
+fn indirect_ping() -> tulipgap_membership::Message {
     let node = tulipgap_membership::Node {
         name: "north-1".into(),
         address: ([127, 0, 0, 1], 7100).into(),
@@ -48,7 +30,7 @@
         metadata: Default::default(),
         unreachable_peers: Default::default(),
     };
-    let message = tulipgap_membership::Message {
+    tulipgap_membership::Message {
         from: "north-1".into(),
         to: Some("west-1".into()),
         body: tulipgap_membership::MessageBody::IndirectPing {
@@ -57,7 +39,34 @@
             address: ([127, 0, 0, 3], 7100).into(),
         },
         updates: vec![update],
+    }
+}
+
+/// A lease that this owner holds and waits for again.
+fn lease_with_queue(owner: Owner) -> Lease {
+    Lease {
+        spec: LeaseSpec { ttl: Duration::from_secs(2), capacity: 1 },
+        holders: vec![LeaseHolder {
+            owner: owner.clone(),
+            token: FencingToken(5),
+            renewal: RenewalNumber(9),
+            revoked: false,
+        }],
+        queue: vec![QueuedOwner { owner, renewal: RenewalNumber(10) }],
+    }
+}
+
+/// One message of each kind.
+fn one_of_each_kind() -> Vec<Envelope> {
+    let owner = Owner { name: "north-1".into(), incarnation: Incarnation(7) };
+    let command = Command::Acquire {
+        lease: "prober".into(),
+        owner: owner.clone(),
+        ttl: Duration::from_secs(2),
+        capacity: 1,
+        wait: true,
     };
+    let lease = lease_with_queue(owner);
     let handshake = PeerMessage::Handshake {
         wants_reply: true,
         id: VoterId(11),
@@ -66,7 +75,7 @@
         observed: LogPosition { term: 2, index: 30 },
     };
     let messages = vec![
-        Message::Member(message),
+        Message::Member(indirect_ping()),
         Message::Voter(handshake),
         Message::Voter(PeerMessage::Raft(vec![1, 2, 3])),
         Message::LeaseRequest { request: RequestId(1), command },
--- a/crates/server/src/requests/tests.rs
+++ b/crates/server/src/requests/tests.rs
@@ -523,7 +523,9 @@
     let registry = registry();
     let grace = config().drain_grace;
     registry.pass_time(grace * 4);
-    let Some(notice) = Instant::now().checked_sub(grace) else { return };
+    let Some(notice) = Instant::now().checked_sub(grace) else {
+        return;
+    };
     let early = registry.register(incoming("a", 0, None)).unwrap();
     assert_eq!(next_command(&early), Some(Command::Start));
     registry.shutdown_notice(notice, grace + ms(3000));
@@ -534,6 +536,34 @@
     assert_eq!(next_command(&ticket), Some(Command::Start), "it came within the grace");
 }
 
+/// Plays one of the events around a key: an attempt, an end or a cancellation of the oldest run, a caller gone, time.
+fn play_event(registry: &Arc<RequestRegistry>, model: &mut Model, gone: &mut Vec<String>, event: usize) {
+    let count = model.requests.len();
+    let newest = count.checked_sub(1).map(|at| model.requests[at].id.clone());
+    let oldest =
+        model.requests.iter().find(|request| request.runs > 0 && !request.is_finished).map(|s| s.id.clone());
+    let end = |outcome| RequestEvent::RunFinished { outcome, result: bytes("page"), work: None };
+    match (event, oldest, newest) {
+        (0 | 1, ..) => model.register(registry, 1, 0),
+        (2, Some(id), _) => registry.report(&id, end(Outcome::Succeeded)),
+        (3, Some(id), _) => registry.report(&id, end(Outcome::Cancelled)),
+        (4, _, Some(id)) => {
+            gone.push(id.clone());
+            registry.report(&id, RequestEvent::CallerGone);
+        }
+        (5, ..) if count > 0 => {
+            let id = model.requests[0].id.clone();
+            gone.push(id.clone());
+            registry.report(&id, RequestEvent::CallerGone);
+        }
+        (6, ..) => {
+            registry.pass_time(ms(WINDOW / 2 + 200));
+            model.now += ms(WINDOW / 2 + 200);
+        }
+        _ => {}
+    }
+}
+
 /// Every order of a few events around one key: attempts, the end of a run, its cancellation, callers that are gone, and
 /// the end of the window. Each attempt gets one response, one runs within the window, and none is rejected after that.
 #[test]
@@ -547,33 +577,8 @@
             let mut model = Model::default();
             let (mut left, mut gone) = (order, Vec::new());
             for _ in 0..LENGTH {
-                let (event, count) = (left % EVENTS, model.requests.len());
+                play_event(&registry, &mut model, &mut gone, left % EVENTS);
                 left /= EVENTS;
-                let newest = count.checked_sub(1).map(|at| model.requests[at].id.clone());
-                let oldest = model
-                    .requests
-                    .iter()
-                    .find(|request| request.runs > 0 && !request.is_finished)
-                    .map(|s| s.id.clone());
-                let end = |outcome| RequestEvent::RunFinished { outcome, result: bytes("page"), work: None };
-                match (event, oldest, newest) {
-                    (0 | 1, ..) => model.register(&registry, 1, 0),
-                    (2, Some(id), _) => registry.report(&id, end(Outcome::Succeeded)),
-                    (3, Some(id), _) => registry.report(&id, end(Outcome::Cancelled)),
-                    (4, _, Some(id)) => {
-                        (gone.push(id.clone()), registry.report(&id, RequestEvent::CallerGone)).1
-                    }
-                    (5, ..) if count > 0 => {
-                        let id = model.requests[0].id.clone();
-                        gone.push(id.clone());
-                        registry.report(&id, RequestEvent::CallerGone);
-                    }
-                    (6, ..) => {
-                        registry.pass_time(ms(WINDOW / 2 + 200));
-                        model.now += ms(WINDOW / 2 + 200);
-                    }
-                    _ => {}
-                }
                 model.take_all_commands();
             }
             for at in 0..running.len() {
--- a/crates/server/tests/program/crossings.rs
+++ b/crates/server/tests/program/crossings.rs
@@ -611,9 +611,13 @@
         for mut stream in listener.incoming().map_while(Result::ok) {
             let mut bytes = [0; 512];
             // One call, its reply, and the end with it: by turns a plain one and one that cuts off.
-            let Ok(read) = stream.read(&mut bytes) else { continue };
+            let Ok(read) = stream.read(&mut bytes) else {
+                continue;
+            };
             let text = String::from_utf8_lossy(&bytes[..read]).into_owned();
-            let Some(id) = text.split(' ').nth(1) else { continue };
+            let Some(id) = text.split(' ').nth(1) else {
+                continue;
+            };
             let _ = stream.write_all(format!("{id} OK 3\r\nown\r\n").as_bytes());
             if resets.fetch_not(Ordering::AcqRel) {
                 let _ = socket2::SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO));
@@ -681,20 +685,49 @@
     );
 }
 
+fn start_backend_that_sees_cancellations() -> TestBackend {
+    let host = unique_address();
+    let (kernel, store) = (serve_executor(SharedExecutor::default(), &host), start_store(&host));
+    let sees_cancellations = r#""cores":4,"cancel_seen":true"#;
+    let file = write_config(&host, &config_json(&host).replace(r#""cores":4"#, sees_cancellations));
+    let child = spawn_backend(&file);
+    TestBackend { host, kernel, store, child, file }
+}
+
+/// Runs end just as their callers give up: whichever comes first, there is one answer or none.
+fn give_up_as_runs_end(backend: &TestBackend, edge: &mut EdgeConnection) {
+    for turn in 0..30u32 {
+        let id = format!("0000000000f5{turn:04x}");
+        edge.request(100 + turn, &id, b"hang");
+        wait_until("it runs", || backend.kernel.lock().unwrap().runs.contains_key(&id));
+        if turn % 2 == 0 {
+            backend.kernel.lock().unwrap().end(&id, "success", b"crossing");
+            edge.give_up(100 + turn);
+        } else {
+            edge.give_up(100 + turn);
+            backend.kernel.lock().unwrap().end(&id, "success", b"crossing");
+        }
+    }
+}
+
+/// Ends the runs that are left, stops the backend and starts it with settings that tell nothing of cancellations.
+fn restart_without_cancellations(backend: &mut TestBackend) {
+    backend.signal("TERM");
+    let left: Vec<String> = backend.kernel.lock().unwrap().runs.keys().cloned().collect();
+    for id in left {
+        backend.kernel.lock().unwrap().end(&id, "interrupted", b"");
+    }
+    assert_eq!(backend.wait_for_exit().code(), Some(0));
+    std::fs::write(&backend.file, config_json(&backend.host)).unwrap();
+    backend.child = spawn_backend(&backend.file);
+    backend.wait_until_serving();
+}
+
 /// Callers say that they give up, where the settings tell so. It was taken for garbage: the connection was left, and the
 /// requests that came over it meanwhile were lost with it.
 #[test]
 fn a_cancellation_affects_its_own_request_alone() {
-    let (mut backend, file) = {
-        let host = unique_address();
-        let (kernel, store) = (serve_executor(SharedExecutor::default(), &host), start_store(&host));
-        let file = write_config(
-            &host,
-            &config_json(&host).replace(r#""cores":4"#, r#""cores":4,"cancel_seen":true"#),
-        );
-        let child = spawn_backend(&file);
-        (TestBackend { host, kernel, store, child, file: file.clone() }, file)
-    };
+    let mut backend = start_backend_that_sees_cancellations();
     backend.wait_until_serving();
     let mut edge = backend.connect();
     edge.request(1, "0000000000f40001", b"hang");
@@ -707,19 +740,7 @@
     for sequence in [1, 77, 1] {
         edge.give_up(sequence);
     }
-    // With its end: whichever comes first, there is one answer or none.
-    for turn in 0..30u32 {
-        let id = format!("0000000000f5{turn:04x}");
-        edge.request(100 + turn, &id, b"hang");
-        wait_until("it runs", || backend.kernel.lock().unwrap().runs.contains_key(&id));
-        if turn % 2 == 0 {
-            backend.kernel.lock().unwrap().end(&id, "success", b"crossing");
-            edge.give_up(100 + turn);
-        } else {
-            edge.give_up(100 + turn);
-            backend.kernel.lock().unwrap().end(&id, "success", b"crossing");
-        }
-    }
+    give_up_as_runs_end(&backend, &mut edge);
     // In one piece with what is withdrawn: that is not run for nobody.
     let mut both = edge.message(200, &request_fields("0000000000f60001", "20.0"), b"hang");
     both.extend(edge.give_up_message(200));
@@ -745,15 +766,7 @@
     assert!(seen.values().all(|&count| count == 1) && !seen.contains_key(&1), "{seen:?}");
     // Without that setting it is no message, as before.
     drop(edge);
-    backend.signal("TERM");
-    let left: Vec<String> = backend.kernel.lock().unwrap().runs.keys().cloned().collect();
-    for id in left {
-        backend.kernel.lock().unwrap().end(&id, "interrupted", b"");
-    }
-    assert_eq!(backend.wait_for_exit().code(), Some(0));
-    std::fs::write(&file, config_json(&backend.host)).unwrap();
-    backend.child = spawn_backend(&file);
-    backend.wait_until_serving();
+    restart_without_cancellations(&mut backend);
     let mut edge = backend.connect();
     edge.give_up(1);
     assert!(edge.read_answer().is_none(), "closed");
--- a/crates/server/tests/program/fleet.rs
+++ b/crates/server/tests/program/fleet.rs
@@ -61,8 +61,8 @@
     assert!(env!("CARGO_BIN_EXE_tulipgapd").ends_with("/tulipgapd"));
 }
 
-#[test]
-fn it_serves_as_one_process_under_the_fleet_tests_system_call_filter() {
+/// Starts the backend by the deploy file's command, under the filter.
+fn start_as_deployed() -> TestBackend {
     let host = unique_address();
     let (kernel, store) = (serve_executor(SharedExecutor::default(), &host), start_store(&host));
     let file = write_config(&host, &config_json(&host));
@@ -71,18 +71,11 @@
     command.args(["-c", &run]).env("LB_CONFIG", &file).stdin(Stdio::null()).stderr(Stdio::piped());
     // Safe: it only makes system calls.
     let child = unsafe { command.pre_exec(refuse) }.spawn().unwrap();
-    let mut backend = TestBackend { host, kernel, store, child, file };
-    backend.wait_until_serving();
-    let mut edge = backend.connect();
-    edge.request(1, "0000000000000f01", b"run");
-    edge.expect_answer(1, AnswerKind::Answer);
-    edge.request(2, "0000000000000f02", b"call");
-    assert!(edge.expect_answer(2, AnswerKind::Answer).contains(b"richer"));
-    backend.signal("HUP");
-    edge.request(3, "0000000000000f03", b"run");
-    edge.expect_answer(3, AnswerKind::Answer);
+    TestBackend { host, kernel, store, child, file }
+}
 
-    // The shell has made way for it, which is linked dynamically and has no further process and no file.
+/// The shell has made way for it, which is linked dynamically and has no further process and no file.
+fn assert_single_process(backend: &TestBackend) {
     let of = |what: &str| format!("/proc/{}/{what}", backend.child.id());
     let maps = std::fs::read_to_string(of("maps")).unwrap();
     assert!(maps.contains("/tulipgapd") && maps.contains("/libc.so"), "{maps}");
@@ -98,9 +91,12 @@
     // Standard output is the test's own, whatever that is.
     let ours = std::fs::read_link("/proc/self/fd/1").unwrap();
     assert!(others.iter().all(|other| *other == ours), "{others:?}");
+}
 
-    // It listens where it was told to and nowhere else, and nothing of a cluster is there: no thread, no datagrams but its
-    // reports.
+/// It listens where it was told to and nowhere else, and nothing of a cluster is there: no thread, no datagrams but its
+/// reports.
+fn assert_nothing_else_listens(backend: &TestBackend) {
+    let of = |what: &str| format!("/proc/{}/{what}", backend.child.id());
     let inodes: BTreeSet<String> = std::fs::read_dir(of("fd"))
         .unwrap()
         .filter_map(|fd| std::fs::read_link(fd.ok()?.path()).ok()?.to_str().map(str::to_owned))
@@ -118,6 +114,23 @@
         let among = ["cluster", "peers", "voter", "control", "trial"];
         assert!(!among.iter().any(|word| name.starts_with(word)), "{name}");
     }
+}
+
+#[test]
+fn it_serves_as_one_process_under_the_fleet_tests_system_call_filter() {
+    let mut backend = start_as_deployed();
+    backend.wait_until_serving();
+    let mut edge = backend.connect();
+    edge.request(1, "0000000000000f01", b"run");
+    edge.expect_answer(1, AnswerKind::Answer);
+    edge.request(2, "0000000000000f02", b"call");
+    assert!(edge.expect_answer(2, AnswerKind::Answer).contains(b"richer"));
+    backend.signal("HUP");
+    edge.request(3, "0000000000000f03", b"run");
+    edge.expect_answer(3, AnswerKind::Answer);
+
+    assert_single_process(&backend);
+    assert_nothing_else_listens(&backend);
 
     backend.signal("TERM");
     drop(edge);
--- a/crates/server/tests/program/leases.rs
+++ b/crates/server/tests/program/leases.rs
@@ -175,6 +175,25 @@
     serde_json::from_str(&line).unwrap()
 }
 
+/// Revokes with a stale token, which is refused, then moves the lease. Returns the new owner and the token before,
+/// or nothing where no voter leads just now.
+fn move_lease(socket: &Path, held: &Value) -> Option<(&'static str, Value)> {
+    let stale = r#"{"do":"revoke","lease":"one","token":999}"#;
+    let refused = asked(socket, stale);
+    let why = refused["error"].as_str().unwrap();
+    // Where no voter leads just now it is asked again later.
+    if why.contains("no voter") {
+        return None;
+    }
+    assert!(why.contains("nobody holds it"), "{refused}");
+    assert!(asked(socket, r#"{"do":"hop"}"#)["error"].is_string());
+    let to = if held["by"] == "b-2" { "c-1" } else { "b-2" };
+    let token = &held["token"];
+    // That it came to pass is seen by who holds it: an answer may be lost, and the word said twice.
+    asked(socket, &format!(r#"{{"do":"transfer","lease":"one","token":{token},"to":"{to}"}}"#));
+    Some((to, token.clone()))
+}
+
 /// Operators see who holds what and move it; a stale word is refused and changes nothing.
 #[test]
 fn operators_see_move_and_revoke_leases() {
@@ -196,19 +215,9 @@
         let held = shown["leases"][0]["held"][0].clone();
         match step.get() {
             0 if held["token"].is_u64() => {
-                let stale = r#"{"do":"revoke","lease":"one","token":999}"#;
-                let refused = asked(&socket, stale);
-                let why = refused["error"].as_str().unwrap();
-                // Where no voter leads just now it is asked again later.
-                if why.contains("no voter") {
+                let Some((to, token)) = move_lease(&socket, &held) else {
                     return false;
-                }
-                assert!(why.contains("nobody holds it"), "{refused}");
-                assert!(asked(&socket, r#"{"do":"hop"}"#)["error"].is_string());
-                let to = if held["by"] == "b-2" { "c-1" } else { "b-2" };
-                let token = &held["token"];
-                // That it came to pass is seen by who holds it: an answer may be lost, and the word said twice.
-                asked(&socket, &format!(r#"{{"do":"transfer","lease":"one","token":{token},"to":"{to}"}}"#));
+                };
                 *before.borrow_mut() = serde_json::json!([to, token]);
                 step.set(1);
             }
@@ -256,6 +265,33 @@
     assert_eq!((outcome.violation, step.get()), (None, 7));
 }
 
+/// Sends frames of another cluster and random bytes to the peer port.
+fn send_garbage(host: &str) {
+    let (udp, peer) = (UdpSocket::bind((host, 0)).unwrap(), format!("{host}:7100"));
+    let mut rng = fastrand::Rng::with_seed(7);
+    let elsewhere =
+        tulipgap_peer_protocol::FrameCodec::new("elsewhere", b"long enough to keep anybody out").unwrap();
+    let message = tulipgap_peer_protocol::Message::SlotAvailable { lease: "x".into() };
+    let said = tulipgap_peer_protocol::Envelope {
+        from: "m".into(),
+        address: peer.parse().unwrap(),
+        incarnation: tulipgap_leases::Incarnation(1),
+        message,
+    };
+    for turn in 0..3000 {
+        let mut bytes = elsewhere.encode(&said);
+        if turn % 2 == 0 {
+            bytes = (0..rng.usize(0..1400)).map(|_| rng.u8(..)).collect();
+        }
+        udp.send_to(&bytes, &peer).unwrap();
+        if turn % 30 == 0
+            && let Ok(mut stream) = TcpStream::connect(&peer)
+        {
+            let _ = stream.write_all(&bytes);
+        }
+    }
+}
+
 /// Garbage, frames of another cluster and a stream that stops in the middle keep nobody out, and a voter without a folder or a
 /// key that is too short is told so at the start.
 #[test]
@@ -293,29 +329,7 @@
 
     let mut child = start(&settings(""));
     wait_until("it listens", || UnixStream::connect(at("control")).is_ok());
-    let (udp, peer) = (UdpSocket::bind((&host[..], 0)).unwrap(), format!("{host}:7100"));
-    let mut rng = fastrand::Rng::with_seed(7);
-    let elsewhere =
-        tulipgap_peer_protocol::FrameCodec::new("elsewhere", b"long enough to keep anybody out").unwrap();
-    let message = tulipgap_peer_protocol::Message::SlotAvailable { lease: "x".into() };
-    let said = tulipgap_peer_protocol::Envelope {
-        from: "m".into(),
-        address: peer.parse().unwrap(),
-        incarnation: tulipgap_leases::Incarnation(1),
-        message,
-    };
-    for turn in 0..3000 {
-        let mut bytes = elsewhere.encode(&said);
-        if turn % 2 == 0 {
-            bytes = (0..rng.usize(0..1400)).map(|_| rng.u8(..)).collect();
-        }
-        udp.send_to(&bytes, &peer).unwrap();
-        if turn % 30 == 0
-            && let Ok(mut stream) = TcpStream::connect(&peer)
-        {
-            let _ = stream.write_all(&bytes);
-        }
-    }
+    send_garbage(&host);
     let members = asked(&at("control"), r#"{"do":"members"}"#);
     assert_eq!(members["members"].as_array().map(Vec::len), Some(1), "{members}");
     let kill = Command::new("sh").args(["-c", "kill -TERM \"$0\"", &child.id().to_string()]).status();
--- a/crates/server/tests/program/recording.rs
+++ b/crates/server/tests/program/recording.rs
@@ -35,7 +35,9 @@
     for path in paths {
         let mut read = Read { records: Vec::new(), losses: Vec::new() };
         // One that has just been begun may have no header yet.
-        let Ok(trace) = TraceReader::open(std::fs::File::open(path).unwrap()) else { continue };
+        let Ok(trace) = TraceReader::open(std::fs::File::open(path).unwrap()) else {
+            continue;
+        };
         for item in trace {
             match item.unwrap() {
                 Item::Records(records) => read.records.extend(records),
@@ -55,6 +57,19 @@
     files.iter().map(|file| file.records.len()).sum()
 }
 
+/// Each time is behind the one before it.
+fn assert_times_in_order(records: &[Record]) {
+    for record in records {
+        let times = [record.read, record.answered, record.released].map(Option::unwrap);
+        assert!(times.is_sorted() && times[0] >= -1000, "{record:?}");
+        assert_eq!((record.caller, record.tenant), (Some(4), Some(0)));
+        assert_eq!(record.started.is_some(), record.id != 0xa3, "{record:?}");
+        if let Some(run) = record.started {
+            assert!(record.admitted.unwrap() >= record.read.unwrap() && run >= record.read.unwrap());
+        }
+    }
+}
+
 #[test]
 fn the_complete_life_of_each_request_is_recorded() {
     let (folder, settings) = recorded("200ms");
@@ -98,16 +113,8 @@
     assert_eq!(told[2], (Outcome::Rejected, Reason::PREDICTED_LATE));
     assert_eq!(told[3], (Outcome::Failed, Reason::CANCELLED));
     assert_eq!(told[5].0, Outcome::Abandoned);
-    // Each time behind the one before it; the work that the kernel told.
-    for record in &records {
-        let times = [record.read, record.answered, record.released].map(Option::unwrap);
-        assert!(times.is_sorted() && times[0] >= -1000, "{record:?}");
-        assert_eq!((record.caller, record.tenant), (Some(4), Some(0)));
-        assert_eq!(record.started.is_some(), record.id != 0xa3, "{record:?}");
-        if let Some(run) = record.started {
-            assert!(record.admitted.unwrap() >= record.read.unwrap() && run >= record.read.unwrap());
-        }
-    }
+    assert_times_in_order(&records);
+    // The work that the kernel told.
     assert_eq!(of(1).work, Some(1500));
     assert_eq!((of(2).calls, of(2).first_call.is_some(), of(1).calls), (1, true, 0));
     assert_eq!((of(3).estimated_work, of(3).admitted), (Some(40_000_000), None));
--- a/crates/server/tests/program/serving.rs
+++ b/crates/server/tests/program/serving.rs
@@ -320,12 +320,8 @@
     assert!(kernel.ends.values().all(|&ends| ends == 1), "run again");
 }
 
-#[test]
-fn a_hostile_peer_harms_only_itself() {
-    let backend = start_backend();
-    let mut edge = backend.connect();
-    edge.request(1, "00000000000000d1", b"hang");
-    // Each of these gets its exception, and the connection goes on.
+/// Each of these gets its exception, and the connection goes on.
+fn send_invalid_requests(edge: &mut EdgeConnection) {
     edge.call(2, "drop_tables", b"\0");
     edge.expect_answer(2, AnswerKind::Exception);
     edge.call(3, "process", b"\x0d\0\x01\x0b\x0b\x7f\xff\xff\xff");
@@ -342,8 +338,11 @@
     }
     edge.request(10, "00000000000000d4", b"run");
     edge.expect_answer(10, AnswerKind::Answer);
-    // The id of a request that is open, and of one that is over; then the sequence of one that is open. With too
-    // much of that it is cut short.
+}
+
+/// The id of a request that is open, and of one that is over; then the sequence of one that is open. With too
+/// much of that it is cut short.
+fn reuse_ids_and_sequences(backend: &TestBackend) {
     let mut other = backend.connect();
     for (sequence, id) in [(1, "00000000000000d1"), (2, "00000000000000d4")] {
         other.request(sequence, id, b"run");
@@ -359,6 +358,15 @@
     backend.kernel.lock().unwrap().end("00000000000000d7", "success", b"the last");
     assert!(other.expect_answer(3, AnswerKind::Answer).contains(b"the last"));
     assert!(other.read_answer().is_none(), "closed");
+}
+
+#[test]
+fn a_hostile_peer_harms_only_itself() {
+    let backend = start_backend();
+    let mut edge = backend.connect();
+    edge.request(1, "00000000000000d1", b"hang");
+    send_invalid_requests(&mut edge);
+    reuse_ids_and_sequences(&backend);
     // A withdrawal is not known here, and can't be answered.
     let mut other = backend.connect();
     for (name, value) in
--- a/example/toy.rs
+++ b/example/toy.rs
@@ -130,7 +130,12 @@
                     stop.store(true, Ordering::Release);
                 }
             }
-            ["IODONE", id, _] | ["NOIO", id, _] => drop(waiting.get(*id).map(|reply| reply.send(()))),
+            ["IODONE", id, _] | ["NOIO", id, _] => {
+                if let Some(reply) = waiting.get(*id) {
+                    // A run that is over waits for no reply.
+                    let _ = reply.send(());
+                }
+            }
             _ => println!("toy: the executor does not know {words:?}"),
         }
         Ok(())
@@ -181,7 +186,9 @@
     }
 
     fn notice(&mut self, word: &str, rest: &str, body: &[u8]) {
-        let Ok(mut number) = self.notices.lock() else { return };
+        let Ok(mut number) = self.notices.lock() else {
+            return;
+        };
         *number += 1;
         let head = format!("{word} {number} {rest}{}\r\n", body.len());
         // A backend that is gone reads nothing any more.
--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -124,71 +124,84 @@
 fn play(day: Day) -> bool {
     let mut host = host(&day);
     for step in &day.steps {
-        match *step {
-            Step::Arrive { handler, age, patience, work, key } => {
-                host.arrive(handler, age, patience, work, key);
-            }
-            Step::Pass(span) => host.pass(ms(span)),
-            Step::Finish(nth, errored) => {
-                let outcome = if errored { Outcome::Failed } else { Outcome::Succeeded };
-                let joined = host.nth(Stage::Coalesced, nth).filter(|_| nth == 0);
-                if let Some(request) = joined.or(host.nth(Stage::Running, nth)) {
-                    host.finish(request, outcome);
-                }
-            }
-            Step::ReachCall(nth) => {
-                if let Some(request) = host.nth(Stage::Running, nth).filter(|_| day.dependency > 0) {
-                    host.reach_call(request);
-                }
-            }
-            Step::FinishCall(nth, outcome) => {
-                let outcome = [
-                    Outcome::Succeeded,
-                    Outcome::Failed,
-                    Outcome::Rejected,
-                    Outcome::TimedOut,
-                    Outcome::Unreachable,
-                    Outcome::ConnectionLost,
-                ][outcome as usize];
-                if let Some(request) = host.nth(Stage::Calling, nth) {
-                    host.finish_call(request, outcome);
-                }
-            }
-            Step::CallerGone(nth) => {
-                let places = [Stage::Queued, Stage::Running, Stage::Calling];
-                if let Some(request) = places.iter().find_map(|&stage| host.nth(stage, nth))
-                    && !host.requests[&request].gone
-                    && !host.requests[&request].answered
-                {
-                    host.caller_goes(request);
-                }
-            }
-            Step::Stall(span) => {
-                host.now += ms(span);
-                host.pass(ms(1));
-            }
-            Step::Unexpected(nth) => {
-                let free = (0..).find(|request| !host.requests.contains_key(request)).unwrap();
-                let mut events = vec![Event::Finished { request: free + 50, outcome: Outcome::Succeeded }];
-                events.push(Event::CallerGone { request: free });
-                events.push(Event::Finished { request: free, outcome: Outcome::NotStarted });
-                if let Some(request) = host.nth(Stage::Running, nth) {
-                    events.push(Event::CallFinished { request, outcome: Outcome::Succeeded });
-                }
-                if let Some(request) = host.nth(Stage::Queued, nth) {
-                    events.push(Event::ReachedCall { request });
-                }
-                host.send(events);
+        play_step(&mut host, &day, step);
+    }
+    host.pass(ms(6000));
+    true
+}
+
+fn play_step(host: &mut SimulatedHost, day: &Day, step: &Step) {
+    match *step {
+        Step::Arrive { handler, age, patience, work, key } => {
+            host.arrive(handler, age, patience, work, key);
+        }
+        Step::Pass(span) => host.pass(ms(span)),
+        Step::Finish(nth, errored) => {
+            let outcome = if errored { Outcome::Failed } else { Outcome::Succeeded };
+            let joined = host.nth(Stage::Coalesced, nth).filter(|_| nth == 0);
+            if let Some(request) = joined.or(host.nth(Stage::Running, nth)) {
+                host.finish(request, outcome);
             }
-            Step::ShutdownNotice(left) => host.shutdown_notice(ms(left)),
-            Step::Restart => {
-                let next = Day { starts_cold: true, seed: day.seed.wrapping_add(1), ..day.clone() };
-                host = self::host(&next);
+        }
+        Step::ReachCall(nth) => {
+            if let Some(request) = host.nth(Stage::Running, nth).filter(|_| day.dependency > 0) {
+                host.reach_call(request);
             }
         }
+        Step::FinishCall(nth, outcome) => finish_call(host, nth, outcome),
+        Step::CallerGone(nth) => leave_as_caller(host, nth),
+        Step::Stall(span) => {
+            host.now += ms(span);
+            host.pass(ms(1));
+        }
+        Step::Unexpected(nth) => send_unexpected_events(host, nth),
+        Step::ShutdownNotice(left) => host.shutdown_notice(ms(left)),
+        Step::Restart => {
+            let next = Day { starts_cold: true, seed: day.seed.wrapping_add(1), ..day.clone() };
+            *host = self::host(&next);
+        }
     }
-    host.pass(ms(6000));
-    true
+}
+
+/// Ends the nth call that is in flight with one of the outcomes that a call can have.
+fn finish_call(host: &mut SimulatedHost, nth: usize, outcome: u8) {
+    let outcome = [
+        Outcome::Succeeded,
+        Outcome::Failed,
+        Outcome::Rejected,
+        Outcome::TimedOut,
+        Outcome::Unreachable,
+        Outcome::ConnectionLost,
+    ][outcome as usize];
+    if let Some(request) = host.nth(Stage::Calling, nth) {
+        host.finish_call(request, outcome);
+    }
+}
+
+/// The caller of the nth request that is queued, running or calling goes away, where it still waits.
+fn leave_as_caller(host: &mut SimulatedHost, nth: usize) {
+    let places = [Stage::Queued, Stage::Running, Stage::Calling];
+    if let Some(request) = places.iter().find_map(|&stage| host.nth(stage, nth))
+        && !host.requests[&request].gone
+        && !host.requests[&request].answered
+    {
+        host.caller_goes(request);
+    }
+}
+
+/// Sends events about requests that do not exist, or that are in another stage.
+fn send_unexpected_events(host: &mut SimulatedHost, nth: usize) {
+    let free = (0..).find(|request| !host.requests.contains_key(request)).unwrap();
+    let mut events = vec![Event::Finished { request: free + 50, outcome: Outcome::Succeeded }];
+    events.push(Event::CallerGone { request: free });
+    events.push(Event::Finished { request: free, outcome: Outcome::NotStarted });
+    if let Some(request) = host.nth(Stage::Running, nth) {
+        events.push(Event::CallFinished { request, outcome: Outcome::Succeeded });
+    }
+    if let Some(request) = host.nth(Stage::Queued, nth) {
+        events.push(Event::ReachedCall { request });
+    }
+    host.send(events);
 }
 
 /// One seed, so that every run plays the same days; shrinking is quickcheck's.
