--- a/crates/cli/src/args/rig.rs
+++ b/crates/cli/src/args/rig.rs
@@ -54,5 +54,9 @@
 fn parse_seeds(text: &str) -> Result<Range<u64>, SeedsError> {
     let (from, to) = text.split_once("..").ok_or(SeedsError::NotARange)?;
     let seeds = from.parse()?..to.parse()?;
-    if seeds.is_empty() { Err(SeedsError::Empty) } else { Ok(seeds) }
+    if seeds.is_empty() {
+        Err(SeedsError::Empty)
+    } else {
+        Ok(seeds)
+    }
 }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -24,7 +24,11 @@
     Key { path: PathBuf, source: KeyError },
     /// A synthetic recording could not be written in full.
     #[error("{}: {source}; {missing_records} records were lost", path.display())]
-    Recording { path: PathBuf, source: WriteError, missing_records: u64 },
+    Recording {
+        path: PathBuf,
+        source: WriteError,
+        missing_records: u64,
+    },
     /// A recording cannot be made from others.
     #[error("{0}")]
     Rewrite(#[from] RewriteError),
@@ -48,7 +52,10 @@
     Socket { socket: PathBuf, source: io::Error },
     /// The answer of a process is not JSON.
     #[error("{}: {source}", socket.display())]
-    Answer { socket: PathBuf, source: serde_json::Error },
+    Answer {
+        socket: PathBuf,
+        source: serde_json::Error,
+    },
 }
 
 /// An argument that does not fit the others, or the file.
@@ -75,12 +82,18 @@
 impl CliError {
     /// The error for a file of that path.
     pub(crate) fn file(path: &Path) -> impl Fn(io::Error) -> CliError {
-        move |source| CliError::File { path: path.to_owned(), source }
+        move |source| CliError::File {
+            path: path.to_owned(),
+            source,
+        }
     }
 
     /// The error for a recording of that path.
     pub(crate) fn trace(path: &Path) -> impl Fn(TraceError) -> CliError {
-        move |source| CliError::Trace { path: path.to_owned(), source }
+        move |source| CliError::Trace {
+            path: path.to_owned(),
+            source,
+        }
     }
 
     /// Whether whoever reads the output has closed it.
@@ -107,7 +120,11 @@
 impl Status {
     /// Complete if it was, and if `is_complete`.
     pub(crate) fn and(self, is_complete: bool) -> Status {
-        if is_complete { self } else { Status::Incomplete }
+        if is_complete {
+            self
+        } else {
+            Status::Incomplete
+        }
     }
 
     pub(crate) fn of(is_complete: bool) -> Status {
--- a/crates/cli/src/input.rs
+++ b/crates/cli/src/input.rs
@@ -36,7 +36,11 @@
     if metadata.is_dir() {
         return Err(io::ErrorKind::IsADirectory.into());
     }
-    if metadata.is_file() { Ok(BufReader::new(file)) } else { spooled(&mut file) }
+    if metadata.is_file() {
+        Ok(BufReader::new(file))
+    } else {
+        spooled(&mut file)
+    }
 }
 
 fn spooled(source: &mut dyn Read) -> io::Result<Input> {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -39,14 +39,30 @@
 fn run(command: Command) -> CommandResult {
     match command {
         Command::Trace { command } => trace::run(command),
-        Command::Rig { command: RigCommand::Simulate { file, seeds, chaos, json } } => {
-            rig::simulate(&file, seeds, chaos, json)
-        }
-        Command::Rig { command: RigCommand::Run { file, program, seed, chaos, folder, json } } => {
-            rig::run(&file, program, seed, chaos, folder, json)
-        }
+        Command::Rig {
+            command:
+                RigCommand::Simulate {
+                    file,
+                    seeds,
+                    chaos,
+                    json,
+                },
+        } => rig::simulate(&file, seeds, chaos, json),
+        Command::Rig {
+            command:
+                RigCommand::Run {
+                    file,
+                    program,
+                    seed,
+                    chaos,
+                    folder,
+                    json,
+                },
+        } => rig::run(&file, program, seed, chaos, folder, json),
         Command::Cluster { command } => operator::cluster::run(command),
         Command::Lease { command } => operator::lease::run(command),
-        Command::Config { command: ConfigCommand::Check { files } } => check_config::run(&files),
+        Command::Config {
+            command: ConfigCommand::Check { files },
+        } => check_config::run(&files),
     }
 }
--- a/crates/cli/src/messages.rs
+++ b/crates/cli/src/messages.rs
@@ -15,7 +15,11 @@
         eprintln!("tulipgap: {}: {loss}", path.display());
     }
     if losses.len() > MAX_PRINTED_LOSSES {
-        eprintln!("tulipgap: {}: {} more of this kind", path.display(), losses.len() - MAX_PRINTED_LOSSES);
+        eprintln!(
+            "tulipgap: {}: {} more of this kind",
+            path.display(),
+            losses.len() - MAX_PRINTED_LOSSES
+        );
     }
     losses.is_empty()
 }
@@ -24,7 +28,10 @@
 pub(crate) fn print_unknown_columns(path: &Path, unknown: &[String]) {
     if !unknown.is_empty() {
         let columns = unknown.join(", ");
-        eprintln!("tulipgap: {}: unknown columns were skipped: {columns}", path.display());
+        eprintln!(
+            "tulipgap: {}: unknown columns were skipped: {columns}",
+            path.display()
+        );
     }
 }
 
@@ -32,7 +39,11 @@
 pub(crate) fn print_omitted_columns<W: Write>(writer: &Writer<W>) {
     let omitted = writer.omitted_columns();
     if !omitted.is_empty() {
-        eprintln!("tulipgap: format {} has no place for {}", writer.header().version, omitted.join(", "));
+        eprintln!(
+            "tulipgap: format {} has no place for {}",
+            writer.header().version,
+            omitted.join(", ")
+        );
     }
 }
 
--- a/crates/cli/src/operator/cluster.rs
+++ b/crates/cli/src/operator/cluster.rs
@@ -9,13 +9,18 @@
 pub(crate) fn run(command: ClusterCommand) -> CommandResult {
     match command {
         ClusterCommand::Members { target } => members(&target),
-        ClusterCommand::Drain { timeout, target } => acquire(&target, &json!({ "do": "drain" }), *timeout),
+        ClusterCommand::Drain { timeout, target } => {
+            acquire(&target, &json!({ "do": "drain" }), *timeout)
+        }
         ClusterCommand::Voter { target } => {
             let answer = request(&target.socket, &json!({ "do": "own" }))?;
             Ok(print_answer(&answer, target.json, print_voter))
         }
         ClusterCommand::ReplaceVoter { old, new, target } => {
-            let answer = request(&target.socket, &json!({ "do": "replace", "old": old, "new": new }))?;
+            let answer = request(
+                &target.socket,
+                &json!({ "do": "replace", "old": old, "new": new }),
+            )?;
             Ok(print_answer(&answer, target.json, |_| {
                 println!("accepted; 'tulipgap cluster voter' shows when it is done");
             }))
@@ -43,9 +48,12 @@
         names if names.is_empty() => names,
         names => format!(" does not hear {names}"),
     };
-    let [name, address, region, zone] = ["name", "address", "region", "zone"].map(|key| text(row, key));
+    let [name, address, region, zone] =
+        ["name", "address", "region", "zone"].map(|key| text(row, key));
     let [state, reach] = ["state", "reach"].map(|key| text(row, key));
-    println!("{name:<20} {address:<22} {region:<12} {zone:<12} {state:<8} {reach:<8} {reason}{unreachable}");
+    println!(
+        "{name:<20} {address:<22} {region:<12} {zone:<12} {state:<8} {reach:<8} {reason}{unreachable}"
+    );
 }
 
 fn print_voter(answer: &Value) {
--- a/crates/cli/src/operator/lease.rs
+++ b/crates/cli/src/operator/lease.rs
@@ -10,18 +10,38 @@
     match command {
         LeaseCommand::List { target } => list(&target, None),
         LeaseCommand::Show { lease, target } => list(&target, Some(&lease)),
-        LeaseCommand::Take { lease, ttl, capacity, timeout, target } => {
+        LeaseCommand::Take {
+            lease,
+            ttl,
+            capacity,
+            timeout,
+            target,
+        } => {
             let ttl_ms = ttl.as_millis() as u64;
-            let command = json!({ "do": "take", "lease": lease, "term_ms": ttl_ms, "places": capacity });
+            let command =
+                json!({ "do": "take", "lease": lease, "term_ms": ttl_ms, "places": capacity });
             acquire(&target, &command, *timeout)
         }
-        LeaseCommand::Release { lease, target } => send(&target, &json!({ "do": "release", "lease": lease })),
-        LeaseCommand::Transfer { lease, token, to, target } => {
-            send(&target, &json!({ "do": "transfer", "lease": lease, "token": token, "to": to }))
-        }
-        LeaseCommand::Revoke { lease, token, target } => {
-            send(&target, &json!({ "do": "revoke", "lease": lease, "token": token }))
+        LeaseCommand::Release { lease, target } => {
+            send(&target, &json!({ "do": "release", "lease": lease }))
         }
+        LeaseCommand::Transfer {
+            lease,
+            token,
+            to,
+            target,
+        } => send(
+            &target,
+            &json!({ "do": "transfer", "lease": lease, "token": token, "to": to }),
+        ),
+        LeaseCommand::Revoke {
+            lease,
+            token,
+            target,
+        } => send(
+            &target,
+            &json!({ "do": "revoke", "lease": lease, "token": token }),
+        ),
     }
 }
 
@@ -37,7 +57,10 @@
         return Ok(print_answer(&none, target.json, |_| {}));
     }
     Ok(print_answer(&answer, target.json, |answer| {
-        println!("{:<24} {:>8} {:>6}  held by (token), then who waits", "lease", "term", "places");
+        println!(
+            "{:<24} {:>8} {:>6}  held by (token), then who waits",
+            "lease", "term", "places"
+        );
         rows(answer, "leases").for_each(print_lease);
     }))
 }
@@ -50,5 +73,8 @@
     let holders: Vec<String> = rows(row, "held").map(holder).collect();
     let (ttl, holders) = (format!("{} ms", row["term_ms"]), holders.join(" "));
     let (lease, queue) = (text(row, "lease"), joined_texts(row, "queue"));
-    println!("{lease:<24} {ttl:>8} {:>6}  {holders}; {queue}", row["places"]);
+    println!(
+        "{lease:<24} {ttl:>8} {:>6}  {holders}; {queue}",
+        row["places"]
+    );
 }
--- a/crates/cli/src/operator/mod.rs
+++ b/crates/cli/src/operator/mod.rs
@@ -21,9 +21,14 @@
 
 /// Sends one command and reads its answer.
 fn request(socket: &Path, command: &Value) -> Result<Value, CliError> {
-    let line =
-        exchange(socket, command).map_err(|source| CliError::Socket { socket: socket.to_owned(), source })?;
-    serde_json::from_str(&line).map_err(|source| CliError::Answer { socket: socket.to_owned(), source })
+    let line = exchange(socket, command).map_err(|source| CliError::Socket {
+        socket: socket.to_owned(),
+        source,
+    })?;
+    serde_json::from_str(&line).map_err(|source| CliError::Answer {
+        socket: socket.to_owned(),
+        source,
+    })
 }
 
 fn exchange(socket: &Path, command: &Value) -> std::io::Result<String> {
@@ -45,7 +50,10 @@
     match answer.get("error").and_then(Value::as_str) {
         Some(error) if !json => eprintln!("tulipgap: refused: {error}"),
         None if !json => print(answer),
-        _ => println!("{}", serde_json::to_string_pretty(answer).unwrap_or_default()),
+        _ => println!(
+            "{}",
+            serde_json::to_string_pretty(answer).unwrap_or_default()
+        ),
     }
     Status::of(!is_refused(answer))
 }
@@ -66,7 +74,9 @@
     let lease = text(&answer, "lease");
     loop {
         let own = request(&target.socket, &json!({ "do": "own" }))?;
-        let row = rows(&own, "wanted").find(|row| text(row, "lease") == lease).cloned();
+        let row = rows(&own, "wanted")
+            .find(|row| text(row, "lease") == lease)
+            .cloned();
         match row {
             Some(row) if row["held"] == true => {
                 let print = |row: &Value| println!("held, token {}", row["token"]);
@@ -89,10 +99,17 @@
 
 /// The list of texts under a key, parted by spaces.
 fn joined_texts(row: &Value, key: &str) -> String {
-    rows(row, key).filter_map(Value::as_str).collect::<Vec<_>>().join(" ")
+    rows(row, key)
+        .filter_map(Value::as_str)
+        .collect::<Vec<_>>()
+        .join(" ")
 }
 
 /// The list under a key; empty where there is none.
 fn rows<'a>(answer: &'a Value, key: &str) -> impl Iterator<Item = &'a Value> {
-    answer.get(key).and_then(Value::as_array).into_iter().flatten()
+    answer
+        .get(key)
+        .and_then(Value::as_array)
+        .into_iter()
+        .flatten()
 }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -14,7 +14,10 @@
     /// Standard output.
     Stream(BufWriter<io::Stdout>),
     /// A temporary file beside its place, until it is complete.
-    File { file: BufWriter<NamedTempFile>, path: PathBuf },
+    File {
+        file: BufWriter<NamedTempFile>,
+        path: PathBuf,
+    },
     /// A device or a pipe, which is written in place.
     Device(BufWriter<File>),
 }
@@ -26,17 +29,27 @@
             return Ok(Output::Stream(BufWriter::new(io::stdout())));
         }
         if std::fs::metadata(path).is_ok_and(|metadata| !metadata.is_file() && !metadata.is_dir()) {
-            let file = File::options().write(true).open(path).map_err(CliError::file(path))?;
+            let file = File::options()
+                .write(true)
+                .open(path)
+                .map_err(CliError::file(path))?;
             return Ok(Output::Device(BufWriter::new(file)));
         }
-        let directory = path.parent().filter(|directory| !directory.as_os_str().is_empty());
+        let directory = path
+            .parent()
+            .filter(|directory| !directory.as_os_str().is_empty());
         let mut builder = tempfile::Builder::new();
         builder.prefix(".tulipgap-");
         // The permissions that other tools give their files, and not those of temporary files.
         #[cfg(unix)]
         builder.permissions(std::os::unix::fs::PermissionsExt::from_mode(0o666));
-        let file = builder.tempfile_in(directory.unwrap_or(Path::new("."))).map_err(CliError::file(path))?;
-        Ok(Output::File { file: BufWriter::new(file), path: path.to_owned() })
+        let file = builder
+            .tempfile_in(directory.unwrap_or(Path::new(".")))
+            .map_err(CliError::file(path))?;
+        Ok(Output::File {
+            file: BufWriter::new(file),
+            path: path.to_owned(),
+        })
     }
 
     /// Puts the result in its place.
@@ -45,8 +58,11 @@
             Output::Stream(mut out) => out.flush().map_err(CliError::Io),
             Output::Device(mut out) => out.flush().map_err(CliError::Io),
             Output::File { file, path } => {
-                let file = file.into_inner().map_err(|error| CliError::file(&path)(error.into_error()))?;
-                file.persist(&path).map_err(|error| CliError::file(&path)(error.error))?;
+                let file = file
+                    .into_inner()
+                    .map_err(|error| CliError::file(&path)(error.into_error()))?;
+                file.persist(&path)
+                    .map_err(|error| CliError::file(&path)(error.error))?;
                 Ok(())
             }
         }
--- a/crates/cli/src/rig.rs
+++ b/crates/cli/src/rig.rs
@@ -32,12 +32,20 @@
 pub(crate) fn simulate(file: &Path, seeds: Range<u64>, chaos: bool, json: bool) -> CommandResult {
     let plan = read_plan(file)?;
     if !plan.leases.is_empty() {
-        return Ok(output(&LeaseReport::simulate(&plan, seeds, chaos), &plan, json));
+        return Ok(output(
+            &LeaseReport::simulate(&plan, seeds, chaos),
+            &plan,
+            json,
+        ));
     }
     if chaos {
         return Err(ArgumentError::ChaosWithoutLeases(file.to_owned()).into());
     }
-    Ok(output(&MembershipReport::simulate(&plan, seeds), &plan, json))
+    Ok(output(
+        &MembershipReport::simulate(&plan, seeds),
+        &plan,
+        json,
+    ))
 }
 
 /// Plays a plan once with real processes. Their directories are kept in `folder`, or where something failed.
@@ -50,12 +58,19 @@
     json: bool,
 ) -> CommandResult {
     let plan = read_plan(file)?;
-    let plan = if chaos { with_random_faults(&plan, seed) } else { plan };
+    let plan = if chaos {
+        with_random_faults(&plan, seed)
+    } else {
+        plan
+    };
     let program = program.unwrap_or_else(default_program);
     let is_kept = folder.is_some();
     let run_directory = folder.unwrap_or_else(temporary_directory);
     let outcome = tulipgap_fault_injection::run(&plan, &program, &run_directory, |_| {}, |_| false)
-        .map_err(|source| CliError::Run { path: file.to_owned(), source })?;
+        .map_err(|source| CliError::Run {
+            path: file.to_owned(),
+            source,
+        })?;
     let report = RunReport::new(&plan, outcome, chaos, &run_directory);
     if !is_kept && !report.has_violation() {
         let _ = std::fs::remove_dir_all(&run_directory);
@@ -65,7 +80,10 @@
 
 fn read_plan(file: &Path) -> Result<Plan, CliError> {
     let text = std::fs::read_to_string(file).map_err(CliError::file(file))?;
-    Plan::parse(&text).map_err(|source| CliError::Plan { path: file.to_owned(), source })
+    Plan::parse(&text).map_err(|source| CliError::Plan {
+        path: file.to_owned(),
+        source,
+    })
 }
 
 fn default_program() -> PathBuf {
@@ -81,7 +99,10 @@
 
 fn output(report: &impl Report, plan: &Plan, json: bool) -> Status {
     if json {
-        println!("{}", serde_json::to_string_pretty(report).unwrap_or_default());
+        println!(
+            "{}",
+            serde_json::to_string_pretty(report).unwrap_or_default()
+        );
     } else {
         report.print(plan);
     }
--- a/crates/cli/src/rig/bounds.rs
+++ b/crates/cli/src/rig/bounds.rs
@@ -14,7 +14,10 @@
 
 impl WorstAndBound {
     fn new(worst: Duration, bound: f64) -> Self {
-        WorstAndBound { worst: worst.as_secs_f64(), bound }
+        WorstAndBound {
+            worst: worst.as_secs_f64(),
+            bound,
+        }
     }
 }
 
@@ -50,7 +53,11 @@
                 "a dead member was not known to be dead",
                 &self.death_detection,
             ),
-            (MembershipInvariant::Convergence, "views differed after the last fault", &self.convergence),
+            (
+                MembershipInvariant::Convergence,
+                "views differed after the last fault",
+                &self.convergence,
+            ),
         ] {
             let key = invariant.key();
             println!("{key:>10}  at the longest {worst:.2} s, of {bound:.2} s: {description}");
--- a/crates/cli/src/rig/leases.rs
+++ b/crates/cli/src/rig/leases.rs
@@ -7,7 +7,8 @@
 
 use serde::Serialize;
 use tulipgap_fault_injection::{
-    InjectedBugs, LeaseOutcome, LeaseViolation, Plan, minimize_faults, simulate_leases, with_random_faults,
+    InjectedBugs, LeaseOutcome, LeaseViolation, Plan, minimize_faults, simulate_leases,
+    with_random_faults,
 };
 
 use super::Report;
@@ -56,8 +57,11 @@
 
 impl ViolationReport {
     fn new(seed: u64, violation: LeaseViolation, plan: &Plan) -> Self {
-        let is_violated =
-            |plan: &Plan| simulate_leases(plan, seed, InjectedBugs::default()).violation.is_some();
+        let is_violated = |plan: &Plan| {
+            simulate_leases(plan, seed, InjectedBugs::default())
+                .violation
+                .is_some()
+        };
         ViolationReport {
             seed,
             invariant: violation.invariant.to_string(),
@@ -103,7 +107,11 @@
 
 /// The plan that is played with a seed.
 fn plan_of_seed(plan: &Plan, seed: u64, has_random_faults: bool) -> Plan {
-    if has_random_faults { with_random_faults(plan, seed) } else { plan.clone() }
+    if has_random_faults {
+        with_random_faults(plan, seed)
+    } else {
+        plan.clone()
+    }
 }
 
 /// Plays seeds on all cores, and returns what came of them in their order. Up to the first that failed, that
@@ -118,11 +126,18 @@
         }
         SeedOutcome { seed, outcome }
     };
-    let work = || std::iter::from_fn(|| queue.next()).map(simulate).collect::<Vec<_>>();
+    let work = || {
+        std::iter::from_fn(|| queue.next())
+            .map(simulate)
+            .collect::<Vec<_>>()
+    };
     let threads = thread::available_parallelism().map_or(1, NonZero::get);
     let mut outcomes: Vec<SeedOutcome> = thread::scope(|scope| {
         let workers: Vec<_> = (0..threads).map(|_| scope.spawn(work)).collect();
-        workers.into_iter().flat_map(|worker| worker.join().unwrap_or_default()).collect()
+        workers
+            .into_iter()
+            .flat_map(|worker| worker.join().unwrap_or_default())
+            .collect()
     });
     outcomes.sort_by_key(|run| run.seed);
     outcomes
@@ -150,8 +165,11 @@
     fn add(&mut self, outcome: &LeaseOutcome) {
         let vacancy_after_faults = outcome.longest_vacancy_after_faults.as_secs_f64();
         self.runs += 1;
-        self.longest_vacancy_after_faults = self.longest_vacancy_after_faults.max(vacancy_after_faults);
-        self.longest_vacancy = self.longest_vacancy.max(outcome.longest_vacancy.as_secs_f64());
+        self.longest_vacancy_after_faults =
+            self.longest_vacancy_after_faults.max(vacancy_after_faults);
+        self.longest_vacancy = self
+            .longest_vacancy
+            .max(outcome.longest_vacancy.as_secs_f64());
         self.grants += outcome.grants;
         self.operations += outcome.operations;
         self.rejected_operations += outcome.rejected_operations;
@@ -169,7 +187,10 @@
     }
 
     fn print(&self, plan: &Plan) {
-        println!("{} runs of {} members, {} s each", self.runs, self.members, plan.length);
+        println!(
+            "{} runs of {} members, {} s each",
+            self.runs, self.members, plan.length
+        );
         println!(
             "      free  at the longest {:.2} s after the last fault, of {:.2} s; {:.2} s at all",
             self.longest_vacancy_after_faults, self.vacancy_bound, self.longest_vacancy
@@ -178,13 +199,22 @@
             "    grants  {}, {} operations, {} of them rejected for their token",
             self.grants, self.operations, self.rejected_operations
         );
-        println!("   leaders  {}; {} voters stopped themselves", self.elections, self.stopped_voters);
+        println!(
+            "   leaders  {}; {} voters stopped themselves",
+            self.elections, self.stopped_voters
+        );
         println!(
             "      cost  {} messages, {} syncs, {} bytes written",
             self.messages, self.syncs, self.written_bytes
         );
         if let Some(violation) = &self.violation {
-            let ViolationReport { seed, invariant, at, details, faults } = violation;
+            let ViolationReport {
+                seed,
+                invariant,
+                at,
+                details,
+                faults,
+            } = violation;
             println!("BROKEN {invariant} with seed {seed} at {at:.2} s: {details}");
             println!("with these faults alone:\n{faults}");
         }
--- a/crates/cli/src/rig/membership.rs
+++ b/crates/cli/src/rig/membership.rs
@@ -44,7 +44,13 @@
 
 impl ViolationReport {
     fn new(seed: u64, violation: MembershipViolation) -> Self {
-        let MembershipViolation { invariant, at, observer, subject, duration } = violation;
+        let MembershipViolation {
+            invariant,
+            at,
+            observer,
+            subject,
+            duration,
+        } = violation;
         ViolationReport {
             seed,
             invariant: invariant.key(),
@@ -68,7 +74,10 @@
     fn of(mut durations: Vec<Duration>) -> Option<Self> {
         durations.sort();
         let worst = durations.last()?.as_secs_f64();
-        Some(Distribution { median: durations[durations.len() / 2].as_secs_f64(), worst })
+        Some(Distribution {
+            median: durations[durations.len() / 2].as_secs_f64(),
+            worst,
+        })
     }
 }
 
@@ -97,7 +106,8 @@
             violation,
             bounds: MembershipBounds::new(&worst, &plan.bounds),
             false_deaths,
-            messages_a_member_and_second: messages as f64 / (runs as f64 * plan.length * members as f64),
+            messages_a_member_and_second: messages as f64
+                / (runs as f64 * plan.length * members as f64),
             first_detection: Distribution::of(detections.iter().map(|times| times.first).collect()),
             last_detection: Distribution::of(detections.iter().map(|times| times.last).collect()),
         }
@@ -110,17 +120,35 @@
     }
 
     fn print(&self, plan: &Plan) {
-        println!("{} runs of {} members, {} s each", self.runs, self.members, plan.length);
+        println!(
+            "{} runs of {} members, {} s each",
+            self.runs, self.members, plan.length
+        );
         self.bounds.print();
-        for (detection, observers) in [(&self.first_detection, "first"), (&self.last_detection, "all")] {
+        for (detection, observers) in [
+            (&self.first_detection, "first"),
+            (&self.last_detection, "all"),
+        ] {
             if let Some(Distribution { median, worst }) = detection {
-                println!("   crashes  detected by {observers}: median {median:.2} s, worst {worst:.2} s");
+                println!(
+                    "   crashes  detected by {observers}: median {median:.2} s, worst {worst:.2} s"
+                );
             }
         }
-        println!("  messages  {:.1} per member and second", self.messages_a_member_and_second);
+        println!(
+            "  messages  {:.1} per member and second",
+            self.messages_a_member_and_second
+        );
         println!("    deaths  {} false", self.false_deaths);
         if let Some(violation) = &self.violation {
-            let ViolationReport { seed, invariant, at, observer, subject, duration } = violation;
+            let ViolationReport {
+                seed,
+                invariant,
+                at,
+                observer,
+                subject,
+                duration,
+            } = violation;
             println!(
                 "BROKEN {invariant} with seed {seed} at {at:.2} s: {observer} of {subject}, for {duration:.2} s"
             );
--- a/crates/cli/src/rig/processes.rs
+++ b/crates/cli/src/rig/processes.rs
@@ -47,7 +47,10 @@
         LeaseReport {
             name: lease.name.clone(),
             tokens: outcome.tokens.get(&lease.name).copied().unwrap_or_default(),
-            longest_idle: outcome.longest_idle.get(&lease.name).map_or(0.0, Duration::as_secs_f64),
+            longest_idle: outcome
+                .longest_idle
+                .get(&lease.name)
+                .map_or(0.0, Duration::as_secs_f64),
         }
     }
 }
@@ -64,10 +67,18 @@
             operations: outcome.operations,
             rejected: outcome.rejected,
             rejected_while_running: outcome.rejected_while_running,
-            leases: plan.leases.iter().map(|lease| LeaseReport::new(lease, &outcome)).collect(),
+            leases: plan
+                .leases
+                .iter()
+                .map(|lease| LeaseReport::new(lease, &outcome))
+                .collect(),
             bounds: MembershipBounds::new(&outcome.worst, &plan.bounds),
             false_deaths: outcome.false_deaths,
-            faults: if has_random_faults { plan.faults_to_hcl() } else { String::new() },
+            faults: if has_random_faults {
+                plan.faults_to_hcl()
+            } else {
+                String::new()
+            },
             run_directory: run_directory.to_owned(),
             violation: outcome
                 .violation
@@ -89,7 +100,12 @@
             "operations  {}; {} rejected for their token, {} of them of processes that were not paused",
             self.operations, self.rejected, self.rejected_while_running
         );
-        for LeaseReport { name, tokens, longest_idle } in &self.leases {
+        for LeaseReport {
+            name,
+            tokens,
+            longest_idle,
+        } in &self.leases
+        {
             println!(
                 "     lease  {name}: {tokens} tokens, no operation for {longest_idle:.2} s at the longest"
             );
--- a/crates/cli/src/times.rs
+++ b/crates/cli/src/times.rs
@@ -55,7 +55,9 @@
             return Ok(Moment::AfterFirst(span));
         }
         let time = humantime::parse_rfc3339_weak(text).map_err(|_| TimeError::NotAMoment)?;
-        let since = time.duration_since(UNIX_EPOCH).map_err(|_| TimeError::BeforeUnixEpoch)?;
+        let since = time
+            .duration_since(UNIX_EPOCH)
+            .map_err(|_| TimeError::BeforeUnixEpoch)?;
         Ok(Moment::At(micros(since)))
     }
 }
@@ -76,8 +78,9 @@
             Some(span) => (-1.0, span),
             None => (1.0, span.strip_prefix('+').unwrap_or(span)),
         };
-        let unit_start =
-            span.find(|c: char| !c.is_ascii_digit() && c != '.').ok_or(TimeError::NotAnOffset)?;
+        let unit_start = span
+            .find(|c: char| !c.is_ascii_digit() && c != '.')
+            .ok_or(TimeError::NotAnOffset)?;
         let (number, unit) = span.split_at(unit_start);
         let unit_micros = match unit {
             "us" => 1.0,
@@ -97,7 +100,10 @@
 
 /// A Unix time in RFC 3339; a number of microseconds where that cannot write it.
 pub(crate) fn format_time(at: Micros) -> String {
-    match u64::try_from(at).ok().and_then(|at| UNIX_EPOCH.checked_add(Duration::from_micros(at))) {
+    match u64::try_from(at)
+        .ok()
+        .and_then(|at| UNIX_EPOCH.checked_add(Duration::from_micros(at)))
+    {
         Some(time) if at < END_OF_RFC3339 => humantime::format_rfc3339_millis(time).to_string(),
         _ => format!("{at} us"),
     }
--- a/crates/cli/src/trace/anonymise.rs
+++ b/crates/cli/src/trace/anonymise.rs
@@ -38,9 +38,13 @@
 fn read_key_file(path: &Path) -> io::Result<Vec<u8>> {
     let mut text = Vec::new();
     if is_standard_stream(path) {
-        io::stdin().take(MAX_KEY_FILE_BYTES).read_to_end(&mut text)?;
+        io::stdin()
+            .take(MAX_KEY_FILE_BYTES)
+            .read_to_end(&mut text)?;
     } else {
-        File::open(path)?.take(MAX_KEY_FILE_BYTES).read_to_end(&mut text)?;
+        File::open(path)?
+            .take(MAX_KEY_FILE_BYTES)
+            .read_to_end(&mut text)?;
     }
     Ok(text)
 }
--- a/crates/cli/src/trace/check.rs
+++ b/crates/cli/src/trace/check.rs
@@ -70,7 +70,11 @@
 
     fn write(&self, out: &mut impl Write) -> io::Result<()> {
         let verdict = if self.sound { "sound" } else { "not sound" };
-        writeln!(out, "{}: {verdict}, {} records in {} blocks", self.file, self.records, self.blocks)?;
+        writeln!(
+            out,
+            "{}: {verdict}, {} records in {} blocks",
+            self.file, self.records, self.blocks
+        )?;
         for loss in &self.losses {
             writeln!(out, "  {loss}")?;
         }
--- a/crates/cli/src/trace/copy.rs
+++ b/crates/cli/src/trace/copy.rs
@@ -19,7 +19,10 @@
     let summary = copy_surveyed(reader, survey, &filter, &mut writer, |_| {})?;
     finish(path, writer, &summary)?;
     if summary.records == 0 {
-        eprintln!("tulipgap: {}: no record matches the selection", path.display());
+        eprintln!(
+            "tulipgap: {}: no record matches the selection",
+            path.display()
+        );
     }
     Ok(Status::of(summary.losses.is_empty() && summary.records > 0))
 }
@@ -29,14 +32,22 @@
     let mut writer = begin_copy(reader.header(), output)?;
     let summary = stream(reader, &Filter::default(), &mut writer, |_| {})?;
     finish(path, writer, &summary)?;
-    eprintln!("tulipgap: {}: {} records were intact", path.display(), summary.records);
+    eprintln!(
+        "tulipgap: {}: {} records were intact",
+        path.display(),
+        summary.records
+    );
     Ok(Status::of(summary.losses.is_empty()))
 }
 
 /// Begins a file of the same server and start.
 fn begin_copy(source: &Header, output: &OutputArgs) -> Result<Writer<Output>, CliError> {
     let header = new_header(output.format, &source.server, source.start);
-    Ok(Writer::new(Output::new(&output.path)?, header, BlockConfig::default())?)
+    Ok(Writer::new(
+        Output::new(&output.path)?,
+        header,
+        BlockConfig::default(),
+    )?)
 }
 
 /// Puts the new file in its place, and prints what it lacks.
--- a/crates/cli/src/trace/export.rs
+++ b/crates/cli/src/trace/export.rs
@@ -13,10 +13,18 @@
 use crate::messages::{print_losses, print_unknown_columns};
 use crate::output::Output;
 
-pub(super) fn run(path: &Path, selection: &Selection, output: &Path, format: ExportFormat) -> CommandResult {
+pub(super) fn run(
+    path: &Path,
+    selection: &Selection,
+    output: &Path,
+    format: ExportFormat,
+) -> CommandResult {
     let mut reader = open_trace(path)?;
     let (_, filter) = survey_and_filter(&mut reader, path, selection)?;
-    let mut reader = reader.rewind().map_err(CliError::trace(path))?.with_filter(filter);
+    let mut reader = reader
+        .rewind()
+        .map_err(CliError::trace(path))?
+        .with_filter(filter);
     let mut out = Output::new(output)?;
     if matches!(format, ExportFormat::Csv) {
         write_csv_header(&mut out)?;
@@ -26,7 +34,10 @@
         match item.map_err(CliError::trace(path))? {
             Item::Records(records) => {
                 for record in &records {
-                    let named = NamedRecord { record, names: reader.dictionary() };
+                    let named = NamedRecord {
+                        record,
+                        names: reader.dictionary(),
+                    };
                     match format {
                         ExportFormat::Jsonl => write_json_line(&mut out, &named)?,
                         ExportFormat::Csv => write_csv_line(&mut out, &named)?,
--- a/crates/cli/src/trace/gap.rs
+++ b/crates/cli/src/trace/gap.rs
@@ -7,10 +7,16 @@
 /// A gap in one line: its reason, how many records are missing, when and where.
 pub(super) fn format_gap(gap: &Gap) -> String {
     let reason = serde_json::to_value(gap.reason).ok();
-    let reason = reason.as_ref().and_then(|reason| reason.as_str()).unwrap_or("?");
+    let reason = reason
+        .as_ref()
+        .and_then(|reason| reason.as_str())
+        .unwrap_or("?");
     let records = match gap.records {
         Some(0) if gap.clock_change != 0 => {
-            format!("the clock was set by {:.3} s", gap.clock_change as f64 / 1e6)
+            format!(
+                "the clock was set by {:.3} s",
+                gap.clock_change as f64 / 1e6
+            )
         }
         Some(records) => format!("{records} records are missing"),
         None => "records are missing, how many is not known".to_owned(),
@@ -20,5 +26,7 @@
     } else {
         format!(", {} to {}", format_time(gap.from), format_time(gap.to))
     };
-    format!("{reason}: {records}{span} {}", gap.server).trim_end().to_owned()
+    format!("{reason}: {records}{span} {}", gap.server)
+        .trim_end()
+        .to_owned()
 }
--- a/crates/cli/src/trace/info.rs
+++ b/crates/cli/src/trace/info.rs
@@ -86,8 +86,16 @@
             from: span.map(|(from, _)| from),
             to: span.map(|(_, to)| to),
             servers: names.servers.clone(),
-            handlers: names.handlers.iter().map(|handler| handler.name.clone()).collect(),
-            tenants: names.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
+            handlers: names
+                .handlers
+                .iter()
+                .map(|handler| handler.name.clone())
+                .collect(),
+            tenants: names
+                .tenants
+                .iter()
+                .map(|tenant| tenant.name.clone())
+                .collect(),
             gaps: survey.gaps.clone(),
             losses: survey.losses.iter().map(ToString::to_string).collect(),
             columns: Vec::new(),
@@ -106,25 +114,44 @@
     }
 
     fn write(&self, out: &mut impl Write) -> io::Result<()> {
-        writeln!(out, "{}: format {}, written by {}", self.file, self.format, self.program)?;
+        writeln!(
+            out,
+            "{}: format {}, written by {}",
+            self.file, self.format, self.program
+        )?;
         writeln!(out, "  server    {} (file {})", self.server, self.file_id)?;
         writeln!(out, "  begun     {}", format_time(self.start))?;
         if let (Some(from), Some(to)) = (self.from, self.to) {
             let span = format_span(to.saturating_sub(from));
-            writeln!(out, "  reqs      {} to {} ({span})", format_time(from), format_time(to))?;
+            writeln!(
+                out,
+                "  reqs      {} to {} ({span})",
+                format_time(from),
+                format_time(to)
+            )?;
         }
-        let index = if self.is_indexed { "indexed" } else { "no index" };
+        let index = if self.is_indexed {
+            "indexed"
+        } else {
+            "no index"
+        };
         writeln!(
             out,
             "  holds     {} records in {} blocks, {} bytes, {index}",
             self.records, self.blocks, self.bytes
         )?;
         if self.records > 0 {
-            writeln!(out, "  a record  {:.1} bytes", self.bytes as f64 / self.records as f64)?;
+            writeln!(
+                out,
+                "  a record  {:.1} bytes",
+                self.bytes as f64 / self.records as f64
+            )?;
         }
-        for (list, names) in
-            [("servers", &self.servers), ("handlers", &self.handlers), ("tenants", &self.tenants)]
-        {
+        for (list, names) in [
+            ("servers", &self.servers),
+            ("handlers", &self.handlers),
+            ("tenants", &self.tenants),
+        ] {
             writeln!(out, "  {list:9} {}", names.join(", "))?;
         }
         for ColumnBytes(name, bytes) in &self.columns {
@@ -142,7 +169,11 @@
     if let Some(column) = COLUMNS.iter().find(|column| u64::from(column.id) == id) {
         return column.name.to_owned();
     }
-    match header.columns.iter().find(|column| u64::from(column.id) == id) {
+    match header
+        .columns
+        .iter()
+        .find(|column| u64::from(column.id) == id)
+    {
         Some(column) => format!("{} (not known here)", column.name),
         None => format!("column {id}"),
     }
--- a/crates/cli/src/trace/merge.rs
+++ b/crates/cli/src/trace/merge.rs
@@ -5,8 +5,8 @@
 use std::path::{Path, PathBuf};
 
 use tulipgap_trace::{
-    BlockConfig, ClockOffset, Item, MergeSource, MergeSummary, Micros, NEWEST_VERSION, TraceReader, Writer,
-    estimate_clock_offsets, merge,
+    BlockConfig, ClockOffset, Item, MergeSource, MergeSummary, Micros, NEWEST_VERSION, TraceReader,
+    Writer, estimate_clock_offsets, merge,
 };
 
 use super::{new_header, shown};
@@ -28,14 +28,30 @@
     stated_offsets: &[ServerOffset],
     should_estimate: bool,
 ) -> CommandResult {
-    let mut offsets = if should_estimate { estimated_offsets(paths)? } else { Offsets::new() };
-    offsets.extend(stated_offsets.iter().map(|offset| (offset.server.clone(), offset.offset)));
+    let mut offsets = if should_estimate {
+        estimated_offsets(paths)?
+    } else {
+        Offsets::new()
+    };
+    offsets.extend(
+        stated_offsets
+            .iter()
+            .map(|offset| (offset.server.clone(), offset.offset)),
+    );
     let sources = open_sources(paths, &offsets)?;
-    let has_server = |name: &str| sources.iter().any(|source| source.reader.header().server == name);
+    let has_server = |name: &str| {
+        sources
+            .iter()
+            .any(|source| source.reader.header().server == name)
+    };
     if let Some(server) = offsets.keys().find(|server| !has_server(server)) {
         return Err(ArgumentError::UnknownServer(server.clone()).into());
     }
-    let start = sources.iter().map(|source| source.reader.header().start).min().unwrap_or(0);
+    let start = sources
+        .iter()
+        .map(|source| source.reader.header().start)
+        .min()
+        .unwrap_or(0);
     let header = new_header(NEWEST_VERSION, MERGED, start);
     let mut writer = Writer::new(Output::new(output)?, header, BlockConfig::default())?;
     let bar = progress_bar("merging", 0);
@@ -53,7 +69,10 @@
 /// Prints what is notable of a merge.
 fn print_summary(summary: &MergeSummary) {
     for file in &summary.duplicate_files {
-        eprintln!("tulipgap: {} is the same file as {}; it was taken once", file.name, file.first);
+        eprintln!(
+            "tulipgap: {} is the same file as {}; it was taken once",
+            file.name, file.first
+        );
     }
     if summary.duplicate_records > 0 {
         eprintln!(
@@ -71,7 +90,11 @@
     let source = |path: &PathBuf| {
         let reader = open_trace(path)?;
         let offset = offsets.get(&reader.header().server).copied().unwrap_or(0);
-        Ok(MergeSource { name: shown(path), reader, offset })
+        Ok(MergeSource {
+            name: shown(path),
+            reader,
+            offset,
+        })
     };
     paths.iter().map(source).collect()
 }
@@ -83,11 +106,15 @@
         match clock.offset {
             Some(offset) => {
                 let (seconds, uncertainty) = (offset as f64 / 1e6, clock.uncertainty as f64 / 1e6);
-                eprintln!("tulipgap: clock of {server}: {seconds:+.6} s, within {uncertainty:.6} s");
+                eprintln!(
+                    "tulipgap: clock of {server}: {seconds:+.6} s, within {uncertainty:.6} s"
+                );
                 offsets.insert(server, offset);
             }
             None => {
-                eprintln!("tulipgap: clock of {server}: no retry connects it to the others; taken as it is")
+                eprintln!(
+                    "tulipgap: clock of {server}: no retry connects it to the others; taken as it is"
+                )
             }
         }
     }
@@ -99,7 +126,11 @@
     let spool = BufWriter::new(tempfile::tempfile()?);
     let header = new_header(NEWEST_VERSION, MERGED, 0);
     let mut writer = Writer::new(spool, header, BlockConfig::default())?;
-    merge(open_sources(paths, &Offsets::new())?, &mut writer, |_, _| {})?;
+    merge(
+        open_sources(paths, &Offsets::new())?,
+        &mut writer,
+        |_, _| {},
+    )?;
     let servers = writer.dictionary().servers.clone();
     let (spool, _) = writer.finish()?;
     let mut spool = spool.into_inner().map_err(io::IntoInnerError::into_error)?;
--- a/crates/cli/src/trace/summary.rs
+++ b/crates/cli/src/trace/summary.rs
@@ -14,7 +14,12 @@
 use crate::messages::{print_losses, print_unknown_columns, progress_bar};
 use crate::times::format_time;
 
-pub(super) fn run(paths: &[PathBuf], selection: &Selection, json: bool, by_minute: bool) -> CommandResult {
+pub(super) fn run(
+    paths: &[PathBuf],
+    selection: &Selection,
+    json: bool,
+    by_minute: bool,
+) -> CommandResult {
     if let [path] = paths {
         return summarise(path, selection, json, by_minute);
     }
@@ -27,7 +32,12 @@
 }
 
 fn summarise(path: &Path, selection: &Selection, json: bool, by_minute: bool) -> CommandResult {
-    let SummarisedFile { summary, gaps, losses, unknown_columns } = read(path, selection, by_minute)?;
+    let SummarisedFile {
+        summary,
+        gaps,
+        losses,
+        unknown_columns,
+    } = read(path, selection, by_minute)?;
     let rows = summary.rows();
     let mut out = BufWriter::new(io::stdout());
     if json {
@@ -42,7 +52,9 @@
     }
     print_unknown_columns(path, &unknown_columns);
     let has_missing_records = gaps.iter().any(|gap| gap.records != Some(0));
-    Ok(Status::of(print_losses(path, &losses) && !has_missing_records))
+    Ok(Status::of(
+        print_losses(path, &losses) && !has_missing_records,
+    ))
 }
 
 /// A summary, and what the file lacks.
@@ -56,7 +68,10 @@
 fn read(path: &Path, selection: &Selection, by_minute: bool) -> Result<SummarisedFile, CliError> {
     let mut reader = open_trace(path)?;
     let (survey, filter) = survey_and_filter(&mut reader, path, selection)?;
-    let mut reader = reader.rewind().map_err(CliError::trace(path))?.with_filter(filter);
+    let mut reader = reader
+        .rewind()
+        .map_err(CliError::trace(path))?
+        .with_filter(filter);
     let bar = progress_bar("summing up", survey.index.records());
     let mut summary = Summary::new(by_minute);
     let (mut gaps, mut losses) = (Vec::new(), Vec::new());
@@ -64,14 +79,21 @@
         match item.map_err(CliError::trace(path))? {
             Item::Records(records) => {
                 bar.inc(records.len() as u64);
-                records.iter().for_each(|record| summary.add(record, reader.dictionary()));
+                records
+                    .iter()
+                    .for_each(|record| summary.add(record, reader.dictionary()));
             }
             Item::Gap(gap) => gaps.push(gap),
             Item::Loss(loss) => losses.push(loss),
         }
     }
     bar.finish_and_clear();
-    Ok(SummarisedFile { summary, gaps, losses, unknown_columns: reader.unknown_columns() })
+    Ok(SummarisedFile {
+        summary,
+        gaps,
+        losses,
+        unknown_columns: reader.unknown_columns(),
+    })
 }
 
 /// Writes the table, and below it the reasons and retries of all records.
@@ -95,8 +117,13 @@
     for row in rows {
         write_row(out, row)?;
     }
-    let Some(total) = rows.first() else { return Ok(()) };
-    for (outcome, reasons) in [("shed", &total.rejected_by_reason), ("errored", &total.failed_by_reason)] {
+    let Some(total) = rows.first() else {
+        return Ok(());
+    };
+    for (outcome, reasons) in [
+        ("shed", &total.rejected_by_reason),
+        ("errored", &total.failed_by_reason),
+    ] {
         for (reason, count) in reasons {
             writeln!(out, "{outcome} for {reason}: {count}")?;
         }
@@ -111,13 +138,19 @@
 }
 
 fn write_row(out: &mut impl Write, row: &SummaryRow) -> io::Result<()> {
-    let name = match (row.group.minute, row.group.handler.as_str(), row.group.tenant.as_str()) {
+    let name = match (
+        row.group.minute,
+        row.group.handler.as_str(),
+        row.group.tenant.as_str(),
+    ) {
         (Some(minute), _, _) => format_time(minute),
         (None, "", _) => "all".to_owned(),
         (None, handler, "") => handler.to_owned(),
         (None, handler, tenant) => format!("  {handler} {tenant}"),
     };
-    let service_level = row.service_level.map_or_else(|| "-".to_owned(), |level| format!("{level:.4}"));
+    let service_level = row
+        .service_level
+        .map_or_else(|| "-".to_owned(), |level| format!("{level:.4}"));
     let times = row.response_ms.clone().unwrap_or_default();
     let rejected: u64 = row.rejected_by_reason.values().sum();
     let failed: u64 = row.failed_by_reason.values().sum();
--- a/crates/cli/src/trace/synthesize.rs
+++ b/crates/cli/src/trace/synthesize.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use tulipgap_trace::{
-    RecorderConfig, RetentionConfig, RotatingWriter, Storage, StoredFile, SyntheticLoad, generate_load,
+    RecorderConfig, RetentionConfig, RotatingWriter, Storage, StoredFile, SyntheticLoad,
+    generate_load,
 };
 
 use super::record_text::{NamedRecord, write_json_line};
@@ -59,7 +60,11 @@
 
     fn create(&mut self, number: u64) -> io::Result<SharedOutput> {
         // A second file is opened only after writing the first one failed.
-        if number == 1 { Ok(self.0.clone()) } else { Err(io::Error::other("the output failed")) }
+        if number == 1 {
+            Ok(self.0.clone())
+        } else {
+            Err(io::Error::other("the output failed"))
+        }
     }
 
     fn sync(&mut self, _: &mut SharedOutput) -> io::Result<()> {
@@ -108,7 +113,13 @@
         at = Duration::from_micros(u64::try_from(released - load.start).unwrap_or(0));
         bar.set_position(at.as_secs());
         if let Some(raw_log) = &mut raw_log
-            && let Err(error) = write_json_line(raw_log, &NamedRecord { record: &record, names: &names })
+            && let Err(error) = write_json_line(
+                raw_log,
+                &NamedRecord {
+                    record: &record,
+                    names: &names,
+                },
+            )
         {
             raw_log_error.get_or_insert(error);
         }
@@ -122,7 +133,11 @@
         return Err(CliError::Io(error));
     }
     if let Some(source) = result.last_error.filter(|_| missing_records > 0) {
-        return Err(CliError::Recording { path: output.path.clone(), source, missing_records });
+        return Err(CliError::Recording {
+            path: output.path.clone(),
+            source,
+            missing_records,
+        });
     }
     if let Some(raw_log) = raw_log {
         raw_log.commit()?;
@@ -130,6 +145,9 @@
     if let Some(output) = shared.take() {
         output.commit()?;
     }
-    eprintln!("tulipgap: {count} records of {}", format_span(load.duration));
+    eprintln!(
+        "tulipgap: {count} records of {}",
+        format_span(load.duration)
+    );
     Ok(Status::Complete)
 }
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -65,7 +65,8 @@
 #[test]
 fn synthetic_recording_is_cut_summarised_and_exported() {
     let workspace = Workspace::new();
-    workspace.fine("trace synth --minutes 3 --rate 60 --seed 1 --cores 4 -o day.tgt --raw day.jsonl");
+    workspace
+        .fine("trace synth --minutes 3 --rate 60 --seed 1 --cores 4 -o day.tgt --raw day.jsonl");
     // The same seed, the same bytes.
     workspace.fine("trace synth --minutes 3 --rate 60 --seed 1 --cores 4 -o again.tgt");
     assert_eq!(
@@ -78,8 +79,10 @@
     // The export has the lines of the raw log, in another order.
     let exported = workspace.fine("trace export day.tgt");
     let lines = |text: &str| {
-        let mut lines: Vec<serde_json::Value> =
-            text.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
+        let mut lines: Vec<serde_json::Value> = text
+            .lines()
+            .map(|line| serde_json::from_str(line).unwrap())
+            .collect();
         lines.sort_by_key(|line| line["id"].to_string());
         lines
     };
@@ -96,30 +99,48 @@
     assert_eq!(minute, lines(&raw).iter().filter(within).count());
     let times = "--from 2025-12-01T08:01:00Z --to 2025-12-01T08:01:30.5Z";
     assert!(
-        workspace.json(&format!("trace summary --json day.tgt {times}"))[0]["asked"].as_u64().unwrap() > 0
+        workspace.json(&format!("trace summary --json day.tgt {times}"))[0]["asked"]
+            .as_u64()
+            .unwrap()
+            > 0
     );
     // By handler and outcome; a stream in.
     let bytes = std::fs::read(workspace.path("day.tgt")).unwrap();
-    let shed = workspace.run_with("trace export - --handler page --outcome shed --form csv", &bytes);
+    let shed = workspace.run_with(
+        "trace export - --handler page --outcome shed --form csv",
+        &bytes,
+    );
     let shed = String::from_utf8(shed.stdout).unwrap();
-    let expected = lines(&raw).iter().filter(|l| l["handler"] == "page" && l["outcome"] == "shed").count();
+    let expected = lines(&raw)
+        .iter()
+        .filter(|l| l["handler"] == "page" && l["outcome"] == "shed")
+        .count();
     assert_eq!(shed.lines().count(), expected + 1);
     let summary = workspace.fine("trace summary day.tgt --by-minute");
-    assert!(summary.contains("service") && summary.contains("shed for late: "), "{summary}");
+    assert!(
+        summary.contains("service") && summary.contains("shed for late: "),
+        "{summary}"
+    );
 }
 
 #[test]
 fn damage_is_reported_with_exit_code_1_after_all_intact_data() {
     let workspace = Workspace::new();
     workspace.fine("trace synth --minutes 1 --rate 50 -o day.tgt");
-    let whole = workspace.json("trace info --json day.tgt")["records"].as_u64().unwrap();
+    let whole = workspace.json("trace info --json day.tgt")["records"]
+        .as_u64()
+        .unwrap();
     damage(&workspace.path("day.tgt"));
     let output = workspace.run("trace check day.tgt");
     assert_eq!(output.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&output.stdout).contains("not sound"));
     let output = workspace.run("trace export day.tgt");
     assert_eq!(output.status.code(), Some(1));
-    assert!(err(&output).contains("records are lost there"), "{}", err(&output));
+    assert!(
+        err(&output).contains("records are lost there"),
+        "{}",
+        err(&output)
+    );
     let given = String::from_utf8_lossy(&output.stdout).lines().count() as u64;
     assert!(given > whole / 2 && given < whole);
     let output = workspace.run("trace repair day.tgt -o whole.tgt");
@@ -138,8 +159,17 @@
     );
     // A command that fails leaves neither a new file nor a damaged old one.
     std::fs::write(workspace.path("old.tgt"), "old").unwrap();
-    assert_eq!(workspace.run("trace cut nothing.tgt -o old.tgt").status.code(), Some(2));
-    assert_eq!(std::fs::read_to_string(workspace.path("old.tgt")).unwrap(), "old");
+    assert_eq!(
+        workspace
+            .run("trace cut nothing.tgt -o old.tgt")
+            .status
+            .code(),
+        Some(2)
+    );
+    assert_eq!(
+        std::fs::read_to_string(workspace.path("old.tgt")).unwrap(),
+        "old"
+    );
 }
 
 #[test]
@@ -150,12 +180,27 @@
     std::fs::copy(workspace.path("b.tgt"), workspace.path("b2.tgt")).unwrap();
     let output = workspace.run("trace merge a.tgt b.tgt b2.tgt -o all.tgt --offset b=-1.5s");
     assert_eq!(output.status.code(), Some(0), "{}", err(&output));
-    assert!(err(&output).contains("b2.tgt is the same file as b.tgt"), "{}", err(&output));
-    let count =
-        |name: &str| workspace.json(&format!("trace info --json {name}"))["records"].as_u64().unwrap();
+    assert!(
+        err(&output).contains("b2.tgt is the same file as b.tgt"),
+        "{}",
+        err(&output)
+    );
+    let count = |name: &str| {
+        workspace.json(&format!("trace info --json {name}"))["records"]
+            .as_u64()
+            .unwrap()
+    };
     assert_eq!(count("all.tgt"), count("a.tgt") + count("b.tgt"));
-    let from = workspace.json("trace info --json all.tgt")["from"].as_i64().unwrap();
-    assert_eq!(from, workspace.json("trace info --json b.tgt")["from"].as_i64().unwrap() - 1_500_000);
+    let from = workspace.json("trace info --json all.tgt")["from"]
+        .as_i64()
+        .unwrap();
+    assert_eq!(
+        from,
+        workspace.json("trace info --json b.tgt")["from"]
+            .as_i64()
+            .unwrap()
+            - 1_500_000
+    );
     let together = workspace.json("trace summary --json a.tgt b.tgt")[0]["tries"].as_u64();
     assert_eq!(together, Some(count("all.tgt")));
     let unknown = workspace.run("trace merge a.tgt -o c.tgt --offset nobody=1s");
@@ -174,11 +219,17 @@
     std::fs::write(workspace.path("weak"), "secret").unwrap();
     let output = workspace.run("trace anonymise day.tgt -o out.tgt --key-file weak");
     assert_eq!(output.status.code(), Some(2));
-    assert!(err(&output).contains("the key has 6 bytes"), "{}", err(&output));
+    assert!(
+        err(&output).contains("the key has 6 bytes"),
+        "{}",
+        err(&output)
+    );
     assert!(!workspace.path("out.tgt").exists());
     let key = b"0123456789abcdef00112233445566778899aabbccddeeff1032547698badcfe\n";
-    let output =
-        workspace.run_with("trace anonymise day.tgt -o out.tgt --key-file - --tenants --servers", key);
+    let output = workspace.run_with(
+        "trace anonymise day.tgt -o out.tgt --key-file - --tenants --servers",
+        key,
+    );
     assert_eq!(output.status.code(), Some(0), "{}", err(&output));
     let ids = |name: &str| -> std::collections::BTreeSet<String> {
         let text = workspace.fine(&format!("trace export {name}"));
@@ -209,9 +260,18 @@
     ] {
         let output = workspace.run(words);
         assert_eq!(output.status.code(), Some(2), "{words}");
-        assert!(!err(&output).is_empty() && !err(&output).contains("panicked"), "{words}");
+        assert!(
+            !err(&output).is_empty() && !err(&output).contains("panicked"),
+            "{words}"
+        );
     }
-    assert_eq!(workspace.run("trace cut day.tgt --from 1h -o out.tgt").status.code(), Some(1));
+    assert_eq!(
+        workspace
+            .run("trace cut day.tgt --from 1h -o out.tgt")
+            .status
+            .code(),
+        Some(1)
+    );
     assert!(workspace.fine("--version").starts_with("tulipgap "));
 }
 
@@ -219,14 +279,27 @@
 fn config_check_reports_every_problem_with_its_place() {
     let workspace = Workspace::new();
     std::fs::write(workspace.path("good.hcl"), "trace {\n  folder = \"t\"\n}\n").unwrap();
-    std::fs::write(workspace.path("bad.hcl"), "trace {\n  foldre = \"t\"\n  format = 9.5\n}\n").unwrap();
+    std::fs::write(
+        workspace.path("bad.hcl"),
+        "trace {\n  foldre = \"t\"\n  format = 9.5\n}\n",
+    )
+    .unwrap();
     assert_eq!(workspace.fine("config check good.hcl"), "good.hcl: fine\n");
     let output = workspace.run("config check good.hcl bad.hcl");
     assert_eq!(output.status.code(), Some(1));
     let report = String::from_utf8(output.stdout).unwrap();
-    assert!(report.contains("bad.hcl:2:3: 'trace.foldre' is no name; is 'folder' meant?"), "{report}");
-    assert!(report.contains("bad.hcl:3:12: trace.format: it takes a whole number"), "{report}");
-    assert_eq!(workspace.run("config check missing.hcl").status.code(), Some(2));
+    assert!(
+        report.contains("bad.hcl:2:3: 'trace.foldre' is no name; is 'folder' meant?"),
+        "{report}"
+    );
+    assert!(
+        report.contains("bad.hcl:3:12: trace.format: it takes a whole number"),
+        "{report}"
+    );
+    assert_eq!(
+        workspace.run("config check missing.hcl").status.code(),
+        Some(2)
+    );
 }
 
 /// A file of frame headers that claim the longest payloads and longer ones, with a long hole behind them, is read in
@@ -251,33 +324,69 @@
         .unwrap();
     // With 96 MB of address space, the program itself included.
     let output = Command::new("sh")
-        .args(["-c", "ulimit -v 98304; exec \"$0\" trace check hostile.tgt", env!("CARGO_BIN_EXE_tulipgap")])
+        .args([
+            "-c",
+            "ulimit -v 98304; exec \"$0\" trace check hostile.tgt",
+            env!("CARGO_BIN_EXE_tulipgap"),
+        ])
         .current_dir(workspace.0.path())
         .output()
         .unwrap();
     assert_eq!(output.status.code(), Some(1), "{}", err(&output));
-    assert!(String::from_utf8_lossy(&output.stdout).contains("not sound"), "{}", err(&output));
+    assert!(
+        String::from_utf8_lossy(&output.stdout).contains("not sound"),
+        "{}",
+        err(&output)
+    );
 }
 
 #[test]
 fn rig_simulate_exits_by_the_result_of_the_plan() {
     let workspace = Workspace::new();
-    let plan =
-        std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../example/zone-cut.hcl")).unwrap();
+    let plan = std::fs::read_to_string(concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../example/zone-cut.hcl"
+    ))
+    .unwrap();
     std::fs::write(workspace.path("plan.hcl"), &plan).unwrap();
     let report = workspace.json("rig simulate plan.hcl --seeds 0..2 --json");
-    assert_eq!((&report["runs"], &report["broken"]), (&2.into(), &serde_json::Value::Null));
-    assert!(workspace.fine("rig simulate plan.hcl --seeds 0..2").contains("held_dead  at the longest"));
+    assert_eq!(
+        (&report["runs"], &report["broken"]),
+        (&2.into(), &serde_json::Value::Null)
+    );
+    assert!(
+        workspace
+            .fine("rig simulate plan.hcl --seeds 0..2")
+            .contains("held_dead  at the longest")
+    );
     // No run can keep this bound: the report names the seed that violates it.
-    std::fs::write(workspace.path("tight.hcl"), plan.replace("known     = 30", "known     = 1")).unwrap();
+    std::fs::write(
+        workspace.path("tight.hcl"),
+        plan.replace("known     = 30", "known     = 1"),
+    )
+    .unwrap();
     let output = workspace.run("rig simulate tight.hcl --seeds 3..9");
     assert_eq!(output.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&output.stdout).contains("BROKEN known with seed 3 at "));
-    std::fs::write(workspace.path("wrong.hcl"), plan.replace("south-2", "east-2")).unwrap();
+    std::fs::write(
+        workspace.path("wrong.hcl"),
+        plan.replace("south-2", "east-2"),
+    )
+    .unwrap();
     let output = workspace.run("rig simulate wrong.hcl");
     assert_eq!(output.status.code(), Some(2));
-    assert!(err(&output).contains("no zone and no member"), "{}", err(&output));
-    assert_eq!(workspace.run("rig simulate plan.hcl --seeds 5..5").status.code(), Some(2));
+    assert!(
+        err(&output).contains("no zone and no member"),
+        "{}",
+        err(&output)
+    );
+    assert_eq!(
+        workspace
+            .run("rig simulate plan.hcl --seeds 5..5")
+            .status
+            .code(),
+        Some(2)
+    );
 }
 
 /// The recordings and what version 0.1.0 exported of them stand beside the tests of the trace crate.
@@ -289,6 +398,9 @@
         let recording = golden.join(format!("{name}.tgt"));
         std::fs::copy(recording, workspace.path("golden.tgt")).unwrap();
         let expected = std::fs::read_to_string(golden.join(format!("{name}.jsonl"))).unwrap();
-        assert!(workspace.fine("trace export golden.tgt") == expected, "{name}");
+        assert!(
+            workspace.fine("trace export golden.tgt") == expected,
+            "{name}"
+        );
     }
 }
--- a/crates/config/src/cluster.rs
+++ b/crates/config/src/cluster.rs
@@ -42,7 +42,11 @@
     pub seeds: Vec<String>,
     /// The members that vote on leases, three or five.
     #[serde(default)]
-    #[garde(length(max = 7), inner(length(bytes, min = 1, max = 64)), custom(unique_names))]
+    #[garde(
+        length(max = 7),
+        inner(length(bytes, min = 1, max = 64)),
+        custom(unique_names)
+    )]
     pub voters: Vec<String>,
     /// The directory of a voter's files; only voters need it.
     #[garde(skip)]
@@ -75,7 +79,10 @@
 impl ClusterConfig {
     /// The addresses of `seeds`. Each is valid after the file was accepted; an invalid one is left out.
     pub fn seeds(&self) -> Vec<SocketAddr> {
-        self.seeds.iter().filter_map(|seed| seed.parse().ok()).collect()
+        self.seeds
+            .iter()
+            .filter_map(|seed| seed.parse().ok())
+            .collect()
     }
 }
 
--- a/crates/config/src/connection_limits.rs
+++ b/crates/config/src/connection_limits.rs
@@ -69,7 +69,11 @@
 impl ConnectionLimitsConfig {
     /// What becomes of new connections when all descriptors are in use.
     pub fn full_policy(&self) -> FullPolicy {
-        if self.when_full == WAIT { FullPolicy::Wait } else { FullPolicy::Reject }
+        if self.when_full == WAIT {
+            FullPolicy::Wait
+        } else {
+            FullPolicy::Reject
+        }
     }
 }
 
@@ -93,10 +97,14 @@
     if matches!(word, REJECT | WAIT) {
         Ok(())
     } else {
-        Err(garde::Error::new(format!("'{word}' is neither \"{REJECT}\" nor \"{WAIT}\"")))
+        Err(garde::Error::new(format!(
+            "'{word}' is neither \"{REJECT}\" nor \"{WAIT}\""
+        )))
     }
 }
 
 fn network_prefix(text: &str, _: &()) -> garde::Result {
-    text.parse::<NetworkPrefix>().map(|_| ()).map_err(garde::Error::new)
+    text.parse::<NetworkPrefix>()
+        .map(|_| ())
+        .map_err(garde::Error::new)
 }
--- a/crates/config/src/fault_injection.rs
+++ b/crates/config/src/fault_injection.rs
@@ -66,13 +66,19 @@
 impl FaultInjectionConfig {
     /// The leases to be used. Each is valid after the file was accepted; an invalid one is left out.
     pub fn leases(&self) -> Vec<TestLease> {
-        self.leases.iter().filter_map(|text| parse_test_lease(text)).collect()
+        self.leases
+            .iter()
+            .filter_map(|text| parse_test_lease(text))
+            .collect()
     }
 
     /// The routes, as pairs of addresses. Each is valid after the file was accepted; an invalid one is left
     /// out.
     pub fn routes(&self) -> Vec<(SocketAddr, SocketAddr)> {
-        self.routes.iter().filter_map(|text| parse_route(text)).collect()
+        self.routes
+            .iter()
+            .filter_map(|text| parse_route(text))
+            .collect()
     }
 }
 
@@ -81,7 +87,9 @@
 }
 
 fn parse_test_lease(text: &str) -> Option<TestLease> {
-    let [name, ttl, capacity, max_operation] = text.split(' ').collect::<Vec<_>>()[..] else { return None };
+    let [name, ttl, capacity, max_operation] = text.split(' ').collect::<Vec<_>>()[..] else {
+        return None;
+    };
     let millis = |text: &str| Some(Duration::from_millis(text.parse().ok()?));
     Some(TestLease {
         name: name.into(),
@@ -97,7 +105,11 @@
 }
 
 fn test_lease(text: &str, _: &()) -> garde::Result {
-    let invalid = || garde::Error::new(format!("'{text}' is not NAME TTL_MS CAPACITY MAX_OPERATION_MS"));
+    let invalid = || {
+        garde::Error::new(format!(
+            "'{text}' is not NAME TTL_MS CAPACITY MAX_OPERATION_MS"
+        ))
+    };
     parse_test_lease(text).map(|_| ()).ok_or_else(invalid)
 }
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -62,12 +62,20 @@
 /// [`ConfigError::Read`] or [`ConfigError::TooLong`] where it cannot be read; [`ConfigError::Invalid`] with
 /// all of its problems.
 pub fn read(path: &Path) -> Result<ProductConfig, ConfigError> {
-    let read_error = |source| ConfigError::Read { path: path.to_owned(), source };
+    let read_error = |source| ConfigError::Read {
+        path: path.to_owned(),
+        source,
+    };
     if std::fs::metadata(path).map_err(read_error)?.len() > MAX_FILE_BYTES {
-        return Err(ConfigError::TooLong { path: path.to_owned() });
+        return Err(ConfigError::TooLong {
+            path: path.to_owned(),
+        });
     }
     let text = std::fs::read_to_string(path).map_err(read_error)?;
-    parse(&text).map_err(|problems| ConfigError::Invalid { path: path.to_owned(), problems })
+    parse(&text).map_err(|problems| ConfigError::Invalid {
+        path: path.to_owned(),
+        problems,
+    })
 }
 
 /// Reads a text.
@@ -84,7 +92,10 @@
                 Err(report) => problems.extend(report.iter().map(|(path, error)| {
                     let path = path.to_string();
                     let position = structure.positions.of(&path);
-                    position.problem(ProblemKind::InvalidValue { path, reason: error.to_string() })
+                    position.problem(ProblemKind::InvalidValue {
+                        path,
+                        reason: error.to_string(),
+                    })
                 })),
             },
             // The check of the structure finds all that this does; an error that only this finds has no
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -41,9 +41,8 @@
             ValueType::Text => text(value).is_some(),
             ValueType::Flag => matches!(value, Expression::Bool(_)),
             ValueType::Integer => is_integer(value),
-            ValueType::Duration => {
-                text(value).is_some_and(|text| humantime_serde::re::humantime::parse_duration(text).is_ok())
-            }
+            ValueType::Duration => text(value)
+                .is_some_and(|text| humantime_serde::re::humantime::parse_duration(text).is_ok()),
             ValueType::Size => {
                 is_integer(value)
                     || text(value).is_some_and(|text| text.parse::<bytesize::ByteSize>().is_ok())
@@ -79,11 +78,19 @@
 }
 
 const fn optional(name: &'static str, value_type: ValueType) -> Key {
-    Key { name, value_type, is_required: false }
+    Key {
+        name,
+        value_type,
+        is_required: false,
+    }
 }
 
 const fn required(name: &'static str, value_type: ValueType) -> Key {
-    Key { name, value_type, is_required: true }
+    Key {
+        name,
+        value_type,
+        is_required: true,
+    }
 }
 
 const TRACE: &[Key] = &[
@@ -98,7 +105,10 @@
     optional("keep_size", ValueType::Size),
     optional("sync", ValueType::Flag),
 ];
-const NETWORK_LIMIT: &[Key] = &[optional("open", ValueType::Integer), optional("rate", ValueType::Integer)];
+const NETWORK_LIMIT: &[Key] = &[
+    optional("open", ValueType::Integer),
+    optional("rate", ValueType::Integer),
+];
 const ADMISSION: &[Key] = &[
     optional("enabled", ValueType::Flag),
     optional("when_full", ValueType::Text),
@@ -147,6 +157,8 @@
 /// The known key that an unknown one is likely to mean.
 pub(crate) fn nearest_name(name: &str, keys: &[Key]) -> Option<&'static str> {
     let similarity = |key: &Key| strsim::jaro_winkler(name, key.name);
-    let best = keys.iter().max_by(|a, b| similarity(a).total_cmp(&similarity(b)))?;
+    let best = keys
+        .iter()
+        .max_by(|a, b| similarity(a).total_cmp(&similarity(b)))?;
     (similarity(best) >= MIN_SIMILARITY).then_some(best.name)
 }
--- a/crates/config/src/structure.rs
+++ b/crates/config/src/structure.rs
@@ -24,13 +24,23 @@
     /// The place of a byte offset.
     fn of_offset(text: &str, offset: usize) -> Position {
         let before = text.get(..offset).unwrap_or("");
-        let column = before.rsplit('\n').next().map_or(0, |line| line.chars().count());
-        Position { line: before.matches('\n').count() + 1, column: column + 1 }
+        let column = before
+            .rsplit('\n')
+            .next()
+            .map_or(0, |line| line.chars().count());
+        Position {
+            line: before.matches('\n').count() + 1,
+            column: column + 1,
+        }
     }
 
     /// A problem at this place.
     pub(crate) fn problem(self, kind: ProblemKind) -> Problem {
-        Problem { line: self.line, column: self.column, kind }
+        Problem {
+            line: self.line,
+            column: self.column,
+            kind,
+        }
     }
 }
 
@@ -47,7 +57,9 @@
                 return position;
             }
             // An entry of a list stands where the list does.
-            let Some(end) = path.rfind(['.', '[']) else { return Position::START };
+            let Some(end) = path.rfind(['.', '[']) else {
+                return Position::START;
+            };
             path = &path[..end];
         }
     }
@@ -62,12 +74,21 @@
 
 /// Checks a text.
 pub(crate) fn check(text: &str) -> StructureCheck {
-    let mut checker = Checker { text, found: StructureCheck::default() };
+    let mut checker = Checker {
+        text,
+        found: StructureCheck::default(),
+    };
     match hcl_edit::parser::parse_body(text) {
         Ok(body) => checker.check_body(&body, FILE, "", None),
         Err(error) => {
-            let position = Position { line: error.location().line(), column: error.location().column() };
-            checker.found.problems.push(position.problem(ProblemKind::Syntax(error.message().to_owned())));
+            let position = Position {
+                line: error.location().line(),
+                column: error.location().column(),
+            };
+            checker
+                .found
+                .problems
+                .push(position.problem(ProblemKind::Syntax(error.message().to_owned())));
         }
     }
     checker.found
@@ -81,7 +102,9 @@
 impl Checker<'_> {
     /// The place of a span; the start of the text where there is none.
     fn position(&self, span: Option<Range<usize>>) -> Position {
-        span.map_or(Position::START, |span| Position::of_offset(self.text, span.start))
+        span.map_or(Position::START, |span| {
+            Position::of_offset(self.text, span.start)
+        })
     }
 
     fn add_problem(&mut self, span: Option<Range<usize>>, kind: ProblemKind) {
@@ -91,7 +114,13 @@
 
     /// Checks the body of the block of that path (empty for the file), whose name stands at `span`. The
     /// recursion is as deep as the schema.
-    fn check_body(&mut self, body: &Body, keys: &[Key], block_path: &str, span: Option<Range<usize>>) {
+    fn check_body(
+        &mut self,
+        body: &Body,
+        keys: &[Key],
+        block_path: &str,
+        span: Option<Range<usize>>,
+    ) {
         let path_of = |name: &str| match block_path {
             "" => name.to_owned(),
             _ => format!("{block_path}.{name}"),
@@ -118,13 +147,22 @@
             self.found.positions.0.insert(path.clone(), position);
             self.check_value(structure, key, path, name_span);
         }
-        for key in keys.iter().filter(|key| key.is_required && !seen.contains(&key.name)) {
+        for key in keys
+            .iter()
+            .filter(|key| key.is_required && !seen.contains(&key.name))
+        {
             self.add_problem(span.clone(), ProblemKind::Missing(path_of(key.name)));
         }
     }
 
     /// Checks what stands under a known key.
-    fn check_value(&mut self, structure: &Structure, key: &Key, path: String, span: Option<Range<usize>>) {
+    fn check_value(
+        &mut self,
+        structure: &Structure,
+        key: &Key,
+        path: String,
+        span: Option<Range<usize>>,
+    ) {
         match (structure, key.value_type) {
             (Structure::Block(block), ValueType::Block(keys)) => {
                 if let Some(label) = block.labels.first() {
--- a/crates/config/src/trace.rs
+++ b/crates/config/src/trace.rs
@@ -89,8 +89,15 @@
 fn holds_two_files(rotate_size: &ByteSize) -> impl FnOnce(&ByteSize, &()) -> garde::Result {
     let min = ByteSize(rotate_size.0.saturating_mul(2).saturating_add(FILE_SLACK.0));
     move |value, _| {
-        let too_small =
-            || garde::Error::new(format!("{value} is less than two files and {FILE_SLACK}: {min}"));
-        if *value >= min { Ok(()) } else { Err(too_small()) }
+        let too_small = || {
+            garde::Error::new(format!(
+                "{value} is less than two files and {FILE_SLACK}: {min}"
+            ))
+        };
+        if *value >= min {
+            Ok(())
+        } else {
+            Err(too_small())
+        }
     }
 }
--- a/crates/config/src/validators.rs
+++ b/crates/config/src/validators.rs
@@ -13,7 +13,11 @@
 
 /// Accepts a path that is not empty.
 pub(crate) fn non_empty_path(path: &Path, _: &()) -> garde::Result {
-    if path.as_os_str().is_empty() { Err(garde::Error::new("is empty")) } else { Ok(()) }
+    if path.as_os_str().is_empty() {
+        Err(garde::Error::new("is empty"))
+    } else {
+        Ok(())
+    }
 }
 
 /// Accepts an address with a port.
@@ -21,7 +25,9 @@
     if text.parse::<SocketAddr>().is_ok() {
         Ok(())
     } else {
-        Err(garde::Error::new(format!("'{text}' is no address and port")))
+        Err(garde::Error::new(format!(
+            "'{text}' is no address and port"
+        )))
     }
 }
 
@@ -30,21 +36,40 @@
     let mut sorted = names.to_vec();
     sorted.sort();
     sorted.dedup();
-    if sorted.len() == names.len() { Ok(()) } else { Err(garde::Error::new("a name stands twice")) }
+    if sorted.len() == names.len() {
+        Ok(())
+    } else {
+        Err(garde::Error::new("a name stands twice"))
+    }
 }
 
 /// Accepts times from `min` to `max`.
-pub(crate) fn duration_between(min: Duration, max: Duration) -> impl FnOnce(&Duration, &()) -> garde::Result {
+pub(crate) fn duration_between(
+    min: Duration,
+    max: Duration,
+) -> impl FnOnce(&Duration, &()) -> garde::Result {
     move |value, _| {
-        let out_of_range = || garde::Error::new(format!("{value:?} is not from {min:?} to {max:?}"));
-        if (min..=max).contains(value) { Ok(()) } else { Err(out_of_range()) }
+        let out_of_range =
+            || garde::Error::new(format!("{value:?} is not from {min:?} to {max:?}"));
+        if (min..=max).contains(value) {
+            Ok(())
+        } else {
+            Err(out_of_range())
+        }
     }
 }
 
 /// Accepts sizes from `min` to `max`.
-pub(crate) fn size_between(min: ByteSize, max: ByteSize) -> impl FnOnce(&ByteSize, &()) -> garde::Result {
+pub(crate) fn size_between(
+    min: ByteSize,
+    max: ByteSize,
+) -> impl FnOnce(&ByteSize, &()) -> garde::Result {
     move |value, _| {
         let out_of_range = || garde::Error::new(format!("{value} is not from {min} to {max}"));
-        if (min..=max).contains(value) { Ok(()) } else { Err(out_of_range()) }
+        if (min..=max).contains(value) {
+            Ok(())
+        } else {
+            Err(out_of_range())
+        }
     }
 }
--- a/crates/connection-limits/benches/structures.rs
+++ b/crates/connection-limits/benches/structures.rs
@@ -7,8 +7,8 @@
 
 use criterion::{BenchmarkId, Criterion};
 use tulipgap_connection_limits::{
-    Action, Config, ConnectionId, ConnectionLimit, DescriptorOwner, Event, FullPolicy, Limiter, LinkedQueues,
-    NetworkCounts, NetworkLimits, NetworkPrefix, Reservation, TimerWheel,
+    Action, Config, ConnectionId, ConnectionLimit, DescriptorOwner, Event, FullPolicy, Limiter,
+    LinkedQueues, NetworkCounts, NetworkLimits, NetworkPrefix, Reservation, TimerWheel,
 };
 
 const SIZES: [usize; 3] = [512, 10_000, 1_000_000];
@@ -23,7 +23,9 @@
         let mut rng = fastrand::Rng::with_seed(1);
         let mut wheel = TimerWheel::new(Duration::from_millis(10));
         let mut tree = BTreeSet::new();
-        let mut at: Vec<Duration> = (0..size).map(|_| us(rng.u64(2_000_000..4_000_000))).collect();
+        let mut at: Vec<Duration> = (0..size)
+            .map(|_| us(rng.u64(2_000_000..4_000_000)))
+            .collect();
         for (index, &at) in at.iter().enumerate() {
             wheel.set(index, at);
             tree.insert((at, index));
@@ -34,7 +36,9 @@
                 now += us(1);
                 wheel.set(rng.usize(..size), now + us(2_000_000));
                 wheel.advance(now, &mut expired);
-                expired.drain(..).for_each(|index| wheel.set(index, now + us(2_000_000)));
+                expired
+                    .drain(..)
+                    .for_each(|index| wheel.set(index, now + us(2_000_000)));
             });
         });
         let mut now = Duration::ZERO;
@@ -78,7 +82,10 @@
             b.iter(|| {
                 now += 1;
                 used[rng.usize(..size)] = now;
-                used.iter().enumerate().min_by_key(|(_, used)| **used).map(|(index, _)| index)
+                used.iter()
+                    .enumerate()
+                    .min_by_key(|(_, used)| **used)
+                    .map(|(index, _)| index)
             });
         });
     }
@@ -88,8 +95,9 @@
 fn addresses(c: &mut Criterion) {
     let mut group = c.benchmark_group("an address counted in and out");
     for size in SIZES {
-        let key =
-            |number: usize| NetworkPrefix::of_address(Ipv4Addr::from(number as u32 ^ 0x0A00_0000).into());
+        let key = |number: usize| {
+            NetworkPrefix::of_address(Ipv4Addr::from(number as u32 ^ 0x0A00_0000).into())
+        };
         let mut counts = NetworkCounts::new(size, 7);
         let mut map: HashMap<NetworkPrefix, u32> = HashMap::with_capacity(size);
         for number in 0..size - 1 {
@@ -121,11 +129,21 @@
 fn decisions(c: &mut Criterion) {
     let mut group = c.benchmark_group("a connection");
     for size in SIZES {
-        let limit = ConnectionLimit { max_connections: 2000, max_rate: u32::MAX / 4 };
+        let limit = ConnectionLimit {
+            max_connections: 2000,
+            max_rate: u32::MAX / 4,
+        };
         let config = Config {
             max_descriptors: size + 10,
-            reservations: vec![Reservation { owner: DescriptorOwner::Process, descriptors: 4 }],
-            network_limits: Some(NetworkLimits { address: limit, network: limit, wide_network: limit }),
+            reservations: vec![Reservation {
+                owner: DescriptorOwner::Process,
+                descriptors: 4,
+            }],
+            network_limits: Some(NetworkLimits {
+                address: limit,
+                network: limit,
+                wide_network: limit,
+            }),
             full_policy: FullPolicy::Reject,
             trusted_networks: Vec::new(),
             reputation_half_life: Duration::from_secs(600),
@@ -136,11 +154,15 @@
         };
         let mut limiter = Limiter::new(config, 1).unwrap();
         let (mut actions, mut now) = (Vec::new(), Duration::ZERO);
-        let address = |number: usize| Ipv4Addr::from((number as u32).wrapping_mul(2_654_435_761)).into();
+        let address =
+            |number: usize| Ipv4Addr::from((number as u32).wrapping_mul(2_654_435_761)).into();
         for index in 0..size {
             let connection = ConnectionId(index);
             actions.clear();
-            let accepted = Event::Accepted { connection, address: address(index) };
+            let accepted = Event::Accepted {
+                connection,
+                address: address(index),
+            };
             limiter.handle_event(now, accepted, &mut actions);
             limiter.handle_event(now, Event::RequestStarted { connection }, &mut actions);
         }
@@ -151,7 +173,10 @@
                 number += 1;
                 now += us(1);
                 actions.clear();
-                let accepted = Event::Accepted { connection, address: address(number) };
+                let accepted = Event::Accepted {
+                    connection,
+                    address: address(number),
+                };
                 limiter.handle_event(now, accepted, &mut actions);
                 if matches!(actions[0], Action::Serve { .. }) {
                     limiter.handle_event(now, Event::Closed { connection }, &mut actions);
--- a/crates/connection-limits/src/admission.rs
+++ b/crates/connection-limits/src/admission.rs
@@ -37,13 +37,18 @@
     ) {
         let address = address.to_canonical();
         let is_known = self.is_known(now, address);
-        let gradually = Urgency::Gradual { for_known_client: is_known };
+        let gradually = Urgency::Gradual {
+            for_known_client: is_known,
+        };
         if let Some(reason) = self.reject_reason(now, address, is_known) {
             if reason == RejectReason::Full {
                 // The next connection finds a descriptor, where one can be freed.
                 self.make_room(now, gradually, None, actions);
             }
-            return actions.push(Action::Reject { connection: id, reason });
+            return actions.push(Action::Reject {
+                connection: id,
+                reason,
+            });
         }
         self.open(now, id, address, owner(is_known));
         actions.push(Action::Serve { connection: id });
@@ -52,7 +57,8 @@
             self.make_room(now, gradually, None, actions);
         }
         self.update_eviction_class(id);
-        self.timers.set(id.0, now.saturating_add(self.config.message_timeout));
+        self.timers
+            .set(id.0, now.saturating_add(self.config.message_timeout));
         if self.is_draining {
             self.request_close(now, id, actions);
         }
@@ -61,10 +67,16 @@
     /// Counts a connection that is served.
     fn open(&mut self, now: Duration, id: ConnectionId, address: IpAddr, owner: DescriptorOwner) {
         let is_acquired = self.descriptors.try_acquire(owner);
-        debug_assert!(is_acquired, "invariant: a connection that is served has a descriptor");
+        debug_assert!(
+            is_acquired,
+            "invariant: a connection that is served has a descriptor"
+        );
         for network in EnclosingNetworks::of(address).all() {
             let is_counted = self.network_counts.increment(network);
-            debug_assert!(is_counted, "invariant: there are no more networks than connections can have");
+            debug_assert!(
+                is_counted,
+                "invariant: there are no more networks than connections can have"
+            );
         }
         if self.connections.len() <= id.0 {
             self.connections.resize_with(id.0 + 1, || None);
@@ -75,10 +87,16 @@
 
     fn is_known(&self, now: Duration, address: IpAddr) -> bool {
         let mut trusted_networks = self.config.trusted_networks.iter();
-        trusted_networks.any(|network| network.contains(address)) || self.known_clients.is_known(now, address)
+        trusted_networks.any(|network| network.contains(address))
+            || self.known_clients.is_known(now, address)
     }
 
-    fn reject_reason(&mut self, now: Duration, address: IpAddr, is_known: bool) -> Option<RejectReason> {
+    fn reject_reason(
+        &mut self,
+        now: Duration,
+        address: IpAddr,
+        is_known: bool,
+    ) -> Option<RejectReason> {
         if let Some(reason) = self.exceeded_network_limit(now, address, is_known) {
             return Some(reason);
         }
@@ -97,11 +115,16 @@
     ) -> Option<RejectReason> {
         for check in self.network_checks(address)? {
             let factor = if is_known { KNOWN_CLIENT_FACTOR } else { 1 };
-            if self.network_counts.get(check.network) >= check.limit.max_connections.saturating_mul(factor) {
+            if self.network_counts.get(check.network)
+                >= check.limit.max_connections.saturating_mul(factor)
+            {
                 return Some(check.connections_reason);
             }
             // The rate of known clients is not limited: an estimate may contain the openings of others.
-            let max_openings = check.limit.max_rate.saturating_mul(RATE_WINDOW.as_secs() as u32);
+            let max_openings = check
+                .limit
+                .max_rate
+                .saturating_mul(RATE_WINDOW.as_secs() as u32);
             if !is_known && self.open_rates.estimate(now, check.network) >= max_openings {
                 return Some(check.rate_reason);
             }
@@ -162,5 +185,9 @@
 }
 
 fn owner(is_known: bool) -> DescriptorOwner {
-    if is_known { DescriptorOwner::KnownClients } else { DescriptorOwner::NewClients }
+    if is_known {
+        DescriptorOwner::KnownClients
+    } else {
+        DescriptorOwner::NewClients
+    }
 }
--- a/crates/connection-limits/src/descriptor_budget.rs
+++ b/crates/connection-limits/src/descriptor_budget.rs
@@ -48,14 +48,25 @@
         }
         let total: usize = reserved.iter().sum();
         if total > limit {
-            return Err(ConfigError::ReservationsExceedLimit { reserved: total, limit });
+            return Err(ConfigError::ReservationsExceedLimit {
+                reserved: total,
+                limit,
+            });
         }
-        Ok(DescriptorBudget { limit, reserved, in_use: [0; DescriptorOwner::ALL.len()] })
+        Ok(DescriptorBudget {
+            limit,
+            reserved,
+            in_use: [0; DescriptorOwner::ALL.len()],
+        })
     }
 
     /// The descriptors that are in use, or reserved and not in use.
     fn committed(&self) -> usize {
-        self.in_use.iter().zip(&self.reserved).map(|(&in_use, &reserved)| in_use.max(reserved)).sum()
+        self.in_use
+            .iter()
+            .zip(&self.reserved)
+            .map(|(&in_use, &reserved)| in_use.max(reserved))
+            .sum()
     }
 
     /// How many more descriptors the owner may take.
@@ -68,13 +79,19 @@
     pub fn try_acquire(&mut self, owner: DescriptorOwner) -> bool {
         let is_available = self.available(owner) > 0;
         self.in_use[owner as usize] += usize::from(is_available);
-        debug_assert!(self.committed() <= self.limit, "invariant: the budget never exceeds its limit");
+        debug_assert!(
+            self.committed() <= self.limit,
+            "invariant: the budget never exceeds its limit"
+        );
         is_available
     }
 
     /// Gives a descriptor back.
     pub fn release(&mut self, owner: DescriptorOwner) {
-        debug_assert!(self.in_use[owner as usize] > 0, "invariant: a released descriptor was acquired");
+        debug_assert!(
+            self.in_use[owner as usize] > 0,
+            "invariant: a released descriptor was acquired"
+        );
         self.in_use[owner as usize] = self.in_use[owner as usize].saturating_sub(1);
     }
 
--- a/crates/connection-limits/src/eviction.rs
+++ b/crates/connection-limits/src/eviction.rs
@@ -97,7 +97,9 @@
         actions: &mut Vec<Action>,
     ) {
         for class in EvictionClass::ALL {
-            let Some(id) = self.first_in(class).filter(|&id| Some(id) != spared) else { continue };
+            let Some(id) = self.first_in(class).filter(|&id| Some(id) != spared) else {
+                continue;
+            };
             if !self.is_evictable(now, id, class, urgency) {
                 continue;
             }
@@ -111,19 +113,29 @@
         }
     }
 
-    fn is_evictable(&self, now: Duration, id: ConnectionId, class: EvictionClass, urgency: Urgency) -> bool {
-        let Some(connection) = self.connection(id) else { return false };
+    fn is_evictable(
+        &self,
+        now: Duration,
+        id: ConnectionId,
+        class: EvictionClass,
+        urgency: Urgency,
+    ) -> bool {
+        let Some(connection) = self.connection(id) else {
+            return false;
+        };
         let is_immediate = urgency == Urgency::Immediate;
         let is_older = |at: Duration, grace: Duration| now.saturating_sub(at) > grace;
         match class {
-            EvictionClass::Silent => is_immediate || is_older(connection.accepted_at, SILENCE_GRACE),
-            // Never at once: the rest of the message may be in transit.
-            EvictionClass::PartialMessage => {
-                connection.partial_message_since.is_some_and(|at| is_older(at, SILENCE_GRACE))
-            }
-            EvictionClass::CloseRequested => {
-                connection.close_requested_at.is_some_and(|at| is_immediate || is_older(at, CLOSE_GRACE))
+            EvictionClass::Silent => {
+                is_immediate || is_older(connection.accepted_at, SILENCE_GRACE)
             }
+            // Never at once: the rest of the message may be in transit.
+            EvictionClass::PartialMessage => connection
+                .partial_message_since
+                .is_some_and(|at| is_older(at, SILENCE_GRACE)),
+            EvictionClass::CloseRequested => connection
+                .close_requested_at
+                .is_some_and(|at| is_immediate || is_older(at, CLOSE_GRACE)),
             EvictionClass::IdleNewClient => {
                 is_immediate || is_older(connection.last_used_at, NEW_CLIENT_IDLE_GRACE)
             }
@@ -143,7 +155,9 @@
 
     /// Puts a connection in the queue of its class, or in none while it may not be evicted.
     pub(crate) fn update_eviction_class(&mut self, id: ConnectionId) {
-        let Some(connection) = self.connection(id) else { return };
+        let Some(connection) = self.connection(id) else {
+            return;
+        };
         let Some(class) = connection.eviction_class() else {
             return self.eviction_queues.remove(id.0);
         };
--- a/crates/connection-limits/src/known_clients.rs
+++ b/crates/connection-limits/src/known_clients.rs
@@ -26,7 +26,12 @@
 
 impl Client {
     fn new(address: IpAddr, now: Duration) -> Self {
-        Client { address, reputation: 1.0, updated_at: now, first_earned_at: now }
+        Client {
+            address,
+            reputation: 1.0,
+            updated_at: now,
+            first_earned_at: now,
+        }
     }
 
     /// The reputation now.
@@ -96,11 +101,13 @@
     /// addresses that earn a little each cannot displace known clients; the price is that new clients are not
     /// remembered beside many known ones.
     fn replace_unknown_client(&mut self, now: Duration, address: IpAddr) {
-        let samples: Vec<usize> =
-            (0..EVICTION_SAMPLES).map(|_| self.rng.usize(..self.clients.len())).collect();
+        let samples: Vec<usize> = (0..EVICTION_SAMPLES)
+            .map(|_| self.rng.usize(..self.clients.len()))
+            .collect();
         let lowest = (samples.into_iter())
             .min_by(|&a, &b| self.reputation(a, now).total_cmp(&self.reputation(b, now)));
-        if let Some(index) = lowest.filter(|&index| self.reputation(index, now) < KNOWN_REPUTATION) {
+        if let Some(index) = lowest.filter(|&index| self.reputation(index, now) < KNOWN_REPUTATION)
+        {
             self.indices.remove(&self.clients[index].address);
             self.indices.insert(address, index);
             self.clients[index] = Client::new(address, now);
@@ -110,7 +117,10 @@
     /// The address violated the protocol: its reputation is lost.
     pub(crate) fn record_violation(&mut self, now: Duration, address: IpAddr) {
         if let Some(&index) = self.indices.get(&address) {
-            self.clients[index] = Client { reputation: 0.0, ..Client::new(address, now) };
+            self.clients[index] = Client {
+                reputation: 0.0,
+                ..Client::new(address, now)
+            };
         }
     }
 }
--- a/crates/connection-limits/src/limiter.rs
+++ b/crates/connection-limits/src/limiter.rs
@@ -103,16 +103,26 @@
     /// the buffer.
     pub fn handle_event(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Accepted { connection, address } => {
+            Event::Accepted {
+                connection,
+                address,
+            } => {
                 self.handle_accepted(now, connection, address, actions);
             }
             Event::MessageStarted { connection } => self.handle_message_started(now, connection),
-            Event::MessageCompleted { connection } => self.handle_message_completed(now, connection),
+            Event::MessageCompleted { connection } => {
+                self.handle_message_completed(now, connection)
+            }
             Event::RequestStarted { connection } => self.handle_request_started(now, connection),
-            Event::RequestFinished { connection, is_answered } => {
+            Event::RequestFinished {
+                connection,
+                is_answered,
+            } => {
                 self.handle_request_finished(now, connection, is_answered, actions);
             }
-            Event::ProtocolViolation { connection } => self.handle_protocol_violation(now, connection),
+            Event::ProtocolViolation { connection } => {
+                self.handle_protocol_violation(now, connection)
+            }
             Event::Closed { connection } => self.handle_closed(connection),
             Event::AcceptFailed { error } => self.handle_accept_failed(now, error, actions),
             Event::SetIdleTimeout { timeout } => self.config.idle_timeout = timeout,
@@ -138,7 +148,9 @@
 
     fn handle_message_started(&mut self, now: Duration, id: ConnectionId) {
         let deadline = now.saturating_add(self.config.message_timeout);
-        let Some(connection) = self.connection_mut(id) else { return };
+        let Some(connection) = self.connection_mut(id) else {
+            return;
+        };
         if connection.partial_message_since.is_some() {
             return;
         }
@@ -153,7 +165,9 @@
 
     fn handle_message_completed(&mut self, now: Duration, id: ConnectionId) {
         let deadline = now.saturating_add(self.config.idle_timeout);
-        let Some(connection) = self.connection_mut(id) else { return };
+        let Some(connection) = self.connection_mut(id) else {
+            return;
+        };
         connection.has_sent_message = true;
         connection.last_used_at = now;
         connection.message_awaited_since = None;
@@ -163,7 +177,9 @@
     }
 
     fn handle_request_started(&mut self, now: Duration, id: ConnectionId) {
-        let Some(connection) = self.connection_mut(id) else { return };
+        let Some(connection) = self.connection_mut(id) else {
+            return;
+        };
         connection.open_requests += 1;
         connection.last_used_at = now;
         self.update_eviction_class(id);
@@ -177,7 +193,9 @@
         actions: &mut Vec<Action>,
     ) {
         let (idle_timeout, close_timeout) = (self.config.idle_timeout, self.close_timeout());
-        let Some(connection) = self.connection_mut(id) else { return };
+        let Some(connection) = self.connection_mut(id) else {
+            return;
+        };
         connection.open_requests = connection.open_requests.saturating_sub(1);
         connection.last_used_at = now;
         let address = connection.address;
@@ -205,7 +223,9 @@
     }
 
     fn handle_closed(&mut self, id: ConnectionId) {
-        let Some(connection) = self.connections.get_mut(id.0).and_then(Option::take) else { return };
+        let Some(connection) = self.connections.get_mut(id.0).and_then(Option::take) else {
+            return;
+        };
         self.eviction_queues.remove(id.0);
         self.timers.cancel(id.0);
         self.descriptors.release(connection.owner);
@@ -215,7 +235,12 @@
         self.open_connections -= 1;
     }
 
-    fn handle_accept_failed(&mut self, now: Duration, error: AcceptError, actions: &mut Vec<Action>) {
+    fn handle_accept_failed(
+        &mut self,
+        now: Duration,
+        error: AcceptError,
+        actions: &mut Vec<Action>,
+    ) {
         let pause = match error {
             // A connection that was closed before says nothing of the next.
             AcceptError::ConnectionAborted => return,
@@ -225,7 +250,9 @@
         };
         // Descriptors are in use that the budget does not know of.
         self.make_room(now, Urgency::Immediate, None, actions);
-        actions.push(Action::PauseAccepting { until: now.saturating_add(pause) });
+        actions.push(Action::PauseAccepting {
+            until: now.saturating_add(pause),
+        });
     }
 
     fn drain(&mut self, now: Duration, actions: &mut Vec<Action>) {
--- a/crates/connection-limits/src/linked_queues.rs
+++ b/crates/connection-limits/src/linked_queues.rs
@@ -28,7 +28,14 @@
     /// Creates this number of empty queues.
     pub fn new(queues: usize) -> Self {
         LinkedQueues {
-            queues: vec![Queue { front: NONE, back: NONE, length: 0 }; queues],
+            queues: vec![
+                Queue {
+                    front: NONE,
+                    back: NONE,
+                    length: 0
+                };
+                queues
+            ],
             entries: Vec::new(),
         }
     }
@@ -37,10 +44,21 @@
     pub fn push_back(&mut self, index: usize, queue: usize) {
         self.remove(index);
         if self.entries.len() <= index {
-            self.entries.resize(index + 1, Entry { queue: NONE, previous: NONE, next: NONE });
+            self.entries.resize(
+                index + 1,
+                Entry {
+                    queue: NONE,
+                    previous: NONE,
+                    next: NONE,
+                },
+            );
         }
         let back = self.queues[queue].back;
-        self.entries[index] = Entry { queue: queue as u32, previous: back, next: NONE };
+        self.entries[index] = Entry {
+            queue: queue as u32,
+            previous: back,
+            next: NONE,
+        };
         match back {
             NONE => self.queues[queue].front = index as u32,
             back => self.entries[back as usize].next = index as u32,
@@ -51,7 +69,14 @@
 
     /// Removes an index from the queue in which it is.
     pub fn remove(&mut self, index: usize) {
-        let Some(&Entry { queue, previous, next }) = self.entries.get(index) else { return };
+        let Some(&Entry {
+            queue,
+            previous,
+            next,
+        }) = self.entries.get(index)
+        else {
+            return;
+        };
         if queue == NONE {
             return;
         }
@@ -75,7 +100,10 @@
 
     /// The queue in which an index is.
     pub fn queue_of(&self, index: usize) -> Option<usize> {
-        self.entries.get(index).filter(|entry| entry.queue != NONE).map(|entry| entry.queue as usize)
+        self.entries
+            .get(index)
+            .filter(|entry| entry.queue != NONE)
+            .map(|entry| entry.queue as usize)
     }
 
     /// The number of indices in a queue.
--- a/crates/connection-limits/src/network_counts.rs
+++ b/crates/connection-limits/src/network_counts.rs
@@ -25,7 +25,12 @@
     pub fn new(max_networks: usize, seed: u64) -> Self {
         let max_networks = max_networks.max(1);
         let slots = vec![None; (max_networks * 2).next_power_of_two()];
-        NetworkCounts { slots, seed, networks: 0, max_networks }
+        NetworkCounts {
+            slots,
+            seed,
+            networks: 0,
+            max_networks,
+        }
     }
 
     /// The slot in which the search for a network starts.
@@ -85,7 +90,9 @@
         let mut index = gap;
         loop {
             index = (index + 1) & mask;
-            let Some(slot) = self.slots[index] else { return };
+            let Some(slot) = self.slots[index] else {
+                return;
+            };
             let distance_to_home = index.wrapping_sub(self.home(slot.network)) & mask;
             let distance_to_gap = index.wrapping_sub(gap) & mask;
             if distance_to_home >= distance_to_gap {
--- a/crates/connection-limits/src/network_prefix.rs
+++ b/crates/connection-limits/src/network_prefix.rs
@@ -51,7 +51,9 @@
 }
 
 fn mask(length: u8) -> u128 {
-    u128::MAX.checked_shl(u32::from(IPV6_BITS - length)).unwrap_or(0)
+    u128::MAX
+        .checked_shl(u32::from(IPV6_BITS - length))
+        .unwrap_or(0)
 }
 
 impl NetworkPrefix {
@@ -59,13 +61,19 @@
     /// itself.
     pub fn new(address: IpAddr, length: u8) -> Self {
         let (bits, length) = match address {
-            IpAddr::V4(v4) => (v4.to_ipv6_mapped().to_bits(), IPV4_MAPPED_BITS + length.min(IPV4_BITS)),
+            IpAddr::V4(v4) => (
+                v4.to_ipv6_mapped().to_bits(),
+                IPV4_MAPPED_BITS + length.min(IPV4_BITS),
+            ),
             IpAddr::V6(v6) if v6.to_ipv4_mapped().is_some() => {
                 (v6.to_bits(), length.clamp(IPV4_MAPPED_BITS, IPV6_BITS))
             }
             IpAddr::V6(v6) => (v6.to_bits(), length.min(IPV6_BITS)),
         };
-        NetworkPrefix { bits: bits & mask(length), length }
+        NetworkPrefix {
+            bits: bits & mask(length),
+            length,
+        }
     }
 
     /// The network that consists of one address.
@@ -135,22 +143,37 @@
         let (address, length) = match text.split_once('/') {
             Some((address, length)) => {
                 let parsed = length.parse::<u8>();
-                let length =
-                    parsed.map_err(|source| ParsePrefixError::Length { text: text.to_owned(), source })?;
+                let length = parsed.map_err(|source| ParsePrefixError::Length {
+                    text: text.to_owned(),
+                    source,
+                })?;
                 (address, Some(length))
             }
             None => (text, None),
         };
-        let address: IpAddr =
-            address.parse().map_err(|source| ParsePrefixError::Address { text: text.to_owned(), source })?;
-        let max = if address.is_ipv4() { IPV4_BITS } else { IPV6_BITS };
+        let address: IpAddr = address
+            .parse()
+            .map_err(|source| ParsePrefixError::Address {
+                text: text.to_owned(),
+                source,
+            })?;
+        let max = if address.is_ipv4() {
+            IPV4_BITS
+        } else {
+            IPV6_BITS
+        };
         let length = length.unwrap_or(max);
         if length > max {
-            return Err(ParsePrefixError::LengthOutOfRange { text: text.to_owned(), max });
+            return Err(ParsePrefixError::LengthOutOfRange {
+                text: text.to_owned(),
+                max,
+            });
         }
         let network = NetworkPrefix::new(address, length);
         if network.bits != NetworkPrefix::of_address(address).bits {
-            return Err(ParsePrefixError::HostBits { text: text.to_owned() });
+            return Err(ParsePrefixError::HostBits {
+                text: text.to_owned(),
+            });
         }
         Ok(network)
     }
--- a/crates/connection-limits/src/rate_sketch.rs
+++ b/crates/connection-limits/src/rate_sketch.rs
@@ -29,7 +29,13 @@
         let columns = columns.next_power_of_two();
         let bucket_width = (window / (BUCKETS as u32 - 1)).max(Duration::from_millis(1));
         let buckets = vec![vec![0; ROWS * columns]; BUCKETS];
-        RateSketch { bucket_width, columns, current_bucket: 0, buckets, seed }
+        RateSketch {
+            bucket_width,
+            columns,
+            current_bucket: 0,
+            buckets,
+            seed,
+        }
     }
 
     /// Clears the buckets that have left the window.
@@ -69,7 +75,11 @@
         let counters = self.counters(network);
         let bucket = &mut self.buckets[(self.current_bucket % BUCKETS as u64) as usize];
         // Conservative update: a counter that is higher already belongs to other networks as well.
-        let minimum = counters.iter().map(|&counter| bucket[counter]).min().unwrap_or(0);
+        let minimum = counters
+            .iter()
+            .map(|&counter| bucket[counter])
+            .min()
+            .unwrap_or(0);
         for counter in counters {
             bucket[counter] = bucket[counter].max(minimum.saturating_add(1));
         }
--- a/crates/connection-limits/src/timeouts.rs
+++ b/crates/connection-limits/src/timeouts.rs
@@ -45,9 +45,12 @@
     }
 
     fn handle_deadline(&mut self, now: Duration, id: ConnectionId, actions: &mut Vec<Action>) {
-        let (message_timeout, idle_timeout) = (self.config.message_timeout, self.config.idle_timeout);
+        let (message_timeout, idle_timeout) =
+            (self.config.message_timeout, self.config.idle_timeout);
         let close_timeout = self.close_timeout();
-        let Some(connection) = self.connection_mut(id) else { return };
+        let Some(connection) = self.connection_mut(id) else {
+            return;
+        };
         if let Some(since) = connection.message_awaited_since {
             if now.saturating_sub(since) < message_timeout {
                 return self.timers.set(id.0, since.saturating_add(message_timeout));
@@ -61,7 +64,9 @@
             // The deadline is set again when the request has finished.
         } else if let Some(requested_at) = connection.close_requested_at {
             if now.saturating_sub(requested_at) < close_timeout {
-                return self.timers.set(id.0, requested_at.saturating_add(close_timeout));
+                return self
+                    .timers
+                    .set(id.0, requested_at.saturating_add(close_timeout));
             }
             self.close(id, CloseReason::CloseTimeout, actions);
         } else if now.saturating_sub(connection.last_used_at) < idle_timeout {
@@ -73,9 +78,16 @@
     }
 
     /// Asks the client to close a connection, once.
-    pub(crate) fn request_close(&mut self, now: Duration, id: ConnectionId, actions: &mut Vec<Action>) {
+    pub(crate) fn request_close(
+        &mut self,
+        now: Duration,
+        id: ConnectionId,
+        actions: &mut Vec<Action>,
+    ) {
         let close_timeout = self.close_timeout();
-        let Some(connection) = self.connection_mut(id) else { return };
+        let Some(connection) = self.connection_mut(id) else {
+            return;
+        };
         if connection.close_requested_at.is_some() || connection.is_closing {
             return;
         }
@@ -89,12 +101,23 @@
 
     /// How long a client has to close a connection now.
     pub(crate) fn close_timeout(&self) -> Duration {
-        if self.is_draining { DRAIN_CLOSE_TIMEOUT } else { CLOSE_TIMEOUT }
+        if self.is_draining {
+            DRAIN_CLOSE_TIMEOUT
+        } else {
+            CLOSE_TIMEOUT
+        }
     }
 
     /// Has the host close a connection, once.
-    pub(crate) fn close(&mut self, id: ConnectionId, reason: CloseReason, actions: &mut Vec<Action>) {
-        let Some(connection) = self.connection_mut(id) else { return };
+    pub(crate) fn close(
+        &mut self,
+        id: ConnectionId,
+        reason: CloseReason,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(connection) = self.connection_mut(id) else {
+            return;
+        };
         if connection.is_closing {
             return;
         }
@@ -105,6 +128,9 @@
         connection.is_closing = true;
         self.eviction_queues.remove(id.0);
         self.timers.cancel(id.0);
-        actions.push(Action::Close { connection: id, reason });
+        actions.push(Action::Close {
+            connection: id,
+            reason,
+        });
     }
 }
--- a/crates/connection-limits/src/timer_wheel.rs
+++ b/crates/connection-limits/src/timer_wheel.rs
@@ -63,7 +63,15 @@
     pub fn set(&mut self, index: usize, deadline: Duration) {
         self.cancel(index);
         if self.entries.len() <= index {
-            self.entries.resize(index + 1, Entry { deadline: 0, slot: NONE, previous: NONE, next: NONE });
+            self.entries.resize(
+                index + 1,
+                Entry {
+                    deadline: 0,
+                    slot: NONE,
+                    previous: NONE,
+                    next: NONE,
+                },
+            );
         }
         self.entries[index].deadline = self.tick_after(deadline);
         self.link(index as u32);
@@ -72,7 +80,11 @@
 
     /// Removes the deadline of an index, where it has one.
     pub fn cancel(&mut self, index: usize) {
-        if self.entries.get(index).is_some_and(|entry| entry.slot != NONE) {
+        if self
+            .entries
+            .get(index)
+            .is_some_and(|entry| entry.slot != NONE)
+        {
             self.unlink(index as u32);
             self.pending -= 1;
         }
@@ -99,7 +111,12 @@
     }
 
     fn unlink(&mut self, index: u32) {
-        let Entry { slot, previous, next, .. } = self.entries[index as usize];
+        let Entry {
+            slot,
+            previous,
+            next,
+            ..
+        } = self.entries[index as usize];
         if previous == NONE {
             self.heads[slot as usize] = next;
             if next == NONE {
@@ -160,7 +177,8 @@
                 let shift = LEVEL_BITS * level as u32;
                 let current_slot = (self.now >> shift) as u32 % SLOTS as u32;
                 // Slots behind the current one come in this turn of the wheel, the others in the next.
-                let from_next_slot = self.occupied[level].rotate_right((current_slot + 1) % SLOTS as u32);
+                let from_next_slot =
+                    self.occupied[level].rotate_right((current_slot + 1) % SLOTS as u32);
                 let slots_ahead = u64::from(from_next_slot.trailing_zeros()) + 1;
                 ((self.now >> shift) + slots_ahead) << shift
             })
@@ -170,6 +188,9 @@
     /// A time before which no deadline expires.
     pub fn next_deadline(&self) -> Option<Duration> {
         let tick = self.next_occupied_tick()?;
-        Some(self.tick.saturating_mul(u32::try_from(tick).unwrap_or(u32::MAX)))
+        Some(
+            self.tick
+                .saturating_mul(u32::try_from(tick).unwrap_or(u32::MAX)),
+        )
     }
 }
--- a/crates/connection-limits/tests/limiter.rs
+++ b/crates/connection-limits/tests/limiter.rs
@@ -8,8 +8,8 @@
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use tulipgap_connection_limits::{
-    AcceptError, Action, CloseReason, Config, ConnectionId, ConnectionLimit, DescriptorOwner, Event,
-    FullPolicy, Limiter, NetworkLimits, RejectReason, Reservation,
+    AcceptError, Action, CloseReason, Config, ConnectionId, ConnectionLimit, DescriptorOwner,
+    Event, FullPolicy, Limiter, NetworkLimits, RejectReason, Reservation,
 };
 
 fn ms(span: u64) -> Duration {
@@ -24,14 +24,32 @@
     Config {
         max_descriptors: 60,
         reservations: vec![
-            Reservation { owner: DescriptorOwner::Process, descriptors: 6 },
-            Reservation { owner: DescriptorOwner::Store, descriptors: 4 },
-            Reservation { owner: DescriptorOwner::KnownClients, descriptors: 10 },
+            Reservation {
+                owner: DescriptorOwner::Process,
+                descriptors: 6,
+            },
+            Reservation {
+                owner: DescriptorOwner::Store,
+                descriptors: 4,
+            },
+            Reservation {
+                owner: DescriptorOwner::KnownClients,
+                descriptors: 10,
+            },
         ],
         network_limits: Some(NetworkLimits {
-            address: ConnectionLimit { max_connections: 8, max_rate: 10 },
-            network: ConnectionLimit { max_connections: 24, max_rate: 30 },
-            wide_network: ConnectionLimit { max_connections: 40, max_rate: 60 },
+            address: ConnectionLimit {
+                max_connections: 8,
+                max_rate: 10,
+            },
+            network: ConnectionLimit {
+                max_connections: 24,
+                max_rate: 30,
+            },
+            wide_network: ConnectionLimit {
+                max_connections: 40,
+                max_rate: 60,
+            },
         }),
         full_policy: FullPolicy::Reject,
         trusted_networks: Vec::new(),
@@ -84,28 +102,46 @@
         for action in actions {
             match action {
                 Action::Serve { connection } => {
-                    let Event::Accepted { connection: accepted, .. } = event else {
+                    let Event::Accepted {
+                        connection: accepted,
+                        ..
+                    } = event
+                    else {
                         panic!("no connection was accepted")
                     };
                     assert!(accepted == connection && !std::mem::replace(&mut is_decided, true));
-                    let model =
-                        OpenConnection { open_requests: 0, is_close_requested: false, is_closing: false };
+                    let model = OpenConnection {
+                        open_requests: 0,
+                        is_close_requested: false,
+                        is_closing: false,
+                    };
                     assert!(self.open.insert(connection, model).is_none());
                 }
                 Action::Reject { connection, reason } => {
-                    assert!(matches!(event, Event::Accepted { connection: c, .. } if c == connection));
+                    assert!(
+                        matches!(event, Event::Accepted { connection: c, .. } if c == connection)
+                    );
                     assert!(!std::mem::replace(&mut is_decided, true));
                     self.free.insert(connection);
                     self.rejected.push(reason);
                 }
                 Action::RequestClose { connection } => {
                     let model = self.open.get_mut(&connection).expect("it is open");
-                    assert!(!std::mem::replace(&mut model.is_close_requested, true), "requested once");
+                    assert!(
+                        !std::mem::replace(&mut model.is_close_requested, true),
+                        "requested once"
+                    );
                 }
                 Action::Close { connection, reason } => {
                     let model = self.open.get_mut(&connection).expect("it is open");
-                    assert_eq!(model.open_requests, 0, "no request is open on a connection that is closed");
-                    assert!(!std::mem::replace(&mut model.is_closing, true), "closed once");
+                    assert_eq!(
+                        model.open_requests, 0,
+                        "no request is open on a connection that is closed"
+                    );
+                    assert!(
+                        !std::mem::replace(&mut model.is_closing, true),
+                        "closed once"
+                    );
                     self.closed.push((connection, reason));
                 }
                 Action::PauseAccepting { until } => self.paused_until = until,
@@ -113,7 +149,10 @@
             }
         }
         let is_accept = matches!(event, Event::Accepted { .. });
-        assert_eq!(is_decided, is_accept, "each accepted connection is served or rejected");
+        assert_eq!(
+            is_decided, is_accept,
+            "each accepted connection is served or rejected"
+        );
         let descriptors = self.limiter.descriptors();
         assert!(descriptors.total_in_use() <= self.max_descriptors);
         // New clients take nothing that is reserved for known clients or others.
@@ -125,7 +164,10 @@
     /// Accepts a connection. Returns it where it is served.
     fn accept(&mut self, address: IpAddr) -> Option<ConnectionId> {
         let connection = self.free.pop_first().expect("indices are enough");
-        self.handle(Event::Accepted { connection, address });
+        self.handle(Event::Accepted {
+            connection,
+            address,
+        });
         self.open.contains_key(&connection).then_some(connection)
     }
 
@@ -140,7 +182,10 @@
 
     fn finish_request(&mut self, connection: ConnectionId, is_answered: bool) {
         self.model(connection).open_requests -= 1;
-        self.handle(Event::RequestFinished { connection, is_answered });
+        self.handle(Event::RequestFinished {
+            connection,
+            is_answered,
+        });
     }
 
     /// A request that is read and answered completely.
@@ -169,7 +214,9 @@
     fn finish_closing(&mut self) {
         let closing = self.open.iter().filter(|(_, model)| model.is_closing);
         let closing: Vec<ConnectionId> = closing.map(|(&connection, _)| connection).collect();
-        closing.into_iter().for_each(|connection| self.close(connection));
+        closing
+            .into_iter()
+            .for_each(|connection| self.close(connection));
     }
 
     /// Makes the client of an address known.
@@ -187,10 +234,17 @@
 fn address_at_its_connection_limit_is_rejected_and_others_are_served() {
     let mut server = Server::new(config());
     let flooding = v4(127, 9, 9, 9);
-    let served = (0..5000).filter(|_| server.accept(flooding).is_some()).count();
+    let served = (0..5000)
+        .filter(|_| server.accept(flooding).is_some())
+        .count();
     assert_eq!(served, 8);
     assert_eq!(server.rejected.len(), 4992);
-    assert!(server.rejected.iter().all(|&reason| reason == RejectReason::AddressConnections));
+    assert!(
+        server
+            .rejected
+            .iter()
+            .all(|&reason| reason == RejectReason::AddressConnections)
+    );
     assert!((1..20).all(|host| server.accept(v4(127, host, 1, 1)).is_some()));
 }
 
@@ -206,25 +260,43 @@
         }
     }
     assert_eq!(served, 30, "three seconds' worth");
-    assert!(server.rejected.iter().all(|&reason| reason == RejectReason::AddressRate));
+    assert!(
+        server
+            .rejected
+            .iter()
+            .all(|&reason| reason == RejectReason::AddressRate)
+    );
     server.advance(ms(5000));
-    assert!(server.accept(flooding).is_some(), "rejected attempts do not count");
+    assert!(
+        server.accept(flooding).is_some(),
+        "rejected attempts do not count"
+    );
 }
 
 #[test]
 fn networks_have_connection_limits_of_their_own() {
     let mut server = Server::new(config());
-    let served = (0..200).filter(|&host| server.accept(v4(127, 1, 1, host)).is_some()).count();
+    let served = (0..200)
+        .filter(|&host| server.accept(v4(127, 1, 1, host)).is_some())
+        .count();
     assert_eq!(served, 24);
     assert!(
-        server.rejected.iter().all(|&reason| reason == RejectReason::NetworkConnections),
+        server
+            .rejected
+            .iter()
+            .all(|&reason| reason == RejectReason::NetworkConnections),
         "{:?}",
         server.rejected
     );
     // The owner of a /64 has all of its addresses, so it counts as one network.
     let mut server = Server::new(config());
     let v6 = |last: u16| Ipv6Addr::new(0x2001, 0xdb8, 1, 1, 0, 0, 0, last).into();
-    assert_eq!((0..200).filter(|&last| server.accept(v6(last)).is_some()).count(), 24);
+    assert_eq!(
+        (0..200)
+            .filter(|&last| server.accept(v6(last)).is_some())
+            .count(),
+        24
+    );
 }
 
 #[test]
@@ -239,7 +311,11 @@
     }
     assert!(server.rejected.contains(&RejectReason::Full));
     for _ in 0..8 {
-        assert!(server.accept(client).is_some(), "{:?}", server.rejected.last());
+        assert!(
+            server.accept(client).is_some(),
+            "{:?}",
+            server.rejected.last()
+        );
     }
 }
 
@@ -259,7 +335,10 @@
         }
     };
     fill(&mut server);
-    assert!(server.accept(quick).is_none(), "a burst of one moment earns nothing");
+    assert!(
+        server.accept(quick).is_none(),
+        "a burst of one moment earns nothing"
+    );
     assert!(server.accept(old).is_some());
     server.advance(Duration::from_secs(300));
     fill(&mut server);
@@ -281,8 +360,10 @@
 
 #[test]
 fn trusted_networks_are_known_from_the_start() {
-    let mut server =
-        Server::new(Config { trusted_networks: vec!["127.7.0.0/16".parse().unwrap()], ..config() });
+    let mut server = Server::new(Config {
+        trusted_networks: vec!["127.7.0.0/16".parse().unwrap()],
+        ..config()
+    });
     for host in 0..200u8 {
         server.accept(v4(127, 100 + host % 100, host, 1));
     }
@@ -310,7 +391,9 @@
     server.serve(idle);
     let partial = server.accept(v4(127, 4, 1, 1)).unwrap();
     server.serve(partial);
-    server.handle(Event::MessageStarted { connection: partial });
+    server.handle(Event::MessageStarted {
+        connection: partial,
+    });
     let silent = server.accept(v4(127, 5, 1, 1)).unwrap();
     server.advance(ms(1200));
     let mut order = Vec::new();
@@ -335,13 +418,18 @@
 
 #[test]
 fn two_active_clients_do_not_evict_each_other() {
-    let mut server = Server::new(Config { network_limits: None, ..config() });
+    let mut server = Server::new(Config {
+        network_limits: None,
+        ..config()
+    });
     // All connections but a few have an open request; two clients use theirs every 100 ms.
     for host in 0..38u8 {
         let connection = server.accept(v4(126, host, 1, 1)).unwrap();
         server.start_request(connection);
     }
-    let pair: Vec<ConnectionId> = (1..=2).map(|host| server.accept(v4(127, host, 1, 1)).unwrap()).collect();
+    let pair: Vec<ConnectionId> = (1..=2)
+        .map(|host| server.accept(v4(127, host, 1, 1)).unwrap())
+        .collect();
     for turn in 0..50u8 {
         pair.iter().for_each(|&connection| server.serve(connection));
         if let Some(connection) = server.accept(v4(125, turn, 1, 1)) {
@@ -399,11 +487,19 @@
 fn accepting_pauses_and_a_connection_is_evicted_when_descriptors_run_out() {
     let mut server = Server::new(config());
     let connection = server.accept(v4(127, 1, 1, 1)).unwrap();
-    server.handle(Event::AcceptFailed { error: AcceptError::ProcessDescriptorLimit });
+    server.handle(Event::AcceptFailed {
+        error: AcceptError::ProcessDescriptorLimit,
+    });
     assert_eq!(server.paused_until, ms(20));
     assert_eq!(server.closed, [(connection, CloseReason::Evicted)]);
-    server.handle(Event::AcceptFailed { error: AcceptError::ConnectionAborted });
-    assert_eq!(server.paused_until, ms(20), "an aborted connection does not pause accepting");
+    server.handle(Event::AcceptFailed {
+        error: AcceptError::ConnectionAborted,
+    });
+    assert_eq!(
+        server.paused_until,
+        ms(20),
+        "an aborted connection does not pause accepting"
+    );
 }
 
 #[test]
@@ -417,13 +513,20 @@
     let single = v4(127, 1, 1, 1);
     let herd = (0..100).filter(|_| server.accept(single).is_some()).count();
     assert!((5..=13).contains(&herd), "{herd}");
-    assert!(server.rejected.iter().all(|&reason| reason == RejectReason::WarmingUp));
+    assert!(
+        server
+            .rejected
+            .iter()
+            .all(|&reason| reason == RejectReason::WarmingUp)
+    );
     for connection in server.open.keys().copied().collect::<Vec<_>>() {
         server.serve(connection);
     }
     server.advance(ms(9000));
     // Nearly warm: most of the capacity is there for others.
-    let others = (0..30u8).filter(|&host| server.accept(v4(127, 2, host, 1)).is_some()).count();
+    let others = (0..30u8)
+        .filter(|&host| server.accept(v4(127, 2, host, 1)).is_some())
+        .count();
     assert!(others >= 20, "{others}");
     // Many addresses together get no more than that fraction, either.
     let mut server = Server::new(Config {
@@ -432,7 +535,9 @@
         warm_up: Duration::from_secs(10),
         ..config()
     });
-    let herd = (0..100u8).filter(|&host| server.accept(v4(127, 3, host, 1)).is_some()).count();
+    let herd = (0..100u8)
+        .filter(|&host| server.accept(v4(127, 3, host, 1)).is_some())
+        .count();
     assert!((10..=13).contains(&herd), "{herd}");
 }
 
@@ -444,7 +549,10 @@
     server.handle(Event::Drain);
     assert!(server.open[&connection].is_close_requested);
     let late = server.accept(v4(127, 2, 1, 1)).unwrap();
-    assert!(server.open[&late].is_close_requested, "the client of a later connection is asked at once");
+    assert!(
+        server.open[&late].is_close_requested,
+        "the client of a later connection is asked at once"
+    );
     server.advance(ms(100));
     assert!(!server.open.contains_key(&connection));
 }
@@ -458,7 +566,11 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        Step { action: u8::arbitrary(g), selector: u8::arbitrary(g), span: u16::arbitrary(g) }
+        Step {
+            action: u8::arbitrary(g),
+            selector: u8::arbitrary(g),
+            span: u16::arbitrary(g),
+        }
     }
 }
 
@@ -554,25 +666,50 @@
         let mut actions = Vec::new();
         let may = server.limiter.may_accept(server.now, &mut actions);
         let closed = |action: &Action| {
-            if let Action::Close { connection, .. } = action { Some(*connection) } else { None }
+            if let Action::Close { connection, .. } = action {
+                Some(*connection)
+            } else {
+                None
+            }
         };
         (may, actions.iter().find_map(closed))
     };
     let mut last = None;
-    while server.limiter.descriptors().available(DescriptorOwner::NewClients) > 0 {
+    while server
+        .limiter
+        .descriptors()
+        .available(DescriptorOwner::NewClients)
+        > 0
+    {
         last = server.accept(v4(10, 0, 0, 1));
         assert!(last.is_some(), "a descriptor is available");
-        if server.limiter.descriptors().available(DescriptorOwner::NewClients) > 0 {
+        if server
+            .limiter
+            .descriptors()
+            .available(DescriptorOwner::NewClients)
+            > 0
+        {
             server.serve(last.unwrap());
         }
     }
     let (may, first) = evicted(&mut server);
-    assert!(!may && first.is_some() && first != last, "{first:?} of {last:?}");
+    assert!(
+        !may && first.is_some() && first != last,
+        "{first:?} of {last:?}"
+    );
     // Of several silent connections the oldest is evicted at once.
-    let mut server =
-        Server::new(Config { full_policy: FullPolicy::Wait, network_limits: None, ..self::config() });
+    let mut server = Server::new(Config {
+        full_policy: FullPolicy::Wait,
+        network_limits: None,
+        ..self::config()
+    });
     let mut silent = Vec::new();
-    while server.limiter.descriptors().available(DescriptorOwner::NewClients) > 0 {
+    while server
+        .limiter
+        .descriptors()
+        .available(DescriptorOwner::NewClients)
+        > 0
+    {
         silent.extend(server.accept(v4(10, 0, 0, 2)));
     }
     assert_eq!(evicted(&mut server), (false, silent.first().copied()));
--- a/crates/connection-limits/tests/structures.rs
+++ b/crates/connection-limits/tests/structures.rs
@@ -6,7 +6,8 @@
 
 use quickcheck::quickcheck;
 use tulipgap_connection_limits::{
-    DescriptorBudget, DescriptorOwner, NetworkCounts, NetworkPrefix, RateSketch, Reservation, TimerWheel,
+    DescriptorBudget, DescriptorOwner, NetworkCounts, NetworkPrefix, RateSketch, Reservation,
+    TimerWheel,
 };
 
 fn ms(span: u64) -> Duration {
@@ -117,8 +118,18 @@
     // The IPv6-mapped form of an address is the same address.
     assert!(network.contains("::ffff:10.1.2.3".parse().unwrap()));
     let v6: NetworkPrefix = "2001:db8::/32".parse().unwrap();
-    assert!(v6.contains("2001:db8:5::1".parse().unwrap()) && !v6.contains("2001:db9::1".parse().unwrap()));
-    for malformed in ["10.1.0.0/33", "10.1.2.3/16", "nowhere", "10.1/16", "::/129", "10.0.0.0/x"] {
+    assert!(
+        v6.contains("2001:db8:5::1".parse().unwrap())
+            && !v6.contains("2001:db9::1".parse().unwrap())
+    );
+    for malformed in [
+        "10.1.0.0/33",
+        "10.1.2.3/16",
+        "nowhere",
+        "10.1/16",
+        "::/129",
+        "10.0.0.0/x",
+    ] {
         assert!(malformed.parse::<NetworkPrefix>().is_err(), "{malformed}");
     }
 }
--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -26,11 +26,19 @@
 
 impl Identity {
     pub(crate) fn new(name: Name, id: VoterId) -> Self {
-        Identity { name, id: id.max(VoterId(1)), promised: None, is_bootstrapped: false }
+        Identity {
+            name,
+            id: id.max(VoterId(1)),
+            promised: None,
+            is_bootstrapped: false,
+        }
     }
 
     pub(crate) fn decode(bytes: &[u8]) -> Result<Self, LoadError> {
-        postcard::from_bytes(bytes).map_err(|source| LoadError::Decode { item: "the identity", source })
+        postcard::from_bytes(bytes).map_err(|source| LoadError::Decode {
+            item: "the identity",
+            source,
+        })
     }
 
     pub(crate) fn encode(&self) -> Vec<u8> {
@@ -73,7 +81,10 @@
 
 impl Bootstrap {
     pub(crate) fn new(names: Vec<Name>) -> Self {
-        Bootstrap { names, others: BTreeMap::new() }
+        Bootstrap {
+            names,
+            others: BTreeMap::new(),
+        }
     }
 
     /// The ids this voter knows, its own included; what it has promised once it has.
@@ -81,7 +92,10 @@
         if let Some(promised) = &own.promised {
             return promised.clone();
         }
-        let others = self.others.iter().map(|(name, other)| (name.clone(), other.id));
+        let others = self
+            .others
+            .iter()
+            .map(|(name, other)| (name.clone(), other.id));
         others.chain([(own.name.clone(), own.id)]).collect()
     }
 
@@ -125,10 +139,13 @@
     }
 
     fn all_promised(&self, own: &Identity, voters: &BTreeMap<Name, VoterId>) -> bool {
-        self.names.iter().filter(|name| **name != own.name).all(|name| {
-            self.others.get(name).is_some_and(|other| {
-                other.promised.as_ref() == Some(voters) && voters.get(name) == Some(&other.id)
+        self.names
+            .iter()
+            .filter(|name| **name != own.name)
+            .all(|name| {
+                self.others.get(name).is_some_and(|other| {
+                    other.promised.as_ref() == Some(voters) && voters.get(name) == Some(&other.id)
+                })
             })
-        })
     }
 }
--- a/crates/consensus/src/bootstrap/tests.rs
+++ b/crates/consensus/src/bootstrap/tests.rs
@@ -13,9 +13,15 @@
     let mut completed = 0;
     for seed in 0..6_000 {
         let mut random = fastrand::Rng::with_seed(seed);
-        let new_voter =
-            |name: &Name, id| (Identity::new(name.clone(), VoterId(id)), Bootstrap::new(names.clone()));
-        let mut voters: Vec<_> = (0..3).map(|at| new_voter(&names[at], at as u64 + 1)).collect();
+        let new_voter = |name: &Name, id| {
+            (
+                Identity::new(name.clone(), VoterId(id)),
+                Bootstrap::new(names.clone()),
+            )
+        };
+        let mut voters: Vec<_> = (0..3)
+            .map(|at| new_voter(&names[at], at as u64 + 1))
+            .collect();
         let mut sent: Vec<(Name, VoterId, BTreeMap<Name, VoterId>, BootstrapStage)> = Vec::new();
         let emptied_at = random.usize(0..60);
         let mut voter_sets: Vec<BTreeMap<Name, VoterId>> = Vec::new();
@@ -24,7 +30,12 @@
                 voters[2] = new_voter(&names[2], 9);
             }
             let (own, bootstrap) = &voters[random.usize(0..3)];
-            sent.push((own.name.clone(), own.id, bootstrap.known_voters(own), own.stage()));
+            sent.push((
+                own.name.clone(),
+                own.id,
+                bootstrap.known_voters(own),
+                own.stage(),
+            ));
             // Any message that was ever sent may come now.
             let (from, id, initial_voters, stage) = sent[random.usize(0..sent.len())].clone();
             let (own, bootstrap) = &mut voters[random.usize(0..3)];
--- a/crates/consensus/src/durable_voter.rs
+++ b/crates/consensus/src/durable_voter.rs
@@ -86,7 +86,8 @@
         events: Vec<Event>,
     ) -> (Vec<Action>, Result<(), VoterError>) {
         // The consensus panics where its log contradicts itself; that must end this voter and nothing else.
-        let Ok(actions) = catch_unwind(AssertUnwindSafe(|| self.voter.handle_events(now, events))) else {
+        let Ok(actions) = catch_unwind(AssertUnwindSafe(|| self.voter.handle_events(now, events)))
+        else {
             return (Vec::new(), Err(VoterError::ConsensusPanicked));
         };
         let mut remaining = Vec::new();
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -65,7 +65,8 @@
 pub use durable_voter::DurableVoter;
 pub use error::{LoadError, VoterError};
 pub use event::{
-    Action, Config, Event, InvalidData, MAX_LISTED_LEASES, MAX_VOTERS, Notice, VoterPhase, VoterStatus,
+    Action, Config, Event, InvalidData, MAX_LISTED_LEASES, MAX_VOTERS, Notice, VoterPhase,
+    VoterStatus,
 };
 #[cfg(feature = "injected-bugs")]
 pub use injected_bug::InjectedBug;
--- a/crates/consensus/src/log_store.rs
+++ b/crates/consensus/src/log_store.rs
@@ -23,13 +23,22 @@
 
 impl From<&HardState> for StoredHardState {
     fn from(state: &HardState) -> Self {
-        StoredHardState { term: state.term, vote: state.vote, commit: state.commit }
+        StoredHardState {
+            term: state.term,
+            vote: state.vote,
+            commit: state.commit,
+        }
     }
 }
 
 impl From<StoredHardState> for HardState {
     fn from(stored: StoredHardState) -> Self {
-        HardState { term: stored.term, vote: stored.vote, commit: stored.commit, ..HardState::default() }
+        HardState {
+            term: stored.term,
+            vote: stored.vote,
+            commit: stored.commit,
+            ..HardState::default()
+        }
     }
 }
 
@@ -85,27 +94,47 @@
 impl LogStore {
     /// The log that all initial voters begin with: who they are, as a snapshot of entry 1.
     pub(crate) fn bootstrapped(initial_voters: &BTreeMap<Name, VoterId>) -> Self {
-        let voters: BTreeMap<VoterId, Name> =
-            initial_voters.iter().map(|(name, id)| (*id, name.clone())).collect();
+        let voters: BTreeMap<VoterId, Name> = initial_voters
+            .iter()
+            .map(|(name, id)| (*id, name.clone()))
+            .collect();
         let mut conf_state = ConfState::default();
         conf_state.set_voters(voters.keys().map(|id| id.0).collect());
-        let state = ReplicatedState { voters, ..ReplicatedState::default() };
+        let state = ReplicatedState {
+            voters,
+            ..ReplicatedState::default()
+        };
         let mut store = LogStore::default();
         store.install_snapshot(new_snapshot(1, 1, conf_state, &state));
         store
     }
 
     /// Decodes what the write-ahead log recovered; `None` where nothing was ever written.
-    pub(crate) fn decode(stored_log: Option<&[u8]>, changes: &[Vec<u8>]) -> Result<Option<Self>, LoadError> {
+    pub(crate) fn decode(
+        stored_log: Option<&[u8]>,
+        changes: &[Vec<u8>],
+    ) -> Result<Option<Self>, LoadError> {
         let Some(stored_log) = stored_log else {
             return Ok(None);
         };
-        let stored: StoredLog = postcard::from_bytes(stored_log)
-            .map_err(|source| LoadError::Decode { item: "a snapshot", source })?;
-        let snapshot = Snapshot::parse_from_bytes(&stored.snapshot)
-            .map_err(|source| LoadError::DecodeRaft { item: "a snapshot", source })?;
+        let stored: StoredLog =
+            postcard::from_bytes(stored_log).map_err(|source| LoadError::Decode {
+                item: "a snapshot",
+                source,
+            })?;
+        let snapshot = Snapshot::parse_from_bytes(&stored.snapshot).map_err(|source| {
+            LoadError::DecodeRaft {
+                item: "a snapshot",
+                source,
+            }
+        })?;
         let hard_state = stored.hard_state.into();
-        let mut store = LogStore { hard_state, compacted: stored.compacted, entries: Vec::new(), snapshot };
+        let mut store = LogStore {
+            hard_state,
+            compacted: stored.compacted,
+            entries: Vec::new(),
+            snapshot,
+        };
         store.append_encoded(&stored.entries)?;
         for change in changes {
             store.apply_change(change)?;
@@ -119,7 +148,10 @@
 
     fn apply_change(&mut self, change: &[u8]) -> Result<(), LoadError> {
         let change: StoredChange =
-            postcard::from_bytes(change).map_err(|source| LoadError::Decode { item: "a record", source })?;
+            postcard::from_bytes(change).map_err(|source| LoadError::Decode {
+                item: "a record",
+                source,
+            })?;
         self.append_encoded(&change.entries)?;
         if let Some(hard_state) = change.hard_state {
             self.hard_state = hard_state.into();
@@ -128,9 +160,14 @@
     }
 
     fn append_encoded(&mut self, entries: &[Vec<u8>]) -> Result<(), LoadError> {
-        let decoded: Result<Vec<Entry>, _> =
-            entries.iter().map(|bytes| Entry::parse_from_bytes(bytes)).collect();
-        self.append(decoded.map_err(|source| LoadError::DecodeRaft { item: "an entry", source })?)
+        let decoded: Result<Vec<Entry>, _> = entries
+            .iter()
+            .map(|bytes| Entry::parse_from_bytes(bytes))
+            .collect();
+        self.append(decoded.map_err(|source| LoadError::DecodeRaft {
+            item: "an entry",
+            source,
+        })?)
     }
 
     /// All there is, for a snapshot of the write-ahead log.
@@ -183,7 +220,10 @@
         for entry in entries {
             let last = self.last_entry();
             if entry.index <= self.compacted.index || entry.index > last + 1 {
-                return Err(LoadError::EntryOutOfOrder { index: entry.index, last });
+                return Err(LoadError::EntryOutOfOrder {
+                    index: entry.index,
+                    last,
+                });
             }
             self.entries.truncate(self.position(entry.index));
             self.entries.push(entry);
@@ -202,15 +242,26 @@
     }
 
     /// Takes a snapshot as of that entry. The last `keep` entries before it stay for voters that are a little behind.
-    pub(crate) fn compact(&mut self, index: u64, conf_state: ConfState, state: &ReplicatedState, keep: u64) {
-        let Ok(term) = Storage::term(self, index) else { return };
+    pub(crate) fn compact(
+        &mut self,
+        index: u64,
+        conf_state: ConfState,
+        state: &ReplicatedState,
+        keep: u64,
+    ) {
+        let Ok(term) = Storage::term(self, index) else {
+            return;
+        };
         self.snapshot = new_snapshot(index, term, conf_state, state);
         let last_removed = index.saturating_sub(keep);
         if last_removed > self.compacted.index
             && let Ok(term) = Storage::term(self, last_removed)
         {
             self.entries.drain(..=self.position(last_removed));
-            self.compacted = EntryId { index: last_removed, term };
+            self.compacted = EntryId {
+                index: last_removed,
+                term,
+            };
         }
     }
 }
@@ -247,7 +298,9 @@
             _ if index < self.compacted.index => Err(StorageError::Compacted.into()),
             _ => {
                 let entry = self.entries.get(self.position(index));
-                entry.map(|entry| entry.term).ok_or_else(|| StorageError::Unavailable.into())
+                entry
+                    .map(|entry| entry.term)
+                    .ok_or_else(|| StorageError::Unavailable.into())
             }
         }
     }
--- a/crates/consensus/src/peer_message.rs
+++ b/crates/consensus/src/peer_message.rs
@@ -7,7 +7,9 @@
 
 /// Identifies a voter's directory: drawn at random when the directory is created, never zero. A directory that was
 /// emptied gets another id, so the process that uses it is no voter any more.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct VoterId(pub u64);
 
 /// How far a log has come.
--- a/crates/consensus/src/replicated_state.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -29,7 +29,10 @@
 
 impl ReplicatedState {
     pub(crate) fn decode(bytes: &[u8]) -> Result<Self, LoadError> {
-        postcard::from_bytes(bytes).map_err(|source| LoadError::Decode { item: "a snapshot", source })
+        postcard::from_bytes(bytes).map_err(|source| LoadError::Decode {
+            item: "a snapshot",
+            source,
+        })
     }
 
     pub(crate) fn encode(&self) -> Vec<u8> {
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -138,7 +138,9 @@
             // The log is written before the identity says that bootstrap is complete.
             let is_voter = voter.state.voters.contains_key(&voter.identity.id);
             voter.identity.is_bootstrapped |= voter.identity.promised.is_some() && is_voter;
-            voter.phase = Phase::Waiting { until: config.tick_interval * config.election_ticks };
+            voter.phase = Phase::Waiting {
+                until: config.tick_interval * config.election_ticks,
+            };
         }
         Ok(voter)
     }
@@ -166,7 +168,9 @@
 
     /// Whether it takes itself for the leader. Another may lead already in a later term.
     pub fn is_leader(&self) -> bool {
-        self.node.as_ref().is_some_and(|node| node.raft.state == StateRole::Leader)
+        self.node
+            .as_ref()
+            .is_some_and(|node| node.raft.state == StateRole::Leader)
     }
 
     /// The replicated leases, as of [`applied_index`](Self::applied_index).
@@ -199,15 +203,38 @@
                 Event::PeerMessage { from, message } => {
                     self.handle_peer_message(&from, message, &mut actions);
                 }
-                Event::Propose { from, request, command } if self.is_leader() => {
-                    proposals.push(Proposal { from, request, command });
+                Event::Propose {
+                    from,
+                    request,
+                    command,
+                } if self.is_leader() => {
+                    proposals.push(Proposal {
+                        from,
+                        request,
+                        command,
+                    });
                 }
                 Event::Propose { from, request, .. } => {
                     let leader = self.leader();
-                    actions.push(Action::RejectNotLeader { to: from, request, leader });
+                    actions.push(Action::RejectNotLeader {
+                        to: from,
+                        request,
+                        leader,
+                    });
                 }
-                Event::Read { from, request, lease } => {
-                    self.read(ReadRequest { from, request, lease }, &mut actions);
+                Event::Read {
+                    from,
+                    request,
+                    lease,
+                } => {
+                    self.read(
+                        ReadRequest {
+                            from,
+                            request,
+                            lease,
+                        },
+                        &mut actions,
+                    );
                 }
                 Event::TransferLeadership => self.transfer_leadership(),
                 Event::ReplaceVoter { old, new } => self.replace_voter(&old, &new),
@@ -218,9 +245,20 @@
         actions
     }
 
-    fn handle_peer_message(&mut self, from: &Name, message: PeerMessage, actions: &mut Vec<Action>) {
+    fn handle_peer_message(
+        &mut self,
+        from: &Name,
+        message: PeerMessage,
+        actions: &mut Vec<Action>,
+    ) {
         match message {
-            PeerMessage::Handshake { wants_reply, id, initial_voters, stage, observed } => {
+            PeerMessage::Handshake {
+                wants_reply,
+                id,
+                initial_voters,
+                stage,
+                observed,
+            } => {
                 self.remember_peer(from, id);
                 if wants_reply {
                     self.send_handshake(from, false, actions);
@@ -322,5 +360,9 @@
     distinct.sort();
     distinct.dedup();
     let is_valid = distinct.len() == names.len() && (1..=MAX_VOTERS).contains(&names.len());
-    if is_valid { Ok(()) } else { Err(LoadError::InvalidVoters) }
+    if is_valid {
+        Ok(())
+    } else {
+        Err(LoadError::InvalidVoters)
+    }
 }
--- a/crates/consensus/src/voter/handshake.rs
+++ b/crates/consensus/src/voter/handshake.rs
@@ -15,14 +15,20 @@
         self.peer_ids.insert(name.clone(), id);
         if self.peer_ids.len() > MAX_REMEMBERED_VOTERS {
             let names = &self.initial_voter_names;
-            self.peer_ids.retain(|known, _| names.contains(known) || known == name);
+            self.peer_ids
+                .retain(|known, _| names.contains(known) || known == name);
         }
     }
 
     /// The voters and the initial voters, this one left out.
     fn other_voters(&self) -> Vec<Name> {
-        let mut others: Vec<Name> =
-            self.state.voters.values().chain(&self.initial_voter_names).cloned().collect();
+        let mut others: Vec<Name> = self
+            .state
+            .voters
+            .values()
+            .chain(&self.initial_voter_names)
+            .cloned()
+            .collect();
         others.sort();
         others.dedup();
         others.retain(|name| *name != self.identity.name);
@@ -42,15 +48,24 @@
             id: self.identity.id,
             initial_voters: self.bootstrap.known_voters(&self.identity),
             stage: self.identity.stage(),
-            observed: id.and_then(|id| self.observed.get(id)).copied().unwrap_or_default(),
+            observed: id
+                .and_then(|id| self.observed.get(id))
+                .copied()
+                .unwrap_or_default(),
         };
-        actions.push(Action::Send { to: to.clone(), message });
+        actions.push(Action::Send {
+            to: to.clone(),
+            message,
+        });
     }
 
     /// A restarted voter votes once all others have reported how far they have seen its log.
     pub(super) fn vote_once_all_replied(&mut self) {
         if let Phase::Waiting { .. } = self.phase
-            && self.other_voters().iter().all(|other| self.replied.contains(other))
+            && self
+                .other_voters()
+                .iter()
+                .all(|other| self.replied.contains(other))
         {
             self.phase = Phase::Voting;
         }
@@ -65,10 +80,13 @@
     }
 
     pub(super) fn roll_back(&mut self, observed: LogPosition, actions: &mut Vec<Action>) {
-        let own = self.node.as_ref().map_or_else(LogPosition::default, |node| LogPosition {
-            term: node.raft.term,
-            index: node.raft.raft_log.last_index(),
-        });
+        let own = self
+            .node
+            .as_ref()
+            .map_or_else(LogPosition::default, |node| LogPosition {
+                term: node.raft.term,
+                index: node.raft.raft_log.last_index(),
+            });
         self.stop_node();
         self.expiry.stop_leading();
         actions.push(Action::Notice(Notice::RolledBack { own, observed }));
@@ -82,7 +100,10 @@
         stage: BootstrapStage,
         actions: &mut Vec<Action>,
     ) {
-        match self.bootstrap.handle_handshake(&self.identity, from, id, initial_voters, stage) {
+        match self
+            .bootstrap
+            .handle_handshake(&self.identity, from, id, initial_voters, stage)
+        {
             BootstrapStep::Wait => {}
             BootstrapStep::Promise(voters) => {
                 self.identity.promised = Some(voters);
@@ -100,7 +121,11 @@
         }
     }
 
-    fn complete_bootstrap(&mut self, initial_voters: BTreeMap<Name, VoterId>, actions: &mut Vec<Action>) {
+    fn complete_bootstrap(
+        &mut self,
+        initial_voters: BTreeMap<Name, VoterId>,
+        actions: &mut Vec<Action>,
+    ) {
         let store = LogStore::bootstrapped(&initial_voters);
         let voters = initial_voters.keys().map(Name::to_string).collect();
         // The log first: an identity alone would name voters and start without the log that they begin with.
@@ -115,7 +140,9 @@
 
     fn start_node_or_report(&mut self, store: LogStore, actions: &mut Vec<Action>) {
         if let Err(error) = self.start_node(store) {
-            actions.push(Action::Notice(Notice::InvalidData(InvalidData::State(error))));
+            actions.push(Action::Notice(Notice::InvalidData(InvalidData::State(
+                error,
+            ))));
         }
     }
 }
--- a/crates/consensus/src/voter/leadership.rs
+++ b/crates/consensus/src/voter/leadership.rs
@@ -54,8 +54,14 @@
             return;
         }
         let own_id = node.raft.id;
-        let active = node.raft.prs().iter().filter(|(id, progress)| **id != own_id && progress.recent_active);
-        let furthest = active.max_by_key(|(id, progress)| (progress.matched, **id)).map(|(id, _)| *id);
+        let active = node
+            .raft
+            .prs()
+            .iter()
+            .filter(|(id, progress)| **id != own_id && progress.recent_active);
+        let furthest = active
+            .max_by_key(|(id, progress)| (progress.matched, **id))
+            .map(|(id, _)| *id);
         if let Some(id) = furthest {
             node.transfer_leader(id);
         }
--- a/crates/consensus/src/voter/linearizable_reads.rs
+++ b/crates/consensus/src/voter/linearizable_reads.rs
@@ -34,13 +34,18 @@
         let leader = self.leader();
         match &mut self.node {
             Some(node)
-                if node.raft.state == StateRole::Leader && self.pending_reads.len() < MAX_PENDING_READS =>
+                if node.raft.state == StateRole::Leader
+                    && self.pending_reads.len() < MAX_PENDING_READS =>
             {
                 node.read_index(postcard::to_stdvec(&read).unwrap_or_default());
             }
             _ => {
                 let (to, request) = (read.from, read.request);
-                actions.push(Action::RejectNotLeader { to, request, leader });
+                actions.push(Action::RejectNotLeader {
+                    to,
+                    request,
+                    leader,
+                });
             }
         }
     }
@@ -59,7 +64,10 @@
     pub(super) fn add_confirmed_reads(&mut self, confirmed: Vec<raft::ReadState>) {
         for state in confirmed {
             if let Ok(read) = postcard::from_bytes(&state.request_ctx) {
-                self.pending_reads.push(PendingRead { index: state.index, read });
+                self.pending_reads.push(PendingRead {
+                    index: state.index,
+                    read,
+                });
             }
         }
     }
@@ -77,12 +85,22 @@
     fn respond_read(&self, read: ReadRequest, actions: &mut Vec<Action>) {
         let state = &self.state.leases;
         let leases = match &read.lease {
-            Some(name) => state.lease(name).map(|lease| (name.clone(), lease.clone())).into_iter().collect(),
+            Some(name) => state
+                .lease(name)
+                .map(|lease| (name.clone(), lease.clone()))
+                .into_iter()
+                .collect(),
             None => {
-                let all = state.leases().map(|(name, lease)| (name.clone(), lease.clone()));
+                let all = state
+                    .leases()
+                    .map(|(name, lease)| (name.clone(), lease.clone()));
                 all.take(MAX_LISTED_LEASES).collect()
             }
         };
-        actions.push(Action::RespondRead { to: read.from, request: read.request, leases });
+        actions.push(Action::RespondRead {
+            to: read.from,
+            request: read.request,
+            leases,
+        });
     }
 }
--- a/crates/consensus/src/voter/membership_change.rs
+++ b/crates/consensus/src/voter/membership_change.rs
@@ -13,10 +13,20 @@
 
 impl Voter {
     pub(super) fn replace_voter(&mut self, old: &Name, new: &Name) {
-        let replaced = self.state.voters.iter().find(|(_, name)| *name == old).map(|(id, _)| *id);
-        let (Some(replaces), Some(&id)) = (replaced, self.peer_ids.get(new)) else { return };
+        let replaced = self
+            .state
+            .voters
+            .iter()
+            .find(|(_, name)| *name == old)
+            .map(|(id, _)| *id);
+        let (Some(replaces), Some(&id)) = (replaced, self.peer_ids.get(new)) else {
+            return;
+        };
         if id != replaces && !self.state.voters.contains_key(&id) {
-            let change = VoterChange { name: new.clone(), replaces };
+            let change = VoterChange {
+                name: new.clone(),
+                replaces,
+            };
             self.propose_change(ConfChangeType::AddLearnerNode, id, &change);
         }
     }
@@ -37,20 +47,36 @@
             return;
         }
         if let Some(&id) = self.state.leaving.first() {
-            let name = self.state.voters.get(&id).cloned().unwrap_or_else(|| "".into());
+            let name = self
+                .state
+                .voters
+                .get(&id)
+                .cloned()
+                .unwrap_or_else(|| "".into());
             let change = VoterChange { name, replaces: id };
             return self.propose_change(ConfChangeType::RemoveNode, id, &change);
         }
-        let caught_up = self.state.joining.iter().find(|(id, _)| self.has_caught_up(**id));
+        let caught_up = self
+            .state
+            .joining
+            .iter()
+            .find(|(id, _)| self.has_caught_up(**id));
         if let Some((&id, JoiningVoter { name, replaces })) = caught_up {
-            let change = VoterChange { name: name.clone(), replaces: *replaces };
+            let change = VoterChange {
+                name: name.clone(),
+                replaces: *replaces,
+            };
             self.propose_change(ConfChangeType::AddNode, id, &change);
         }
     }
 
     fn has_caught_up(&self, learner: VoterId) -> bool {
         self.node.as_ref().is_some_and(|node| {
-            let matched = node.raft.prs().get(learner.0).map_or(0, |progress| progress.matched);
+            let matched = node
+                .raft
+                .prs()
+                .get(learner.0)
+                .map_or(0, |progress| progress.matched);
             matched + MAX_LEARNER_LAG >= node.raft.raft_log.committed
         })
     }
@@ -63,7 +89,8 @@
             return;
         }
         let id = VoterId(conf_change.node_id);
-        let Ok(VoterChange { name, replaces }) = postcard::from_bytes(conf_change.get_context()) else {
+        let Ok(VoterChange { name, replaces }) = postcard::from_bytes(conf_change.get_context())
+        else {
             return;
         };
         let state = &mut self.state;
--- a/crates/consensus/src/voter/proposals.rs
+++ b/crates/consensus/src/voter/proposals.rs
@@ -24,14 +24,21 @@
             return;
         }
         let data = postcard::to_stdvec(&proposals).unwrap_or_default();
-        let is_proposed = self.node.as_mut().is_some_and(|node| node.propose(Vec::new(), data).is_ok());
+        let is_proposed = self
+            .node
+            .as_mut()
+            .is_some_and(|node| node.propose(Vec::new(), data).is_ok());
         if !is_proposed {
             // More is proposed than is committed: whoever sent these sends them again.
-            actions.extend(proposals.into_iter().map(|proposal| Action::RejectNotLeader {
-                to: proposal.from,
-                request: proposal.request,
-                leader: None,
-            }));
+            actions.extend(
+                proposals
+                    .into_iter()
+                    .map(|proposal| Action::RejectNotLeader {
+                        to: proposal.from,
+                        request: proposal.request,
+                        leader: None,
+                    }),
+            );
         }
     }
 
@@ -40,7 +47,11 @@
         let nobody: Name = "".into();
         let expirations = self.expiry.due_expirations(self.now).into_iter();
         let proposals = expirations
-            .map(|command| Proposal { from: nobody.clone(), request: RequestId::default(), command })
+            .map(|command| Proposal {
+                from: nobody.clone(),
+                request: RequestId::default(),
+                command,
+            })
             .collect();
         self.propose(proposals, actions);
     }
@@ -80,20 +91,33 @@
     }
 
     fn apply_proposal(&mut self, proposal: Proposal, actions: &mut Vec<Action>) {
-        let Proposal { from, request, command } = proposal;
+        let Proposal {
+            from,
+            request,
+            command,
+        } = proposal;
         let response = self.state.leases.apply(&command);
         let lease = command.lease();
-        self.expiry.command_applied(self.now, lease, &self.state.leases);
+        self.expiry
+            .command_applied(self.now, lease, &self.state.leases);
         if !self.is_leader() {
             return;
         }
         if !from.is_empty() {
             let incarnation = command.incarnation();
-            actions.push(Action::Respond { to: from, incarnation, request, response });
+            actions.push(Action::Respond {
+                to: from,
+                incarnation,
+                request,
+                response,
+            });
         }
         if !matches!(command, Command::Acquire { .. }) {
             for owner in self.state.leases.next_owners(lease) {
-                actions.push(Action::NotifySlotAvailable { to: owner.name.clone(), lease: lease.clone() });
+                actions.push(Action::NotifySlotAvailable {
+                    to: owner.name.clone(),
+                    lease: lease.clone(),
+                });
             }
         }
     }
--- a/crates/consensus/src/voter/raft_messages.rs
+++ b/crates/consensus/src/voter/raft_messages.rs
@@ -14,16 +14,25 @@
             return;
         }
         let Ok(message) = Message::parse_from_bytes(bytes) else {
-            return actions.push(Action::Notice(Notice::InvalidData(InvalidData::RaftMessage)));
+            return actions.push(Action::Notice(Notice::InvalidData(
+                InvalidData::RaftMessage,
+            )));
         };
-        if message.to != self.identity.id.0 || raft::raw_node::is_local_msg(message.get_msg_type()) {
+        if message.to != self.identity.id.0 || raft::raw_node::is_local_msg(message.get_msg_type())
+        {
             return;
         }
         let Some(node) = &self.node else { return };
         // Others know of entries that this voter had and has no more. The consensus would panic if it stepped this.
         let confirmed = confirmed_index(&message);
         if confirmed > node.raft.raft_log.last_index() && message.term >= node.raft.term {
-            return self.roll_back(LogPosition { term: message.term, index: confirmed }, actions);
+            return self.roll_back(
+                LogPosition {
+                    term: message.term,
+                    index: confirmed,
+                },
+                actions,
+            );
         }
         self.observe(&message);
         if let Some(node) = &mut self.node {
@@ -36,7 +45,10 @@
     /// Remembers how far the sender's log has come. A pre-vote's term is not one that anybody has reached.
     fn observe(&mut self, message: &Message) {
         let kind = message.get_msg_type();
-        if matches!(kind, MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse) {
+        if matches!(
+            kind,
+            MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse
+        ) {
             return;
         }
         let observed = self.observed.entry(VoterId(message.from)).or_default();
@@ -54,7 +66,10 @@
         for message in messages {
             if let Some(to) = self.name_of(VoterId(message.to)) {
                 let bytes = message.write_to_bytes().unwrap_or_default();
-                actions.push(Action::Send { to, message: PeerMessage::Raft(bytes) });
+                actions.push(Action::Send {
+                    to,
+                    message: PeerMessage::Raft(bytes),
+                });
             }
         }
     }
@@ -64,10 +79,22 @@
         let joining = || self.state.joining.get(&id).map(|joining| &joining.name);
         let initial_voter = || {
             let promised = self.identity.promised.iter().flatten();
-            promised.into_iter().find(|(_, known)| **known == id).map(|(name, _)| name)
+            promised
+                .into_iter()
+                .find(|(_, known)| **known == id)
+                .map(|(name, _)| name)
         };
-        let peer = || self.peer_ids.iter().find(|(_, known)| **known == id).map(|(name, _)| name);
-        voter.or_else(joining).or_else(initial_voter).or_else(peer).cloned()
+        let peer = || {
+            self.peer_ids
+                .iter()
+                .find(|(_, known)| **known == id)
+                .map(|(name, _)| name)
+        };
+        voter
+            .or_else(joining)
+            .or_else(initial_voter)
+            .or_else(peer)
+            .cloned()
     }
 }
 
--- a/crates/consensus/src/voter/ready.rs
+++ b/crates/consensus/src/voter/ready.rs
@@ -14,7 +14,9 @@
             let ready = node.ready();
             if let Err(error) = self.process_one_ready(ready, actions) {
                 self.stop_node();
-                return actions.push(Action::Notice(Notice::InvalidData(InvalidData::State(error))));
+                return actions.push(Action::Notice(Notice::InvalidData(InvalidData::State(
+                    error,
+                ))));
             }
         }
         self.follow_role(actions);
@@ -23,7 +25,11 @@
         self.set_timer(actions);
     }
 
-    fn process_one_ready(&mut self, mut ready: Ready, actions: &mut Vec<Action>) -> Result<(), LoadError> {
+    fn process_one_ready(
+        &mut self,
+        mut ready: Ready,
+        actions: &mut Vec<Action>,
+    ) -> Result<(), LoadError> {
         let mut messages = ready.take_messages();
         messages.extend(ready.take_persisted_messages());
         let committed = ready.take_committed_entries();
@@ -38,7 +44,9 @@
 
     /// Stores a snapshot, the hard state and entries, and writes what must be durable.
     fn persist(&mut self, ready: &mut Ready, actions: &mut Vec<Action>) -> Result<(), LoadError> {
-        let Some(node) = &mut self.node else { return Ok(()) };
+        let Some(node) = &mut self.node else {
+            return Ok(());
+        };
         let must_sync = ready.must_sync();
         let snapshot = ready.snapshot().clone();
         let has_snapshot = snapshot.get_metadata().index > 0;
--- a/crates/consensus/tests/stored_format.rs
+++ b/crates/consensus/tests/stored_format.rs
@@ -21,7 +21,10 @@
 
 fn config() -> Config {
     // More than the 200 entries that stay behind a snapshot, so that older ones are removed from the log.
-    Config { snapshot_interval_entries: 250, ..Config::default() }
+    Config {
+        snapshot_interval_entries: 250,
+        ..Config::default()
+    }
 }
 
 /// Voters over disks in memory, with messages that arrive at once and in order.
@@ -63,7 +66,13 @@
             self.capture();
             for action in actions {
                 if let Action::Send { to: next, message } = action {
-                    queue.push_back((next, Event::PeerMessage { from: to.clone(), message }));
+                    queue.push_back((
+                        next,
+                        Event::PeerMessage {
+                            from: to.clone(),
+                            message,
+                        },
+                    ));
                 }
             }
         }
@@ -98,61 +107,114 @@
     }
 
     fn leader(&self) -> Option<Name> {
-        self.voters_by_name.iter().find(|(_, voter)| voter.voter().is_leader()).map(|(name, _)| name.clone())
+        self.voters_by_name
+            .iter()
+            .find(|(_, voter)| voter.voter().is_leader())
+            .map(|(name, _)| name.clone())
     }
 
     fn propose(&mut self, command: Command) {
         let leader = self.leader().unwrap();
         self.next_request.0 += 1;
         let (from, request) = ("client".into(), self.next_request);
-        self.deliver(&leader, Event::Propose { from, request, command });
+        self.deliver(
+            &leader,
+            Event::Propose {
+                from,
+                request,
+                command,
+            },
+        );
     }
 
     fn voter_names(&self, of: &str) -> Vec<Name> {
-        self.voters_by_name[of].voter().status().voters.into_values().collect()
+        self.voters_by_name[of]
+            .voter()
+            .status()
+            .voters
+            .into_values()
+            .collect()
     }
 }
 
 fn open_voter(name: &Name, disk: &FaultyDisk, seed: u64) -> DurableVoter<FaultyDisk> {
-    DurableVoter::open(config(), name, BOOTSTRAP_VOTERS.map(Name::from).to_vec(), disk.clone(), seed).unwrap()
+    DurableVoter::open(
+        config(),
+        name,
+        BOOTSTRAP_VOTERS.map(Name::from).to_vec(),
+        disk.clone(),
+        seed,
+    )
+    .unwrap()
 }
 
 fn owner(name: &str) -> Owner {
-    Owner { name: name.into(), incarnation: Incarnation(7) }
+    Owner {
+        name: name.into(),
+        incarnation: Incarnation(7),
+    }
 }
 
 fn acquire(lease: &str, who: &str, ttl: Duration, capacity: u32) -> Command {
-    Command::Acquire { lease: lease.into(), owner: owner(who), ttl, capacity, wait: true }
+    Command::Acquire {
+        lease: lease.into(),
+        owner: owner(who),
+        ttl,
+        capacity,
+        wait: true,
+    }
 }
 
 /// Bootstrap, a command of each kind, more entries than a snapshot covers, and one voter replaced by a newcomer that
 /// begins with a snapshot.
 fn written_folders() -> BTreeMap<&'static str, Files> {
     let hour = Duration::from_secs(3600);
-    let mut group = Group::new(BOOTSTRAP_VOTERS.map(|name| (name.into(), Files::new())).into());
+    let mut group = Group::new(
+        BOOTSTRAP_VOTERS
+            .map(|name| (name.into(), Files::new()))
+            .into(),
+    );
     group.capture();
     group.tick_until("a leader", |group| group.leader().is_some());
     let fill_log = |group: &mut Group| {
         for turn in 0..260 {
-            group.propose(acquire(&format!("lease-{}", turn % 5), &format!("m{}", turn % 7), hour, 2));
+            group.propose(acquire(
+                &format!("lease-{}", turn % 5),
+                &format!("m{}", turn % 7),
+                hour,
+                2,
+            ));
         }
     };
     fill_log(&mut group);
     let leader = group.leader().unwrap();
     let voters = group.voters_by_name[&leader].voter().status().voters;
     // Leadership goes to the follower with the highest id: the other one is replaced.
-    let replaced = voters.values().find(|name| **name != leader).unwrap().clone();
+    let replaced = voters
+        .values()
+        .find(|name| **name != leader)
+        .unwrap()
+        .clone();
     group.disks.insert("d".into(), FaultyDisk::default());
     let newcomer = open_voter(&"d".into(), &group.disks["d"], 9);
     group.voters_by_name.insert("d".into(), newcomer);
-    let is_outside = |group: &Group| group.voters_by_name["d"].voter().status().phase == VoterPhase::Outside;
+    let is_outside =
+        |group: &Group| group.voters_by_name["d"].voter().status().phase == VoterPhase::Outside;
     group.tick_until("the newcomer has met the voters", is_outside);
-    group.deliver(&leader, Event::ReplaceVoter { old: replaced.clone(), new: "d".into() });
+    group.deliver(
+        &leader,
+        Event::ReplaceVoter {
+            old: replaced.clone(),
+            new: "d".into(),
+        },
+    );
     // The consensus restores no snapshot that was taken before the newcomer was added as a learner, and its leader waits
     // for that one: the next leader sends one that it took later.
     fill_log(&mut group);
     group.deliver(&leader, Event::TransferLeadership);
-    group.tick_until("another leader", |group| group.leader().is_some_and(|next| next != leader));
+    group.tick_until("another leader", |group| {
+        group.leader().is_some_and(|next| next != leader)
+    });
     let leader = group.leader().unwrap();
     group.tick_until("the newcomer votes", |group| {
         let voters = group.voter_names("d");
@@ -179,27 +241,79 @@
     for _ in 0..15 {
         group.tick();
     }
-    let token = group.voters_by_name[leader].voter().leases().lease("lease-0").unwrap().holders[0].token;
-    group.propose(Command::Transfer { lease: "lease-0".into(), token, to: "m9".into() });
-    let held = group.voters_by_name[leader].voter().leases().lease("lease-1").unwrap().holders.clone();
-    group.propose(Command::Revoke { lease: "lease-1".into(), token: held[0].token });
+    let token = group.voters_by_name[leader]
+        .voter()
+        .leases()
+        .lease("lease-0")
+        .unwrap()
+        .holders[0]
+        .token;
+    group.propose(Command::Transfer {
+        lease: "lease-0".into(),
+        token,
+        to: "m9".into(),
+    });
+    let held = group.voters_by_name[leader]
+        .voter()
+        .leases()
+        .lease("lease-1")
+        .unwrap()
+        .holders
+        .clone();
+    group.propose(Command::Revoke {
+        lease: "lease-1".into(),
+        token: held[0].token,
+    });
     let (lease, owner, token) = ("lease-1".into(), held[1].owner.clone(), Some(held[1].token));
-    group.propose(Command::Release { lease, owner, token });
-    let waiting = group.voters_by_name[leader].voter().leases().lease("lease-2").unwrap().queue[0].clone();
-    group.propose(Command::Release { lease: "lease-2".into(), owner: waiting.owner, token: None });
-    let held = group.voters_by_name[leader].voter().leases().lease("lease-3").unwrap().holders[0].clone();
-    group.propose(Command::Expire { lease: "lease-3".into(), owner: held.owner, renewal: held.renewal });
+    group.propose(Command::Release {
+        lease,
+        owner,
+        token,
+    });
+    let waiting = group.voters_by_name[leader]
+        .voter()
+        .leases()
+        .lease("lease-2")
+        .unwrap()
+        .queue[0]
+        .clone();
+    group.propose(Command::Release {
+        lease: "lease-2".into(),
+        owner: waiting.owner,
+        token: None,
+    });
+    let held = group.voters_by_name[leader]
+        .voter()
+        .leases()
+        .lease("lease-3")
+        .unwrap()
+        .holders[0]
+        .clone();
+    group.propose(Command::Expire {
+        lease: "lease-3".into(),
+        owner: held.owner,
+        renewal: held.renewal,
+    });
     group.tick();
 }
 
 fn golden(fixture: &str) -> PathBuf {
-    [env!("CARGO_MANIFEST_DIR"), "tests/golden/journal", fixture].iter().collect()
+    [env!("CARGO_MANIFEST_DIR"), "tests/golden/journal", fixture]
+        .iter()
+        .collect()
 }
 
 fn golden_files(fixture: &str) -> Files {
-    let entries = std::fs::read_dir(golden(fixture)).unwrap().map(Result::unwrap);
+    let entries = std::fs::read_dir(golden(fixture))
+        .unwrap()
+        .map(Result::unwrap);
     entries
-        .map(|entry| (entry.file_name().into_string().unwrap(), std::fs::read(entry.path()).unwrap()))
+        .map(|entry| {
+            (
+                entry.file_name().into_string().unwrap(),
+                std::fs::read(entry.path()).unwrap(),
+            )
+        })
         .collect()
 }
 
@@ -208,13 +322,23 @@
     let status = voter.voter().status();
     let (leases, applied) = (voter.voter().leases(), voter.voter().applied_index());
     let mut text = String::new();
-    writeln!(text, "id={} applied={applied} phase={}", status.id.0, status.phase).unwrap();
+    writeln!(
+        text,
+        "id={} applied={applied} phase={}",
+        status.id.0, status.phase
+    )
+    .unwrap();
     for (id, name) in &status.voters {
         writeln!(text, "voter {name} id={}", id.0).unwrap();
     }
     writeln!(text, "last token={}", leases.last_token()).unwrap();
     for (name, lease) in leases.leases() {
-        writeln!(text, "lease {name} ttl={:?} capacity={}", lease.spec.ttl, lease.spec.capacity).unwrap();
+        writeln!(
+            text,
+            "lease {name} ttl={:?} capacity={}",
+            lease.spec.ttl, lease.spec.capacity
+        )
+        .unwrap();
         for held in &lease.holders {
             let (owner, incarnation) = (&held.owner.name, held.owner.incarnation.0);
             let (token, renewal, revoked) = (held.token, held.renewal.0, held.revoked);
@@ -226,7 +350,12 @@
         }
         for waiting in &lease.queue {
             let (owner, incarnation) = (&waiting.owner.name, waiting.owner.incarnation.0);
-            writeln!(text, "  queued {owner} {incarnation} renewal={}", waiting.renewal.0).unwrap();
+            writeln!(
+                text,
+                "  queued {owner} {incarnation} renewal={}",
+                waiting.renewal.0
+            )
+            .unwrap();
         }
     }
     text
@@ -245,7 +374,10 @@
     }
     assert_eq!(folders.len(), 6, "{:?}", folders.keys());
     for (fixture, files) in folders {
-        assert!(files == golden_files(fixture), "the files of {fixture} have changed");
+        assert!(
+            files == golden_files(fixture),
+            "the files of {fixture} have changed"
+        );
     }
 }
 
@@ -253,7 +385,14 @@
 #[test]
 fn folders_written_by_an_earlier_version_are_read_with_the_same_values() {
     let mut text = String::new();
-    for fixture in ["a-new", "b-promised", "a-final", "b-final", "c-final", "d-final"] {
+    for fixture in [
+        "a-new",
+        "b-promised",
+        "a-final",
+        "b-final",
+        "c-final",
+        "d-final",
+    ] {
         let disk = FaultyDisk::default();
         disk.restore_files(golden_files(fixture));
         let name = fixture[..1].into();
@@ -261,7 +400,11 @@
         let files = log.disk().list().unwrap();
         let state = recovered.snapshot.map_or(0, |state| state.len());
         let records: Vec<usize> = recovered.records.iter().map(Vec::len).collect();
-        writeln!(text, "== {fixture}: {files:?}\nstate={state} records={records:?}").unwrap();
+        writeln!(
+            text,
+            "== {fixture}: {files:?}\nstate={state} records={records:?}"
+        )
+        .unwrap();
         text += &described(&open_voter(&name, &disk, 1));
     }
     let remaining =
--- a/crates/fault-injection/benches/leases.rs
+++ b/crates/fault-injection/benches/leases.rs
@@ -45,7 +45,9 @@
         self.disk.read(name)
     }
     fn append(&mut self, name: &str, bytes: &[u8]) -> std::io::Result<()> {
-        self.counters.written_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+        self.counters
+            .written_bytes
+            .fetch_add(bytes.len() as u64, Ordering::Relaxed);
         self.disk.append(name, bytes)
     }
     fn sync(&mut self, name: &str) -> std::io::Result<()> {
@@ -80,11 +82,24 @@
 
 impl Cluster {
     fn propose(&self, leader: &Name, client: usize) -> Instant {
-        let owner = Owner { name: format!("a{client}").into(), incarnation: Incarnation(1) };
+        let owner = Owner {
+            name: format!("a{client}").into(),
+            incarnation: Incarnation(1),
+        };
         let lease = format!("l{client}").into();
-        let command = Command::Acquire { lease, owner, ttl: TTL, capacity: 1, wait: true };
+        let command = Command::Acquire {
+            lease,
+            owner,
+            ttl: TTL,
+            capacity: 1,
+            wait: true,
+        };
         let request = RequestId(client as u64);
-        let _ = self.voters[leader].send(Event::Propose { from: "bench".into(), request, command });
+        let _ = self.voters[leader].send(Event::Propose {
+            from: "bench".into(),
+            request,
+            command,
+        });
         Instant::now()
     }
 
@@ -100,14 +115,23 @@
     fn perform(&self, voter: &Name, action: Action) {
         match action {
             Action::Send { to, message } => {
-                let _ = self.voters[&to].send(Event::PeerMessage { from: voter.clone(), message });
+                let _ = self.voters[&to].send(Event::PeerMessage {
+                    from: voter.clone(),
+                    message,
+                });
             }
-            Action::Respond { request, response, .. } => {
+            Action::Respond {
+                request, response, ..
+            } => {
                 let client = request.0 as usize;
-                let _ = self.clients.send(ClientMessage::Response { client, response });
+                let _ = self
+                    .clients
+                    .send(ClientMessage::Response { client, response });
             }
             Action::RejectNotLeader { request, .. } => {
-                let _ = self.clients.send(ClientMessage::NotLeader { client: request.0 as usize });
+                let _ = self.clients.send(ClientMessage::NotLeader {
+                    client: request.0 as usize,
+                });
             }
             _ => {}
         }
@@ -150,7 +174,9 @@
 }
 
 fn start_cluster(voters: usize, directory: &Path) -> (Arc<Cluster>, Receiver<ClientMessage>) {
-    let names: Vec<Name> = (0..voters).map(|voter| format!("v{voter}").into()).collect();
+    let names: Vec<Name> = (0..voters)
+        .map(|voter| format!("v{voter}").into())
+        .collect();
     let (senders, receivers): (Vec<_>, Vec<_>) = (0..voters).map(|_| channel::<Event>()).unzip();
     let (clients, messages) = channel();
     let cluster = Arc::new(Cluster {
@@ -162,7 +188,10 @@
     });
     for ((index, name), events) in names.iter().enumerate().zip(receivers) {
         let disk = Directory::open(&directory.join(&**name)).unwrap();
-        let disk = CountingDisk { disk, counters: cluster.counters.clone() };
+        let disk = CountingDisk {
+            disk,
+            counters: cluster.counters.clone(),
+        };
         let seed = index as u64 + 1;
         let voter = DurableVoter::open(Config::default(), name, names.clone(), disk, seed).unwrap();
         let (name, cluster) = (name.clone(), cluster.clone());
@@ -179,17 +208,23 @@
     let syncs_before = cluster.counters.syncs.load(Ordering::Relaxed);
     let bytes_before = cluster.counters.written_bytes.load(Ordering::Relaxed);
     let mut latencies = Histogram::<u64>::new(3).unwrap();
-    let mut sent: Vec<Instant> = (0..clients).map(|client| cluster.propose(&leader, client)).collect();
+    let mut sent: Vec<Instant> = (0..clients)
+        .map(|client| cluster.propose(&leader, client))
+        .collect();
     let (start, mut responses) = (Instant::now(), 0u64);
     while start.elapsed() < RUN {
         match messages.recv_timeout(RESPONSE_TIMEOUT) {
             Ok(ClientMessage::Response { client, response }) => {
                 assert!(matches!(response, Response::Granted { .. }));
-                latencies.record(sent[client].elapsed().as_micros() as u64).unwrap();
+                latencies
+                    .record(sent[client].elapsed().as_micros() as u64)
+                    .unwrap();
                 responses += 1;
                 sent[client] = cluster.propose(&leader, client);
             }
-            Ok(ClientMessage::NotLeader { client }) => sent[client] = cluster.propose(&leader, client),
+            Ok(ClientMessage::NotLeader { client }) => {
+                sent[client] = cluster.propose(&leader, client)
+            }
             Err(_) => {}
         }
     }
--- a/crates/fault-injection/src/history_checker.rs
+++ b/crates/fault-injection/src/history_checker.rs
@@ -23,7 +23,11 @@
 }
 
 fn joined(tokens: &[FencingToken]) -> String {
-    tokens.iter().map(FencingToken::to_string).collect::<Vec<_>>().join(", ")
+    tokens
+        .iter()
+        .map(FencingToken::to_string)
+        .collect::<Vec<_>>()
+        .join(", ")
 }
 
 struct LeaseHistory {
@@ -35,7 +39,11 @@
 
 impl From<&PlannedLease> for LeaseHistory {
     fn from(lease: &PlannedLease) -> Self {
-        LeaseHistory { capacity: lease.capacity, newest_token: FencingToken(0), under_way: BTreeSet::new() }
+        LeaseHistory {
+            capacity: lease.capacity,
+            newest_token: FencingToken(0),
+            under_way: BTreeSet::new(),
+        }
     }
 }
 
@@ -47,7 +55,11 @@
 impl HistoryChecker {
     /// A checker that has seen nothing yet.
     pub fn new(plan: &Plan) -> Self {
-        let leases = plan.leases.iter().map(|lease| (lease.name.clone(), lease.into())).collect();
+        let leases = plan
+            .leases
+            .iter()
+            .map(|lease| (lease.name.clone(), lease.into()))
+            .collect();
         HistoryChecker { leases }
     }
 
@@ -64,15 +76,21 @@
         token: FencingToken,
         paused: &BTreeSet<FencingToken>,
     ) -> Result<(), OperationError> {
-        let Some(history) = self.leases.get_mut(lease) else { return Err(OperationError::StaleToken) };
+        let Some(history) = self.leases.get_mut(lease) else {
+            return Err(OperationError::StaleToken);
+        };
         if history.capacity == 1 && token < history.newest_token {
             return Err(OperationError::StaleToken);
         }
         history.newest_token = history.newest_token.max(token);
-        history.under_way.retain(|other| !paused.contains(other) || *other == token);
+        history
+            .under_way
+            .retain(|other| !paused.contains(other) || *other == token);
         history.under_way.insert(token);
         match history.under_way.len() > history.capacity as usize {
-            true => Err(OperationError::Overlap { tokens: history.under_way.iter().copied().collect() }),
+            true => Err(OperationError::Overlap {
+                tokens: history.under_way.iter().copied().collect(),
+            }),
             false => Ok(()),
         }
     }
@@ -95,6 +113,8 @@
 
     /// Whether an operation with this token was under way.
     fn remove(&mut self, lease: &str, token: FencingToken) -> bool {
-        self.leases.get_mut(lease).is_some_and(|history| history.under_way.remove(&token))
+        self.leases
+            .get_mut(lease)
+            .is_some_and(|history| history.under_way.remove(&token))
     }
 }
--- a/crates/fault-injection/src/invariants.rs
+++ b/crates/fault-injection/src/invariants.rs
@@ -62,8 +62,17 @@
 
 impl Display for MembershipViolation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let MembershipViolation { invariant, observer, subject, duration, .. } = self;
-        write!(formatter, "{invariant}: {observer} of {subject}, for {duration:?}")
+        let MembershipViolation {
+            invariant,
+            observer,
+            subject,
+            duration,
+            ..
+        } = self;
+        write!(
+            formatter,
+            "{invariant}: {observer} of {subject}, for {duration:?}"
+        )
     }
 }
 
@@ -146,18 +155,37 @@
 
     /// Checks one observation of each invariant.
     pub(crate) fn check(&mut self, now: Duration, observation: &Observation) {
-        let Observation { state, is_reachable, is_dead, .. } = *observation;
+        let Observation {
+            state,
+            is_reachable,
+            is_dead,
+            ..
+        } = *observation;
 
         let is_false_death = is_reachable && state == Some(MemberState::Dead);
-        let duration = duration_of(&mut self.false_death_since, now, observation, is_false_death);
+        let duration = duration_of(
+            &mut self.false_death_since,
+            now,
+            observation,
+            is_false_death,
+        );
         self.check_bound(MembershipInvariant::FalseDeath, now, duration, observation);
 
-        let is_undetected = is_dead && matches!(state, Some(MemberState::Alive | MemberState::Suspect));
+        let is_undetected =
+            is_dead && matches!(state, Some(MemberState::Alive | MemberState::Suspect));
         let duration = duration_of(&mut self.undetected_since, now, observation, is_undetected);
-        self.check_bound(MembershipInvariant::DeathDetection, now, duration, observation);
-
-        let is_wrong =
-            if is_dead { is_undetected } else { is_reachable && state != Some(MemberState::Alive) };
+        self.check_bound(
+            MembershipInvariant::DeathDetection,
+            now,
+            duration,
+            observation,
+        );
+
+        let is_wrong = if is_dead {
+            is_undetected
+        } else {
+            is_reachable && state != Some(MemberState::Alive)
+        };
         if is_wrong && now > self.faults_end {
             let duration = now - self.faults_end;
             self.check_bound(MembershipInvariant::Convergence, now, duration, observation);
--- a/crates/fault-injection/src/lease_simulation/clients.rs
+++ b/crates/fault-injection/src/lease_simulation/clients.rs
@@ -26,7 +26,9 @@
 impl LeaseSimulation<'_> {
     pub(super) fn handle_client_event(&mut self, member: MemberIndex, event: Event) {
         let now = self.local_time(member);
-        let Some(client) = &mut self.processes[member].client else { return };
+        let Some(client) = &mut self.processes[member].client else {
+            return;
+        };
         let actions = client.handle_event(now, event);
         self.perform_client_actions(member, actions);
     }
@@ -34,7 +36,11 @@
     fn perform_client_actions(&mut self, member: MemberIndex, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send { to, request, command } => {
+                Action::Send {
+                    to,
+                    request,
+                    command,
+                } => {
                     self.send(member, &to, Message::Propose { request, command });
                 }
                 Action::SetTimer { at } => {
@@ -51,7 +57,8 @@
     fn handle_grant(&mut self, member: MemberIndex, lease: Name, token: FencingToken) {
         self.outcome.grants += 1;
         let now = self.scheduler.now();
-        self.fingerprint.mix([member as u64, token.0, now.as_micros() as u64]);
+        self.fingerprint
+            .mix([member as u64, token.0, now.as_micros() as u64]);
         self.check_grant(member, &lease, token);
         if !self.processes[member].active_leases.contains_key(&lease) {
             self.schedule_operation(Duration::ZERO, member, lease);
@@ -68,11 +75,16 @@
     pub(super) fn begin_or_end_operation(&mut self, member: MemberIndex, lease: Name) {
         let now = self.local_time(member);
         let process = &mut self.processes[member];
-        let Some(client) = &mut process.client else { return };
+        let Some(client) = &mut process.client else {
+            return;
+        };
         let active = match process.active_leases.remove(&lease) {
             Some(active) => active,
             None => match client.acquire_guard(now, &lease) {
-                Ok(guard) => ActiveLease { guard, operation: None },
+                Ok(guard) => ActiveLease {
+                    guard,
+                    operation: None,
+                },
                 Err(_) => return,
             },
         };
@@ -82,11 +94,22 @@
         }
     }
 
-    fn end_operation(&mut self, member: MemberIndex, lease: Name, active: ActiveLease, token: FencingToken) {
+    fn end_operation(
+        &mut self,
+        member: MemberIndex,
+        lease: Name,
+        active: ActiveLease,
+        token: FencingToken,
+    ) {
         let is_rejected = self.invariants.history.end(&lease, token).is_err();
         self.outcome.rejected_operations += u64::from(is_rejected);
-        let active = ActiveLease { operation: None, ..active };
-        self.processes[member].active_leases.insert(lease.clone(), active);
+        let active = ActiveLease {
+            operation: None,
+            ..active
+        };
+        self.processes[member]
+            .active_leases
+            .insert(lease.clone(), active);
         let rest = Duration::from_secs_f64(draw(&mut self.rng, REST_SECONDS));
         self.schedule_operation(rest, member, lease);
     }
@@ -94,14 +117,22 @@
     fn begin_operation(&mut self, member: MemberIndex, lease: Name, active: ActiveLease) {
         let now = self.local_time(member);
         let process = &mut self.processes[member];
-        let Some(client) = &mut process.client else { return };
+        let Some(client) = &mut process.client else {
+            return;
+        };
         let Ok(token) = client.check_guard(now, &active.guard) else {
             let actions = client.release_guard(now, active.guard);
             self.perform_client_actions(member, actions);
             // It may have been lost and acquired again meanwhile.
             return self.schedule_operation(REACQUIRE_DELAY, member, lease);
         };
-        process.active_leases.insert(lease.clone(), ActiveLease { operation: Some(token), ..active });
+        process.active_leases.insert(
+            lease.clone(),
+            ActiveLease {
+                operation: Some(token),
+                ..active
+            },
+        );
         let paused = self.paused_operations(&lease);
         match self.invariants.history.begin(&lease, token, &paused) {
             Ok(()) => self.outcome.operations += 1,
@@ -111,8 +142,12 @@
                 self.violate(LeaseInvariant::OperationsDoNotOverlap, details);
             }
         }
-        let max_operation = self.plan.lease(&lease).map_or(0.0, |lease| lease.max_operation);
-        let duration = Duration::from_secs_f64(max_operation * draw(&mut self.rng, OPERATION_FRACTION));
+        let max_operation = self
+            .plan
+            .lease(&lease)
+            .map_or(0.0, |lease| lease.max_operation);
+        let duration =
+            Duration::from_secs_f64(max_operation * draw(&mut self.rng, OPERATION_FRACTION));
         self.schedule_operation(duration, member, lease);
     }
 
@@ -120,6 +155,8 @@
     /// they resume.
     fn paused_operations(&self, lease: &Name) -> BTreeSet<FencingToken> {
         let paused = self.processes.iter().filter(|process| process.is_paused);
-        paused.filter_map(|process| process.active_leases.get(lease)?.operation).collect()
+        paused
+            .filter_map(|process| process.active_leases.get(lease)?.operation)
+            .collect()
     }
 }
--- a/crates/fault-injection/src/lease_simulation/invariants.rs
+++ b/crates/fault-injection/src/lease_simulation/invariants.rs
@@ -45,7 +45,9 @@
 
     /// The newest token of a lease that an owner was notified of.
     pub(super) fn newest_token(&self, lease: &Name) -> FencingToken {
-        self.newest_grants.get(lease).map_or(FencingToken(0), |grant| grant.token)
+        self.newest_grants
+            .get(lease)
+            .map_or(FencingToken(0), |grant| grant.token)
     }
 }
 
@@ -53,7 +55,11 @@
     /// Records a violation, if it is the first.
     pub(super) fn violate(&mut self, invariant: LeaseInvariant, details: String) {
         let at = self.scheduler.now();
-        self.outcome.violation.get_or_insert(LeaseViolation { invariant, at, details });
+        self.outcome.violation.get_or_insert(LeaseViolation {
+            invariant,
+            at,
+            details,
+        });
     }
 
     pub(super) fn capacity(&self, lease: &str) -> u32 {
@@ -62,8 +68,14 @@
 
     pub(super) fn check_grant(&mut self, member: MemberIndex, lease: &Name, token: FencingToken) {
         let newest = match self.invariants.newest_grants.get(lease) {
-            Some(Grant { token, owner }) => Grant { token: *token, owner: *owner },
-            None => Grant { token: FencingToken(0), owner: member },
+            Some(Grant { token, owner }) => Grant {
+                token: *token,
+                owner: *owner,
+            },
+            None => Grant {
+                token: FencingToken(0),
+                owner: member,
+            },
         };
         let is_newest = token > newest.token || token == newest.token && newest.owner == member;
         if self.capacity(lease) == 1 && !is_newest {
@@ -72,7 +84,10 @@
         }
         let state = &mut self.invariants;
         state.last_notified_token = state.last_notified_token.max(token);
-        let grant = Grant { token: token.max(newest.token), owner: member };
+        let grant = Grant {
+            token: token.max(newest.token),
+            owner: member,
+        };
         state.newest_grants.insert(lease.clone(), grant);
     }
 
@@ -90,8 +105,10 @@
         for lease in &self.plan.leases {
             let holders = self.count_holders(&lease.name);
             if holders > lease.capacity as usize {
-                let details =
-                    format!("{holders} hold {}, which has a capacity of {}", lease.name, lease.capacity);
+                let details = format!(
+                    "{holders} hold {}, which has a capacity of {}",
+                    lease.name, lease.capacity
+                );
                 self.violate(LeaseInvariant::CapacityRespected, details);
             }
         }
@@ -134,7 +151,8 @@
     /// Whether some running process wants a lease with this target.
     fn is_wanted(&self, target: &str) -> bool {
         let mut processes = self.members.iter().zip(&self.processes);
-        processes
-            .any(|(member, process)| member.matches(target) && process.client.is_some() && !process.is_paused)
+        processes.any(|(member, process)| {
+            member.matches(target) && process.client.is_some() && !process.is_paused
+        })
     }
 }
