--- a/crates/fault-injection/src/lease_simulation/mod.rs
+++ b/crates/fault-injection/src/lease_simulation/mod.rs
@@ -16,7 +16,9 @@
 use tulipgap_leases::Name;
 use tulipgap_write_ahead_log::{DiskFaults, DiskUsage};
 
-use crate::plan::{BACKUP_AT, DirectoryAfterCrash, DiskFault, Fault, Member, MemberIndex, Plan, matching};
+use crate::plan::{
+    BACKUP_AT, DirectoryAfterCrash, DiskFault, Fault, Member, MemberIndex, Plan, matching,
+};
 use crate::scheduler::{Fingerprint, ProcessGeneration, Scheduler, Simulation, play};
 use invariants::InvariantState;
 use network::{Message, PendingRead};
@@ -85,7 +87,9 @@
 pub fn simulate_leases(plan: &Plan, seed: u64, bugs: InjectedBugs) -> LeaseOutcome {
     let mut simulation = LeaseSimulation::new(plan, seed, bugs);
     simulation.schedule_starts();
-    simulation.scheduler.schedule(READ_INTERVAL, 0, SimulationEvent::ReadLeases);
+    simulation
+        .scheduler
+        .schedule(READ_INTERVAL, 0, SimulationEvent::ReadLeases);
     for fault in &plan.faults {
         simulation.schedule_fault(fault);
     }
@@ -108,7 +112,9 @@
             SimulationEvent::Pause => self.processes[member].pause(),
             SimulationEvent::Resume => self.resume(member),
             SimulationEvent::BackUpDirectory => self.processes[member].back_up_directory(),
-            SimulationEvent::SetDiskFaults(faults) => self.processes[member].disk.set_faults(faults),
+            SimulationEvent::SetDiskFaults(faults) => {
+                self.processes[member].disk.set_faults(faults)
+            }
             SimulationEvent::ReplaceVoter { old, new } => self.replace_voter(&old, &new),
             SimulationEvent::ReadLeases => self.read_leases(),
             SimulationEvent::Process(event) => self.handle_process_event(member, event),
@@ -128,13 +134,19 @@
 impl<'a> LeaseSimulation<'a> {
     fn new(plan: &'a Plan, seed: u64, bugs: InjectedBugs) -> Self {
         let members = plan.members();
-        let processes =
-            members.iter().map(|member| Process::new(&member.name, plan.clock_rate(member))).collect();
+        let processes = members
+            .iter()
+            .map(|member| Process::new(&member.name, plan.clock_rate(member)))
+            .collect();
         LeaseSimulation {
             plan,
             bugs,
             members,
-            voters: plan.voters.iter().map(|name| name.as_str().into()).collect(),
+            voters: plan
+                .voters
+                .iter()
+                .map(|name| name.as_str().into())
+                .collect(),
             rng: fastrand::Rng::with_seed(seed),
             scheduler: Scheduler::new(),
             processes,
@@ -148,25 +160,39 @@
     fn schedule_starts(&mut self) {
         for member in 0..self.members.len() {
             let at = Duration::from_secs_f64(self.rng.f64() * START_SPREAD_SECONDS);
-            let start = SimulationEvent::Start { directory: DirectoryAfterCrash::Kept };
+            let start = SimulationEvent::Start {
+                directory: DirectoryAfterCrash::Kept,
+            };
             self.scheduler.schedule(at, member, start);
-            self.scheduler.schedule(BACKUP_AT, member, SimulationEvent::BackUpDirectory);
+            self.scheduler
+                .schedule(BACKUP_AT, member, SimulationEvent::BackUpDirectory);
         }
     }
 
     /// Schedules both ends of a fault of members. Faults of links and clocks are looked up when they matter.
     fn schedule_fault(&mut self, fault: &Fault) {
         match fault {
-            Fault::Crash { at, target, restart_at, directory } => {
+            Fault::Crash {
+                at,
+                target,
+                restart_at,
+                directory,
+            } => {
                 for member in matching(&self.members, target) {
                     self.schedule_at(*at, member, SimulationEvent::Crash);
                     if let Some(restart_at) = restart_at {
-                        let start = SimulationEvent::Start { directory: *directory };
+                        let start = SimulationEvent::Start {
+                            directory: *directory,
+                        };
                         self.schedule_at(*restart_at, member, start);
                     }
                 }
             }
-            Fault::Pause { at, target, resume_at } => {
+            Fault::Pause {
+                at,
+                target,
+                resume_at,
+            } => {
                 for member in matching(&self.members, target) {
                     self.schedule_at(*at, member, SimulationEvent::Pause);
                     if let Some(resume_at) = resume_at {
@@ -174,10 +200,21 @@
                     }
                 }
             }
-            Fault::Disk { at, target, repaired_at, fault } => {
+            Fault::Disk {
+                at,
+                target,
+                repaired_at,
+                fault,
+            } => {
                 let faults = match fault {
-                    DiskFault::Full => DiskFaults { is_full: true, ..DiskFaults::default() },
-                    DiskFault::SyncFails => DiskFaults { next_sync_fails: true, ..DiskFaults::default() },
+                    DiskFault::Full => DiskFaults {
+                        is_full: true,
+                        ..DiskFaults::default()
+                    },
+                    DiskFault::SyncFails => DiskFaults {
+                        next_sync_fails: true,
+                        ..DiskFaults::default()
+                    },
                 };
                 let repaired_at = repaired_at.unwrap_or(*at + DEFAULT_DISK_FAULT_SECONDS);
                 for member in matching(&self.members, target) {
@@ -197,12 +234,16 @@
     }
 
     fn schedule_at(&mut self, seconds: f64, member: MemberIndex, event: SimulationEvent) {
-        self.scheduler.schedule(Duration::from_secs_f64(seconds), member, event);
+        self.scheduler
+            .schedule(Duration::from_secs_f64(seconds), member, event);
     }
 
     fn into_outcome(mut self) -> LeaseOutcome {
         for process in &self.processes {
-            let DiskUsage { syncs, written_bytes } = process.disk.usage();
+            let DiskUsage {
+                syncs,
+                written_bytes,
+            } = process.disk.usage();
             self.outcome.syncs += syncs;
             self.outcome.written_bytes += written_bytes;
         }
--- a/crates/fault-injection/src/lease_simulation/network.rs
+++ b/crates/fault-injection/src/lease_simulation/network.rs
@@ -15,12 +15,30 @@
 #[derive(Clone, Debug)]
 pub(super) enum Message {
     Peer(PeerMessage),
-    Propose { request: RequestId, command: Command },
-    Response { incarnation: Incarnation, request: RequestId, response: Response },
-    NotLeader { request: RequestId, leader: Option<Name> },
-    SlotAvailable { lease: Name },
-    Read { request: RequestId, lease: Name },
-    ReadResponse { request: RequestId, leases: Vec<(Name, Lease)> },
+    Propose {
+        request: RequestId,
+        command: Command,
+    },
+    Response {
+        incarnation: Incarnation,
+        request: RequestId,
+        response: Response,
+    },
+    NotLeader {
+        request: RequestId,
+        leader: Option<Name>,
+    },
+    SlotAvailable {
+        lease: Name,
+    },
+    Read {
+        request: RequestId,
+        lease: Name,
+    },
+    ReadResponse {
+        request: RequestId,
+        leases: Vec<(Name, Lease)>,
+    },
 }
 
 /// A read that waits for its response.
@@ -32,13 +50,26 @@
 
 impl LeaseSimulation<'_> {
     pub(super) fn send(&mut self, from: MemberIndex, to: &Name, message: Message) {
-        let Some(to) = self.processes.iter().position(|process| process.name == *to) else { return };
+        let Some(to) = self
+            .processes
+            .iter()
+            .position(|process| process.name == *to)
+        else {
+            return;
+        };
         self.outcome.messages += 1;
         let now = self.scheduler.now().as_secs_f64();
         let (from_member, to_member) = (&self.members[from], &self.members[to]);
-        for transit in self.plan.draw_transits(now, from_member, to_member, &mut self.rng) {
-            let event = ProcessEvent::Deliver { from, message: message.clone() };
-            self.scheduler.schedule_in(transit, to, SimulationEvent::Process(event));
+        for transit in self
+            .plan
+            .draw_transits(now, from_member, to_member, &mut self.rng)
+        {
+            let event = ProcessEvent::Deliver {
+                from,
+                message: message.clone(),
+            };
+            self.scheduler
+                .schedule_in(transit, to, SimulationEvent::Process(event));
         }
     }
 
@@ -49,13 +80,38 @@
                 self.handle_voter_event(to, VoterEvent::PeerMessage { from, message });
             }
             Message::Propose { request, command } => {
-                self.handle_voter_event(to, VoterEvent::Propose { from, request, command });
+                self.handle_voter_event(
+                    to,
+                    VoterEvent::Propose {
+                        from,
+                        request,
+                        command,
+                    },
+                );
             }
             Message::Read { request, lease } => {
-                self.handle_voter_event(to, VoterEvent::Read { from, request, lease: Some(lease) });
+                self.handle_voter_event(
+                    to,
+                    VoterEvent::Read {
+                        from,
+                        request,
+                        lease: Some(lease),
+                    },
+                );
             }
-            Message::Response { incarnation, request, response } => {
-                self.handle_client_event(to, ClientEvent::Response { incarnation, request, response });
+            Message::Response {
+                incarnation,
+                request,
+                response,
+            } => {
+                self.handle_client_event(
+                    to,
+                    ClientEvent::Response {
+                        incarnation,
+                        request,
+                        response,
+                    },
+                );
             }
             Message::NotLeader { request, leader } => {
                 self.handle_client_event(to, ClientEvent::NotLeader { request, leader });
@@ -70,8 +126,11 @@
     /// A random member asks every voter who holds the first lease of the plan, if its capacity is 1. Only a
     /// voter that has confirmed that it leads may answer.
     pub(super) fn read_leases(&mut self) {
-        self.scheduler.schedule_in(READ_INTERVAL, 0, SimulationEvent::ReadLeases);
-        let Some(lease) = self.plan.leases.first() else { return };
+        self.scheduler
+            .schedule_in(READ_INTERVAL, 0, SimulationEvent::ReadLeases);
+        let Some(lease) = self.plan.leases.first() else {
+            return;
+        };
         let lease: Name = lease.name.as_str().into();
         if self.capacity(&lease) != 1 {
             return;
@@ -80,8 +139,21 @@
         let reader = self.rng.usize(0..self.members.len());
         for voter in self.voters.clone() {
             let request = RequestId(self.scheduler.next_sequence());
-            self.pending_reads.insert(request, PendingRead { lease: lease.clone(), newest_token });
-            self.send(reader, &voter, Message::Read { request, lease: lease.clone() });
+            self.pending_reads.insert(
+                request,
+                PendingRead {
+                    lease: lease.clone(),
+                    newest_token,
+                },
+            );
+            self.send(
+                reader,
+                &voter,
+                Message::Read {
+                    request,
+                    lease: lease.clone(),
+                },
+            );
         }
         while self.pending_reads.len() > MAX_PENDING_READS {
             self.pending_reads.pop_first();
@@ -89,12 +161,21 @@
     }
 
     fn check_read(&mut self, request: RequestId, leases: &[(Name, Lease)]) {
-        let Some(PendingRead { lease, newest_token }) = self.pending_reads.remove(&request) else { return };
+        let Some(PendingRead {
+            lease,
+            newest_token,
+        }) = self.pending_reads.remove(&request)
+        else {
+            return;
+        };
         let found = leases.iter().find(|(name, _)| *name == lease);
-        let Some(holder) = found.and_then(|(_, lease)| lease.holders.last()) else { return };
+        let Some(holder) = found.and_then(|(_, lease)| lease.holders.last()) else {
+            return;
+        };
         if holder.token < newest_token {
             let token = holder.token;
-            let details = format!("{lease}: {token} is read, {newest_token} had been granted before");
+            let details =
+                format!("{lease}: {token} is read, {newest_token} had been granted before");
             self.violate(LeaseInvariant::ReadsAreLinearizable, details);
         }
     }
--- a/crates/fault-injection/src/lease_simulation/processes.rs
+++ b/crates/fault-injection/src/lease_simulation/processes.rs
@@ -5,8 +5,8 @@
 
 use tulipgap_consensus::{Config as VoterConfig, DurableVoter, Event as VoterEvent};
 use tulipgap_leases::{
-    Config as ClientConfig, Event as ClientEvent, FencingToken, Incarnation, LeaseClient, LeaseGuard,
-    LeaseSpec, Name, Owner,
+    Config as ClientConfig, Event as ClientEvent, FencingToken, Incarnation, LeaseClient,
+    LeaseGuard, LeaseSpec, Name, Owner,
 };
 use tulipgap_write_ahead_log::FaultyDisk;
 
@@ -111,7 +111,10 @@
 
     fn start_client(&mut self, member: MemberIndex, seed: u64) {
         let process = &mut self.processes[member];
-        let owner = Owner { name: process.name.clone(), incarnation: Incarnation(process.generation.0) };
+        let owner = Owner {
+            name: process.name.clone(),
+            incarnation: Incarnation(process.generation.0),
+        };
         let config = ClientConfig {
             max_clock_drift_permille: MAX_CLOCK_DRIFT_PERMILLE,
             jitter_permille: JITTER_PERMILLE,
@@ -124,8 +127,7 @@
     /// Whether the plan has the member vote, from the start or later.
     fn is_ever_voter(&self, member: MemberIndex) -> bool {
         let name = &self.processes[member].name;
-        let adds =
-            |fault: &Fault| matches!(fault, Fault::ReplaceVoter { new, .. } if new.as_str() == &**name);
+        let adds = |fault: &Fault| matches!(fault, Fault::ReplaceVoter { new, .. } if new.as_str() == &**name);
         self.voters.contains(name) || self.plan.faults.iter().any(adds)
     }
 
@@ -156,7 +158,10 @@
             }
             let event = ClientEvent::Acquire {
                 lease: lease.name.as_str().into(),
-                spec: LeaseSpec { ttl: Duration::from_secs_f64(lease.ttl), capacity: lease.capacity },
+                spec: LeaseSpec {
+                    ttl: Duration::from_secs_f64(lease.ttl),
+                    capacity: lease.capacity,
+                },
                 max_step: Duration::from_secs_f64(lease.max_operation),
                 wait: true,
             };
@@ -177,7 +182,9 @@
             }
         }
         let rng = &mut self.rng;
-        process.disk.crash(|unsynced_bytes| rng.usize(0..=unsynced_bytes));
+        process
+            .disk
+            .crash(|unsynced_bytes| rng.usize(0..=unsynced_bytes));
     }
 
     pub(super) fn resume(&mut self, member: MemberIndex) {
@@ -222,8 +229,16 @@
     }
 
     /// Schedules a timer that a state machine set by its process's clock.
-    pub(super) fn schedule_timer(&mut self, member: MemberIndex, local_time: Duration, event: ProcessEvent) {
-        let at = self.processes[member].true_time(local_time).max(self.scheduler.now());
-        self.scheduler.schedule(at, member, SimulationEvent::Process(event));
+    pub(super) fn schedule_timer(
+        &mut self,
+        member: MemberIndex,
+        local_time: Duration,
+        event: ProcessEvent,
+    ) {
+        let at = self.processes[member]
+            .true_time(local_time)
+            .max(self.scheduler.now());
+        self.scheduler
+            .schedule(at, member, SimulationEvent::Process(event));
     }
 }
--- a/crates/fault-injection/src/lease_simulation/voters.rs
+++ b/crates/fault-injection/src/lease_simulation/voters.rs
@@ -12,7 +12,9 @@
 impl LeaseSimulation<'_> {
     pub(super) fn handle_voter_event(&mut self, member: MemberIndex, event: Event) {
         let now = self.local_time(member);
-        let Some(voter) = &mut self.processes[member].voter else { return };
+        let Some(voter) = &mut self.processes[member].voter else {
+            return;
+        };
         let applied_before = voter.voter().applied_index();
         let (actions, result) = voter.handle_events(now, vec![event]);
         let applied_index = voter.voter().applied_index();
@@ -32,16 +34,37 @@
     fn perform_voter_action(&mut self, member: MemberIndex, action: Action) {
         match action {
             Action::Send { to, message } => self.send(member, &to, Message::Peer(message)),
-            Action::Respond { to, incarnation, request, response } => {
-                self.send(member, &to, Message::Response { incarnation, request, response });
+            Action::Respond {
+                to,
+                incarnation,
+                request,
+                response,
+            } => {
+                self.send(
+                    member,
+                    &to,
+                    Message::Response {
+                        incarnation,
+                        request,
+                        response,
+                    },
+                );
             }
-            Action::RejectNotLeader { to, request, leader } => {
+            Action::RejectNotLeader {
+                to,
+                request,
+                leader,
+            } => {
                 self.send(member, &to, Message::NotLeader { request, leader });
             }
             Action::NotifySlotAvailable { to, lease } => {
                 self.send(member, &to, Message::SlotAvailable { lease });
             }
-            Action::RespondRead { to, request, leases } => {
+            Action::RespondRead {
+                to,
+                request,
+                leases,
+            } => {
                 self.send(member, &to, Message::ReadResponse { request, leases });
             }
             Action::SetTimer { at } => {
@@ -68,7 +91,11 @@
     }
 
     fn check_replica(&mut self, member: MemberIndex, applied_index: u64, state_hash: u64) {
-        let expected = *self.invariants.state_hashes.entry(applied_index).or_insert(state_hash);
+        let expected = *self
+            .invariants
+            .state_hashes
+            .entry(applied_index)
+            .or_insert(state_hash);
         if expected != state_hash {
             let name = &self.processes[member].name;
             let details = format!("{name} has other leases after entry {applied_index}");
@@ -84,7 +111,9 @@
             self.violate(LeaseInvariant::OneLeaderPerTerm, details);
         }
         let voter = self.processes[member].voter.as_ref();
-        let last_token = voter.map_or(FencingToken(u64::MAX), |voter| voter.voter().leases().last_token());
+        let last_token = voter.map_or(FencingToken(u64::MAX), |voter| {
+            voter.voter().leases().last_token()
+        });
         let notified = self.invariants.last_notified_token;
         if last_token < notified {
             let details = format!(
@@ -99,7 +128,13 @@
         for member in 0..self.members.len() {
             let voter = self.processes[member].voter.as_ref();
             if voter.is_some_and(|voter| voter.voter().is_leader()) {
-                self.handle_voter_event(member, Event::ReplaceVoter { old: old.clone(), new: new.clone() });
+                self.handle_voter_event(
+                    member,
+                    Event::ReplaceVoter {
+                        old: old.clone(),
+                        new: new.clone(),
+                    },
+                );
             }
         }
     }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -53,11 +53,15 @@
 
 pub use history_checker::{HistoryChecker, OperationError};
 pub use invariants::{MembershipInvariant, MembershipViolation, WorstDurations};
-pub use lease_simulation::{InjectedBugs, LeaseInvariant, LeaseOutcome, LeaseViolation, simulate_leases};
-pub use membership_simulation::{DetectionTimes, MembershipBug, MembershipOutcome, simulate_membership};
+pub use lease_simulation::{
+    InjectedBugs, LeaseInvariant, LeaseOutcome, LeaseViolation, simulate_leases,
+};
+pub use membership_simulation::{
+    DetectionTimes, MembershipBug, MembershipOutcome, simulate_membership,
+};
 pub use plan::{
-    Bounds, DirectoryAfterCrash, DiskFault, Fault, Member, Plan, PlanError, PlannedLease, TimeWindow,
-    ZoneMembers,
+    Bounds, DirectoryAfterCrash, DiskFault, Fault, Member, Plan, PlanError, PlannedLease,
+    TimeWindow, ZoneMembers,
 };
 pub use processes::{
     MemberEndpoints, OperationPhase, OperationRecord, RunError, RunOutcome, RunViolation, run,
--- a/crates/fault-injection/src/membership_simulation/mod.rs
+++ b/crates/fault-injection/src/membership_simulation/mod.rs
@@ -51,7 +51,11 @@
 }
 
 /// Plays a plan once in simulated time. A bug is injected to show that the checks can fail.
-pub fn simulate_membership(plan: &Plan, seed: u64, bug: Option<MembershipBug>) -> MembershipOutcome {
+pub fn simulate_membership(
+    plan: &Plan,
+    seed: u64,
+    bug: Option<MembershipBug>,
+) -> MembershipOutcome {
     let mut simulation = MembershipSimulation::new(plan, seed, bug);
     simulation.schedule_starts();
     simulation.schedule_faults();
@@ -122,10 +126,16 @@
     fn new(plan: &'a Plan, seed: u64, bug: Option<MembershipBug>) -> Self {
         let members = plan.members();
         let processes: Vec<Process> = (0..members.len()).map(Process::new).collect();
-        let index_by_address =
-            processes.iter().enumerate().map(|(index, process)| (process.address, index)).collect();
-        let index_by_name =
-            members.iter().enumerate().map(|(index, member)| (member.name.clone(), index)).collect();
+        let index_by_address = processes
+            .iter()
+            .enumerate()
+            .map(|(index, process)| (process.address, index))
+            .collect();
+        let index_by_name = members
+            .iter()
+            .enumerate()
+            .map(|(index, member)| (member.name.clone(), index))
+            .collect();
         MembershipSimulation {
             plan,
             bug,
@@ -154,8 +164,17 @@
     fn schedule_faults(&mut self) {
         for fault in &self.plan.faults {
             let is_crash = matches!(fault, Fault::Crash { .. });
-            let (Fault::Crash { at, target, restart_at: end, .. }
-            | Fault::Pause { at, target, resume_at: end }) = fault
+            let (Fault::Crash {
+                at,
+                target,
+                restart_at: end,
+                ..
+            }
+            | Fault::Pause {
+                at,
+                target,
+                resume_at: end,
+            }) = fault
             else {
                 continue;
             };
@@ -164,9 +183,11 @@
                     true => (SimulationEvent::Crash, SimulationEvent::Start),
                     false => (SimulationEvent::Pause, SimulationEvent::Resume),
                 };
-                self.scheduler.schedule(Duration::from_secs_f64(*at), member, begins);
+                self.scheduler
+                    .schedule(Duration::from_secs_f64(*at), member, begins);
                 if let Some(end) = end {
-                    self.scheduler.schedule(Duration::from_secs_f64(*end), member, ends);
+                    self.scheduler
+                        .schedule(Duration::from_secs_f64(*end), member, ends);
                 }
             }
         }
--- a/crates/fault-injection/src/membership_simulation/processes.rs
+++ b/crates/fault-injection/src/membership_simulation/processes.rs
@@ -60,8 +60,13 @@
     pub(super) fn start(&mut self, member: MemberIndex) {
         self.checker.reset_observer(member);
         self.views[member].fill(None);
-        let seeds = seed_members(&self.members).map(|index| self.processes[index].address).collect();
-        let config = Config { seeds, ..self.plan.membership.clone() };
+        let seeds = seed_members(&self.members)
+            .map(|index| self.processes[index].address)
+            .collect();
+        let config = Config {
+            seeds,
+            ..self.plan.membership.clone()
+        };
         let Member { name, zone, region } = &self.members[member];
         let node = Node {
             name: name.as_str().into(),
@@ -88,7 +93,10 @@
         let at = self.scheduler.now();
         let process = &mut self.processes[member];
         if process.membership.take().is_some() {
-            process.death = Some(Death { at, detected_after: BTreeMap::new() });
+            process.death = Some(Death {
+                at,
+                detected_after: BTreeMap::new(),
+            });
         }
         process.is_paused = false;
         process.has_pending_timer = false;
@@ -142,7 +150,9 @@
     fn handle_membership_event(&mut self, member: MemberIndex, event: Event) {
         let process = &mut self.processes[member];
         let (generation, started_at) = (process.generation, process.started_at);
-        let Some(membership) = &mut process.membership else { return };
+        let Some(membership) = &mut process.membership else {
+            return;
+        };
         for action in membership.handle_events(self.scheduler.now() - started_at, &[event]) {
             match action {
                 Action::Send { to, message } => self.send(member, to, message),
@@ -158,14 +168,20 @@
 
     fn change_view(&mut self, observer: MemberIndex, name: &str, state: MemberState) {
         let now = self.scheduler.now();
-        self.fingerprint.mix([observer as u64, state as u64, now.as_micros() as u64]);
-        let Some(&subject) = self.index_by_name.get(name) else { return };
+        self.fingerprint
+            .mix([observer as u64, state as u64, now.as_micros() as u64]);
+        let Some(&subject) = self.index_by_name.get(name) else {
+            return;
+        };
         self.views[observer][subject] = Some(state);
         if state != MemberState::Dead {
             return;
         }
         if let Some(death) = &mut self.processes[subject].death {
-            death.detected_after.entry(observer).or_insert(now - death.at);
+            death
+                .detected_after
+                .entry(observer)
+                .or_insert(now - death.at);
         } else if self.is_reachable(observer, subject) {
             self.false_deaths += 1;
         }
--- a/crates/fault-injection/src/plan/fault.rs
+++ b/crates/fault-injection/src/plan/fault.rs
@@ -168,9 +168,19 @@
     pub(crate) fn end(&self) -> f64 {
         match self {
             Fault::Partition { window, .. } | Fault::DegradedLinks { window, .. } => window.to,
-            Fault::Crash { at, restart_at: end, .. }
-            | Fault::Pause { at, resume_at: end, .. }
-            | Fault::Disk { at, repaired_at: end, .. } => end.unwrap_or(*at),
+            Fault::Crash {
+                at,
+                restart_at: end,
+                ..
+            }
+            | Fault::Pause {
+                at, resume_at: end, ..
+            }
+            | Fault::Disk {
+                at,
+                repaired_at: end,
+                ..
+            } => end.unwrap_or(*at),
             Fault::ReplaceVoter { at, .. } => *at,
             Fault::ClockRate { .. } => 0.0,
         }
--- a/crates/fault-injection/src/plan/file.rs
+++ b/crates/fault-injection/src/plan/file.rs
@@ -7,7 +7,8 @@
 use tulipgap_membership::Config;
 
 use super::{
-    Bounds, DirectoryAfterCrash, DiskFault, Fault, Plan, PlanError, PlannedLease, TimeWindow, ZoneMembers,
+    Bounds, DirectoryAfterCrash, DiskFault, Fault, Plan, PlanError, PlannedLease, TimeWindow,
+    ZoneMembers,
 };
 
 /// No block of a kind, one, or several.
@@ -53,8 +54,20 @@
 
 impl From<PartitionBlock> for Fault {
     fn from(block: PartitionBlock) -> Self {
-        let PartitionBlock { from, to, between: [a, b], one_way, flap } = block;
-        Fault::Partition { window: TimeWindow { from, to }, a, b, one_way, flap }
+        let PartitionBlock {
+            from,
+            to,
+            between: [a, b],
+            one_way,
+            flap,
+        } = block;
+        Fault::Partition {
+            window: TimeWindow { from, to },
+            a,
+            b,
+            one_way,
+            flap,
+        }
     }
 }
 
@@ -75,8 +88,21 @@
 
 impl From<DegradedLinksBlock> for Fault {
     fn from(block: DegradedLinksBlock) -> Self {
-        let DegradedLinksBlock { from, to, target, loss, delay_ms, duplication } = block;
-        Fault::DegradedLinks { window: TimeWindow { from, to }, target, loss, delay_ms, duplication }
+        let DegradedLinksBlock {
+            from,
+            to,
+            target,
+            loss,
+            delay_ms,
+            duplication,
+        } = block;
+        Fault::DegradedLinks {
+            window: TimeWindow { from, to },
+            target,
+            loss,
+            delay_ms,
+            duplication,
+        }
     }
 }
 
@@ -93,8 +119,18 @@
 
 impl From<CrashBlock> for Fault {
     fn from(block: CrashBlock) -> Self {
-        let CrashBlock { at, target, back: restart_at, directory } = block;
-        Fault::Crash { at, target, restart_at, directory }
+        let CrashBlock {
+            at,
+            target,
+            back: restart_at,
+            directory,
+        } = block;
+        Fault::Crash {
+            at,
+            target,
+            restart_at,
+            directory,
+        }
     }
 }
 
@@ -112,8 +148,17 @@
 
 impl From<PauseBlock> for Fault {
     fn from(block: PauseBlock) -> Self {
-        let PauseBlock { at, target, back: resume_at, .. } = block;
-        Fault::Pause { at, target, resume_at }
+        let PauseBlock {
+            at,
+            target,
+            back: resume_at,
+            ..
+        } = block;
+        Fault::Pause {
+            at,
+            target,
+            resume_at,
+        }
     }
 }
 
@@ -144,8 +189,18 @@
 
 impl From<DiskBlock> for Fault {
     fn from(block: DiskBlock) -> Self {
-        let DiskBlock { at, target, back: repaired_at, fault } = block;
-        Fault::Disk { at, target, repaired_at, fault }
+        let DiskBlock {
+            at,
+            target,
+            back: repaired_at,
+            fault,
+        } = block;
+        Fault::Disk {
+            at,
+            target,
+            repaired_at,
+            fault,
+        }
     }
 }
 
@@ -187,7 +242,9 @@
     fn try_from(overrides: MembershipOverrides) -> Result<Self, PlanError> {
         let defaults = Config::default();
         let duration = |key: &str, seconds: Option<f64>, default: Duration| {
-            let Some(seconds) = seconds else { return Ok(default) };
+            let Some(seconds) = seconds else {
+                return Ok(default);
+            };
             Duration::try_from_secs_f64(seconds).map_err(|error| PlanError::InvalidValue {
                 location: format!("terms.{key}"),
                 expected: error.to_string(),
--- a/crates/fault-injection/src/plan/hcl_output.rs
+++ b/crates/fault-injection/src/plan/hcl_output.rs
@@ -38,38 +38,66 @@
     /// The fault as a block of a plan file.
     fn to_hcl(&self) -> String {
         let block = match self {
-            Fault::Partition { window: TimeWindow { from, to }, a, b, one_way, flap } => Block::new("cut")
+            Fault::Partition {
+                window: TimeWindow { from, to },
+                a,
+                b,
+                one_way,
+                flap,
+            } => Block::new("cut")
                 .value("from", from)
                 .value("to", to)
                 .value("between", format_args!("[{a:?}, {b:?}]"))
                 .value("one_way", one_way)
                 .optional("flap", *flap),
-            Fault::DegradedLinks { window: TimeWindow { from, to }, target, loss, delay_ms, duplication } => {
-                Block::new("links")
-                    .value("from", from)
-                    .value("to", to)
-                    .text("of", target)
-                    .value("loss", loss)
-                    .value("delay_ms", delay_ms)
-                    .value("twice", duplication)
-            }
-            Fault::Crash { at, target, restart_at, directory } => Block::new("crash")
+            Fault::DegradedLinks {
+                window: TimeWindow { from, to },
+                target,
+                loss,
+                delay_ms,
+                duplication,
+            } => Block::new("links")
+                .value("from", from)
+                .value("to", to)
+                .text("of", target)
+                .value("loss", loss)
+                .value("delay_ms", delay_ms)
+                .value("twice", duplication),
+            Fault::Crash {
+                at,
+                target,
+                restart_at,
+                directory,
+            } => Block::new("crash")
                 .value("at", at)
                 .text("of", target)
                 .optional("back", *restart_at)
                 .text("folder", directory.keyword()),
-            Fault::Pause { at, target, resume_at } => {
-                Block::new("stop").value("at", at).text("of", target).optional("back", *resume_at)
+            Fault::Pause {
+                at,
+                target,
+                resume_at,
+            } => Block::new("stop")
+                .value("at", at)
+                .text("of", target)
+                .optional("back", *resume_at),
+            Fault::ClockRate { target, rate } => {
+                Block::new("clock").text("of", target).value("rate", rate)
             }
-            Fault::ClockRate { target, rate } => Block::new("clock").text("of", target).value("rate", rate),
-            Fault::Disk { at, target, repaired_at, fault } => Block::new("disk")
+            Fault::Disk {
+                at,
+                target,
+                repaired_at,
+                fault,
+            } => Block::new("disk")
                 .value("at", at)
                 .text("of", target)
                 .optional("back", *repaired_at)
                 .text("what", fault.keyword()),
-            Fault::ReplaceVoter { at, old, new } => {
-                Block::new("replace").value("at", at).text("old", old).text("new", new)
-            }
+            Fault::ReplaceVoter { at, old, new } => Block::new("replace")
+                .value("at", at)
+                .text("old", old)
+                .text("new", new),
         };
         block.end()
     }
--- a/crates/fault-injection/src/plan/mod.rs
+++ b/crates/fault-injection/src/plan/mod.rs
@@ -122,7 +122,12 @@
 
 impl Default for Bounds {
     fn default() -> Self {
-        Bounds { false_death: 10.0, death_detection: 30.0, convergence: 30.0, vacancy: default_vacancy() }
+        Bounds {
+            false_death: 10.0,
+            death_detection: 30.0,
+            convergence: 30.0,
+            vacancy: default_vacancy(),
+        }
     }
 }
 
@@ -178,7 +183,10 @@
     /// The region of a zone, as its first block has it.
     fn region_of<'a>(&'a self, zone: &'a str) -> &'a str {
         let block = self.zones.iter().find(|block| block.zone == zone);
-        block.map(|block| block.region.as_str()).filter(|region| !region.is_empty()).unwrap_or(zone)
+        block
+            .map(|block| block.region.as_str())
+            .filter(|region| !region.is_empty())
+            .unwrap_or(zone)
     }
 
     /// When the last fault is over, since the start. Clocks of another rate do not count: they never end.
@@ -198,7 +206,9 @@
 
 /// The places of the members that a target means.
 pub(crate) fn matching(members: &[Member], target: &str) -> Vec<MemberIndex> {
-    (0..members.len()).filter(|&index| members[index].matches(target)).collect()
+    (0..members.len())
+        .filter(|&index| members[index].matches(target))
+        .collect()
 }
 
 /// The first member of each zone, by which new members join: a zone that is cut off still finds its own.
--- a/crates/fault-injection/src/plan/network.rs
+++ b/crates/fault-injection/src/plan/network.rs
@@ -49,9 +49,16 @@
     /// Whether partitions let through at that time what one member sends to another. `now` is in seconds.
     pub(crate) fn is_link_open(&self, now: f64, from: &Member, to: &Member) -> bool {
         !self.faults.iter().any(|fault| match fault {
-            Fault::Partition { window, a, b, one_way, flap } => {
+            Fault::Partition {
+                window,
+                a,
+                b,
+                one_way,
+                flap,
+            } => {
                 let is_cut = window.contains(now)
-                    && flap.is_none_or(|flap| (((now - window.from) / flap) as u64).is_multiple_of(2));
+                    && flap
+                        .is_none_or(|flap| (((now - window.from) / flap) as u64).is_multiple_of(2));
                 let is_forward = from.matches(a) && to.matches(b);
                 let is_backward = from.matches(b) && to.matches(a);
                 is_cut && from.name != to.name && (is_forward || is_backward && !one_way)
@@ -72,7 +79,13 @@
     pub(crate) fn link_quality(&self, now: f64, from: &Member, to: &Member) -> LinkQuality {
         let mut quality = LinkQuality::default();
         for fault in &self.faults {
-            if let Fault::DegradedLinks { window, target, loss, delay_ms, duplication } = fault
+            if let Fault::DegradedLinks {
+                window,
+                target,
+                loss,
+                delay_ms,
+                duplication,
+            } = fault
                 && window.contains(now)
                 && (from.matches(target) || to.matches(target))
             {
--- a/crates/fault-injection/src/plan/validation.rs
+++ b/crates/fault-injection/src/plan/validation.rs
@@ -25,7 +25,10 @@
 fn ensure(is_valid: bool, location: impl Into<String>, expected: &str) -> Result<(), PlanError> {
     match is_valid {
         true => Ok(()),
-        false => Err(PlanError::InvalidValue { location: location.into(), expected: expected.to_owned() }),
+        false => Err(PlanError::InvalidValue {
+            location: location.into(),
+            expected: expected.to_owned(),
+        }),
     }
 }
 
@@ -64,7 +67,11 @@
 
     fn validate_zones(&self) -> Result<(), PlanError> {
         let count: usize = self.zones.iter().map(|zone| zone.count).sum();
-        ensure((2..=MAX_MEMBERS).contains(&count), "members", "there have to be 2 to 2000 in all")?;
+        ensure(
+            (2..=MAX_MEMBERS).contains(&count),
+            "members",
+            "there have to be 2 to 2000 in all",
+        )?;
         for (index, zone) in self.zones.iter().enumerate() {
             ensure(
                 (1..=MAX_ZONE_NAME_BYTES).contains(&zone.zone.len()) && zone.count > 0,
@@ -85,9 +92,10 @@
         };
         match Membership::new(self.membership.clone(), node, Incarnation::default(), 0) {
             Ok(_) => Ok(()),
-            Err(error) => {
-                Err(PlanError::InvalidValue { location: "terms".into(), expected: error.to_string() })
-            }
+            Err(error) => Err(PlanError::InvalidValue {
+                location: "terms".into(),
+                expected: error.to_string(),
+            }),
         }
     }
 
@@ -97,11 +105,17 @@
         voters.dedup();
         let is_member = |name: &String| members.iter().any(|member| member.name == *name);
         ensure(
-            voters.len() == self.voters.len() && voters.len() <= MAX_VOTERS && voters.iter().all(is_member),
+            voters.len() == self.voters.len()
+                && voters.len() <= MAX_VOTERS
+                && voters.iter().all(is_member),
             "voters",
             "have to be members, each named once, 7 at most",
         )?;
-        ensure(self.leases.is_empty() || !voters.is_empty(), "lease", "leases need voters")
+        ensure(
+            self.leases.is_empty() || !voters.is_empty(),
+            "lease",
+            "leases need voters",
+        )
     }
 }
 
@@ -114,7 +128,9 @@
             "its times have to lie in the run, and it has to end after it begins",
         )?;
         ensure(
-            self.targets().iter().all(|target| is_known_target(members, target)),
+            self.targets()
+                .iter()
+                .all(|target| is_known_target(members, target)),
             location,
             "it names no zone and no member",
         )?;
@@ -129,11 +145,30 @@
     fn window(&self, length: f64) -> TimeWindow {
         match self {
             Fault::Partition { window, .. } | Fault::DegradedLinks { window, .. } => *window,
-            Fault::Crash { at, restart_at: end, .. }
-            | Fault::Pause { at, resume_at: end, .. }
-            | Fault::Disk { at, repaired_at: end, .. } => TimeWindow { from: *at, to: end.unwrap_or(length) },
-            Fault::ClockRate { .. } => TimeWindow { from: 0.0, to: length },
-            Fault::ReplaceVoter { at, .. } => TimeWindow { from: *at, to: length },
+            Fault::Crash {
+                at,
+                restart_at: end,
+                ..
+            }
+            | Fault::Pause {
+                at, resume_at: end, ..
+            }
+            | Fault::Disk {
+                at,
+                repaired_at: end,
+                ..
+            } => TimeWindow {
+                from: *at,
+                to: end.unwrap_or(length),
+            },
+            Fault::ClockRate { .. } => TimeWindow {
+                from: 0.0,
+                to: length,
+            },
+            Fault::ReplaceVoter { at, .. } => TimeWindow {
+                from: *at,
+                to: length,
+            },
         }
     }
 
@@ -151,14 +186,22 @@
 
     fn has_valid_amounts(&self) -> bool {
         match self {
-            Fault::DegradedLinks { loss, delay_ms, duplication, .. } => {
-                FRACTION.contains(loss) && FRACTION.contains(duplication) && DELAY_MS.contains(delay_ms)
+            Fault::DegradedLinks {
+                loss,
+                delay_ms,
+                duplication,
+                ..
+            } => {
+                FRACTION.contains(loss)
+                    && FRACTION.contains(duplication)
+                    && DELAY_MS.contains(delay_ms)
             }
             Fault::ClockRate { rate, .. } => CLOCK_RATE.contains(rate),
             Fault::Partition { flap, .. } => flap.is_none_or(|flap| FLAP_SECONDS.contains(&flap)),
-            Fault::Crash { .. } | Fault::Pause { .. } | Fault::Disk { .. } | Fault::ReplaceVoter { .. } => {
-                true
-            }
+            Fault::Crash { .. }
+            | Fault::Pause { .. }
+            | Fault::Disk { .. }
+            | Fault::ReplaceVoter { .. } => true,
         }
     }
 }
@@ -176,10 +219,17 @@
 
 impl Bounds {
     fn validate(&self) -> Result<(), PlanError> {
-        let Bounds { false_death, death_detection, convergence, vacancy } = *self;
+        let Bounds {
+            false_death,
+            death_detection,
+            convergence,
+            vacancy,
+        } = *self;
         let is_valid = |bound: f64| bound.is_finite() && bound > 0.0;
         ensure(
-            [false_death, death_detection, convergence, vacancy].into_iter().all(is_valid),
+            [false_death, death_detection, convergence, vacancy]
+                .into_iter()
+                .all(is_valid),
             "check",
             "bounds have to be seconds above 0",
         )
--- a/crates/fault-injection/src/processes/addresses.rs
+++ b/crates/fault-injection/src/processes/addresses.rs
@@ -35,10 +35,16 @@
             let network = [127, fastrand::u8(200..250), fastrand::u8(1..250)];
             let [a, b, c] = network;
             if let Ok(claim) = UdpSocket::bind((Ipv4Addr::new(a, b, c, CLAIM_HOST), CLAIM_PORT)) {
-                return Ok(AddressBlock { network, _claim: claim });
+                return Ok(AddressBlock {
+                    network,
+                    _claim: claim,
+                });
             }
         }
-        Err(io::Error::new(io::ErrorKind::AddrInUse, "no loopback network is free"))
+        Err(io::Error::new(
+            io::ErrorKind::AddrInUse,
+            "no loopback network is free",
+        ))
     }
 
     /// Where a member serves requests.
--- a/crates/fault-injection/src/processes/configuration.rs
+++ b/crates/fault-injection/src/processes/configuration.rs
@@ -29,8 +29,17 @@
     let process = &processes[index];
     fs::create_dir_all(&process.directory)?;
     let (listen, executor) = (addresses.frontend(index), addresses.executor(index));
-    fs::write(process.config_file(), config_json(&process.member.name, listen, executor))?;
-    let settings = settings_hcl(plan, processes, index, addresses, &run_directory.join(KEY_FILE));
+    fs::write(
+        process.config_file(),
+        config_json(&process.member.name, listen, executor),
+    )?;
+    let settings = settings_hcl(
+        plan,
+        processes,
+        index,
+        addresses,
+        &run_directory.join(KEY_FILE),
+    );
     fs::write(process.settings_file(), settings)
 }
 
@@ -54,16 +63,31 @@
     addresses: &AddressBlock,
     key: &Path,
 ) -> String {
-    let MemberProcess { member, directory, clock_rate, .. } = &processes[index];
-    let members: Vec<_> = processes.iter().map(|process| process.member.clone()).collect();
+    let MemberProcess {
+        member,
+        directory,
+        clock_rate,
+        ..
+    } = &processes[index];
+    let members: Vec<_> = processes
+        .iter()
+        .map(|process| process.member.clone())
+        .collect();
     let seeds = quoted_list(seed_members(&members).map(|seed| addresses.peer(seed).to_string()));
     let voters = quoted_list(plan.voters.iter().cloned());
-    let wanted = plan.leases.iter().filter(|lease| member.matches(&lease.target));
+    let wanted = plan
+        .leases
+        .iter()
+        .filter(|lease| member.matches(&lease.target));
     let leases = quoted_list(wanted.map(lease_setting));
     let others = (0..processes.len()).filter(|&other| other != index);
-    let routes = quoted_list(
-        others.map(|other| format!("{}={}", addresses.peer(other), addresses.proxy(index, other))),
-    );
+    let routes = quoted_list(others.map(|other| {
+        format!(
+            "{}={}",
+            addresses.peer(other),
+            addresses.proxy(index, other)
+        )
+    }));
     format!(
         r#"cluster {{
   name = "rig"
@@ -103,10 +127,23 @@
 /// NAME TTL_MS CAPACITY MAX_OPERATION_MS
 fn lease_setting(lease: &PlannedLease) -> String {
     let milliseconds = |seconds: f64| (seconds * 1000.0).round() as u64;
-    let PlannedLease { name, ttl, capacity, max_operation, .. } = lease;
-    format!("{name} {} {capacity} {}", milliseconds(*ttl), milliseconds(*max_operation))
+    let PlannedLease {
+        name,
+        ttl,
+        capacity,
+        max_operation,
+        ..
+    } = lease;
+    format!(
+        "{name} {} {capacity} {}",
+        milliseconds(*ttl),
+        milliseconds(*max_operation)
+    )
 }
 
 fn quoted_list(values: impl Iterator<Item = String>) -> String {
-    values.map(|value| format!("{value:?}")).collect::<Vec<_>>().join(", ")
+    values
+        .map(|value| format!("{value:?}"))
+        .collect::<Vec<_>>()
+        .join(", ")
 }
--- a/crates/fault-injection/src/processes/history.rs
+++ b/crates/fault-injection/src/processes/history.rs
@@ -41,14 +41,21 @@
 
     fn from_str(line: &str) -> Result<Self, MalformedReportError> {
         let words: Vec<&str> = line.trim_end().split(' ').collect();
-        let [phase, lease, token, member] = words[..] else { return Err(MalformedReportError) };
+        let [phase, lease, token, member] = words[..] else {
+            return Err(MalformedReportError);
+        };
         let phase = match phase {
             BEGIN => OperationPhase::Begin,
             END => OperationPhase::End,
             _ => return Err(MalformedReportError),
         };
         let token = FencingToken(token.parse().map_err(|_| MalformedReportError)?);
-        Ok(OperationReport { phase, lease: lease.to_owned(), token, member: member.to_owned() })
+        Ok(OperationReport {
+            phase,
+            lease: lease.to_owned(),
+            token,
+            member: member.to_owned(),
+        })
     }
 }
 
@@ -105,10 +112,21 @@
 impl HistoryRecorder {
     /// Records a report; whether it is accepted.
     fn record(&mut self, report: OperationReport) -> bool {
-        let OperationReport { phase, lease, token, member } = report;
+        let OperationReport {
+            phase,
+            lease,
+            token,
+            member,
+        } = report;
         let at = self.start.elapsed();
-        let was_silent = self.silent.remove(&MemberLease { member: member.clone(), lease: lease.clone() });
-        let key = OperationKey { lease: lease.clone(), token };
+        let was_silent = self.silent.remove(&MemberLease {
+            member: member.clone(),
+            lease: lease.clone(),
+        });
+        let key = OperationKey {
+            lease: lease.clone(),
+            token,
+        };
         let rejection = match phase {
             OperationPhase::Begin => self.begin(at, key, &member).err(),
             OperationPhase::End => self.end(at, key).err(),
@@ -118,17 +136,30 @@
             self.outcome.rejected += 1;
             self.outcome.rejected_while_running += u64::from(!was_silent);
         }
-        self.outcome.history.push(OperationRecord { at, member, lease, token, phase, rejection });
+        self.outcome.history.push(OperationRecord {
+            at,
+            member,
+            lease,
+            token,
+            phase,
+            rejection,
+        });
         is_accepted
     }
 
-    fn begin(&mut self, at: Duration, key: OperationKey, member: &str) -> Result<(), OperationError> {
+    fn begin(
+        &mut self,
+        at: Duration,
+        key: OperationKey,
+        member: &str,
+    ) -> Result<(), OperationError> {
         let OperationKey { lease, token } = &key;
         let paused = self.paused_operations(lease);
         if let Err(error) = self.checker.begin(lease, *token, &paused) {
             if let OperationError::Overlap { .. } = error {
-                let description =
-                    format!("{member} begins an operation under {lease} with token {token}: {error}");
+                let description = format!(
+                    "{member} begins an operation under {lease} with token {token}: {error}"
+                );
                 self.violate(at, description);
             }
             return Err(error);
@@ -154,21 +185,31 @@
     /// The tokens of operations under way whose members have been silent since they were paused or killed.
     fn paused_operations(&self, lease: &str) -> BTreeSet<FencingToken> {
         let is_silent = |member: &String| {
-            self.silent.contains(&MemberLease { member: member.clone(), lease: lease.to_owned() })
+            self.silent.contains(&MemberLease {
+                member: member.clone(),
+                lease: lease.to_owned(),
+            })
         };
-        let of_lease = self.under_way.iter().filter(|(key, member)| key.lease == lease && is_silent(member));
+        let of_lease = self
+            .under_way
+            .iter()
+            .filter(|(key, member)| key.lease == lease && is_silent(member));
         of_lease.map(|(key, _)| key.token).collect()
     }
 
     /// Records a violation, if it is the first.
     pub(super) fn violate(&mut self, at: Duration, description: String) {
-        self.outcome.violation.get_or_insert(RunViolation { at, description });
+        self.outcome
+            .violation
+            .get_or_insert(RunViolation { at, description });
     }
 
     /// A member is about to be paused or killed.
     pub(super) fn member_pauses(&mut self, member: &str, leases: &[PlannedLease]) {
-        let silent =
-            |lease: &PlannedLease| MemberLease { member: member.to_owned(), lease: lease.name.clone() };
+        let silent = |lease: &PlannedLease| MemberLease {
+            member: member.to_owned(),
+            lease: lease.name.clone(),
+        };
         self.silent.extend(leases.iter().map(silent));
     }
 
@@ -212,7 +253,9 @@
     stream.set_nodelay(true)?;
     let mut responses = stream.try_clone()?;
     for line in BufReader::new(stream).lines() {
-        let is_accepted = line?.parse().is_ok_and(|report| recorder.lock().record(report));
+        let is_accepted = line?
+            .parse()
+            .is_ok_and(|report| recorder.lock().record(report));
         responses.write_all(if is_accepted { ACCEPTED } else { REJECTED })?;
     }
     Ok(())
--- a/crates/fault-injection/src/processes/mod.rs
+++ b/crates/fault-injection/src/processes/mod.rs
@@ -190,7 +190,11 @@
         let process = |member| MemberProcess::new(member, run_directory, plan.clock_rate(member));
         let processes = network.members.iter().map(process).collect();
         // From here on the proxies end with the cluster, also where setting it up fails.
-        let cluster = RunningCluster { network, addresses, processes };
+        let cluster = RunningCluster {
+            network,
+            addresses,
+            processes,
+        };
         history::spawn_listener(cluster.addresses.history(), recorder, &cluster.network)
             .map_err(RunError::io("history listener"))?;
         cluster.spawn_proxies().map_err(RunError::io("proxies"))?;
@@ -205,7 +209,12 @@
         for from in members.clone() {
             for to in members.clone().filter(|&to| to != from) {
                 let network = self.network.clone();
-                let link = Link { network, from, to, target: self.addresses.peer(to) };
+                let link = Link {
+                    network,
+                    from,
+                    to,
+                    target: self.addresses.peer(to),
+                };
                 proxy::spawn_proxy(&link, self.addresses.proxy(from, to), &delayed)?;
             }
         }
@@ -226,7 +235,9 @@
             let (processes, addresses) = (&self.processes, &self.addresses);
             configuration::write_configuration(plan, processes, index, addresses, run_directory)
                 .map_err(RunError::io("configuration"))?;
-            self.processes[index].start(program).map_err(RunError::io("processes"))?;
+            self.processes[index]
+                .start(program)
+                .map_err(RunError::io("processes"))?;
         }
         Ok(())
     }
@@ -250,8 +261,10 @@
             self.check_processes()?;
             views.poll_if_due(&self.network, &self.processes, recorder);
             let recorder = recorder.lock();
-            let are_faults_over = schedule.is_empty() && self.network.start.elapsed() > plan.faults_end();
-            if recorder.outcome.violation.is_some() || are_faults_over && is_done(&recorder.outcome) {
+            let are_faults_over =
+                schedule.is_empty() && self.network.start.elapsed() > plan.faults_end();
+            if recorder.outcome.violation.is_some() || are_faults_over && is_done(&recorder.outcome)
+            {
                 return Ok(());
             }
         }
--- a/crates/fault-injection/src/processes/process.rs
+++ b/crates/fault-injection/src/processes/process.rs
@@ -79,7 +79,10 @@
     }
 
     pub(super) fn start(&mut self, program: &Path) -> io::Result<()> {
-        let log = fs::OpenOptions::new().create(true).append(true).open(&self.log_file)?;
+        let log = fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(&self.log_file)?;
         let child = Command::new(program)
             .arg("--settings")
             .arg(self.settings_file())
@@ -107,7 +110,9 @@
             FaultAction::Resume => self.resume(),
             FaultAction::BackUpJournal => copy_directory(&self.journal(), &self.journal_backup()),
             FaultAction::InjectDiskFault(DiskFault::Full) => self.create_marker(DISK_FULL_FILE),
-            FaultAction::InjectDiskFault(DiskFault::SyncFails) => self.create_marker(SYNC_FAILS_FILE),
+            FaultAction::InjectDiskFault(DiskFault::SyncFails) => {
+                self.create_marker(SYNC_FAILS_FILE)
+            }
             FaultAction::RepairDisk => {
                 let _ = fs::remove_file(self.directory.join(DISK_FULL_FILE));
                 Ok(())
@@ -125,7 +130,9 @@
     }
 
     fn kill(&mut self, recorder: &SharedRecorder, leases: &[PlannedLease]) -> io::Result<()> {
-        let Some(mut child) = self.child.take() else { return Ok(()) };
+        let Some(mut child) = self.child.take() else {
+            return Ok(());
+        };
         recorder.lock().member_pauses(&self.member.name, leases);
         child.kill()?;
         child.wait()?;
@@ -150,7 +157,9 @@
     }
 
     fn pause(&mut self, recorder: &SharedRecorder, leases: &[PlannedLease]) -> io::Result<()> {
-        let Some(child) = &self.child else { return Ok(()) };
+        let Some(child) = &self.child else {
+            return Ok(());
+        };
         recorder.lock().member_pauses(&self.member.name, leases);
         send_signal(child, Signal::STOP)?;
         self.is_paused = true;
@@ -158,7 +167,9 @@
     }
 
     fn resume(&mut self) -> io::Result<()> {
-        let Some(child) = &self.child else { return Ok(()) };
+        let Some(child) = &self.child else {
+            return Ok(());
+        };
         send_signal(child, Signal::CONT)?;
         self.is_paused = false;
         Ok(())
@@ -190,7 +201,9 @@
 /// Copies the files of a directory that is in use.
 fn copy_directory(from: &Path, to: &Path) -> io::Result<()> {
     fs::create_dir_all(to)?;
-    let Ok(entries) = fs::read_dir(from) else { return Ok(()) };
+    let Ok(entries) = fs::read_dir(from) else {
+        return Ok(());
+    };
     for entry in entries {
         let entry = entry?;
         match fs::copy(entry.path(), to.join(entry.file_name())) {
--- a/crates/fault-injection/src/processes/proxy.rs
+++ b/crates/fault-injection/src/processes/proxy.rs
@@ -32,7 +32,12 @@
 
 impl Network {
     pub(super) fn new(plan: &Plan, start: Instant) -> Self {
-        Network { plan: plan.clone(), members: plan.members(), start, is_over: AtomicBool::new(false) }
+        Network {
+            plan: plan.clone(),
+            members: plan.members(),
+            start,
+            is_over: AtomicBool::new(false),
+        }
     }
 
     pub(super) fn is_over(&self) -> bool {
@@ -50,7 +55,11 @@
     }
 
     pub(super) fn is_link_open(&self, from: MemberIndex, to: MemberIndex) -> bool {
-        self.plan.is_link_open(self.elapsed_seconds(), &self.members[from], &self.members[to])
+        self.plan.is_link_open(
+            self.elapsed_seconds(),
+            &self.members[from],
+            &self.members[to],
+        )
     }
 }
 
@@ -72,7 +81,9 @@
     fn quality(&self) -> LinkQuality {
         let network = &self.network;
         let (from, to) = (&network.members[self.from], &network.members[self.to]);
-        network.plan.link_quality(network.elapsed_seconds(), from, to)
+        network
+            .plan
+            .link_quality(network.elapsed_seconds(), from, to)
     }
 }
 
@@ -104,21 +115,28 @@
 }
 
 /// Starts a thread that sends delayed datagrams for all proxies when they are due.
-pub(super) fn spawn_delayed_sender(network: &Arc<Network>, socket: UdpSocket) -> Sender<DelayedDatagram> {
+pub(super) fn spawn_delayed_sender(
+    network: &Arc<Network>,
+    socket: UdpSocket,
+) -> Sender<DelayedDatagram> {
     let (sender, receiver) = channel::<DelayedDatagram>();
     let network = network.clone();
     thread::spawn(move || {
         let mut datagrams = BinaryHeap::new();
         while !network.is_over() {
-            let until_next = datagrams
-                .peek()
-                .map_or(SHUTDOWN_CHECK_INTERVAL, |Reverse(next): &Reverse<DelayedDatagram>| {
+            let until_next = datagrams.peek().map_or(
+                SHUTDOWN_CHECK_INTERVAL,
+                |Reverse(next): &Reverse<DelayedDatagram>| {
                     next.at.saturating_duration_since(Instant::now())
-                });
+                },
+            );
             if let Ok(datagram) = receiver.recv_timeout(until_next.min(SHUTDOWN_CHECK_INTERVAL)) {
                 datagrams.push(Reverse(datagram));
             }
-            while datagrams.peek().is_some_and(|Reverse(next)| next.at <= Instant::now()) {
+            while datagrams
+                .peek()
+                .is_some_and(|Reverse(next)| next.at <= Instant::now())
+            {
                 if let Some(Reverse(datagram)) = datagrams.pop() {
                     let _ = socket.send_to(&datagram.bytes, datagram.to);
                 }
@@ -149,7 +167,9 @@
     let mut rng = fastrand::Rng::new();
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     while !link.network.is_over() {
-        let Ok((length, _)) = socket.recv_from(&mut buffer) else { continue };
+        let Ok((length, _)) = socket.recv_from(&mut buffer) else {
+            continue;
+        };
         let quality = link.quality();
         if !link.is_open() || quality.draw_loss(&mut rng) {
             continue;
@@ -159,7 +179,11 @@
             if quality.delay > 0.0 {
                 let at = Instant::now() + Duration::from_secs_f64(delay);
                 let bytes = buffer[..length].to_vec();
-                let _ = delayed.send(DelayedDatagram { at, to: link.target, bytes });
+                let _ = delayed.send(DelayedDatagram {
+                    at,
+                    to: link.target,
+                    bytes,
+                });
             } else {
                 let _ = socket.send_to(&buffer[..length], link.target);
             }
@@ -191,13 +215,22 @@
         let length = match source.read(&mut buffer) {
             Ok(0) => return Ok(()),
             Ok(length) => length,
-            Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
+            Err(error)
+                if matches!(
+                    error.kind(),
+                    io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+                ) =>
+            {
                 continue;
             }
             Err(error) => return Err(error),
         };
         let quality = link.quality();
-        let retransmission = if quality.draw_loss(&mut rng) { RETRANSMISSION_DELAY } else { Duration::ZERO };
+        let retransmission = if quality.draw_loss(&mut rng) {
+            RETRANSMISSION_DELAY
+        } else {
+            Duration::ZERO
+        };
         thread::sleep(Duration::from_secs_f64(quality.draw_delay(&mut rng)) + retransmission);
         while !link.is_open() && !link.network.is_over() {
             thread::sleep(POLL_INTERVAL);
--- a/crates/fault-injection/src/processes/schedule.rs
+++ b/crates/fault-injection/src/processes/schedule.rs
@@ -1,6 +1,8 @@
 //! When which fault begins and ends at which process.
 
-use crate::plan::{BACKUP_AT, DirectoryAfterCrash, DiskFault, Fault, Member, MemberIndex, Plan, matching};
+use crate::plan::{
+    BACKUP_AT, DirectoryAfterCrash, DiskFault, Fault, Member, MemberIndex, Plan, matching,
+};
 
 /// What is done to a process. Faults of links and clocks are no actions: proxies look them up, and a clock's
 /// rate is configured at the start.
@@ -34,10 +36,15 @@
             member,
             action: FaultAction::BackUpJournal,
         });
-        let faults = plan.faults.iter().flat_map(|fault| actions_of(fault, members));
+        let faults = plan
+            .faults
+            .iter()
+            .flat_map(|fault| actions_of(fault, members));
         let mut actions: Vec<ScheduledAction> = backups.chain(faults).collect();
         actions.sort_by(|a, b| a.at.total_cmp(&b.at));
-        Schedule { actions: actions.into_iter().peekable() }
+        Schedule {
+            actions: actions.into_iter().peekable(),
+        }
     }
 
     /// Takes the next action, if it is due.
@@ -56,7 +63,12 @@
         actions.push(ScheduledAction { at, member, action });
     };
     match fault {
-        Fault::Crash { at, target, restart_at, directory } => {
+        Fault::Crash {
+            at,
+            target,
+            restart_at,
+            directory,
+        } => {
             for member in matching(members, target) {
                 schedule(*at, member, FaultAction::Kill);
                 if let Some(restart_at) = restart_at {
@@ -64,7 +76,11 @@
                 }
             }
         }
-        Fault::Pause { at, target, resume_at } => {
+        Fault::Pause {
+            at,
+            target,
+            resume_at,
+        } => {
             for member in matching(members, target) {
                 schedule(*at, member, FaultAction::Pause);
                 if let Some(resume_at) = resume_at {
@@ -72,7 +88,12 @@
                 }
             }
         }
-        Fault::Disk { at, target, repaired_at, fault } => {
+        Fault::Disk {
+            at,
+            target,
+            repaired_at,
+            fault,
+        } => {
             for member in matching(members, target) {
                 schedule(*at, member, FaultAction::InjectDiskFault(*fault));
                 if let Some(repaired_at) = repaired_at {
@@ -82,7 +103,10 @@
         }
         Fault::ReplaceVoter { at, old, new } => {
             for member in matching(members, new) {
-                let action = FaultAction::ReplaceVoter { old: old.clone(), new: new.clone() };
+                let action = FaultAction::ReplaceVoter {
+                    old: old.clone(),
+                    new: new.clone(),
+                };
                 schedule(*at, member, action);
             }
         }
--- a/crates/fault-injection/src/processes/views.rs
+++ b/crates/fault-injection/src/processes/views.rs
@@ -54,7 +54,10 @@
             return;
         }
         self.next_poll = Instant::now() + POLL_INTERVAL;
-        let mut result = PollResult { is_converged: true, false_deaths: 0 };
+        let mut result = PollResult {
+            is_converged: true,
+            false_deaths: 0,
+        };
         for observer in 0..processes.len() {
             self.poll(observer, network, processes, &mut result);
         }
@@ -83,22 +86,34 @@
             result.is_converged = false;
             return;
         };
-        for (subject, process) in processes.iter().enumerate().filter(|(index, _)| *index != observer) {
+        for (subject, process) in processes
+            .iter()
+            .enumerate()
+            .filter(|(index, _)| *index != observer)
+        {
             let state = view.get(&process.member.name).copied();
             let is_link_open =
                 network.is_link_open(observer, subject) && network.is_link_open(subject, observer);
             let is_reachable = process.is_running() && is_link_open;
             let is_dead = !process.is_alive();
             let previous = std::mem::replace(&mut self.views[observer][subject], state);
-            let is_false_death =
-                is_reachable && state == Some(MemberState::Dead) && previous != Some(MemberState::Dead);
+            let is_false_death = is_reachable
+                && state == Some(MemberState::Dead)
+                && previous != Some(MemberState::Dead);
             result.false_deaths += u64::from(is_false_death);
             result.is_converged &= match is_dead {
                 true => matches!(state, Some(MemberState::Dead | MemberState::Left) | None),
                 false => state == Some(MemberState::Alive),
             };
             let members = &network.members;
-            let observation = Observation { observer, subject, members, state, is_reachable, is_dead };
+            let observation = Observation {
+                observer,
+                subject,
+                members,
+                state,
+                is_reachable,
+                is_dead,
+            };
             self.checker.check(now, &observation);
         }
     }
@@ -146,5 +161,9 @@
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line)?;
     let response: MembersResponse = serde_json::from_str(&line)?;
-    Ok(response.members.into_iter().map(|row| (row.name, row.state.into())).collect())
+    Ok(response
+        .members
+        .into_iter()
+        .map(|row| (row.name, row.state.into()))
+        .collect())
 }
--- a/crates/fault-injection/src/random_faults.rs
+++ b/crates/fault-injection/src/random_faults.rs
@@ -20,7 +20,12 @@
     let mut has_emptied_directory = false;
     for _ in 0..rng.usize(1..=MAX_RANDOM_FAULTS) {
         let fault = draw_fault(&mut rng, &members, end, &mut has_emptied_directory);
-        if let Fault::Disk { target, repaired_at, .. } = &fault {
+        if let Fault::Disk {
+            target,
+            repaired_at,
+            ..
+        } = &fault
+        {
             // A voter whose disk fails votes again only after a restart.
             let at = repaired_at.unwrap_or(end);
             plan.faults.push(Fault::Crash {
@@ -67,40 +72,89 @@
         4 | 5 => {
             let is_emptied = !*has_emptied_directory && rng.usize(0..6) == 0;
             *has_emptied_directory |= is_emptied;
-            let directory = if is_emptied { DirectoryAfterCrash::Emptied } else { DirectoryAfterCrash::Kept };
-            Fault::Crash { at, target, restart_at: Some(to), directory }
+            let directory = if is_emptied {
+                DirectoryAfterCrash::Emptied
+            } else {
+                DirectoryAfterCrash::Kept
+            };
+            Fault::Crash {
+                at,
+                target,
+                restart_at: Some(to),
+                directory,
+            }
         }
-        6 => Fault::Pause { at, target, resume_at: Some(to) },
-        7 => Fault::ClockRate { target, rate: if rng.bool() { 1.05 } else { 0.95 } },
+        6 => Fault::Pause {
+            at,
+            target,
+            resume_at: Some(to),
+        },
+        7 => Fault::ClockRate {
+            target,
+            rate: if rng.bool() { 1.05 } else { 0.95 },
+        },
         _ => {
-            let fault = if rng.bool() { DiskFault::SyncFails } else { DiskFault::Full };
-            Fault::Disk { at, target, repaired_at: Some(to), fault }
+            let fault = if rng.bool() {
+                DiskFault::SyncFails
+            } else {
+                DiskFault::Full
+            };
+            Fault::Disk {
+                at,
+                target,
+                repaired_at: Some(to),
+                fault,
+            }
         }
     }
 }
 
 fn draw_partition(rng: &mut fastrand::Rng, window: TimeWindow, a: String, b: String) -> Fault {
     let flap = rng.bool().then(|| 0.05 + rng.f64());
-    Fault::Partition { window, a, b, one_way: rng.bool(), flap }
+    Fault::Partition {
+        window,
+        a,
+        b,
+        one_way: rng.bool(),
+        flap,
+    }
 }
 
 /// One member against all others.
 fn draw_isolation(rng: &mut fastrand::Rng, window: TimeWindow, member: String) -> Fault {
     let one_way = rng.usize(0..3) == 0;
-    Fault::Partition { window, a: member, b: String::new(), one_way, flap: None }
+    Fault::Partition {
+        window,
+        a: member,
+        b: String::new(),
+        one_way,
+        flap: None,
+    }
 }
 
 /// Loss, delay and duplication on all links.
 fn draw_degraded_network(rng: &mut fastrand::Rng, window: TimeWindow) -> Fault {
     let (loss, duplication) = (0.4 * rng.f64(), 0.4 * rng.f64());
     let delay_ms = 200.0 * rng.f64();
-    Fault::DegradedLinks { window, target: String::new(), loss, delay_ms, duplication }
+    Fault::DegradedLinks {
+        window,
+        target: String::new(),
+        loss,
+        delay_ms,
+        duplication,
+    }
 }
 
 /// Long delays on the links of one member.
 fn draw_slow_member(rng: &mut fastrand::Rng, window: TimeWindow, target: String) -> Fault {
     let delay_ms = 1500.0 * rng.f64();
-    Fault::DegradedLinks { window, target, loss: 0.1, delay_ms, duplication: 0.1 }
+    Fault::DegradedLinks {
+        window,
+        target,
+        loss: 0.1,
+        delay_ms,
+        duplication: 0.1,
+    }
 }
 
 /// Leaves out one fault after the other for as long as the plan still fails.
--- a/crates/fault-injection/src/scheduler.rs
+++ b/crates/fault-injection/src/scheduler.rs
@@ -26,7 +26,11 @@
 
 impl<E> Scheduler<E> {
     pub(crate) fn new() -> Self {
-        Scheduler { now: Duration::ZERO, sequence: 0, events: BTreeMap::new() }
+        Scheduler {
+            now: Duration::ZERO,
+            sequence: 0,
+            events: BTreeMap::new(),
+        }
     }
 
     /// The time since the start of the run.
--- a/crates/fault-injection/tests/history_checker.rs
+++ b/crates/fault-injection/tests/history_checker.rs
@@ -29,8 +29,9 @@
 #[test]
 fn overlapping_operations_and_stale_tokens_are_rejected() {
     let token = FencingToken;
-    let overlap =
-        |tokens: &[u64]| OperationError::Overlap { tokens: tokens.iter().copied().map(token).collect() };
+    let overlap = |tokens: &[u64]| OperationError::Overlap {
+        tokens: tokens.iter().copied().map(token).collect(),
+    };
     let none = BTreeSet::new();
 
     let mut checker = HistoryChecker::new(&plan());
@@ -44,9 +45,18 @@
         Ok(()),
         "the first is paused and fenced off"
     );
-    assert_eq!(checker.end("one", token(1)), Err(OperationError::StaleToken));
-    assert_eq!(checker.begin("one", token(1), &none), Err(OperationError::StaleToken));
+    assert_eq!(
+        checker.end("one", token(1)),
+        Err(OperationError::StaleToken)
+    );
+    assert_eq!(
+        checker.begin("one", token(1), &none),
+        Err(OperationError::StaleToken)
+    );
     assert_eq!(checker.begin("two", token(3), &none), Ok(()));
     assert_eq!(checker.begin("two", token(4), &none), Ok(()));
-    assert_eq!(checker.begin("two", token(5), &none), Err(overlap(&[3, 4, 5])));
+    assert_eq!(
+        checker.begin("two", token(5), &none),
+        Err(overlap(&[3, 4, 5]))
+    );
 }
--- a/crates/fault-injection/tests/lease_simulation.rs
+++ b/crates/fault-injection/tests/lease_simulation.rs
@@ -1,7 +1,9 @@
 //! Leases in simulated time over many seeds: each hard case, random faults, and injected bugs that the checks
 //! have to catch.
 
-use tulipgap_fault_injection::{InjectedBugs, LeaseOutcome, Plan, simulate_leases, with_random_faults};
+use tulipgap_fault_injection::{
+    InjectedBugs, LeaseOutcome, Plan, simulate_leases, with_random_faults,
+};
 use tulipgap_leases::InjectedBug;
 use tulipgap_write_ahead_log::InjectedBug as DiskBug;
 
@@ -47,8 +49,9 @@
 
 fn assert_invariants_hold(what: &str, faults: &str) -> Vec<LeaseOutcome> {
     let plan = plan(faults);
-    let outcomes: Vec<LeaseOutcome> =
-        (0..SEEDS).map(|seed| simulate_leases(&plan, seed, InjectedBugs::default())).collect();
+    let outcomes: Vec<LeaseOutcome> = (0..SEEDS)
+        .map(|seed| simulate_leases(&plan, seed, InjectedBugs::default()))
+        .collect();
     for (seed, outcome) in outcomes.iter().enumerate() {
         assert_eq!(outcome.violation, None, "{what}, seed {seed}");
         assert!(outcome.operations > 100, "{what}, seed {seed}: {outcome:?}");
@@ -62,16 +65,27 @@
 fn without_faults_nothing_is_rejected_and_one_leader_is_elected() {
     let outcomes = assert_invariants_hold("quiet", "");
     assert!(
-        outcomes.iter().all(|outcome| outcome.rejected_operations == 0 && outcome.elections == 1),
+        outcomes
+            .iter()
+            .all(|outcome| outcome.rejected_operations == 0 && outcome.elections == 1),
         "{outcomes:?}"
     );
 }
 
 #[test]
 fn holder_paused_in_an_operation_beyond_its_ttl() {
-    let stop = |of: &str, at: f64| format!("stop {{\n at = {at}\n of = \"{of}\"\n back = {}\n}}\n", at + 6.0);
+    let stop = |of: &str, at: f64| {
+        format!(
+            "stop {{\n at = {at}\n of = \"{of}\"\n back = {}\n}}\n",
+            at + 6.0
+        )
+    };
     let all = ["north-1", "north-2", "west-1", "west-2", "south-1"];
-    let stops: String = all.iter().zip([5.0, 9.0, 13.0, 17.0, 21.0]).map(|(of, at)| stop(of, at)).collect();
+    let stops: String = all
+        .iter()
+        .zip([5.0, 9.0, 13.0, 17.0, 21.0])
+        .map(|(of, at)| stop(of, at))
+        .collect();
     assert_invariants_hold("paused", &stops);
 }
 
@@ -84,10 +98,17 @@
         )
     };
     let all = ["north-1", "north-2", "west-1", "west-2", "south-1"];
-    let cuts: String =
-        all.iter().zip([3.0, 8.0, 13.0, 18.0, 23.0]).map(|(a, at)| cut(a, false, at)).collect();
+    let cuts: String = all
+        .iter()
+        .zip([3.0, 8.0, 13.0, 18.0, 23.0])
+        .map(|(a, at)| cut(a, false, at))
+        .collect();
     assert_invariants_hold("partitioned", &cuts);
-    let cuts: String = all.iter().zip([3.0, 8.0, 13.0, 18.0, 23.0]).map(|(a, at)| cut(a, true, at)).collect();
+    let cuts: String = all
+        .iter()
+        .zip([3.0, 8.0, 13.0, 18.0, 23.0])
+        .map(|(a, at)| cut(a, true, at))
+        .collect();
     assert_invariants_hold("partitioned one way", &cuts);
 }
 
@@ -102,16 +123,23 @@
 #[test]
 fn all_voters_killed_at_once_under_load() {
     let kill = |of: &str| format!("crash {{\n at = 8\n of = \"{of}\"\n back = 10\n}}\n");
-    assert_invariants_hold("all killed", &["north-1", "west-1", "south-1"].map(kill).concat());
+    assert_invariants_hold(
+        "all killed",
+        &["north-1", "west-1", "south-1"].map(kill).concat(),
+    );
 }
 
 #[test]
 fn clocks_at_their_bounds() {
     let clock = |of: &str, rate: f64| format!("clock {{\n of = \"{of}\"\n rate = {rate}\n}}\n");
-    let leader_slow =
-        ["north-1", "west-1", "south-1"].map(|of| clock(of, 0.95)).concat() + &clock("north-2", 1.05);
-    let leader_fast =
-        ["north-1", "west-1", "south-1"].map(|of| clock(of, 1.05)).concat() + &clock("north-2", 0.95);
+    let leader_slow = ["north-1", "west-1", "south-1"]
+        .map(|of| clock(of, 0.95))
+        .concat()
+        + &clock("north-2", 1.05);
+    let leader_fast = ["north-1", "west-1", "south-1"]
+        .map(|of| clock(of, 1.05))
+        .concat()
+        + &clock("north-2", 0.95);
     let cut = "cut {\n from = 6\n to = 20\n between = [\"north-2\", \"\"]\n flap = 3.1\n}\n";
     assert_invariants_hold("voters slow", &(leader_slow + cut));
     assert_invariants_hold("voters fast", &(leader_fast + cut));
@@ -148,7 +176,10 @@
         "disk",
         &(disk("north-1", 5, "full") + &disk("west-1", 12, "fails") + &disk("south-1", 19, "full")),
     );
-    assert!(outcomes.iter().all(|outcome| outcome.stopped_voters == 3), "{outcomes:?}");
+    assert!(
+        outcomes.iter().all(|outcome| outcome.stopped_voters == 3),
+        "{outcomes:?}"
+    );
 }
 
 /// A voter whose directory is rolled back notices it by what the others know of it, and stops voting.
@@ -158,7 +189,10 @@
         "rolled back",
         "crash {\n at = 10\n of = \"north-1\"\n back = 11\n folder = \"older\"\n}",
     );
-    assert!(outcomes.iter().all(|outcome| outcome.stopped_voters == 1), "{outcomes:?}");
+    assert!(
+        outcomes.iter().all(|outcome| outcome.stopped_voters == 1),
+        "{outcomes:?}"
+    );
 }
 
 #[test]
@@ -171,7 +205,10 @@
         assert_eq!(outcome.violation, None, "seed {seed}: {:#?}", drawn.faults);
         vacancy = vacancy.max(outcome.longest_vacancy_after_faults);
     }
-    println!("random: no holder for {vacancy:?} after the last fault, of {} s", plan.bounds.vacancy);
+    println!(
+        "random: no holder for {vacancy:?} after the last fault, of {} s",
+        plan.bounds.vacancy
+    );
 }
 
 #[test]
@@ -189,23 +226,41 @@
     let stops: String = ["north-1", "north-2", "west-1", "west-2", "south-1"]
         .iter()
         .zip([5, 12, 19, 26, 33])
-        .map(|(of, at)| format!("stop {{\n at = {at}\n of = \"{of}\"\n back = {}\n}}\n", at + 6))
+        .map(|(of, at)| {
+            format!(
+                "stop {{\n at = {at}\n of = \"{of}\"\n back = {}\n}}\n",
+                at + 6
+            )
+        })
         .collect();
     // A leader that was paused, has heard of no other voter since, and is asked by members that reach it.
     let (mut paused_leader, voters) = (String::new(), ["north-1", "west-1", "south-1"]);
     for (of, at) in voters.iter().zip([5, 15, 25]) {
-        paused_leader += &format!("stop {{\n at = {at}\n of = \"{of}\"\n back = {}\n}}\n", at + 7);
+        paused_leader += &format!(
+            "stop {{\n at = {at}\n of = \"{of}\"\n back = {}\n}}\n",
+            at + 7
+        );
         for other in voters.iter().filter(|other| *other != of) {
             let to = at + 8;
-            paused_leader +=
-                &format!("cut {{\n from = {at}\n to = {to}\n between = [\"{of}\", \"{other}\"]\n}}\n");
+            paused_leader += &format!(
+                "cut {{\n from = {at}\n to = {to}\n between = [\"{of}\", \"{other}\"]\n}}\n"
+            );
         }
     }
     let clocks = "clock {\n of = \"north-2\"\n rate = 0.95\n}\nclock {\n of = \"\"\n rate = 1.05\n}\n\
                   cut {\n from = 6\n to = 40\n between = [\"north-2\", \"\"]\n flap = 3.1\n}\n";
-    let lease = |bug| InjectedBugs { lease: Some(bug), ..InjectedBugs::default() };
-    let skipped_sync = InjectedBugs { log: Some(DiskBug::SkipSync), ..InjectedBugs::default() };
-    let stale_read = InjectedBugs { stale_read: true, ..InjectedBugs::default() };
+    let lease = |bug| InjectedBugs {
+        lease: Some(bug),
+        ..InjectedBugs::default()
+    };
+    let skipped_sync = InjectedBugs {
+        log: Some(DiskBug::SkipSync),
+        ..InjectedBugs::default()
+    };
+    let stale_read = InjectedBugs {
+        stale_read: true,
+        ..InjectedBugs::default()
+    };
     for (bugs, faults, seeds, has_random_faults) in [
         (lease(InjectedBug::NoClockMargin), clocks, 0..20, false),
         (lease(InjectedBug::UncheckedGuard), &*stops, 0..20, false),
@@ -213,7 +268,13 @@
         (skipped_sync, "", 110..120, true),
     ] {
         let plan = plan(faults);
-        let plan_of = |seed| if has_random_faults { with_random_faults(&plan, seed) } else { plan.clone() };
+        let plan_of = |seed| {
+            if has_random_faults {
+                with_random_faults(&plan, seed)
+            } else {
+                plan.clone()
+            }
+        };
         let found = seeds
             .clone()
             .find_map(|seed| Some((seed, simulate_leases(&plan_of(seed), seed, bugs).violation?)));
@@ -221,7 +282,10 @@
         assert!(found.is_some(), "{bugs:?} is not found");
         // Without the bug, the invariants hold in the same run.
         let seed = found.map_or(0, |(seed, _)| seed);
-        assert_eq!(simulate_leases(&plan_of(seed), seed, InjectedBugs::default()).violation, None);
+        assert_eq!(
+            simulate_leases(&plan_of(seed), seed, InjectedBugs::default()).violation,
+            None
+        );
     }
 }
 
--- a/crates/fault-injection/tests/membership_simulation.rs
+++ b/crates/fault-injection/tests/membership_simulation.rs
@@ -42,7 +42,10 @@
         worst = worst.max(outcome.worst);
         false_deaths += outcome.false_deaths;
     }
-    println!("{what}: {worst:?} of {:?}, {false_deaths} false deaths in {seeds} runs", plan.bounds);
+    println!(
+        "{what}: {worst:?} of {:?}, {false_deaths} false deaths in {seeds} runs",
+        plan.bounds
+    );
 }
 
 #[test]
@@ -65,12 +68,17 @@
 
 #[test]
 fn member_paused_for_8_s_converges_after_it_resumes() {
-    assert_invariants_hold("paused", "stop {\n at = 20\n of = \"west-2\"\n back = 28\n}", SEEDS);
+    assert_invariants_hold(
+        "paused",
+        "stop {\n at = 20\n of = \"west-2\"\n back = 28\n}",
+        SEEDS,
+    );
 }
 
 #[test]
 fn three_crashes_within_a_second_are_detected_and_the_members_rejoin() {
-    let kill = |at: f64, of: &str| format!("crash {{\n at = {at}\n of = \"{of}\"\n back = 60\n}}\n");
+    let kill =
+        |at: f64, of: &str| format!("crash {{\n at = {at}\n of = \"{of}\"\n back = 60\n}}\n");
     assert_invariants_hold(
         "killed",
         &(kill(20.0, "north-1") + &kill(20.4, "west-1") + &kill(20.9, "south-3")),
@@ -98,7 +106,9 @@
 
 #[test]
 fn halves_that_each_restarted_members_converge_after_a_partition() {
-    let cut = |a: &str, b: &str| format!("cut {{\n from = 20\n to = 60\n between = [\"{a}\", \"{b}\"]\n}}\n");
+    let cut = |a: &str, b: &str| {
+        format!("cut {{\n from = 20\n to = 60\n between = [\"{a}\", \"{b}\"]\n}}\n")
+    };
     let restart = |of: &str| format!("crash {{\n at = 30\n of = \"{of}\"\n back = 40\n}}\n");
     assert_invariants_hold(
         "halves",
@@ -109,13 +119,20 @@
 
 #[test]
 fn lost_and_duplicated_messages_are_tolerated() {
-    assert_invariants_hold("loss", "links {\n from = 10\n to = 70\n loss = 0.15\n twice = 0.3\n}", SEEDS);
+    assert_invariants_hold(
+        "loss",
+        "links {\n from = 10\n to = 70\n loss = 0.15\n twice = 0.3\n}",
+        SEEDS,
+    );
 }
 
 #[test]
 fn run_is_the_same_for_the_same_seed() {
     let plan = plan("crash {\n at = 20\n of = \"north-1\"\n}");
-    assert_eq!(simulate_membership(&plan, 7, None), simulate_membership(&plan, 7, None));
+    assert_eq!(
+        simulate_membership(&plan, 7, None),
+        simulate_membership(&plan, 7, None)
+    );
     assert_ne!(
         simulate_membership(&plan, 7, None).fingerprint,
         simulate_membership(&plan, 8, None).fingerprint
@@ -126,9 +143,20 @@
 fn each_invariant_is_violated_by_an_injected_bug() {
     let violated = |bug: MembershipBug| {
         let plan = plan("crash {\n at = 20\n of = \"west-1\"\n}");
-        simulate_membership(&plan, 1, Some(bug)).violation.map(|violation| violation.invariant)
+        simulate_membership(&plan, 1, Some(bug))
+            .violation
+            .map(|violation| violation.invariant)
     };
-    assert_eq!(violated(MembershipBug::MuteMember), Some(MembershipInvariant::FalseDeath));
-    assert_eq!(violated(MembershipBug::DeadMemberAnswers), Some(MembershipInvariant::DeathDetection));
-    assert_eq!(violated(MembershipBug::NoDissemination), Some(MembershipInvariant::Convergence));
+    assert_eq!(
+        violated(MembershipBug::MuteMember),
+        Some(MembershipInvariant::FalseDeath)
+    );
+    assert_eq!(
+        violated(MembershipBug::DeadMemberAnswers),
+        Some(MembershipInvariant::DeathDetection)
+    );
+    assert_eq!(
+        violated(MembershipBug::NoDissemination),
+        Some(MembershipInvariant::Convergence)
+    );
 }
--- a/crates/leases/src/client.rs
+++ b/crates/leases/src/client.rs
@@ -19,8 +19,8 @@
 
 use crate::injected_bug::{BugSwitch, InjectedBug};
 use crate::protocol::{
-    Command, FencingToken, LeaseSpec, MAX_WANTED_LEASES, Name, Owner, RejectReason, RequestId, Response,
-    is_valid_name,
+    Command, FencingToken, LeaseSpec, MAX_WANTED_LEASES, Name, Owner, RejectReason, RequestId,
+    Response, is_valid_name,
 };
 use leader_hint::LeaderHint;
 use released_tokens::ReleasedTokens;
@@ -75,7 +75,9 @@
 
     /// Each lease that is wanted, and its status.
     pub fn leases(&self) -> impl Iterator<Item = (&Name, LeaseStatus)> {
-        self.leases.iter().map(|(name, wanted)| (name, wanted.status))
+        self.leases
+            .iter()
+            .map(|(name, wanted)| (name, wanted.status))
     }
 
     /// Handles an event. `now` is this process's clock; where it goes backwards, every lease is lost.
@@ -83,7 +85,12 @@
         let mut actions = Vec::new();
         self.read_clock(now, &mut actions);
         match event {
-            Event::Acquire { lease, spec, max_step, wait } => {
+            Event::Acquire {
+                lease,
+                spec,
+                max_step,
+                wait,
+            } => {
                 self.want(lease, spec, max_step, wait, &mut actions);
             }
             Event::Release { lease } => {
@@ -92,13 +99,19 @@
                     self.stop(&lease, LossReason::Released, &mut actions);
                 }
             }
-            Event::Response { incarnation, request, response } => {
+            Event::Response {
+                incarnation,
+                request,
+                response,
+            } => {
                 // A later leader may apply what an earlier run of this process requested, under an id of this run.
                 if incarnation == self.owner.incarnation {
                     self.handle_response(request, response, &mut actions);
                 }
             }
-            Event::NotLeader { request, leader } => self.handle_not_leader(request, leader.as_deref()),
+            Event::NotLeader { request, leader } => {
+                self.handle_not_leader(request, leader.as_deref())
+            }
             Event::SlotAvailable { lease } => {
                 if let Some(wanted) = self.leases.get_mut(&lease)
                     && matches!(wanted.status, LeaseStatus::Queued { .. })
@@ -119,11 +132,18 @@
             for (lease, wanted) in &mut self.leases {
                 wanted.pending.clear();
                 wanted.next_request_at = now;
-                if let LeaseStatus::Active { token, announced, .. } = wanted.status {
+                if let LeaseStatus::Active {
+                    token, announced, ..
+                } = wanted.status
+                {
                     wanted.status = LeaseStatus::Requested;
                     if announced {
                         let reason = LossReason::ClockWentBackwards;
-                        actions.push(Action::Lost { lease: lease.clone(), token, reason });
+                        actions.push(Action::Lost {
+                            lease: lease.clone(),
+                            token,
+                            reason,
+                        });
                     }
                 }
             }
@@ -144,12 +164,23 @@
             return;
         }
         let now = self.now;
-        let wanted = self.leases.entry(lease).or_insert_with(|| WantedLease::new(spec, max_step, wait, now));
+        let wanted = self
+            .leases
+            .entry(lease)
+            .or_insert_with(|| WantedLease::new(spec, max_step, wait, now));
         wanted.is_released = false;
     }
 
-    fn check_wanted(&self, lease: &Name, spec: LeaseSpec, max_step: Duration) -> Result<(), RejectReason> {
-        if !is_valid_name(lease) || !spec.is_valid() || !self.schedule.allows_step(spec.ttl, max_step) {
+    fn check_wanted(
+        &self,
+        lease: &Name,
+        spec: LeaseSpec,
+        max_step: Duration,
+    ) -> Result<(), RejectReason> {
+        if !is_valid_name(lease)
+            || !spec.is_valid()
+            || !self.schedule.allows_step(spec.ttl, max_step)
+        {
             return Err(RejectReason::Invalid);
         }
         if self.leases.len() >= MAX_WANTED_LEASES && !self.leases.contains_key(lease) {
@@ -158,25 +189,44 @@
         Ok(())
     }
 
-    fn handle_response(&mut self, request: RequestId, response: Response, actions: &mut Vec<Action>) {
+    fn handle_response(
+        &mut self,
+        request: RequestId,
+        response: Response,
+        actions: &mut Vec<Action>,
+    ) {
         // A response to a request that is no longer known is ignored: when it was sent isn't known either.
-        let Some((lease, sent_at)) = self.pending_request(request) else { return };
-        let Some(wanted) = self.leases.get_mut(&lease) else { return };
+        let Some((lease, sent_at)) = self.pending_request(request) else {
+            return;
+        };
+        let Some(wanted) = self.leases.get_mut(&lease) else {
+            return;
+        };
         wanted.forget_requests_up_to(request);
         wanted.followed_hints = 0;
-        let is_undecided = matches!(wanted.status, LeaseStatus::Requested | LeaseStatus::Queued { .. });
+        let is_undecided = matches!(
+            wanted.status,
+            LeaseStatus::Requested | LeaseStatus::Queued { .. }
+        );
         match response {
             Response::Granted { token } => self.handle_grant(&lease, sent_at, token, actions),
             Response::Queued { ahead } if is_undecided => {
                 wanted.status = LeaseStatus::Queued { ahead };
                 self.poll_later(&lease);
             }
-            Response::Rejected(RejectReason::Revoked) if wanted.status == LeaseStatus::Requested => {
+            Response::Rejected(RejectReason::Revoked)
+                if wanted.status == LeaseStatus::Requested =>
+            {
                 self.poll_later(&lease);
             }
-            Response::Rejected(RejectReason::Revoked) => self.stop(&lease, LossReason::Revoked, actions),
+            Response::Rejected(RejectReason::Revoked) => {
+                self.stop(&lease, LossReason::Revoked, actions)
+            }
             Response::Rejected(reason) if is_undecided => {
-                actions.push(Action::Rejected { lease: lease.clone(), reason });
+                actions.push(Action::Rejected {
+                    lease: lease.clone(),
+                    reason,
+                });
                 self.poll_later(&lease);
             }
             Response::Queued { .. } | Response::Rejected(_) | Response::Done => {}
@@ -185,7 +235,10 @@
 
     fn pending_request(&self, request: RequestId) -> Option<(Name, Duration)> {
         self.leases.iter().find_map(|(lease, wanted)| {
-            let pending = wanted.pending.iter().find(|pending| pending.id == request)?;
+            let pending = wanted
+                .pending
+                .iter()
+                .find(|pending| pending.id == request)?;
             Some((lease.clone(), pending.sent_at))
         })
     }
@@ -197,12 +250,22 @@
         token: FencingToken,
         actions: &mut Vec<Action>,
     ) {
-        let Some(wanted) = self.leases.get_mut(lease) else { return };
-        let counted_from = if self.bug.is_on(InjectedBug::TtlFromResponse) { self.now } else { sent_at };
+        let Some(wanted) = self.leases.get_mut(lease) else {
+            return;
+        };
+        let counted_from = if self.bug.is_on(InjectedBug::TtlFromResponse) {
+            self.now
+        } else {
+            sent_at
+        };
         let usable_ttl = self.schedule.usable_ttl(wanted.spec.ttl);
         let valid_until = counted_from + usable_ttl.saturating_sub(wanted.max_step);
         match &mut wanted.status {
-            LeaseStatus::Active { token: current, valid_until: until, .. } if *current == token => {
+            LeaseStatus::Active {
+                token: current,
+                valid_until: until,
+                ..
+            } if *current == token => {
                 *until = valid_until.max(*until);
             }
             LeaseStatus::Active { token: current, .. } if *current > token => return,
@@ -213,26 +276,50 @@
                 if was_released && !self.bug.is_on(InjectedBug::ReusedReleasedToken) {
                     return self.release(lease, token, actions);
                 }
-                if let LeaseStatus::Active { token: lost, announced: true, .. } = *status {
+                if let LeaseStatus::Active {
+                    token: lost,
+                    announced: true,
+                    ..
+                } = *status
+                {
                     let reason = LossReason::Expired;
-                    actions.push(Action::Lost { lease: lease.clone(), token: lost, reason });
+                    actions.push(Action::Lost {
+                        lease: lease.clone(),
+                        token: lost,
+                        reason,
+                    });
                 }
-                *status = LeaseStatus::Active { token, valid_until, since: self.now, announced: false };
+                *status = LeaseStatus::Active {
+                    token,
+                    valid_until,
+                    since: self.now,
+                    announced: false,
+                };
             }
         }
         if let LeaseStatus::Active { announced, .. } = &mut wanted.status
             && self.now < valid_until
             && !std::mem::replace(announced, true)
         {
-            actions.push(Action::Acquired { lease: lease.clone(), token });
+            actions.push(Action::Acquired {
+                lease: lease.clone(),
+                token,
+            });
         }
-        let renew_at = self.schedule.renew_at(counted_from, wanted.spec.ttl).max(self.now);
+        let renew_at = self
+            .schedule
+            .renew_at(counted_from, wanted.spec.ttl)
+            .max(self.now);
         wanted.next_request_at = renew_at + self.schedule.renewal_jitter(wanted.spec.ttl);
     }
 
     fn handle_not_leader(&mut self, request: RequestId, leader: Option<&str>) {
-        let Some((lease, _)) = self.pending_request(request) else { return };
-        let Some(wanted) = self.leases.get_mut(&lease) else { return };
+        let Some((lease, _)) = self.pending_request(request) else {
+            return;
+        };
+        let Some(wanted) = self.leases.get_mut(&lease) else {
+            return;
+        };
         // The voter did respond, so its silence is no reason to try the next one: the hint decides.
         wanted.forget_requests_up_to(request);
         wanted.followed_hints += 1;
@@ -244,12 +331,20 @@
 
     /// No guard is issued or valid any more. The slot is released once no guard is out.
     fn stop(&mut self, lease: &Name, reason: LossReason, actions: &mut Vec<Action>) {
-        let Some(wanted) = self.leases.get_mut(lease) else { return };
+        let Some(wanted) = self.leases.get_mut(lease) else {
+            return;
+        };
         match wanted.status {
-            LeaseStatus::Active { token, announced, .. } => {
+            LeaseStatus::Active {
+                token, announced, ..
+            } => {
                 wanted.status = LeaseStatus::Releasing { token };
                 if announced {
-                    actions.push(Action::Lost { lease: lease.clone(), token, reason });
+                    actions.push(Action::Lost {
+                        lease: lease.clone(),
+                        token,
+                        reason,
+                    });
                 }
             }
             LeaseStatus::Queued { .. } if wanted.is_released => {
@@ -257,7 +352,8 @@
                 self.send_release(lease, None, actions);
             }
             LeaseStatus::Requested if wanted.is_released => _ = self.leases.remove(lease),
-            LeaseStatus::Releasing { .. } | LeaseStatus::Requested | LeaseStatus::Queued { .. } => {}
+            LeaseStatus::Releasing { .. } | LeaseStatus::Requested | LeaseStatus::Queued { .. } => {
+            }
         }
     }
 
@@ -266,8 +362,17 @@
         self.send_release(lease, Some(token), actions);
     }
 
-    fn send_release(&mut self, lease: &Name, token: Option<FencingToken>, actions: &mut Vec<Action>) {
-        let command = Command::Release { lease: lease.clone(), owner: self.owner.clone(), token };
+    fn send_release(
+        &mut self,
+        lease: &Name,
+        token: Option<FencingToken>,
+        actions: &mut Vec<Action>,
+    ) {
+        let command = Command::Release {
+            lease: lease.clone(),
+            owner: self.owner.clone(),
+            token,
+        };
         self.send(command, actions);
     }
 
@@ -276,7 +381,11 @@
         self.last_request.0 += 1;
         let request = self.last_request;
         if let Some(to) = self.leader_hint.target().cloned() {
-            actions.push(Action::Send { to, request, command });
+            actions.push(Action::Send {
+                to,
+                request,
+                command,
+            });
         }
         request
     }
@@ -286,7 +395,9 @@
         let names: Vec<Name> = self.leases.keys().cloned().collect();
         for lease in &names {
             self.expire_if_due(lease, actions);
-            let Some(wanted) = self.leases.get(lease) else { continue };
+            let Some(wanted) = self.leases.get(lease) else {
+                continue;
+            };
             match wanted.status {
                 LeaseStatus::Releasing { token } if wanted.guards == 0 => {
                     self.finish_release(lease, token, actions);
@@ -302,24 +413,43 @@
 
     /// A lease that was not renewed in time ends. The voters are asked whether it is still held there.
     fn expire_if_due(&mut self, lease: &Name, actions: &mut Vec<Action>) {
-        let Some(wanted) = self.leases.get_mut(lease) else { return };
-        if let LeaseStatus::Active { token, valid_until, announced, .. } = wanted.status
+        let Some(wanted) = self.leases.get_mut(lease) else {
+            return;
+        };
+        if let LeaseStatus::Active {
+            token,
+            valid_until,
+            announced,
+            ..
+        } = wanted.status
             && self.now >= valid_until
         {
             wanted.status = LeaseStatus::Requested;
             if announced {
                 let reason = LossReason::Expired;
-                actions.push(Action::Lost { lease: lease.clone(), token, reason });
+                actions.push(Action::Lost {
+                    lease: lease.clone(),
+                    token,
+                    reason,
+                });
             }
         }
     }
 
     /// Releases the slot. A lease that was revoked and is still wanted goes to the end of the queue.
     fn finish_release(&mut self, lease: &Name, token: FencingToken, actions: &mut Vec<Action>) {
-        let Some(wanted) = self.leases.remove(lease) else { return };
+        let Some(wanted) = self.leases.remove(lease) else {
+            return;
+        };
         self.release(lease, token, actions);
         if !wanted.is_released {
-            self.want(lease.clone(), wanted.spec, wanted.max_step, wanted.wait, actions);
+            self.want(
+                lease.clone(),
+                wanted.spec,
+                wanted.max_step,
+                wanted.wait,
+                actions,
+            );
             self.poll_later(lease);
         }
     }
@@ -333,7 +463,9 @@
 
     /// Requests a lease or its renewal.
     fn request(&mut self, lease: &Name, actions: &mut Vec<Action>) {
-        let Some(wanted) = self.leases.get(lease) else { return };
+        let Some(wanted) = self.leases.get(lease) else {
+            return;
+        };
         // The earlier request got no response in time: another voter is asked.
         if !wanted.pending.is_empty() {
             self.leader_hint.try_next();
@@ -341,10 +473,24 @@
         let (spec, wait) = (wanted.spec, wanted.wait);
         let LeaseSpec { ttl, capacity } = spec;
         let owner = self.owner.clone();
-        let id = self.send(Command::Acquire { lease: lease.clone(), owner, ttl, capacity, wait }, actions);
+        let id = self.send(
+            Command::Acquire {
+                lease: lease.clone(),
+                owner,
+                ttl,
+                capacity,
+                wait,
+            },
+            actions,
+        );
         let retry_at = self.now + self.schedule.retry_interval(ttl);
-        let Some(wanted) = self.leases.get_mut(lease) else { return };
-        wanted.add_pending(PendingRequest { id, sent_at: self.now });
+        let Some(wanted) = self.leases.get_mut(lease) else {
+            return;
+        };
+        wanted.add_pending(PendingRequest {
+            id,
+            sent_at: self.now,
+        });
         wanted.next_request_at = retry_at;
     }
 
--- a/crates/leases/src/client/guard.rs
+++ b/crates/leases/src/client/guard.rs
@@ -28,7 +28,12 @@
     /// [`StaleGuard`] where it is not held.
     pub fn acquire_guard(&mut self, now: Duration, lease: &str) -> Result<LeaseGuard, StaleGuard> {
         let token = self.valid_token(now, lease).ok_or(StaleGuard)?;
-        let name = self.leases.get_key_value(lease).ok_or(StaleGuard)?.0.clone();
+        let name = self
+            .leases
+            .get_key_value(lease)
+            .ok_or(StaleGuard)?
+            .0
+            .clone();
         let wanted = self.leases.get_mut(lease).ok_or(StaleGuard)?;
         wanted.guards += 1;
         Ok(LeaseGuard { lease: name, token })
@@ -39,11 +44,17 @@
     ///
     /// # Errors
     /// [`StaleGuard`] where the lease has ended or was granted anew since the guard was acquired.
-    pub fn check_guard(&self, now: Duration, guard: &LeaseGuard) -> Result<FencingToken, StaleGuard> {
+    pub fn check_guard(
+        &self,
+        now: Duration,
+        guard: &LeaseGuard,
+    ) -> Result<FencingToken, StaleGuard> {
         if self.bug.is_on(InjectedBug::UncheckedGuard) {
             return Ok(guard.token);
         }
-        self.valid_token(now, &guard.lease).filter(|token| *token == guard.token).ok_or(StaleGuard)
+        self.valid_token(now, &guard.lease)
+            .filter(|token| *token == guard.token)
+            .ok_or(StaleGuard)
     }
 
     /// Nothing is done under the guard any more.
@@ -59,7 +70,10 @@
 
     /// The token of a lease that is held and certainly valid now.
     fn valid_token(&self, now: Duration, lease: &str) -> Option<FencingToken> {
-        let LeaseStatus::Active { token, valid_until, .. } = self.leases.get(lease)?.status else {
+        let LeaseStatus::Active {
+            token, valid_until, ..
+        } = self.leases.get(lease)?.status
+        else {
             return None;
         };
         // A clock that went backwards proves nothing; the next event ends what was counted by it.
--- a/crates/leases/src/client/released_tokens.rs
+++ b/crates/leases/src/client/released_tokens.rs
@@ -28,6 +28,10 @@
 
     /// No token of that lease up to this one may be accepted.
     pub(super) fn latest(&self, lease: &str) -> FencingToken {
-        self.by_lease.get(lease).copied().unwrap_or_default().max(self.bound)
+        self.by_lease
+            .get(lease)
+            .copied()
+            .unwrap_or_default()
+            .max(self.bound)
     }
 }
--- a/crates/leases/src/client/renewal.rs
+++ b/crates/leases/src/client/renewal.rs
@@ -22,7 +22,11 @@
 
 impl RenewalSchedule {
     pub(super) fn new(config: Config, seed: u64) -> Self {
-        RenewalSchedule { config, seed, bug: BugSwitch::default() }
+        RenewalSchedule {
+            config,
+            seed,
+            bug: BugSwitch::default(),
+        }
     }
 
     #[cfg(feature = "injected-bugs")]
--- a/crates/leases/src/expiry.rs
+++ b/crates/leases/src/expiry.rs
@@ -96,13 +96,22 @@
         }
         self.read_clock(now);
         let mut commands = Vec::new();
-        while let Some((at, owned)) = self.by_time.first().cloned().filter(|(at, _)| *at <= self.counted) {
+        while let Some((at, owned)) = self
+            .by_time
+            .first()
+            .cloned()
+            .filter(|(at, _)| *at <= self.counted)
+        {
             self.by_time.remove(&(at, owned.clone()));
             let retry_at = self.counted + EXPIRE_RETRY_INTERVAL;
             if let Some(deadline) = self.deadlines.get_mut(&owned) {
                 deadline.at = retry_at;
                 let (lease, owner) = (owned.lease.clone(), owned.owner.clone());
-                commands.push(Command::Expire { lease, owner, renewal: deadline.renewal });
+                commands.push(Command::Expire {
+                    lease,
+                    owner,
+                    renewal: deadline.renewal,
+                });
                 self.by_time.insert((retry_at, owned));
             }
         }
@@ -113,7 +122,12 @@
     /// twice in each step that counts.
     pub fn next_check_at(&self) -> Option<Duration> {
         let (deadline, _) = self.by_time.first()?;
-        Some(self.clock + deadline.saturating_sub(self.counted).min(MAX_COUNTED_STEP / 2))
+        Some(
+            self.clock
+                + deadline
+                    .saturating_sub(self.counted)
+                    .min(MAX_COUNTED_STEP / 2),
+        )
     }
 
     /// How long a TTL lasts on this clock at least by any other: the owner's clock may be slow and this one fast.
@@ -133,25 +147,39 @@
     fn track(&mut self, lease: &Name, state: &LeaseStateMachine) {
         self.remove_former_owners(lease, state);
         for (owner, renewal, ttl) in state.running_ttls(lease) {
-            let owned = OwnedLease { lease: lease.clone(), owner: owner.clone() };
+            let owned = OwnedLease {
+                lease: lease.clone(),
+                owner: owner.clone(),
+            };
             match self.deadlines.get(&owned) {
                 Some(deadline) if deadline.renewal == renewal => continue,
                 Some(deadline) => _ = self.by_time.remove(&(deadline.at, owned.clone())),
                 None => {}
             }
             let at = self.counted + self.longest_ttl(ttl);
-            self.deadlines.insert(owned.clone(), Deadline { renewal, at });
+            self.deadlines
+                .insert(owned.clone(), Deadline { renewal, at });
             self.by_time.insert((at, owned));
         }
     }
 
     fn remove_former_owners(&mut self, lease: &Name, state: &LeaseStateMachine) {
-        let no_owner = Owner { name: "".into(), incarnation: Incarnation::default() };
-        let first = OwnedLease { lease: lease.clone(), owner: no_owner };
+        let no_owner = Owner {
+            name: "".into(),
+            incarnation: Incarnation::default(),
+        };
+        let first = OwnedLease {
+            lease: lease.clone(),
+            owner: no_owner,
+        };
         let tracked = self.deadlines.range(first..).map(|(owned, _)| owned);
         let former: Vec<OwnedLease> = tracked
             .take_while(|owned| owned.lease == *lease)
-            .filter(|owned| !state.running_ttls(lease).any(|(owner, _, _)| *owner == owned.owner))
+            .filter(|owned| {
+                !state
+                    .running_ttls(lease)
+                    .any(|(owner, _, _)| *owner == owned.owner)
+            })
             .cloned()
             .collect();
         for owned in former {
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -53,12 +53,14 @@
 mod protocol;
 mod state_machine;
 
-pub use client::{Action, Config, Event, LeaseClient, LeaseGuard, LeaseStatus, LossReason, StaleGuard};
+pub use client::{
+    Action, Config, Event, LeaseClient, LeaseGuard, LeaseStatus, LossReason, StaleGuard,
+};
 pub use expiry::ExpiryTracker;
 pub use injected_bug::InjectedBug;
 pub use protocol::{
-    Command, FencingToken, Incarnation, LeaseSpec, MAX_CAPACITY, MAX_LEASE_TTL, MAX_LEASES, MAX_NAME_BYTES,
-    MAX_QUEUED_OWNERS, MAX_WANTED_LEASES, MIN_LEASE_TTL, Name, Owner, RejectReason, RenewalNumber, RequestId,
-    Response,
+    Command, FencingToken, Incarnation, LeaseSpec, MAX_CAPACITY, MAX_LEASE_TTL, MAX_LEASES,
+    MAX_NAME_BYTES, MAX_QUEUED_OWNERS, MAX_WANTED_LEASES, MIN_LEASE_TTL, Name, Owner, RejectReason,
+    RenewalNumber, RequestId, Response,
 };
 pub use state_machine::{Lease, LeaseHolder, LeaseStateMachine, QueuedOwner};
--- a/crates/leases/src/protocol.rs
+++ b/crates/leases/src/protocol.rs
@@ -27,7 +27,9 @@
 
 /// A number that grows with each grant, over all leases, and is never reused. What is acted on under a lease can reject
 /// a token that is older than one it has seen.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct FencingToken(pub u64);
 
 impl fmt::Display for FencingToken {
@@ -37,15 +39,21 @@
 }
 
 /// The number of a request that was applied. An expiry names the one whose TTL is over, and a later renewal voids it.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct RenewalNumber(pub u64);
 
 /// Identifies one run of a process. Zero stands for no run.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Incarnation(pub u64);
 
 /// Relates a response to its request, within one incarnation of the sender.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct RequestId(pub u64);
 
 /// A process and its incarnation. A process that was restarted is another owner, as nothing proves that the earlier run
@@ -70,7 +78,8 @@
 impl LeaseSpec {
     /// Whether TTL and capacity are within their limits.
     pub(crate) fn is_valid(&self) -> bool {
-        (MIN_LEASE_TTL..=MAX_LEASE_TTL).contains(&self.ttl) && (1..=MAX_CAPACITY).contains(&self.capacity)
+        (MIN_LEASE_TTL..=MAX_LEASE_TTL).contains(&self.ttl)
+            && (1..=MAX_CAPACITY).contains(&self.capacity)
     }
 }
 
@@ -174,7 +183,9 @@
 }
 
 /// Why a command was rejected.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, thiserror::Error)]
+#[derive(
+    Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, thiserror::Error,
+)]
 pub enum RejectReason {
     /// No slot is free, and the owner does not wait.
     #[error("all slots of the lease are held")]
--- a/crates/leases/tests/exhaustive.rs
+++ b/crates/leases/tests/exhaustive.rs
@@ -8,15 +8,18 @@
 
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use tulipgap_leases::{
-    Action, Command, Config, Event, ExpiryTracker, FencingToken, Incarnation, InjectedBug, LeaseClient,
-    LeaseSpec, LeaseStateMachine, Owner, RequestId, Response,
+    Action, Command, Config, Event, ExpiryTracker, FencingToken, Incarnation, InjectedBug,
+    LeaseClient, LeaseSpec, LeaseStateMachine, Owner, RequestId, Response,
 };
 
 /// Clocks are off by a quarter at most here: 100 ms pass as 75 on a slow one and as 125 on a fast one.
 /// A TTL is over by true time after two ticks, on any clock.
 const MAX_CLOCK_DRIFT_PERMILLE: u32 = 250;
 const TTL: Duration = Duration::from_millis(200);
-const SPEC: LeaseSpec = LeaseSpec { ttl: TTL, capacity: 1 };
+const SPEC: LeaseSpec = LeaseSpec {
+    ttl: TTL,
+    capacity: 1,
+};
 const SLOW_TICK: Duration = Duration::from_millis(75);
 const FAST_TICK: Duration = Duration::from_millis(125);
 const INCARNATION: Incarnation = Incarnation(1);
@@ -25,8 +28,16 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Message {
-    Request { from: usize, request: RequestId, command: Command },
-    Response { to: usize, request: RequestId, response: Response },
+    Request {
+        from: usize,
+        request: RequestId,
+        command: Command,
+    },
+    Response {
+        to: usize,
+        request: RequestId,
+        response: Response,
+    },
 }
 
 /// A command that is proposed, and the client and request to respond to.
@@ -74,12 +85,21 @@
 }
 
 fn acquire(lease: &str) -> Event {
-    Event::Acquire { lease: Arc::from(lease), spec: SPEC, max_step: Duration::ZERO, wait: false }
+    Event::Acquire {
+        lease: Arc::from(lease),
+        spec: SPEC,
+        max_step: Duration::ZERO,
+        wait: false,
+    }
 }
 
 impl LeaseModel {
     fn clock(&self, world: &World, member: usize) -> Duration {
-        (if self.members[member].1 { SLOW_TICK } else { FAST_TICK }) * world.ticks
+        (if self.members[member].1 {
+            SLOW_TICK
+        } else {
+            FAST_TICK
+        }) * world.ticks
     }
 
     /// The leader's clock is the fast one: its TTLs end as soon as they can.
@@ -91,14 +111,24 @@
         for action in actions {
             match action {
                 // More than fit are lost, as any may be.
-                Action::Send { request, command, .. } if world.network.len() < self.max_in_flight => {
-                    world.network.insert(Message::Request { from: member, request, command });
+                Action::Send {
+                    request, command, ..
+                } if world.network.len() < self.max_in_flight => {
+                    world.network.insert(Message::Request {
+                        from: member,
+                        request,
+                        command,
+                    });
                 }
                 Action::Acquired { token, .. } => {
                     let lease = self.members[member].0;
-                    let newest = world.newest_tokens.iter().rev().find(|newest| newest.0 == lease);
-                    world.has_token_regression |=
-                        newest.is_some_and(|&(_, at, by)| token < at || token == at && member != by);
+                    let newest = world
+                        .newest_tokens
+                        .iter()
+                        .rev()
+                        .find(|newest| newest.0 == lease);
+                    world.has_token_regression |= newest
+                        .is_some_and(|&(_, at, by)| token < at || token == at && member != by);
                     world.newest_tokens.retain(|newest| newest.0 != lease);
                     world.newest_tokens.push((lease, token, member));
                 }
@@ -118,7 +148,9 @@
     fn active_members(&self, world: &World, lease: &str) -> usize {
         let may_act = |member: &usize| {
             let mut client = world.clients[*member].clone();
-            client.acquire_guard(self.clock(world, *member), lease).is_ok()
+            client
+                .acquire_guard(self.clock(world, *member), lease)
+                .is_ok()
         };
         (0..self.members.len()).filter(may_act).count()
     }
@@ -126,14 +158,30 @@
     /// Delivers a message; `None` where the leader takes no further proposal.
     fn deliver(&self, world: &mut World, message: Message) -> Option<()> {
         match message {
-            Message::Request { from, request, command } => {
+            Message::Request {
+                from,
+                request,
+                command,
+            } => {
                 if world.proposed.len() >= MAX_PROPOSED {
                     return None;
                 }
                 world.proposed.push((command, Some((from, request))));
             }
-            Message::Response { to, request, response } => {
-                self.handle_event(world, to, Event::Response { incarnation: INCARNATION, request, response });
+            Message::Response {
+                to,
+                request,
+                response,
+            } => {
+                self.handle_event(
+                    world,
+                    to,
+                    Event::Response {
+                        incarnation: INCARNATION,
+                        request,
+                        response,
+                    },
+                );
             }
         }
         Some(())
@@ -143,18 +191,27 @@
         let (command, requested) = world.proposed.remove(0);
         let now = self.leader_clock(world);
         let response = world.state.apply(&command);
-        world.expiry.command_applied(now, command.lease(), &world.state);
+        world
+            .expiry
+            .command_applied(now, command.lease(), &world.state);
         if let Some((to, request)) = requested
             && world.network.len() < self.max_in_flight
         {
-            world.network.insert(Message::Response { to, request, response });
+            world.network.insert(Message::Response {
+                to,
+                request,
+                response,
+            });
         }
     }
 
     fn change_leader(&self, world: &mut World, keeps_proposed: bool) {
         world.leader_changes += 1;
         match keeps_proposed {
-            true => world.proposed.iter_mut().for_each(|(_, requested)| *requested = None),
+            true => world
+                .proposed
+                .iter_mut()
+                .for_each(|(_, requested)| *requested = None),
             false => world.proposed.clear(),
         }
         world.state.leader_changed();
@@ -186,9 +243,15 @@
             newest_tokens: Vec::new(),
             has_token_regression: false,
         };
-        let config = Config { max_clock_drift_permille: MAX_CLOCK_DRIFT_PERMILLE, jitter_permille: 0 };
+        let config = Config {
+            max_clock_drift_permille: MAX_CLOCK_DRIFT_PERMILLE,
+            jitter_permille: 0,
+        };
         for (member, (lease, _)) in self.members.iter().enumerate() {
-            let owner = Owner { name: format!("m{member}").into(), incarnation: INCARNATION };
+            let owner = Owner {
+                name: format!("m{member}").into(),
+                incarnation: INCARNATION,
+            };
             let mut client = LeaseClient::new(owner, vec!["v".into()], config, 0);
             client.inject_bug(self.bug);
             world.clients.push(client);
@@ -210,18 +273,28 @@
             }
         }
         for message in &world.network {
-            steps.push(Step::Deliver { message: message.clone(), stays: false });
+            steps.push(Step::Deliver {
+                message: message.clone(),
+                stays: false,
+            });
             if world.duplicates < self.max_duplicates {
-                steps.push(Step::Deliver { message: message.clone(), stays: true });
+                steps.push(Step::Deliver {
+                    message: message.clone(),
+                    stays: true,
+                });
             }
         }
         if !world.proposed.is_empty() {
             steps.push(Step::Commit);
         }
         if world.leader_changes < self.max_leader_changes {
-            steps.push(Step::ChangeLeader { keeps_proposed: true });
+            steps.push(Step::ChangeLeader {
+                keeps_proposed: true,
+            });
             if !world.proposed.is_empty() {
-                steps.push(Step::ChangeLeader { keeps_proposed: false });
+                steps.push(Step::ChangeLeader {
+                    keeps_proposed: false,
+                });
             }
         }
     }
@@ -252,7 +325,13 @@
             Step::ReleaseAndAcquire(member) => {
                 world.releases += 1;
                 let lease = self.members[member].0;
-                self.handle_event(&mut world, member, Event::Release { lease: Arc::from(lease) });
+                self.handle_event(
+                    &mut world,
+                    member,
+                    Event::Release {
+                        lease: Arc::from(lease),
+                    },
+                );
                 self.handle_event(&mut world, member, acquire(lease));
             }
         }
@@ -264,10 +343,15 @@
             Property::always(
                 "at most one member acts at any instant",
                 |model: &LeaseModel, world: &World| {
-                    model.members.iter().all(|(lease, _)| model.active_members(world, lease) <= 1)
+                    model
+                        .members
+                        .iter()
+                        .all(|(lease, _)| model.active_members(world, lease) <= 1)
                 },
             ),
-            Property::always("tokens only grow", |_, world: &World| !world.has_token_regression),
+            Property::always("tokens only grow", |_, world: &World| {
+                !world.has_token_regression
+            }),
             Property::sometimes(CHANGES_OWNER, |model: &LeaseModel, world: &World| {
                 let is_granted_again = world.state.last_token() >= FencingToken(2);
                 is_granted_again && model.active_members(world, model.members[0].0) == 1
@@ -284,7 +368,11 @@
     let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     let start = Instant::now();
     let (members, bug) = (model.members.len(), model.bug);
-    let checker = model.checker().threads(3).target_max_depth(depth).finish_when(HasDiscoveries::AnyFailures);
+    let checker = model
+        .checker()
+        .threads(3)
+        .target_max_depth(depth)
+        .finish_when(HasDiscoveries::AnyFailures);
     let checker = checker.spawn_bfs().join();
     let discoveries: Vec<&str> = checker.discoveries().into_keys().collect();
     println!(
@@ -311,18 +399,29 @@
 
 /// Explores deeper than by default: `LEASES_DEEPER=1 cargo test -p tulipgap-leases`.
 fn extra_depth() -> usize {
-    std::env::var("LEASES_DEEPER").ok().and_then(|more| more.parse().ok()).unwrap_or(0)
+    std::env::var("LEASES_DEEPER")
+        .ok()
+        .and_then(|more| more.parse().ok())
+        .unwrap_or(0)
 }
 
 #[test]
 fn two_members_of_one_lease_never_act_at_once() {
-    assert_eq!(explore(two_members(None), 11 + extra_depth()), [CHANGES_OWNER]);
+    assert_eq!(
+        explore(two_members(None), 11 + extra_depth()),
+        [CHANGES_OWNER]
+    );
 }
 
 #[test]
 fn three_members_of_two_leases_never_act_at_once() {
     let members = vec![("x", true), ("x", false), ("y", true)];
-    let model = LeaseModel { members, max_ticks: 3, max_in_flight: 3, ..two_members(None) };
+    let model = LeaseModel {
+        members,
+        max_ticks: 3,
+        max_in_flight: 3,
+        ..two_members(None)
+    };
     assert_eq!(explore(model, 8 + extra_depth()), [CHANGES_OWNER]);
 }
 
@@ -340,7 +439,11 @@
 
 #[test]
 fn injected_bugs_are_found() {
-    let no_faults = |bug| LeaseModel { max_leader_changes: 0, max_duplicates: 0, ..two_members(Some(bug)) };
+    let no_faults = |bug| LeaseModel {
+        max_leader_changes: 0,
+        max_duplicates: 0,
+        ..two_members(Some(bug))
+    };
     let with_release = |bug| LeaseModel {
         max_ticks: 0,
         max_leader_changes: 0,
@@ -352,8 +455,21 @@
         (no_faults(InjectedBug::NoClockMargin), 14),
         (no_faults(InjectedBug::TtlFromResponse), 14),
         (no_faults(InjectedBug::UncheckedGuard), 14),
-        (LeaseModel { max_ticks: 2, ..no_faults(InjectedBug::IgnoredRenewal) }, 20),
-        (LeaseModel { max_ticks: 2, max_leader_changes: 1, ..no_faults(InjectedBug::VolatileTokens) }, 16),
+        (
+            LeaseModel {
+                max_ticks: 2,
+                ..no_faults(InjectedBug::IgnoredRenewal)
+            },
+            20,
+        ),
+        (
+            LeaseModel {
+                max_ticks: 2,
+                max_leader_changes: 1,
+                ..no_faults(InjectedBug::VolatileTokens)
+            },
+            16,
+        ),
         (with_release(InjectedBug::DoubleRelease), 18),
         (with_release(InjectedBug::ReusedReleasedToken), 16),
     ] {
--- a/crates/membership/src/broadcast_queue.rs
+++ b/crates/membership/src/broadcast_queue.rs
@@ -21,7 +21,13 @@
 impl BroadcastQueue {
     /// Queues an update; it replaces an earlier one about the same member.
     pub(crate) fn push(&mut self, update: MemberUpdate) {
-        self.broadcasts.insert(update.node.name.clone(), Broadcast { transmissions: 0, update });
+        self.broadcasts.insert(
+            update.node.name.clone(),
+            Broadcast {
+                transmissions: 0,
+                update,
+            },
+        );
     }
 
     /// Takes up to `max_updates` updates for one message: first the one about `recipient`, then those sent
@@ -36,7 +42,9 @@
         names.sort_by_key(|name| (Some(name) != recipient, self.broadcasts[name].transmissions));
         let mut updates = Vec::new();
         for name in names.into_iter().take(max_updates) {
-            let Some(broadcast) = self.broadcasts.get_mut(&name) else { continue };
+            let Some(broadcast) = self.broadcasts.get_mut(&name) else {
+                continue;
+            };
             broadcast.transmissions += 1;
             updates.push(broadcast.update.clone());
             if broadcast.transmissions >= max_transmissions {
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -96,24 +96,45 @@
         const INTERVAL: &str = "over zero and under an hour";
         const MULTIPLIER: &str = "from 1 to 100";
         let is_interval = |span: Duration| span > Duration::ZERO && span < MAX_INTERVAL;
-        let is_timeout = is_interval(self.probe_timeout) && self.probe_timeout * 2 < self.probe_interval;
+        let is_timeout =
+            is_interval(self.probe_timeout) && self.probe_timeout * 2 < self.probe_interval;
         let checks = [
             ("probe_interval", is_interval(self.probe_interval), INTERVAL),
-            ("probe_timeout", is_timeout, "over zero and under half of probe_interval"),
-            ("suspicion_mult", MULTIPLIERS.contains(&self.suspicion_mult), MULTIPLIER),
+            (
+                "probe_timeout",
+                is_timeout,
+                "over zero and under half of probe_interval",
+            ),
+            (
+                "suspicion_mult",
+                MULTIPLIERS.contains(&self.suspicion_mult),
+                MULTIPLIER,
+            ),
             (
                 "suspicion_max_timeout_mult",
                 MULTIPLIERS.contains(&self.suspicion_max_timeout_mult),
                 MULTIPLIER,
             ),
-            ("retransmit_mult", MULTIPLIERS.contains(&self.retransmit_mult), MULTIPLIER),
+            (
+                "retransmit_mult",
+                MULTIPLIERS.contains(&self.retransmit_mult),
+                MULTIPLIER,
+            ),
             (
                 "max_updates_per_message",
                 UPDATES_PER_MESSAGE.contains(&self.max_updates_per_message),
                 "from 1 to 1,000",
             ),
-            ("max_members", MEMBERS.contains(&self.max_members), "from 1 to 100,000"),
-            ("push_pull_interval", is_interval(self.push_pull_interval), INTERVAL),
+            (
+                "max_members",
+                MEMBERS.contains(&self.max_members),
+                "from 1 to 100,000",
+            ),
+            (
+                "push_pull_interval",
+                is_interval(self.push_pull_interval),
+                INTERVAL,
+            ),
             (
                 "dead_member_retention",
                 self.dead_member_retention > self.probe_interval,
@@ -121,7 +142,10 @@
             ),
         ];
         match checks.into_iter().find(|(_, is_valid, _)| !is_valid) {
-            Some((parameter, _, expected)) => Err(ConfigError::OutOfRange { parameter, expected }),
+            Some((parameter, _, expected)) => Err(ConfigError::OutOfRange {
+                parameter,
+                expected,
+            }),
             None => Ok(()),
         }
     }
@@ -134,9 +158,16 @@
     ///
     /// [`ConfigError::NameLength`] with the first name whose length is out of bounds.
     pub(crate) fn validate(&self) -> Result<(), ConfigError> {
-        let names = [("name", &self.name), ("region", &self.region), ("zone", &self.zone)];
+        let names = [
+            ("name", &self.name),
+            ("region", &self.region),
+            ("zone", &self.zone),
+        ];
         match names.into_iter().find(|(_, name)| !is_valid_name(name)) {
-            Some((field, name)) => Err(ConfigError::NameLength { field, length: name.len() }),
+            Some((field, name)) => Err(ConfigError::NameLength {
+                field,
+                length: name.len(),
+            }),
             None => Ok(()),
         }
     }
--- a/crates/membership/src/dependency_probe.rs
+++ b/crates/membership/src/dependency_probe.rs
@@ -109,19 +109,31 @@
     }
 
     fn observe_verdicts(&mut self, now: Duration, verdicts: &[Verdict]) {
-        self.observed.retain(|name, _| verdicts.iter().any(|verdict| verdict.member == *name));
+        self.observed
+            .retain(|name, _| verdicts.iter().any(|verdict| verdict.member == *name));
         for Verdict { member, text } in verdicts {
-            let is_known = self.observed.get(member).is_some_and(|observed| observed.text == *text);
+            let is_known = self
+                .observed
+                .get(member)
+                .is_some_and(|observed| observed.text == *text);
             if !is_known {
-                self.observed.insert(member.clone(), ObservedVerdict { text: text.clone(), since: now });
+                self.observed.insert(
+                    member.clone(),
+                    ObservedVerdict {
+                        text: text.clone(),
+                        since: now,
+                    },
+                );
             }
         }
     }
 
     fn update_without_lease(&mut self, now: Duration, consecutive_refusals: u32) -> Output {
         self.consecutive_failures = 0;
-        let is_down =
-            self.observed.values().any(|observed| now.saturating_sub(observed.since) <= VERDICT_TTL);
+        let is_down = self
+            .observed
+            .values()
+            .any(|observed| now.saturating_sub(observed.since) <= VERDICT_TTL);
         Output {
             should_have_lease: consecutive_refusals >= SUSPECT_AFTER_REFUSALS && !is_down,
             should_probe: false,
@@ -134,7 +146,10 @@
         match probe_outcome {
             Some(ProbeOutcome::Succeeded) => {
                 self.consecutive_failures = 0;
-                return Output { verdict_change: self.withdraw_verdict(), ..Output::default() };
+                return Output {
+                    verdict_change: self.withdraw_verdict(),
+                    ..Output::default()
+                };
             }
             Some(ProbeOutcome::Failed) => {
                 self.consecutive_failures = self.consecutive_failures.saturating_add(1);
@@ -147,17 +162,27 @@
             self.next_probe_at = now + PROBE_INTERVAL;
         }
         let is_down = self.published_at.is_some();
-        Output { should_have_lease: true, should_probe, verdict_change, is_down }
+        Output {
+            should_have_lease: true,
+            should_probe,
+            verdict_change,
+            is_down,
+        }
     }
 
     fn renew_verdict(&mut self, now: Duration) -> Option<VerdictChange> {
-        let is_due = self.published_at.is_none_or(|at| now.saturating_sub(at) >= VERDICT_RENEWAL_INTERVAL);
+        let is_due = self
+            .published_at
+            .is_none_or(|at| now.saturating_sub(at) >= VERDICT_RENEWAL_INTERVAL);
         if self.consecutive_failures < DOWN_AFTER_FAILURES || !is_due {
             return None;
         }
         self.verdict_number += 1;
         self.published_at = Some(now);
-        Some(VerdictChange::Publish(format!("down {}", self.verdict_number)))
+        Some(VerdictChange::Publish(format!(
+            "down {}",
+            self.verdict_number
+        )))
     }
 
     fn withdraw_verdict(&mut self) -> Option<VerdictChange> {
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -7,7 +7,8 @@
 use crate::member_table::{Member, Recipient};
 use crate::membership::Membership;
 use crate::message::{
-    Incarnation, MemberState, MemberUpdate, Message, MessageBody, RelayedProbeOutcome, SequenceNumber,
+    Incarnation, MemberState, MemberUpdate, Message, MessageBody, RelayedProbeOutcome,
+    SequenceNumber,
 };
 use crate::node::{NodeName, SUPPORTED_VERSIONS, is_valid_name};
 use crate::reachability::MAX_UNREACHABLE_PEERS;
@@ -46,7 +47,11 @@
             if is_complete_state && update.state == MemberState::Dead && is_live_here {
                 let reported_by = Some(message.from.clone());
                 let state = MemberState::Suspect;
-                self.apply_update(&MemberUpdate { state, reported_by, ..update.clone() });
+                self.apply_update(&MemberUpdate {
+                    state,
+                    reported_by,
+                    ..update.clone()
+                });
             } else {
                 self.apply_update(update);
             }
@@ -96,21 +101,31 @@
         let has_changed = previous_state != Some(update.state);
         let is_suspect = update.state == MemberState::Suspect;
         // What was learned of the links to the old address says nothing of a new one.
-        let same_address =
-            previous.as_ref().filter(|member| member.update.node.address == update.node.address);
+        let same_address = previous
+            .as_ref()
+            .filter(|member| member.update.node.address == update.node.address);
         self.members.insert(Member {
-            state_since: previous.as_ref().filter(|_| !has_changed).map_or(self.now, |m| m.state_since),
+            state_since: previous
+                .as_ref()
+                .filter(|_| !has_changed)
+                .map_or(self.now, |m| m.state_since),
             last_ack: same_address.and_then(|member| member.last_ack),
             last_message: same_address.and_then(|member| member.last_message),
             is_directly_unreachable: update.state.is_live()
-                && previous.as_ref().is_some_and(|member| member.is_directly_unreachable),
+                && previous
+                    .as_ref()
+                    .is_some_and(|member| member.is_directly_unreachable),
             suspicion: is_suspect.then(|| Suspicion::new(self.now, update.reported_by.as_ref())),
             update: update.clone(),
         });
         self.broadcasts.push(update.clone());
         if has_changed {
             let reported_by = update.reported_by.clone();
-            self.actions.push(Action::StateChanged { name, state: update.state, reported_by });
+            self.actions.push(Action::StateChanged {
+                name,
+                state: update.state,
+                reported_by,
+            });
         }
         if is_suspect {
             self.schedule_timer(self.next_deadline());
@@ -152,7 +167,11 @@
     /// some others. A node in bad health probes seldom: a refutation that only rode on its probes came too
     /// late over slow links.
     fn send_refutation(&mut self, reporter: Option<&NodeName>) {
-        let mut recipients: Vec<Recipient> = self.members.alive().map(|member| member.recipient()).collect();
+        let mut recipients: Vec<Recipient> = self
+            .members
+            .alive()
+            .map(|member| member.recipient())
+            .collect();
         self.rng.shuffle(&mut recipients);
         recipients.sort_by_key(|recipient| recipient.name.as_ref() != reporter);
         recipients.truncate(self.config.indirect_checks + 1);
@@ -181,8 +200,16 @@
     }
 
     fn send_with_updates(&mut self, to: &Recipient, body: MessageBody, updates: Vec<MemberUpdate>) {
-        let message = Message { from: self.local.node.name.clone(), to: to.name.clone(), body, updates };
-        self.actions.push(Action::Send { to: to.address, message });
+        let message = Message {
+            from: self.local.node.name.clone(),
+            to: to.name.clone(),
+            body,
+            updates,
+        };
+        self.actions.push(Action::Send {
+            to: to.address,
+            message,
+        });
     }
 
     fn complete_state(&self) -> Vec<MemberUpdate> {
@@ -194,7 +221,12 @@
     /// (Lifeguard's Buddy System).
     fn take_broadcasts(&mut self, recipient: Option<&NodeName>) -> Vec<MemberUpdate> {
         let cluster_size = self.members.live_count() + 2;
-        let max_transmissions = (self.config.retransmit_mult * (cluster_size as f64).log2()).ceil() as u32;
-        self.broadcasts.take(self.config.max_updates_per_message, max_transmissions, recipient)
+        let max_transmissions =
+            (self.config.retransmit_mult * (cluster_size as f64).log2()).ceil() as u32;
+        self.broadcasts.take(
+            self.config.max_updates_per_message,
+            max_transmissions,
+            recipient,
+        )
     }
 }
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -54,25 +54,32 @@
 
     /// The probe that still waits for a direct answer.
     fn direct_probe(&self) -> Option<&Probe> {
-        self.probe.as_ref().filter(|probe| matches!(probe.phase, ProbePhase::Direct))
+        self.probe
+            .as_ref()
+            .filter(|probe| matches!(probe.phase, ProbePhase::Direct))
     }
 
     fn take_relayed_probe(&mut self, sequence_number: SequenceNumber) -> Option<RelayedProbe> {
-        let index =
-            self.relayed_probes.iter().position(|relayed| relayed.sequence_number == sequence_number)?;
+        let index = self
+            .relayed_probes
+            .iter()
+            .position(|relayed| relayed.sequence_number == sequence_number)?;
         Some(self.relayed_probes.swap_remove(index))
     }
 
     /// Takes the probe that this message answers. Another node that has the address of the target now is no
     /// answer.
     fn take_probe(&mut self, from: &NodeName, sequence_number: SequenceNumber) -> Option<Probe> {
-        self.probe.take_if(|probe| probe.sequence_number == sequence_number && probe.target == *from)
+        self.probe
+            .take_if(|probe| probe.sequence_number == sequence_number && probe.target == *from)
     }
 
     /// Takes the relayed probes that got no answer in time.
     fn take_expired_relayed_probes(&mut self, now: Duration) -> Vec<RelayedProbe> {
         let relayed_probes = std::mem::take(&mut self.relayed_probes);
-        let (expired, pending) = relayed_probes.into_iter().partition(|relayed| relayed.deadline <= now);
+        let (expired, pending) = relayed_probes
+            .into_iter()
+            .partition(|relayed| relayed.deadline <= now);
         self.relayed_probes = pending;
         expired
     }
@@ -82,8 +89,12 @@
     /// Pings the next member of the round. A new round is drawn when the old one is through: every member is
     /// probed once in each, so that the time until a crash is noticed has a bound (SWIM, section 4.3).
     pub(crate) fn start_probe(&mut self) {
-        let Some(target) = self.next_probe_target() else { return };
-        let Some(member) = self.members.get(&target) else { return };
+        let Some(target) = self.next_probe_target() else {
+            return;
+        };
+        let Some(member) = self.members.get(&target) else {
+            return;
+        };
         let recipient = member.recipient();
         // The ping carries the suspicion, so that the suspect can refute it, even where the update has left
         // the queue.
@@ -91,15 +102,22 @@
             self.broadcasts.push(member.update.clone());
         }
         let sequence_number = self.detector.next_sequence_number();
-        self.detector.probe =
-            Some(Probe { sequence_number, target, started_at: self.now, phase: ProbePhase::Direct });
+        self.detector.probe = Some(Probe {
+            sequence_number,
+            target,
+            started_at: self.now,
+            phase: ProbePhase::Direct,
+        });
         self.send(&recipient, MessageBody::Ping { sequence_number });
     }
 
     fn next_probe_target(&mut self) -> Option<NodeName> {
         loop {
             if self.detector.round.is_empty() {
-                let names = self.members.live().map(|member| member.update.node.name.clone());
+                let names = self
+                    .members
+                    .live()
+                    .map(|member| member.update.node.name.clone());
                 self.detector.round = names.collect();
                 self.rng.shuffle(&mut self.detector.round);
             }
@@ -118,43 +136,75 @@
 
     /// When each of the relayed probes is given up.
     pub(crate) fn relayed_probe_deadlines(&self) -> impl Iterator<Item = Duration> {
-        self.detector.relayed_probes.iter().map(|relayed| relayed.deadline)
+        self.detector
+            .relayed_probes
+            .iter()
+            .map(|relayed| relayed.deadline)
     }
 
     /// Asks others to probe the target, where it has not answered in time.
     pub(crate) fn send_indirect_pings_when_due(&mut self) {
-        if self.direct_probe_deadline().is_none_or(|deadline| self.now < deadline) {
+        if self
+            .direct_probe_deadline()
+            .is_none_or(|deadline| self.now < deadline)
+        {
             return;
         }
-        let Some(probe) = &mut self.detector.probe else { return };
-        let Some(address) = self.members.get(&probe.target).map(|member| member.update.node.address) else {
+        let Some(probe) = &mut self.detector.probe else {
             return;
         };
-        let relays = self.members.alive().filter(|member| member.update.node.name != probe.target);
+        let Some(address) = self
+            .members
+            .get(&probe.target)
+            .map(|member| member.update.node.address)
+        else {
+            return;
+        };
+        let relays = self
+            .members
+            .alive()
+            .filter(|member| member.update.node.name != probe.target);
         let mut relays: Vec<Recipient> = relays.map(|member| member.recipient()).collect();
         self.rng.shuffle(&mut relays);
         relays.truncate(self.config.indirect_checks);
-        probe.phase = ProbePhase::Indirect { pending_relays: relays.len(), is_acked_by_relay: false };
+        probe.phase = ProbePhase::Indirect {
+            pending_relays: relays.len(),
+            is_acked_by_relay: false,
+        };
         let (sequence_number, target) = (probe.sequence_number, probe.target.clone());
         for relay in relays {
-            self.send(&relay, MessageBody::IndirectPing { sequence_number, target: target.clone(), address });
+            self.send(
+                &relay,
+                MessageBody::IndirectPing {
+                    sequence_number,
+                    target: target.clone(),
+                    address,
+                },
+            );
         }
     }
 
     /// Ends the probe of the last period, where it got no direct answer. The reports of the relays tell a cut
     /// link from a crash.
     pub(crate) fn finish_probe(&mut self) {
-        let Some(probe) = self.detector.probe.take() else { return };
+        let Some(probe) = self.detector.probe.take() else {
+            return;
+        };
         let missing_reports = match probe.phase {
             ProbePhase::Direct => 0,
-            ProbePhase::Indirect { is_acked_by_relay: true, .. } => {
+            ProbePhase::Indirect {
+                is_acked_by_relay: true,
+                ..
+            } => {
                 return self.mark_directly_unreachable(&probe.target);
             }
             ProbePhase::Indirect { pending_relays, .. } => pending_relays as u32,
         };
         // Where relays did not report at all, the fault is more likely this node's than the target's.
         self.health.degrade(1 + missing_reports);
-        let Some(member) = self.members.get_live(&probe.target) else { return };
+        let Some(member) = self.members.get_live(&probe.target) else {
+            return;
+        };
         let suspect = MemberUpdate {
             state: MemberState::Suspect,
             reported_by: Some(self.local.node.name.clone()),
@@ -168,7 +218,9 @@
     }
 
     fn mark_directly_unreachable(&mut self, target: &NodeName) {
-        let Some(member) = self.members.get_mut(target) else { return };
+        let Some(member) = self.members.get_mut(target) else {
+            return;
+        };
         if !std::mem::replace(&mut member.is_directly_unreachable, true) {
             self.publish_unreachable_peers();
         }
@@ -183,7 +235,9 @@
             return;
         }
         self.health.improve();
-        let Some(member) = self.members.get_mut(from) else { return };
+        let Some(member) = self.members.get_mut(from) else {
+            return;
+        };
         member.last_ack = Some(self.now);
         if std::mem::replace(&mut member.is_directly_unreachable, false) {
             self.publish_unreachable_peers();
@@ -204,7 +258,12 @@
             return;
         }
         let deadline = self.now + self.config.probe_timeout;
-        let relayed = RelayedProbe { sequence_number, requester, requester_sequence_number, deadline };
+        let relayed = RelayedProbe {
+            sequence_number,
+            requester,
+            requester_sequence_number,
+            deadline,
+        };
         self.detector.relayed_probes.push(relayed);
         self.send(&target, MessageBody::Ping { sequence_number });
         self.schedule_timer(deadline);
@@ -216,8 +275,20 @@
         sequence_number: SequenceNumber,
         outcome: RelayedProbeOutcome,
     ) {
-        let probe = self.detector.probe.as_mut().filter(|probe| probe.sequence_number == sequence_number);
-        if let Some(Probe { phase: ProbePhase::Indirect { pending_relays, is_acked_by_relay }, .. }) = probe {
+        let probe = self
+            .detector
+            .probe
+            .as_mut()
+            .filter(|probe| probe.sequence_number == sequence_number);
+        if let Some(Probe {
+            phase:
+                ProbePhase::Indirect {
+                    pending_relays,
+                    is_acked_by_relay,
+                },
+            ..
+        }) = probe
+        {
             *pending_relays = pending_relays.saturating_sub(1);
             *is_acked_by_relay |= outcome == RelayedProbeOutcome::Ack;
         }
@@ -233,6 +304,12 @@
 
     fn report_relayed_probe(&mut self, relayed: &RelayedProbe, outcome: RelayedProbeOutcome) {
         let sequence_number = relayed.requester_sequence_number;
-        self.send(&relayed.requester, MessageBody::IndirectPingResult { sequence_number, outcome });
+        self.send(
+            &relayed.requester,
+            MessageBody::IndirectPingResult {
+                sequence_number,
+                outcome,
+            },
+        );
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -68,7 +68,8 @@
 pub use member_table::MemberRecord;
 pub use membership::Membership;
 pub use message::{
-    Incarnation, MemberState, MemberUpdate, Message, MessageBody, RelayedProbeOutcome, SequenceNumber,
+    Incarnation, MemberState, MemberUpdate, Message, MessageBody, RelayedProbeOutcome,
+    SequenceNumber,
 };
 pub use metadata::{MAX_METADATA_ENTRIES, MAX_METADATA_TEXT_BYTES, Metadata, MetadataError};
 pub use node::{MAX_NAME_BYTES, Node, NodeName, SUPPORTED_VERSIONS};
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -14,7 +14,10 @@
 
 impl LocalHealth {
     pub(crate) fn new(max_score: u32) -> Self {
-        LocalHealth { score: 0, max_score }
+        LocalHealth {
+            score: 0,
+            max_score,
+        }
     }
 
     pub(crate) fn score(&self) -> u32 {
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -46,7 +46,10 @@
     }
 
     pub(crate) fn recipient(&self) -> Recipient {
-        Recipient { name: Some(self.update.node.name.clone()), address: self.update.node.address }
+        Recipient {
+            name: Some(self.update.node.name.clone()),
+            address: self.update.node.address,
+        }
     }
 }
 
@@ -110,7 +113,8 @@
 
     /// Drops the members that have been dead or gone for `retention`.
     pub(crate) fn remove_expired(&mut self, now: Duration, retention: Duration) {
-        self.members
-            .retain(|_, member| member.is_live() || now.saturating_sub(member.state_since) < retention);
+        self.members.retain(|_, member| {
+            member.is_live() || now.saturating_sub(member.state_since) < retention
+        });
     }
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -50,7 +50,12 @@
     /// # Errors
     ///
     /// [`ConfigError`] where a parameter is out of range or a name of the node is empty or too long.
-    pub fn new(config: Config, node: Node, incarnation: Incarnation, seed: u64) -> Result<Self, ConfigError> {
+    pub fn new(
+        config: Config,
+        node: Node,
+        incarnation: Incarnation,
+        seed: u64,
+    ) -> Result<Self, ConfigError> {
         config.validate()?;
         node.validate()?;
         let local = MemberUpdate {
@@ -145,7 +150,11 @@
     fn leave(&mut self) {
         self.local.state = MemberState::Left;
         self.broadcasts.push(self.local.clone());
-        let recipients: Vec<Recipient> = self.members.live().map(|member| member.recipient()).collect();
+        let recipients: Vec<Recipient> = self
+            .members
+            .live()
+            .map(|member| member.recipient())
+            .collect();
         for recipient in recipients {
             self.send_update(&recipient, self.local.clone());
         }
@@ -160,7 +169,10 @@
             MessageBody::NameConflict if self.has_joined => return,
             MessageBody::NameConflict => return self.stop_for_name_conflict(from),
             MessageBody::Join if self.is_name_in_use(message) => {
-                let sender = Recipient { name: Some(message.from.clone()), address: from };
+                let sender = Recipient {
+                    name: Some(message.from.clone()),
+                    address: from,
+                };
                 return self.send(&sender, MessageBody::NameConflict);
             }
             _ => {}
@@ -188,25 +200,58 @@
 
     fn handle_body(&mut self, from: SocketAddr, message: &Message) {
         // Another node may have had this address before.
-        let is_recipient = message.to.as_ref().is_none_or(|to| *to == self.local.node.name);
-        let sender = Recipient { name: Some(message.from.clone()), address: from };
+        let is_recipient = message
+            .to
+            .as_ref()
+            .is_none_or(|to| *to == self.local.node.name);
+        let sender = Recipient {
+            name: Some(message.from.clone()),
+            address: from,
+        };
         match &message.body {
             MessageBody::Ping { sequence_number } if is_recipient => {
-                self.send(&sender, MessageBody::Ack { sequence_number: *sequence_number });
+                self.send(
+                    &sender,
+                    MessageBody::Ack {
+                        sequence_number: *sequence_number,
+                    },
+                );
+            }
+            MessageBody::Ack { sequence_number } => {
+                self.handle_ack(&message.from, *sequence_number)
             }
-            MessageBody::Ack { sequence_number } => self.handle_ack(&message.from, *sequence_number),
-            MessageBody::IndirectPing { sequence_number, target, address } if is_recipient => {
-                let target = Recipient { name: Some(target.clone()), address: *address };
+            MessageBody::IndirectPing {
+                sequence_number,
+                target,
+                address,
+            } if is_recipient => {
+                let target = Recipient {
+                    name: Some(target.clone()),
+                    address: *address,
+                };
                 self.handle_indirect_ping(sender, *sequence_number, target);
             }
-            MessageBody::IndirectPingResult { sequence_number, outcome } => {
+            MessageBody::IndirectPingResult {
+                sequence_number,
+                outcome,
+            } => {
                 self.handle_indirect_ping_result(*sequence_number, *outcome);
             }
-            MessageBody::Join => self.send(&sender, MessageBody::PushPull { reply_requested: false }),
+            MessageBody::Join => self.send(
+                &sender,
+                MessageBody::PushPull {
+                    reply_requested: false,
+                },
+            ),
             MessageBody::PushPull { reply_requested } if is_recipient => {
                 self.has_joined = true;
                 if *reply_requested {
-                    self.send(&sender, MessageBody::PushPull { reply_requested: false });
+                    self.send(
+                        &sender,
+                        MessageBody::PushPull {
+                            reply_requested: false,
+                        },
+                    );
                 }
             }
             // Meant for another node, or handled before the updates.
@@ -220,7 +265,10 @@
     /// Whether a node wants to join under the name of a live member at another address.
     fn is_name_in_use(&self, message: &Message) -> bool {
         self.members.get_live(&message.from).is_some_and(|member| {
-            let mut own_updates = message.updates.iter().filter(|update| update.node.name == message.from);
+            let mut own_updates = message
+                .updates
+                .iter()
+                .filter(|update| update.node.name == message.from);
             own_updates.any(|update| update.node.address != member.update.node.address)
         })
     }
@@ -247,7 +295,8 @@
 
     fn start_protocol_period(&mut self) {
         self.finish_probe();
-        self.members.remove_expired(self.now, self.config.dead_member_retention);
+        self.members
+            .remove_expired(self.now, self.config.dead_member_retention);
         self.next_probe_at = self.now + self.health.scale(self.config.probe_interval);
         self.start_probe();
         if self.now >= self.next_push_pull_at || !self.has_joined {
@@ -271,6 +320,8 @@
         let deadlines = (self.direct_probe_deadline().into_iter())
             .chain(self.suspicion_deadlines())
             .chain(self.relayed_probe_deadlines());
-        deadlines.fold(self.next_probe_at, Duration::min).max(self.now + MIN_TIMER_DELAY)
+        deadlines
+            .fold(self.next_probe_at, Duration::min)
+            .max(self.now + MIN_TIMER_DELAY)
     }
 }
--- a/crates/membership/src/metadata.rs
+++ b/crates/membership/src/metadata.rs
@@ -52,12 +52,21 @@
     }
 }
 
-fn changed_metadata(current: &Metadata, key: &str, value: Option<&str>) -> Result<Metadata, MetadataError> {
+fn changed_metadata(
+    current: &Metadata,
+    key: &str,
+    value: Option<&str>,
+) -> Result<Metadata, MetadataError> {
     if key.is_empty() {
         return Err(MetadataError::EmptyKey);
     }
-    if [key, value.unwrap_or_default()].iter().any(|text| text.len() > MAX_METADATA_TEXT_BYTES) {
-        return Err(MetadataError::TooLong { key: key.chars().take(MAX_METADATA_TEXT_BYTES).collect() });
+    if [key, value.unwrap_or_default()]
+        .iter()
+        .any(|text| text.len() > MAX_METADATA_TEXT_BYTES)
+    {
+        return Err(MetadataError::TooLong {
+            key: key.chars().take(MAX_METADATA_TEXT_BYTES).collect(),
+        });
     }
     let mut metadata = current.clone();
     match value {
@@ -65,7 +74,9 @@
         None => metadata.remove(key),
     };
     if metadata.len() > MAX_METADATA_ENTRIES {
-        return Err(MetadataError::TooManyEntries { count: metadata.len() });
+        return Err(MetadataError::TooManyEntries {
+            count: metadata.len(),
+        });
     }
     Ok(metadata)
 }
--- a/crates/membership/src/reachability.rs
+++ b/crates/membership/src/reachability.rs
@@ -32,7 +32,8 @@
 impl Member {
     /// How this node reaches the member. What happened within `recent_window` before `now` is recent.
     pub(crate) fn reachability(&self, now: Duration, recent_window: Duration) -> Reachability {
-        let is_recent = |at: Option<Duration>| at.is_some_and(|at| now.saturating_sub(at) <= recent_window);
+        let is_recent =
+            |at: Option<Duration>| at.is_some_and(|at| now.saturating_sub(at) <= recent_window);
         if self.is_directly_unreachable {
             return if is_recent(self.last_message) {
                 Reachability::AsymmetricPartition
@@ -57,9 +58,14 @@
 
     /// Announces the members that this node does not reach directly, where they have changed.
     pub(crate) fn publish_unreachable_peers(&mut self) {
-        let unreachable = self.members.iter().filter(|member| member.is_directly_unreachable);
-        let peers: BTreeSet<NodeName> =
-            unreachable.take(MAX_UNREACHABLE_PEERS).map(|member| member.update.node.name.clone()).collect();
+        let unreachable = self
+            .members
+            .iter()
+            .filter(|member| member.is_directly_unreachable);
+        let peers: BTreeSet<NodeName> = unreachable
+            .take(MAX_UNREACHABLE_PEERS)
+            .map(|member| member.update.node.name.clone())
+            .collect();
         if *self.local.unreachable_peers != peers {
             self.local.unreachable_peers = Arc::new(peers);
             self.announce_local_update(self.local.incarnation);
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -21,7 +21,10 @@
 
 impl Suspicion {
     pub(crate) fn new(now: Duration, reported_by: Option<&NodeName>) -> Self {
-        Suspicion { since: now, reporters: reported_by.into_iter().cloned().collect() }
+        Suspicion {
+            since: now,
+            reporters: reported_by.into_iter().cloned().collect(),
+        }
     }
 
     pub(crate) fn reporters(&self) -> impl Iterator<Item = &NodeName> {
@@ -38,10 +41,16 @@
     fn timeout(&self, config: &Config, live_members: usize) -> Duration {
         let shortest = min_suspicion_timeout(config, live_members + 1);
         let longest = shortest.mul_f64(config.suspicion_max_timeout_mult);
-        let expected_confirmations = config.indirect_checks.min(live_members.saturating_sub(1)).max(1) as f64;
+        let expected_confirmations = config
+            .indirect_checks
+            .min(live_members.saturating_sub(1))
+            .max(1) as f64;
         let confirmations = (self.reporters.len() - 1) as f64;
-        let confirmed_fraction = ((confirmations + 1.0).ln() / (expected_confirmations + 1.0).ln()).min(1.0);
-        longest.saturating_sub((longest - shortest).mul_f64(confirmed_fraction)).max(shortest)
+        let confirmed_fraction =
+            ((confirmations + 1.0).ln() / (expected_confirmations + 1.0).ln()).min(1.0);
+        longest
+            .saturating_sub((longest - shortest).mul_f64(confirmed_fraction))
+            .max(shortest)
     }
 }
 
@@ -69,11 +78,18 @@
     /// Declares the members dead whose suspicion has ended.
     pub(crate) fn expire_suspicions(&mut self) {
         let is_over = |(_, deadline): &(&Member, Duration)| self.now >= *deadline;
-        let expired: Vec<MemberUpdate> =
-            self.suspicions().filter(is_over).map(|(member, _)| member.update.clone()).collect();
+        let expired: Vec<MemberUpdate> = self
+            .suspicions()
+            .filter(is_over)
+            .map(|(member, _)| member.update.clone())
+            .collect();
         for update in expired {
             let reported_by = Some(self.local.node.name.clone());
-            self.apply_update(&MemberUpdate { state: MemberState::Dead, reported_by, ..update });
+            self.apply_update(&MemberUpdate {
+                state: MemberState::Dead,
+                reported_by,
+                ..update
+            });
         }
     }
 }
--- a/crates/membership/tests/dependency_probe.rs
+++ b/crates/membership/tests/dependency_probe.rs
@@ -17,22 +17,37 @@
 }
 
 fn verdict(text: &str) -> Verdict {
-    Verdict { member: "p".into(), text: text.into() }
+    Verdict {
+        member: "p".into(),
+        text: text.into(),
+    }
 }
 
 #[test]
 fn lease_holder_probes_and_publishes_renews_and_withdraws_its_verdict() {
     let mut prober = DependencyProber::default();
-    let refused = Input { consecutive_refusals: SUSPECT_AFTER_REFUSALS, ..Input::default() };
+    let refused = Input {
+        consecutive_refusals: SUSPECT_AFTER_REFUSALS,
+        ..Input::default()
+    };
     let suspecting = prober.update(ms(0), &refused);
     assert_eq!(
-        (suspecting.should_have_lease, suspecting.should_probe, suspecting.is_down),
+        (
+            suspecting.should_have_lease,
+            suspecting.should_probe,
+            suspecting.is_down
+        ),
         (true, false, false),
         "no probe without the lease"
     );
     let (mut probe_outcome, mut changes, mut probes) = (None, Vec::new(), 0);
     for at in (100..10_000).step_by(100) {
-        let input = Input { consecutive_refusals: 5, has_lease: true, probe_outcome, ..Input::default() };
+        let input = Input {
+            consecutive_refusals: 5,
+            has_lease: true,
+            probe_outcome,
+            ..Input::default()
+        };
         let output = prober.update(ms(at), &input);
         probe_outcome = output.should_probe.then_some(ProbeOutcome::Failed);
         probes += u32::from(output.should_probe);
@@ -42,29 +57,63 @@
     assert_eq!(probes, 20, "two a second");
     assert_eq!(changes[..2], [published("down 1"), published("down 2")]);
     assert_eq!(changes.len(), 5, "renewed every two seconds");
-    let succeeded =
-        Input { has_lease: true, probe_outcome: Some(ProbeOutcome::Succeeded), ..Input::default() };
+    let succeeded = Input {
+        has_lease: true,
+        probe_outcome: Some(ProbeOutcome::Succeeded),
+        ..Input::default()
+    };
     let recovered = prober.update(ms(10_100), &succeeded);
-    assert_eq!(recovered, Output { verdict_change: Some(VerdictChange::Withdraw), ..Output::default() });
+    assert_eq!(
+        recovered,
+        Output {
+            verdict_change: Some(VerdictChange::Withdraw),
+            ..Output::default()
+        }
+    );
 }
 
 #[test]
 fn verdict_of_another_member_fails_calls_until_it_expires() {
     let mut prober = DependencyProber::default();
     let verdicts = [verdict("down 1")];
-    let input = Input { consecutive_refusals: 9, verdicts: &verdicts, ..Input::default() };
+    let input = Input {
+        consecutive_refusals: 9,
+        verdicts: &verdicts,
+        ..Input::default()
+    };
     for at in (0..20_000).step_by(100) {
         let output = prober.update(ms(at), &input);
         // The prober died and nobody has noticed: after the time to live each process looks for itself and
         // wants the lease.
         let is_fresh = ms(at) <= VERDICT_TTL;
-        assert_eq!((output.is_down, output.should_have_lease), (is_fresh, !is_fresh), "at {at}");
+        assert_eq!(
+            (output.is_down, output.should_have_lease),
+            (is_fresh, !is_fresh),
+            "at {at}"
+        );
     }
     let renewed = [verdict("down 2")];
-    assert!(prober.update(ms(20_000), &Input { verdicts: &renewed, ..input.clone() }).is_down);
+    assert!(
+        prober
+            .update(
+                ms(20_000),
+                &Input {
+                    verdicts: &renewed,
+                    ..input.clone()
+                }
+            )
+            .is_down
+    );
     assert!(
         !prober
-            .update(ms(20_100), &Input { verdicts: &[], consecutive_refusals: 0, ..Input::default() })
+            .update(
+                ms(20_100),
+                &Input {
+                    verdicts: &[],
+                    consecutive_refusals: 0,
+                    ..Input::default()
+                }
+            )
             .is_down
     );
 }
@@ -72,10 +121,23 @@
 #[test]
 fn process_that_loses_the_lease_withdraws_its_verdict() {
     let mut prober = DependencyProber::default();
-    let failed = Input { has_lease: true, probe_outcome: Some(ProbeOutcome::Failed), ..Input::default() };
+    let failed = Input {
+        has_lease: true,
+        probe_outcome: Some(ProbeOutcome::Failed),
+        ..Input::default()
+    };
     for at in [0, 600, 1200] {
         prober.update(ms(at), &failed);
     }
-    let output = prober.update(ms(1300), &Input { consecutive_refusals: 9, ..Input::default() });
-    assert_eq!((output.verdict_change, output.is_down), (Some(VerdictChange::Withdraw), false));
+    let output = prober.update(
+        ms(1300),
+        &Input {
+            consecutive_refusals: 9,
+            ..Input::default()
+        },
+    );
+    assert_eq!(
+        (output.verdict_change, output.is_down),
+        (Some(VerdictChange::Withdraw), false)
+    );
 }
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 use tulipgap_membership::{
-    Incarnation, MemberState, MemberUpdate, Message, MessageBody, Metadata, Node, RelayedProbeOutcome,
-    SequenceNumber,
+    Incarnation, MemberState, MemberUpdate, Message, MessageBody, Metadata, Node,
+    RelayedProbeOutcome, SequenceNumber,
 };
 
 /// The sender `a`, the recipient `b`.
@@ -21,19 +21,41 @@
 
 fn assert_bytes(message: &Message, parts: &[&[u8]]) {
     let expected = parts.concat();
-    assert_eq!(postcard::to_stdvec(message).unwrap(), expected, "{message:?}");
-    assert_eq!(postcard::from_bytes::<Message>(&expected).unwrap(), *message);
+    assert_eq!(
+        postcard::to_stdvec(message).unwrap(),
+        expected,
+        "{message:?}"
+    );
+    assert_eq!(
+        postcard::from_bytes::<Message>(&expected).unwrap(),
+        *message
+    );
 }
 
 fn message(body: MessageBody) -> Message {
-    Message { from: "a".into(), to: Some("b".into()), body, updates: Vec::new() }
+    Message {
+        from: "a".into(),
+        to: Some("b".into()),
+        body,
+        updates: Vec::new(),
+    }
 }
 
 #[test]
 fn each_body_keeps_its_bytes() {
     let bodies: [(MessageBody, Vec<u8>); 9] = [
-        (MessageBody::Ping { sequence_number: SequenceNumber(300) }, vec![0, 0xac, 2]),
-        (MessageBody::Ack { sequence_number: SequenceNumber(300) }, vec![1, 0xac, 2]),
+        (
+            MessageBody::Ping {
+                sequence_number: SequenceNumber(300),
+            },
+            vec![0, 0xac, 2],
+        ),
+        (
+            MessageBody::Ack {
+                sequence_number: SequenceNumber(300),
+            },
+            vec![1, 0xac, 2],
+        ),
         (
             MessageBody::IndirectPing {
                 sequence_number: SequenceNumber(3),
@@ -57,8 +79,18 @@
             vec![3, 3, 1],
         ),
         (MessageBody::Join, vec![4]),
-        (MessageBody::PushPull { reply_requested: false }, vec![5, 0]),
-        (MessageBody::PushPull { reply_requested: true }, vec![5, 1]),
+        (
+            MessageBody::PushPull {
+                reply_requested: false,
+            },
+            vec![5, 0],
+        ),
+        (
+            MessageBody::PushPull {
+                reply_requested: true,
+            },
+            vec![5, 1],
+        ),
         (MessageBody::NameConflict, vec![6]),
     ];
     for (body, bytes) in bodies {
@@ -68,17 +100,30 @@
 
 #[test]
 fn a_message_without_a_recipient_keeps_its_bytes() {
-    let message = Message { from: "a".into(), to: None, body: MessageBody::Join, updates: Vec::new() };
+    let message = Message {
+        from: "a".into(),
+        to: None,
+        body: MessageBody::Join,
+        updates: Vec::new(),
+    };
     assert_bytes(&message, &[&[1, b'a', 0, 4, 0]]);
 }
 
 #[test]
 fn an_update_keeps_its_bytes_in_each_state() {
-    for (state, position) in
-        [(MemberState::Alive, 0), (MemberState::Suspect, 1), (MemberState::Dead, 2), (MemberState::Left, 3)]
-    {
-        let node =
-            Node { name: "n".into(), address: address(), region: "r".into(), zone: "z".into(), version: 1 };
+    for (state, position) in [
+        (MemberState::Alive, 0),
+        (MemberState::Suspect, 1),
+        (MemberState::Dead, 2),
+        (MemberState::Left, 3),
+    ] {
+        let node = Node {
+            name: "n".into(),
+            address: address(),
+            region: "r".into(),
+            zone: "z".into(),
+            version: 1,
+        };
         let update = MemberUpdate {
             node,
             incarnation: Incarnation(200),
--- a/crates/peer-protocol/src/frame.rs
+++ b/crates/peer-protocol/src/frame.rs
@@ -84,8 +84,14 @@
         let name_hash = *blake3::hash(cluster.as_bytes()).as_bytes();
         let [a, b, c, d, ..] = name_hash;
         let mut derived = blake3::Hasher::new_derive_key(KEY_CONTEXT);
-        derived.update(&(cluster.len() as u64).to_le_bytes()).update(cluster.as_bytes()).update(key);
-        Ok(FrameCodec { cluster_tag: [a, b, c, d], key: *derived.finalize().as_bytes() })
+        derived
+            .update(&(cluster.len() as u64).to_le_bytes())
+            .update(cluster.as_bytes())
+            .update(key);
+        Ok(FrameCodec {
+            cluster_tag: [a, b, c, d],
+            key: *derived.finalize().as_bytes(),
+        })
     }
 
     /// The frame of an envelope.
@@ -121,7 +127,11 @@
         }
         let [a, b, c, d] = [0, 1, 2, 3].map(|at| header[LENGTH_OFFSET + at]);
         let length = u32::from_le_bytes([a, b, c, d]) as usize;
-        if length > MAX_BODY_BYTES { Err(FrameError::BodyTooLong(length)) } else { Ok(length) }
+        if length > MAX_BODY_BYTES {
+            Err(FrameError::BodyTooLong(length))
+        } else {
+            Ok(length)
+        }
     }
 
     /// The envelope in a frame.
@@ -137,8 +147,10 @@
         }
         // All bytes are compared whichever differ, so that the time it takes does not tell how many match.
         let hash = self.hash(&header[..HASH_OFFSET], body);
-        let differences =
-            header[HASH_OFFSET..].iter().zip(hash.as_bytes()).fold(0, |all, (a, b)| all | (a ^ b));
+        let differences = header[HASH_OFFSET..]
+            .iter()
+            .zip(hash.as_bytes())
+            .fold(0, |all, (a, b)| all | (a ^ b));
         if differences != 0 {
             return Err(FrameError::OtherKey);
         }
--- a/crates/peer-protocol/src/lib.rs
+++ b/crates/peer-protocol/src/lib.rs
@@ -31,7 +31,7 @@
 mod message;
 
 pub use frame::{
-    FrameCodec, FrameError, HEADER_BYTES, KeyTooShort, MAX_BODY_BYTES, MAX_DATAGRAM_BYTES, MIN_KEY_BYTES,
-    PROTOCOL_VERSION,
+    FrameCodec, FrameError, HEADER_BYTES, KeyTooShort, MAX_BODY_BYTES, MAX_DATAGRAM_BYTES,
+    MIN_KEY_BYTES, PROTOCOL_VERSION,
 };
 pub use message::{Envelope, Message};
--- a/crates/peer-protocol/tests/common/mod.rs
+++ b/crates/peer-protocol/tests/common/mod.rs
@@ -13,13 +13,22 @@
 /// The file holds exactly the frames of these envelopes, and is decoded to them. GOLDEN_WRITE=1 writes it anew, which only
 /// another version of the protocol may need.
 pub(crate) fn assert_golden(file: &str, envelopes: Vec<Envelope>) {
-    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
-    let bytes: Vec<u8> = envelopes.iter().flat_map(|envelope| codec().encode(envelope)).collect();
+    let file = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(file);
+    let bytes: Vec<u8> = envelopes
+        .iter()
+        .flat_map(|envelope| codec().encode(envelope))
+        .collect();
     if std::env::var_os("GOLDEN_WRITE").is_some() {
         std::fs::write(&file, &bytes).unwrap();
     }
     let golden = std::fs::read(&file).unwrap();
-    assert!(bytes == golden, "the bytes of {} have changed", file.display());
+    assert!(
+        bytes == golden,
+        "the bytes of {} have changed",
+        file.display()
+    );
     let mut rest = &golden[..];
     for envelope in envelopes {
         let length = HEADER_BYTES + codec().decode_header(rest.first_chunk().unwrap()).unwrap();
--- a/crates/peer-protocol/tests/frames.rs
+++ b/crates/peer-protocol/tests/frames.rs
@@ -8,8 +8,8 @@
 use quickcheck::quickcheck;
 use tulipgap_consensus::{BootstrapStage, LogPosition, PeerMessage, VoterId};
 use tulipgap_leases::{
-    Command, FencingToken, Incarnation, Lease, LeaseHolder, LeaseSpec, Owner, QueuedOwner, RejectReason,
-    RenewalNumber, RequestId, Response,
+    Command, FencingToken, Incarnation, Lease, LeaseHolder, LeaseSpec, Owner, QueuedOwner,
+    RejectReason, RenewalNumber, RequestId, Response,
 };
 use tulipgap_peer_protocol::{Envelope, FrameCodec, FrameError, Message};
 
@@ -45,20 +45,29 @@
 /// A lease that this owner holds and waits for again.
 fn lease_with_queue(owner: Owner) -> Lease {
     Lease {
-        spec: LeaseSpec { ttl: Duration::from_secs(2), capacity: 1 },
+        spec: LeaseSpec {
+            ttl: Duration::from_secs(2),
+            capacity: 1,
+        },
         holders: vec![LeaseHolder {
             owner: owner.clone(),
             token: FencingToken(5),
             renewal: RenewalNumber(9),
             revoked: false,
         }],
-        queue: vec![QueuedOwner { owner, renewal: RenewalNumber(10) }],
+        queue: vec![QueuedOwner {
+            owner,
+            renewal: RenewalNumber(10),
+        }],
     }
 }
 
 /// One message of each kind.
 fn one_of_each_kind() -> Vec<Envelope> {
-    let owner = Owner { name: "north-1".into(), incarnation: Incarnation(7) };
+    let owner = Owner {
+        name: "north-1".into(),
+        incarnation: Incarnation(7),
+    };
     let command = Command::Acquire {
         lease: "prober".into(),
         owner: owner.clone(),
@@ -78,22 +87,41 @@
         Message::Member(indirect_ping()),
         Message::Voter(handshake),
         Message::Voter(PeerMessage::Raft(vec![1, 2, 3])),
-        Message::LeaseRequest { request: RequestId(1), command },
+        Message::LeaseRequest {
+            request: RequestId(1),
+            command,
+        },
         Message::LeaseResponse {
             incarnation: Incarnation(7),
             request: RequestId(1),
-            response: Response::Granted { token: FencingToken(5) },
+            response: Response::Granted {
+                token: FencingToken(5),
+            },
         },
         Message::LeaseResponse {
             incarnation: Incarnation(7),
             request: RequestId(2),
             response: Response::Rejected(RejectReason::AtCapacity),
         },
-        Message::NotLeader { request: RequestId(3), leader: Some("west-1".into()) },
-        Message::SlotAvailable { lease: "prober".into() },
-        Message::ReadLeases { request: RequestId(1), lease: None },
-        Message::LeaseList { request: RequestId(1), leases: vec![("prober".into(), lease)] },
-        Message::ReplaceVoter { old: "a".into(), new: "b".into() },
+        Message::NotLeader {
+            request: RequestId(3),
+            leader: Some("west-1".into()),
+        },
+        Message::SlotAvailable {
+            lease: "prober".into(),
+        },
+        Message::ReadLeases {
+            request: RequestId(1),
+            lease: None,
+        },
+        Message::LeaseList {
+            request: RequestId(1),
+            leases: vec![("prober".into(), lease)],
+        },
+        Message::ReplaceVoter {
+            old: "a".into(),
+            new: "b".into(),
+        },
     ];
     let envelope = |message| Envelope {
         from: "north-1".into(),
@@ -114,16 +142,29 @@
 fn foreign_frames_are_rejected_with_their_reason() {
     let envelope = &one_of_each_kind()[3];
     let frame = codec().encode(envelope);
-    let other = |cluster: &str, key: &[u8]| FrameCodec::new(cluster, key).unwrap().decode_datagram(&frame);
+    let other = |cluster: &str, key: &[u8]| {
+        FrameCodec::new(cluster, key)
+            .unwrap()
+            .decode_datagram(&frame)
+    };
     assert_eq!(other("elsewhere", KEY), Err(FrameError::OtherCluster));
-    assert_eq!(other("penhoat", b"another key of length"), Err(FrameError::OtherKey));
+    assert_eq!(
+        other("penhoat", b"another key of length"),
+        Err(FrameError::OtherKey)
+    );
     assert!(FrameCodec::new("penhoat", b"short").is_err());
     let mut newer = frame.clone();
     newer[2] = 9;
-    assert_eq!(codec().decode_datagram(&newer), Err(FrameError::UnknownVersion(9)));
+    assert_eq!(
+        codec().decode_datagram(&newer),
+        Err(FrameError::UnknownVersion(9))
+    );
     let mut long = frame.clone();
     long[8..12].fill(0xff);
-    assert_eq!(codec().decode_datagram(&long), Err(FrameError::BodyTooLong(u32::MAX as usize)));
+    assert_eq!(
+        codec().decode_datagram(&long),
+        Err(FrameError::BodyTooLong(u32::MAX as usize))
+    );
 }
 
 quickcheck! {
--- a/crates/server/src/clock.rs
+++ b/crates/server/src/clock.rs
@@ -73,7 +73,11 @@
         deadlines.count += 1;
         let key = (at, deadlines.count);
         deadlines.waiters.insert(key, waiter);
-        if deadlines.waiters.first_key_value().is_some_and(|(first, _)| *first == key) {
+        if deadlines
+            .waiters
+            .first_key_value()
+            .is_some_and(|(first, _)| *first == key)
+        {
             self.has_earlier_deadline.notify_one();
         }
     }
@@ -96,7 +100,9 @@
 
 /// Blocks a coroutine for a duration.
 pub(crate) fn sleep(span: Duration) {
-    let Some(end) = Instant::now().checked_add(span) else { return };
+    let Some(end) = Instant::now().checked_add(span) else {
+        return;
+    };
     let waiter = Arc::new(Blocker::new(true));
     while Instant::now() < end {
         park(&waiter, Some(end));
--- a/crates/server/src/clock_tests.rs
+++ b/crates/server/src/clock_tests.rs
@@ -14,7 +14,10 @@
 fn waits_of_many_spans_end() {
     const EACH: u64 = 400;
     const ALL: u64 = 64;
-    let (ended, waiters) = (Arc::new(AtomicU64::new(0)), Arc::new(Mutex::new(Vec::new())));
+    let (ended, waiters) = (
+        Arc::new(AtomicU64::new(0)),
+        Arc::new(Mutex::new(Vec::new())),
+    );
     for at in 0..ALL {
         let (ended, waiters) = (ended.clone(), waiters.clone());
         crate::net::spawn(move || {
@@ -22,14 +25,20 @@
                 sleep(Duration::from_nanos(1000 * at + turn));
                 let waiter = Arc::new(Blocker::new(true));
                 waiters.lock().push(Arc::downgrade(&waiter));
-                park(&waiter, Some(Instant::now() + Duration::from_millis(1 + (turn + at) % 4)));
+                park(
+                    &waiter,
+                    Some(Instant::now() + Duration::from_millis(1 + (turn + at) % 4)),
+                );
             }
             ended.fetch_add(1, Ordering::AcqRel);
         });
     }
     let start = Instant::now();
     while ended.load(Ordering::Acquire) < ALL {
-        assert!(start.elapsed() < Duration::from_secs(60), "a wait does not end");
+        assert!(
+            start.elapsed() < Duration::from_secs(60),
+            "a wait does not end"
+        );
         let some = std::mem::take(&mut *waiters.lock());
         std::thread::sleep(Duration::from_micros(1900));
         for waiter in some.iter().step_by(2).filter_map(Weak::upgrade) {
--- a/crates/server/src/cluster/admin.rs
+++ b/crates/server/src/cluster/admin.rs
@@ -9,8 +9,8 @@
 use tulipgap_peer_protocol::Message;
 
 use super::control_protocol::{
-    AdminError, AdminRequest, AdminResponse, AdminResult, MemberList, MemberRow, OwnStatus, VoterRow,
-    WantedLeaseRow,
+    AdminError, AdminRequest, AdminResponse, AdminResult, MemberList, MemberRow, OwnStatus,
+    VoterRow, WantedLeaseRow,
 };
 use super::drain::DrainLease;
 use super::local_node::LocalNode;
@@ -26,7 +26,10 @@
 impl Admin {
     /// No commands so far; those about leases go to these voters.
     pub(crate) fn new(voters: Vec<Name>, drain: Option<DrainLease>) -> Self {
-        Admin { pending: PendingRequests::new(voters), drain }
+        Admin {
+            pending: PendingRequests::new(voters),
+            drain,
+        }
     }
 
     /// Carries out a command. The result goes to `reply`, now or when a leader has responded.
@@ -39,21 +42,43 @@
         let result = match request {
             AdminRequest::Leases { lease } => {
                 let lease = lease.map(Name::from);
-                return self.submit(node, reply, |request| Message::ReadLeases { request, lease });
+                return self.submit(node, reply, |request| Message::ReadLeases {
+                    request,
+                    lease,
+                });
             }
             AdminRequest::Revoke { lease, token } => {
-                let command = Command::Revoke { lease: lease.into(), token: FencingToken(token) };
-                return self.submit(node, reply, |request| Message::LeaseRequest { request, command });
+                let command = Command::Revoke {
+                    lease: lease.into(),
+                    token: FencingToken(token),
+                };
+                return self.submit(node, reply, |request| Message::LeaseRequest {
+                    request,
+                    command,
+                });
             }
             AdminRequest::Transfer { lease, token, to } => {
-                let command =
-                    Command::Transfer { lease: lease.into(), token: FencingToken(token), to: to.into() };
-                return self.submit(node, reply, |request| Message::LeaseRequest { request, command });
+                let command = Command::Transfer {
+                    lease: lease.into(),
+                    token: FencingToken(token),
+                    to: to.into(),
+                };
+                return self.submit(node, reply, |request| Message::LeaseRequest {
+                    request,
+                    command,
+                });
             }
             AdminRequest::Members => Ok(AdminResponse::Members(list_members(node))),
             AdminRequest::Own => Ok(AdminResponse::Own(own_status(node))),
-            AdminRequest::Acquire { lease, ttl_ms, capacity } => {
-                let spec = LeaseSpec { ttl: Duration::from_millis(ttl_ms), capacity };
+            AdminRequest::Acquire {
+                lease,
+                ttl_ms,
+                capacity,
+            } => {
+                let spec = LeaseSpec {
+                    ttl: Duration::from_millis(ttl_ms),
+                    capacity,
+                };
                 acquire(node, &lease, spec, Duration::ZERO)
             }
             AdminRequest::Drain => match &self.drain {
@@ -61,7 +86,9 @@
                 None => Err(AdminError::NoDrainLease),
             },
             AdminRequest::Release { lease } => {
-                node.handle_lease_event(LeaseEvent::Release { lease: lease.into() });
+                node.handle_lease_event(LeaseEvent::Release {
+                    lease: lease.into(),
+                });
                 Ok(AdminResponse::DONE)
             }
             AdminRequest::ReplaceVoter { old, new } => {
@@ -86,21 +113,30 @@
     pub(crate) fn handle_response(&mut self, request: RequestId, response: Response) {
         let result = match response {
             Response::Rejected(reason) => Err(AdminError::Rejected(reason)),
-            Response::Granted { .. } | Response::Queued { .. } | Response::Done => Ok(AdminResponse::DONE),
+            Response::Granted { .. } | Response::Queued { .. } | Response::Done => {
+                Ok(AdminResponse::DONE)
+            }
         };
         self.pending.complete(request, result);
     }
 
     /// A leader has read leases.
     pub(crate) fn handle_lease_list(&mut self, request: RequestId, leases: &[(Name, Lease)]) {
-        self.pending.complete(request, Ok(AdminResponse::leases(leases)));
+        self.pending
+            .complete(request, Ok(AdminResponse::leases(leases)));
     }
 
     /// A voter that does not lead has rejected a command. Where it knows no leader the next attempt comes in
     /// its time.
-    pub(crate) fn handle_not_leader(&mut self, node: &LocalNode, request: RequestId, leader: Option<&Name>) {
+    pub(crate) fn handle_not_leader(
+        &mut self,
+        node: &LocalNode,
+        request: RequestId,
+        leader: Option<&Name>,
+    ) {
         if let Some(leader) = leader {
-            self.pending.redirect(node.clock().now(), node.router(), request, leader);
+            self.pending
+                .redirect(node.clock().now(), node.router(), request, leader);
         }
     }
 
@@ -110,13 +146,20 @@
         reply: SyncSender<AdminResult>,
         message: impl FnOnce(RequestId) -> Message,
     ) {
-        self.pending.submit(node.clock().now(), node.router(), reply, message);
+        self.pending
+            .submit(node.clock().now(), node.router(), reply, message);
     }
 
     /// Asks all voters; the leader carries it out.
     fn replace_voter(&self, node: &LocalNode, old: &Name, new: &Name) {
         for voter in self.pending.voters() {
-            node.router().send(voter, Message::ReplaceVoter { old: old.clone(), new: new.clone() });
+            node.router().send(
+                voter,
+                Message::ReplaceVoter {
+                    old: old.clone(),
+                    new: new.clone(),
+                },
+            );
         }
     }
 }
@@ -129,7 +172,11 @@
 fn own_status(node: &LocalNode) -> OwnStatus {
     OwnStatus {
         name: node.router().local_name().to_string(),
-        wanted: node.leases().iter().map(|(name, status)| WantedLeaseRow::new(name, *status)).collect(),
+        wanted: node
+            .leases()
+            .iter()
+            .map(|(name, status)| WantedLeaseRow::new(name, *status))
+            .collect(),
         voter: node.voter().map(|voter| VoterRow::from(voter.status())),
         dropped_frames: node.router().dropped_frames(),
     }
@@ -137,9 +184,13 @@
 
 fn list_members(node: &LocalNode) -> MemberList {
     let (now, membership) = (node.clock().now(), node.membership());
-    let remote = membership.members().map(|record| MemberRow::remote(now, &record));
+    let remote = membership
+        .members()
+        .map(|record| MemberRow::remote(now, &record));
     MemberList {
-        members: std::iter::once(MemberRow::local(membership.local())).chain(remote).collect(),
+        members: std::iter::once(MemberRow::local(membership.local()))
+            .chain(remote)
+            .collect(),
         awareness: membership.awareness(),
         anomalies: membership.anomalies(),
     }
--- a/crates/server/src/cluster/clock.rs
+++ b/crates/server/src/cluster/clock.rs
@@ -20,13 +20,19 @@
 
 fn boot_time() -> Duration {
     let now = clock_gettime(ClockId::Boottime);
-    Duration::new(now.tv_sec.try_into().unwrap_or(0), now.tv_nsec.try_into().unwrap_or(0))
+    Duration::new(
+        now.tv_sec.try_into().unwrap_or(0),
+        now.tv_nsec.try_into().unwrap_or(0),
+    )
 }
 
 impl ClusterClock {
     /// A clock that starts at zero and goes at that rate.
     pub(crate) fn start(rate: f64) -> Self {
-        ClusterClock { start: boot_time(), rate }
+        ClusterClock {
+            start: boot_time(),
+            rate,
+        }
     }
 
     /// Time since the start.
--- a/crates/server/src/cluster/control_protocol.rs
+++ b/crates/server/src/cluster/control_protocol.rs
@@ -6,7 +6,9 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use tulipgap_consensus::{VoterId, VoterStatus};
-use tulipgap_leases::{FencingToken, Incarnation, Lease, LeaseHolder, LeaseStatus, Name, RejectReason};
+use tulipgap_leases::{
+    FencingToken, Incarnation, Lease, LeaseHolder, LeaseStatus, Name, RejectReason,
+};
 use tulipgap_membership::{MemberRecord, MemberUpdate, Metadata, Reachability};
 
 /// An operator's command: one line of JSON.
@@ -140,12 +142,18 @@
 
     /// A lease is requested.
     pub(crate) fn acquiring(lease: &str) -> Self {
-        AdminResponse::Acquiring { wanted: true, lease: lease.into() }
+        AdminResponse::Acquiring {
+            wanted: true,
+            lease: lease.into(),
+        }
     }
 
     /// Leases were read.
     pub(crate) fn leases(leases: &[(Name, Lease)]) -> Self {
-        let leases = leases.iter().map(|(name, lease)| LeaseRow::new(name, lease)).collect();
+        let leases = leases
+            .iter()
+            .map(|(name, lease)| LeaseRow::new(name, lease))
+            .collect();
         AdminResponse::Leases { leases }
     }
 }
@@ -164,7 +172,9 @@
 pub(crate) fn to_json(result: &AdminResult) -> Result<Value, serde_json::Error> {
     match result {
         Ok(response) => serde_json::to_value(response),
-        Err(error) => serde_json::to_value(ErrorResponse { error: error.to_string() }),
+        Err(error) => serde_json::to_value(ErrorResponse {
+            error: error.to_string(),
+        }),
     }
 }
 
@@ -205,7 +215,11 @@
             ttl_ms: lease.spec.ttl.as_millis() as u64,
             capacity: lease.spec.capacity,
             holders: lease.holders.iter().map(HolderRow::from).collect(),
-            queue: lease.queue.iter().map(|queued| queued.owner.name.to_string()).collect(),
+            queue: lease
+                .queue
+                .iter()
+                .map(|queued| queued.owner.name.to_string())
+                .collect(),
         }
     }
 }
@@ -254,14 +268,23 @@
     /// The row of a lease with that status.
     pub(crate) fn new(name: &Name, status: LeaseStatus) -> Self {
         let token = match status {
-            LeaseStatus::Active { token, announced: true, .. } => Some(token),
+            LeaseStatus::Active {
+                token,
+                announced: true,
+                ..
+            } => Some(token),
             _ => None,
         };
         let ahead = match status {
             LeaseStatus::Queued { ahead } => Some(ahead),
             _ => None,
         };
-        WantedLeaseRow { lease: name.to_string(), is_active: token.is_some(), token, ahead }
+        WantedLeaseRow {
+            lease: name.to_string(),
+            is_active: token.is_some(),
+            token,
+            ahead,
+        }
     }
 }
 
@@ -291,7 +314,11 @@
             leader: status.leader.as_deref().map(str::to_owned),
             applied_index: status.applied_index,
             id: status.id,
-            voters: status.voters.values().map(|name| name.to_string()).collect(),
+            voters: status
+                .voters
+                .values()
+                .map(|name| name.to_string())
+                .collect(),
         }
     }
 }
@@ -355,13 +382,25 @@
     /// The row of another member at that time.
     pub(crate) fn remote(now: Duration, record: &MemberRecord) -> Self {
         let observation = Observation {
-            suspected_by: record.suspected_by.iter().map(|name| name.to_string()).collect(),
+            suspected_by: record
+                .suspected_by
+                .iter()
+                .map(|name| name.to_string())
+                .collect(),
             state_age_s: now.saturating_sub(record.state_since).as_secs_f64(),
         };
-        MemberRow::new(&record.update, reachability_word(record.reachability), Some(observation))
+        MemberRow::new(
+            &record.update,
+            reachability_word(record.reachability),
+            Some(observation),
+        )
     }
 
-    fn new(update: &MemberUpdate, reachability: &'static str, observation: Option<Observation>) -> Self {
+    fn new(
+        update: &MemberUpdate,
+        reachability: &'static str,
+        observation: Option<Observation>,
+    ) -> Self {
         MemberRow {
             name: update.node.name.to_string(),
             address: update.node.address.to_string(),
@@ -371,7 +410,11 @@
             incarnation: update.incarnation,
             reported_by: update.reported_by.as_deref().map(str::to_owned),
             metadata: Metadata::clone(&update.metadata),
-            unreachable_peers: update.unreachable_peers.iter().map(|name| name.to_string()).collect(),
+            unreachable_peers: update
+                .unreachable_peers
+                .iter()
+                .map(|name| name.to_string())
+                .collect(),
             reachability,
             observation,
         }
--- a/crates/server/src/cluster/control_socket.rs
+++ b/crates/server/src/cluster/control_socket.rs
@@ -28,7 +28,10 @@
     // An earlier run of this process may have left its socket; a process that still runs accepts the
     // connection.
     if UnixStream::connect(path).is_ok() {
-        return Err(io::Error::new(io::ErrorKind::AddrInUse, "another process listens there"));
+        return Err(io::Error::new(
+            io::ErrorKind::AddrInUse,
+            "another process listens there",
+        ));
     }
     let _ = std::fs::remove_file(path);
     let listener = UnixListener::bind(path)?;
@@ -56,5 +59,7 @@
     let request = serde_json::from_str(line)?;
     let (reply, replied) = sync_channel(1);
     let _ = inputs.send(Input::Admin { request, reply });
-    replied.recv_timeout(RESPONSE_TIMEOUT).map_err(|_| AdminError::NoResponse)?
+    replied
+        .recv_timeout(RESPONSE_TIMEOUT)
+        .map_err(|_| AdminError::NoResponse)?
 }
--- a/crates/server/src/cluster/drain.rs
+++ b/crates/server/src/cluster/drain.rs
@@ -22,7 +22,10 @@
 impl DrainLease {
     /// The lease of that zone.
     pub(crate) fn for_zone(zone: &str, capacity: u32) -> Self {
-        DrainLease { name: format!("drain/{zone}"), capacity }
+        DrainLease {
+            name: format!("drain/{zone}"),
+            capacity,
+        }
     }
 
     /// Its name.
@@ -32,7 +35,10 @@
 
     /// Its TTL and capacity.
     pub(crate) fn spec(&self) -> LeaseSpec {
-        LeaseSpec { ttl: DRAIN_LEASE_TTL, capacity: self.capacity }
+        LeaseSpec {
+            ttl: DRAIN_LEASE_TTL,
+            capacity: self.capacity,
+        }
     }
 
     /// The longest step under it.
