--- a/crates/server/src/cluster/event_loop.rs
+++ b/crates/server/src/cluster/event_loop.rs
@@ -33,7 +33,9 @@
     /// Joins the cluster, and runs until a shutdown.
     pub(crate) fn run(mut self, inputs: &Receiver<Input>) {
         self.node.handle_membership_event(MembershipEvent::Started);
-        while let Some(batch) = receive_batch(inputs, self.node.clock().wait_until(self.next_timer_at())) {
+        while let Some(batch) =
+            receive_batch(inputs, self.node.clock().wait_until(self.next_timer_at()))
+        {
             for input in batch {
                 if self.handle_input(input).is_break() {
                     return;
@@ -44,7 +46,10 @@
     }
 
     fn next_timer_at(&self) -> Option<Duration> {
-        [self.node.next_timer_at(), self.admin.next_attempt_at()].into_iter().flatten().min()
+        [self.node.next_timer_at(), self.admin.next_attempt_at()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     fn handle_timers(&mut self) {
@@ -58,11 +63,14 @@
         match input {
             Input::Received(envelope) => self.handle_envelope(envelope),
             Input::LeaseActions(actions) => self.node.carry_out_lease_actions(actions),
-            Input::Admin { request, reply } => self.admin.handle_request(&mut self.node, request, reply),
+            Input::Admin { request, reply } => {
+                self.admin.handle_request(&mut self.node, request, reply)
+            }
             Input::ReadMetadata { key, reply } => _ = reply.try_send(self.node.read_metadata(key)),
             Input::PublishMetadata { key, value } => {
                 let key = key.into();
-                self.node.handle_membership_event(MembershipEvent::SetMetadata { key, value });
+                self.node
+                    .handle_membership_event(MembershipEvent::SetMetadata { key, value });
             }
             Input::TransferLeadership => self.node.send_to_voter(VoterEvent::TransferLeadership),
             Input::Shutdown(done) => {
@@ -74,38 +82,71 @@
     }
 
     fn handle_envelope(&mut self, envelope: Envelope) {
-        let Envelope { from, address, message, .. } = envelope;
+        let Envelope {
+            from,
+            address,
+            message,
+            ..
+        } = envelope;
         self.node.router().learn_address(&from, address);
         match message {
             // A message in the name of another member than its sender is ignored.
             Message::Member(message) if message.from != from => {}
             Message::Member(message) => {
-                self.node.handle_membership_event(MembershipEvent::Received { from: address, message });
+                self.node
+                    .handle_membership_event(MembershipEvent::Received {
+                        from: address,
+                        message,
+                    });
+            }
+            Message::Voter(message) => self
+                .node
+                .send_to_voter(VoterEvent::PeerMessage { from, message }),
+            Message::LeaseRequest { request, command } => {
+                self.handle_lease_request(from, request, command)
             }
-            Message::Voter(message) => self.node.send_to_voter(VoterEvent::PeerMessage { from, message }),
-            Message::LeaseRequest { request, command } => self.handle_lease_request(from, request, command),
             Message::ReadLeases { request, lease } => {
-                self.node.send_to_voter(VoterEvent::Read { from, request, lease });
+                self.node.send_to_voter(VoterEvent::Read {
+                    from,
+                    request,
+                    lease,
+                });
             }
             Message::ReplaceVoter { old, new } => {
-                self.node.send_to_voter(VoterEvent::ReplaceVoter { old, new });
+                self.node
+                    .send_to_voter(VoterEvent::ReplaceVoter { old, new });
             }
-            Message::LeaseResponse { request, response, .. } if PendingRequests::is_operators(request) => {
+            Message::LeaseResponse {
+                request, response, ..
+            } if PendingRequests::is_operators(request) => {
                 self.admin.handle_response(request, response);
             }
-            Message::LeaseResponse { incarnation, request, response } => {
-                self.node.handle_lease_event(LeaseEvent::Response { incarnation, request, response });
+            Message::LeaseResponse {
+                incarnation,
+                request,
+                response,
+            } => {
+                self.node.handle_lease_event(LeaseEvent::Response {
+                    incarnation,
+                    request,
+                    response,
+                });
             }
             Message::NotLeader { request, leader } if PendingRequests::is_operators(request) => {
-                self.admin.handle_not_leader(&self.node, request, leader.as_ref());
+                self.admin
+                    .handle_not_leader(&self.node, request, leader.as_ref());
             }
             Message::NotLeader { request, leader } => {
-                self.node.handle_lease_event(LeaseEvent::NotLeader { request, leader });
+                self.node
+                    .handle_lease_event(LeaseEvent::NotLeader { request, leader });
             }
             Message::SlotAvailable { lease } => {
-                self.node.handle_lease_event(LeaseEvent::SlotAvailable { lease });
+                self.node
+                    .handle_lease_event(LeaseEvent::SlotAvailable { lease });
+            }
+            Message::LeaseList { request, leases } => {
+                self.admin.handle_lease_list(request, &leases)
             }
-            Message::LeaseList { request, leases } => self.admin.handle_lease_list(request, &leases),
         }
     }
 
@@ -114,9 +155,19 @@
             return;
         }
         if self.node.voter().is_some() {
-            self.node.send_to_voter(VoterEvent::Propose { from, request, command });
+            self.node.send_to_voter(VoterEvent::Propose {
+                from,
+                request,
+                command,
+            });
         } else {
-            self.node.router().send(&from, Message::NotLeader { request, leader: None });
+            self.node.router().send(
+                &from,
+                Message::NotLeader {
+                    request,
+                    leader: None,
+                },
+            );
         }
     }
 
--- a/crates/server/src/cluster/fault_injection/faulty_disk.rs
+++ b/crates/server/src/cluster/fault_injection/faulty_disk.rs
@@ -24,14 +24,27 @@
     }
 
     fn check_space(&self) -> io::Result<()> {
-        let is_full = self.fault_folder.as_deref().is_some_and(|folder| folder.join(FULL_FILE).exists());
-        if is_full { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
+        let is_full = self
+            .fault_folder
+            .as_deref()
+            .is_some_and(|folder| folder.join(FULL_FILE).exists());
+        if is_full {
+            Err(io::ErrorKind::StorageFull.into())
+        } else {
+            Ok(())
+        }
     }
 
     fn check_sync(&self) -> io::Result<()> {
-        let Some(folder) = &self.fault_folder else { return Ok(()) };
+        let Some(folder) = &self.fault_folder else {
+            return Ok(());
+        };
         let should_fail = std::fs::remove_file(folder.join(FAILED_SYNC_FILE)).is_ok();
-        if should_fail { Err(io::Error::other("the disk does not answer")) } else { Ok(()) }
+        if should_fail {
+            Err(io::Error::other("the disk does not answer"))
+        } else {
+            Ok(())
+        }
     }
 }
 
--- a/crates/server/src/cluster/fault_injection/lease_worker.rs
+++ b/crates/server/src/cluster/fault_injection/lease_worker.rs
@@ -61,16 +61,31 @@
 
 impl LeaseWorker {
     /// A worker that reports to the recorder at that address.
-    pub(crate) fn new(leases: LeaseHandle, lease: TestLease, local_name: Name, recorder: SocketAddr) -> Self {
-        LeaseWorker { leases, lease, local_name, recorder, connection: None }
+    pub(crate) fn new(
+        leases: LeaseHandle,
+        lease: TestLease,
+        local_name: Name,
+        recorder: SocketAddr,
+    ) -> Self {
+        LeaseWorker {
+            leases,
+            lease,
+            local_name,
+            recorder,
+            connection: None,
+        }
     }
 
     /// Acts under the lease whenever this process holds it.
     pub(crate) fn run(mut self) -> ! {
-        let spec = LeaseSpec { ttl: self.lease.ttl, capacity: self.lease.capacity };
+        let spec = LeaseSpec {
+            ttl: self.lease.ttl,
+            capacity: self.lease.capacity,
+        };
         loop {
             // Requested each time, as an operator may have released it.
-            self.leases.acquire(&self.lease.name, spec, self.lease.max_operation);
+            self.leases
+                .acquire(&self.lease.name, spec, self.lease.max_operation);
             if let Ok(guard) = self.leases.acquire_guard(&self.lease.name) {
                 self.act_under(&guard);
             }
@@ -106,7 +121,11 @@
             return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
         }
         self.connection = Some(connection);
-        if response.trim() == ACKNOWLEDGED { Ok(()) } else { Err(ReportError::StaleToken) }
+        if response.trim() == ACKNOWLEDGED {
+            Ok(())
+        } else {
+            Err(ReportError::StaleToken)
+        }
     }
 
     fn connect(&self) -> io::Result<BufReader<TcpStream>> {
--- a/crates/server/src/cluster/lease_handle.rs
+++ b/crates/server/src/cluster/lease_handle.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use parking_lot::Mutex;
-use tulipgap_leases::{Action, Event, FencingToken, LeaseClient, LeaseGuard, LeaseSpec, StaleGuard};
+use tulipgap_leases::{
+    Action, Event, FencingToken, LeaseClient, LeaseGuard, LeaseSpec, StaleGuard,
+};
 
 use super::clock::ClusterClock;
 use super::input::Input;
@@ -26,7 +28,11 @@
         clock: ClusterClock,
         inputs: SyncSender<Input>,
     ) -> Self {
-        LeaseHandle { client, clock, inputs }
+        LeaseHandle {
+            client,
+            clock,
+            inputs,
+        }
     }
 
     /// The clock that TTLs are measured by.
@@ -37,12 +43,19 @@
     /// Acquires a lease and keeps it until it is released, queueing where no slot is free. No step of the
     /// task takes longer than `max_step`.
     pub(crate) fn acquire(&self, lease: &str, spec: LeaseSpec, max_step: Duration) {
-        self.handle_event(Event::Acquire { lease: lease.into(), spec, max_step, wait: true });
+        self.handle_event(Event::Acquire {
+            lease: lease.into(),
+            spec,
+            max_step,
+            wait: true,
+        });
     }
 
     /// Releases a lease, once no guard is out.
     pub(crate) fn release(&self, lease: &str) {
-        self.handle_event(Event::Release { lease: lease.into() });
+        self.handle_event(Event::Release {
+            lease: lease.into(),
+        });
     }
 
     /// A guard of a lease that this process holds.
@@ -51,7 +64,10 @@
     /// [`StaleGuard`] where it does not hold the lease.
     pub(crate) fn acquire_guard(&self, lease: &str) -> Result<ScopedGuard, StaleGuard> {
         let guard = self.client.lock().acquire_guard(self.clock.now(), lease)?;
-        Ok(ScopedGuard { guard: Some(guard), leases: self.clone() })
+        Ok(ScopedGuard {
+            guard: Some(guard),
+            leases: self.clone(),
+        })
     }
 
     fn handle_event(&self, event: Event) {
@@ -79,14 +95,21 @@
     /// [`StaleGuard`] where the lease is lost, or ends before such a step would.
     pub(crate) fn fencing_token(&self) -> Result<FencingToken, StaleGuard> {
         let guard = self.guard.as_ref().ok_or(StaleGuard)?;
-        self.leases.client.lock().check_guard(self.leases.clock.now(), guard)
+        self.leases
+            .client
+            .lock()
+            .check_guard(self.leases.clock.now(), guard)
     }
 }
 
 impl Drop for ScopedGuard {
     fn drop(&mut self) {
         if let Some(guard) = self.guard.take() {
-            let actions = self.leases.client.lock().release_guard(self.leases.clock.now(), guard);
+            let actions = self
+                .leases
+                .client
+                .lock()
+                .release_guard(self.leases.clock.now(), guard);
             self.leases.carry_out(actions);
         }
     }
--- a/crates/server/src/cluster/local_node.rs
+++ b/crates/server/src/cluster/local_node.rs
@@ -9,7 +9,8 @@
 use parking_lot::Mutex;
 use tulipgap_consensus::Event as VoterEvent;
 use tulipgap_leases::{
-    Action as LeaseAction, Event as LeaseEvent, LeaseClient, LeaseSpec, LeaseStatus, Name, RejectReason,
+    Action as LeaseAction, Event as LeaseEvent, LeaseClient, LeaseSpec, LeaseStatus, Name,
+    RejectReason,
 };
 use tulipgap_membership::{
     Action as MembershipAction, Event as MembershipEvent, MemberState, MemberUpdate, Membership,
@@ -93,7 +94,10 @@
 
     /// When [`handle_timers`](Self::handle_timers) is to be called next.
     pub(crate) fn next_timer_at(&self) -> Option<Duration> {
-        [self.membership_timer.at(), self.lease_timer.at()].into_iter().flatten().min()
+        [self.membership_timer.at(), self.lease_timer.at()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Handles the timers that are due at `now`.
@@ -128,7 +132,8 @@
         if has_changed {
             self.warn_of_zone_majority();
             for member in self.membership.members() {
-                self.router.learn_address(&member.update.node.name, member.update.node.address);
+                self.router
+                    .learn_address(&member.update.node.name, member.update.node.address);
             }
         }
     }
@@ -139,7 +144,11 @@
                 self.router.send_to_address(to, Message::Member(message));
             }
             MembershipAction::SetTimer { at } => self.membership_timer.set_earliest(at),
-            MembershipAction::StateChanged { name, state, reported_by } => {
+            MembershipAction::StateChanged {
+                name,
+                state,
+                reported_by,
+            } => {
                 log_state_change(&name, state, reported_by.as_deref());
             }
             MembershipAction::NameConflict { address } => log_name_conflict(address),
@@ -155,12 +164,19 @@
         let is_voter = |update: &MemberUpdate| voters.contains(&update.node.name);
         let mut voters_by_zone: BTreeMap<Name, usize> = BTreeMap::new();
         let local = self.membership.local().clone();
-        let members = self.membership.members().map(|member| member.update).chain([local]);
+        let members = self
+            .membership
+            .members()
+            .map(|member| member.update)
+            .chain([local]);
         for update in members.filter(is_voter) {
             *voters_by_zone.entry(update.node.zone).or_default() += 1;
         }
         let has_majority = |count: usize| voters.len() > 1 && count > voters.len() / 2;
-        let Some((zone, count)) = voters_by_zone.iter().find(|(_, count)| has_majority(**count)) else {
+        let Some((zone, count)) = voters_by_zone
+            .iter()
+            .find(|(_, count)| has_majority(**count))
+        else {
             return;
         };
         if !std::mem::replace(&mut self.has_warned_of_zone_majority, true) {
@@ -181,14 +197,20 @@
             .filter(|member| is_live_in_zone(&member.update))
             .filter_map(|member| {
                 let value = member.update.metadata.get(key)?.clone();
-                Some(PublishedValue { member: member.update.node.name.clone(), value })
+                Some(PublishedValue {
+                    member: member.update.node.name.clone(),
+                    value,
+                })
             })
             .collect()
     }
 
     /// Hands the lease client an event, and carries out what follows.
     pub(crate) fn handle_lease_event(&mut self, event: LeaseEvent) {
-        let actions = self.lease_client.lock().handle_event(self.clock.now(), event);
+        let actions = self
+            .lease_client
+            .lock()
+            .handle_event(self.clock.now(), event);
         self.carry_out_lease_actions(actions);
     }
 
@@ -196,14 +218,23 @@
     pub(crate) fn carry_out_lease_actions(&mut self, actions: Vec<LeaseAction>) {
         for action in actions {
             match action {
-                LeaseAction::Send { to, request, command } => {
-                    self.router.send(&to, Message::LeaseRequest { request, command });
+                LeaseAction::Send {
+                    to,
+                    request,
+                    command,
+                } => {
+                    self.router
+                        .send(&to, Message::LeaseRequest { request, command });
                 }
                 LeaseAction::SetTimer { at } => self.lease_timer.set_earliest(at),
                 LeaseAction::Acquired { lease, token } => {
                     log::info!("lease acquired name={lease} token={token}");
                 }
-                LeaseAction::Lost { lease, token, reason } => {
+                LeaseAction::Lost {
+                    lease,
+                    token,
+                    reason,
+                } => {
                     log::info!("lease lost name={lease} token={token} reason={reason}");
                 }
                 LeaseAction::Rejected { lease, reason } => {
@@ -223,8 +254,16 @@
         spec: LeaseSpec,
         max_step: Duration,
     ) -> Result<(), RejectReason> {
-        let event = LeaseEvent::Acquire { lease: lease.into(), spec, max_step, wait: true };
-        let actions = self.lease_client.lock().handle_event(self.clock.now(), event);
+        let event = LeaseEvent::Acquire {
+            lease: lease.into(),
+            spec,
+            max_step,
+            wait: true,
+        };
+        let actions = self
+            .lease_client
+            .lock()
+            .handle_event(self.clock.now(), event);
         let rejected = actions.iter().find_map(|action| match action {
             LeaseAction::Rejected { reason, .. } => Some(reason.clone()),
             _ => None,
@@ -235,7 +274,11 @@
 
     /// The leases that this process holds or requests.
     pub(crate) fn leases(&self) -> Vec<(Name, LeaseStatus)> {
-        self.lease_client.lock().leases().map(|(name, status)| (name.clone(), status)).collect()
+        self.lease_client
+            .lock()
+            .leases()
+            .map(|(name, status)| (name.clone(), status))
+            .collect()
     }
 }
 
--- a/crates/server/src/cluster/message_router.rs
+++ b/crates/server/src/cluster/message_router.rs
@@ -33,7 +33,12 @@
         inputs: SyncSender<Input>,
     ) -> Self {
         let known_addresses = HashMap::from([(local_name.clone(), local_address)]);
-        MessageRouter { links, known_addresses: Arc::new(Mutex::new(known_addresses)), local_name, inputs }
+        MessageRouter {
+            links,
+            known_addresses: Arc::new(Mutex::new(known_addresses)),
+            local_name,
+            inputs,
+        }
     }
 
     /// The name of this process.
@@ -54,7 +59,12 @@
             return self.links.send(address, message);
         }
         let from = to.clone();
-        let envelope = Envelope { from, address, incarnation: Incarnation::default(), message };
+        let envelope = Envelope {
+            from,
+            address,
+            incarnation: Incarnation::default(),
+            message,
+        };
         // This may run on the thread that takes from the queue, which must not wait for itself.
         let _ = self.inputs.try_send(Input::Received(envelope));
     }
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -102,7 +102,9 @@
         // Another voter should lead before this process is busy draining; otherwise this one leads until its
         // end.
         let _ = self.inputs.try_send(Input::TransferLeadership);
-        let Some(drain) = self.drain.clone() else { return };
+        let Some(drain) = self.drain.clone() else {
+            return;
+        };
         let leases = self.leases.clone();
         // On a thread of its own, as nothing may delay the drain, whatever the event loop does.
         if let Err(error) = spawn_thread("drain", move || drain.acquire(&leases)) {
@@ -112,7 +114,12 @@
 
     /// Starts the health check of the store.
     pub(crate) fn start_store_probe(&self, store: &Arc<StoreClient>) {
-        let probe = StoreProbe::new(self.leases.clone(), self.inputs.clone(), &self.zone, store.clone());
+        let probe = StoreProbe::new(
+            self.leases.clone(),
+            self.inputs.clone(),
+            &self.zone,
+            store.clone(),
+        );
         if let Err(error) = spawn_thread("cluster-probe", move || probe.run()) {
             log::error!("store probe not started error=\"{error}\"");
         }
@@ -165,7 +172,11 @@
             faults,
             incarnation,
             seed: seed ^ incarnation.0,
-            voters: config.voters.iter().map(|voter| voter.as_str().into()).collect(),
+            voters: config
+                .voters
+                .iter()
+                .map(|voter| voter.as_str().into())
+                .collect(),
         })
     }
 
@@ -176,12 +187,16 @@
         let links = self.open_links(received)?;
         let membership = self.membership()?;
         let lease_client = Arc::new(Mutex::new(self.lease_client()));
-        let router = MessageRouter::new(links, self.local_name.clone(), self.listen, inputs.clone());
+        let router =
+            MessageRouter::new(links, self.local_name.clone(), self.listen, inputs.clone());
         let voter = self.start_voter(&router)?;
         let leases = LeaseHandle::new(lease_client.clone(), self.clock, inputs.clone());
         start_forwarding(envelopes, inputs.clone())?;
-        let drain =
-            self.config.drain.as_ref().map(|drain| DrainLease::for_zone(&self.config.zone, drain.at_once));
+        let drain = self
+            .config
+            .drain
+            .as_ref()
+            .map(|drain| DrainLease::for_zone(&self.config.zone, drain.at_once));
         let node = LocalNode::from(LocalNodeParts {
             clock: self.clock,
             router,
@@ -191,7 +206,8 @@
             voters: self.voters.clone(),
         });
         let event_loop = EventLoop::new(node, Admin::new(self.voters.clone(), drain.clone()));
-        spawn_thread("cluster", move || event_loop.run(&queued_inputs)).map_err(ClusterError::SpawnThread)?;
+        spawn_thread("cluster", move || event_loop.run(&queued_inputs))
+            .map_err(ClusterError::SpawnThread)?;
         self.start_control_socket(&inputs)?;
         self.start_lease_workers(&leases)?;
         let (name, zone, member) = (&self.config.name, &self.config.zone, &self.local_name);
@@ -200,7 +216,13 @@
             self.listen
         );
         let control_socket = self.config.control.clone();
-        Ok(Cluster { inputs, leases, drain, zone: zone.clone(), control_socket })
+        Ok(Cluster {
+            inputs,
+            leases,
+            drain,
+            zone: zone.clone(),
+            control_socket,
+        })
     }
 
     fn open_links(&self, received: SyncSender<Envelope>) -> Result<Arc<PeerLinks>, ClusterError> {
@@ -211,8 +233,10 @@
             incarnation: self.incarnation,
             routes: self.faults.routes().into_iter().collect(),
         };
-        PeerLinks::open(config, received)
-            .map_err(|source| ClusterError::Listen { address: self.listen, source })
+        PeerLinks::open(config, received).map_err(|source| ClusterError::Listen {
+            address: self.listen,
+            source,
+        })
     }
 
     fn membership(&self) -> Result<Membership, ClusterError> {
@@ -223,13 +247,19 @@
             zone: self.config.zone.as_str().into(),
             version: *SUPPORTED_VERSIONS.end(),
         };
-        let config = tulipgap_membership::Config { seeds: self.config.seeds(), ..Default::default() };
+        let config = tulipgap_membership::Config {
+            seeds: self.config.seeds(),
+            ..Default::default()
+        };
         let incarnation = tulipgap_membership::Incarnation::default();
         Membership::new(config, node, incarnation, self.seed).map_err(ClusterError::Member)
     }
 
     fn lease_client(&self) -> LeaseClient {
-        let owner = Owner { name: self.local_name.clone(), incarnation: self.incarnation };
+        let owner = Owner {
+            name: self.local_name.clone(),
+            incarnation: self.incarnation,
+        };
         let config = tulipgap_leases::Config {
             max_clock_drift_permille: self.max_clock_drift_permille(),
             jitter_permille: RETRY_JITTER_PERMILLE,
@@ -240,34 +270,65 @@
     /// The voter of this process. A member with a folder has one even where it does not vote yet: an operator
     /// may let it replace another.
     fn start_voter(&self, router: &MessageRouter) -> Result<Option<VoterHandle>, ClusterError> {
-        let Some(folder) = self.config.folder.as_deref().filter(|_| !self.voters.is_empty()) else {
-            let needs_folder = self.config.folder.is_none() && self.voters.contains(&self.local_name);
-            return if needs_folder { Err(ClusterError::VoterWithoutFolder) } else { Ok(None) };
+        let Some(folder) = self
+            .config
+            .folder
+            .as_deref()
+            .filter(|_| !self.voters.is_empty())
+        else {
+            let needs_folder =
+                self.config.folder.is_none() && self.voters.contains(&self.local_name);
+            return if needs_folder {
+                Err(ClusterError::VoterWithoutFolder)
+            } else {
+                Ok(None)
+            };
         };
         let config = tulipgap_consensus::Config {
             max_clock_drift_permille: self.max_clock_drift_permille(),
             ..Default::default()
         };
-        let disk = Directory::open(folder)
-            .map_err(|source| ClusterError::OpenFolder { path: folder.into(), source })?;
+        let disk = Directory::open(folder).map_err(|source| ClusterError::OpenFolder {
+            path: folder.into(),
+            source,
+        })?;
         let disk = FaultyDisk::new(disk, self.faults.disk_trouble.clone());
-        let voter = DurableVoter::open(config, &self.local_name, self.voters.clone(), disk, self.seed)
-            .map_err(|source| ClusterError::RestoreVoter { path: folder.into(), source })?;
+        let voter = DurableVoter::open(
+            config,
+            &self.local_name,
+            self.voters.clone(),
+            disk,
+            self.seed,
+        )
+        .map_err(|source| ClusterError::RestoreVoter {
+            path: folder.into(),
+            source,
+        })?;
         let voter = VoterHandle::spawn(voter, self.clock, router.clone());
         voter.map(Some).map_err(ClusterError::SpawnThread)
     }
 
     fn start_control_socket(&self, inputs: &SyncSender<Input>) -> Result<(), ClusterError> {
-        let Some(path) = &self.config.control else { return Ok(()) };
-        control_socket::listen(path, inputs.clone())
-            .map_err(|source| ClusterError::ControlSocket { path: path.clone(), source })
+        let Some(path) = &self.config.control else {
+            return Ok(());
+        };
+        control_socket::listen(path, inputs.clone()).map_err(|source| ClusterError::ControlSocket {
+            path: path.clone(),
+            source,
+        })
     }
 
     /// For the rig: tasks that act under leases and report to a history recorder. None where no recorder is
     /// configured.
     fn start_lease_workers(&self, leases: &LeaseHandle) -> Result<(), ClusterError> {
-        let recorder = self.faults.witness.as_deref().and_then(|address| address.parse().ok());
-        let Some(recorder) = recorder else { return Ok(()) };
+        let recorder = self
+            .faults
+            .witness
+            .as_deref()
+            .and_then(|address| address.parse().ok());
+        let Some(recorder) = recorder else {
+            return Ok(());
+        };
         for lease in self.faults.leases() {
             let worker = LeaseWorker::new(leases.clone(), lease, self.local_name.clone(), recorder);
             spawn_thread("trial", move || worker.run()).map_err(ClusterError::SpawnThread)?;
@@ -282,12 +343,21 @@
 
 fn read_codec(cluster: &str, key_file: &Path) -> Result<FrameCodec, ClusterError> {
     let path = || key_file.to_path_buf();
-    let key = std::fs::read(key_file).map_err(|source| ClusterError::ReadKey { path: path(), source })?;
-    FrameCodec::new(cluster, &key).map_err(|source| ClusterError::InvalidKey { path: path(), source })
+    let key = std::fs::read(key_file).map_err(|source| ClusterError::ReadKey {
+        path: path(),
+        source,
+    })?;
+    FrameCodec::new(cluster, &key).map_err(|source| ClusterError::InvalidKey {
+        path: path(),
+        source,
+    })
 }
 
 /// Hands what the links have received to the event loop. Its thread ends with either of them.
-fn start_forwarding(envelopes: Receiver<Envelope>, inputs: SyncSender<Input>) -> Result<(), ClusterError> {
+fn start_forwarding(
+    envelopes: Receiver<Envelope>,
+    inputs: SyncSender<Input>,
+) -> Result<(), ClusterError> {
     let forward = move || {
         for envelope in envelopes {
             if inputs.send(Input::Received(envelope)).is_err() {
--- a/crates/server/src/cluster/peer_links.rs
+++ b/crates/server/src/cluster/peer_links.rs
@@ -14,7 +14,9 @@
 use parking_lot::Mutex;
 use tulipgap_consensus::PeerMessage;
 use tulipgap_leases::{Incarnation, Name};
-use tulipgap_peer_protocol::{Envelope, FrameCodec, FrameError, HEADER_BYTES, MAX_DATAGRAM_BYTES, Message};
+use tulipgap_peer_protocol::{
+    Envelope, FrameCodec, FrameError, HEADER_BYTES, MAX_DATAGRAM_BYTES, Message,
+};
 
 use super::threads::spawn_thread;
 use crate::log::LogLimit;
@@ -99,7 +101,10 @@
     ///
     /// # Errors
     /// The system's, where the address can't be listened on or a thread can't be started.
-    pub(crate) fn open(config: PeerLinksConfig, received: SyncSender<Envelope>) -> io::Result<Arc<Self>> {
+    pub(crate) fn open(
+        config: PeerLinksConfig,
+        received: SyncSender<Envelope>,
+    ) -> io::Result<Arc<Self>> {
         let udp = UdpSocket::bind(config.listen)?;
         let listener = TcpListener::bind(config.listen)?;
         let links = Arc::new(PeerLinks {
@@ -110,7 +115,9 @@
             dropped_frames: AtomicUsize::new(0),
         });
         let (udp_links, udp_received) = (links.clone(), received.clone());
-        spawn_thread("peers-udp", move || udp_links.read_datagrams(&udp, &udp_received))?;
+        spawn_thread("peers-udp", move || {
+            udp_links.read_datagrams(&udp, &udp_received)
+        })?;
         let tcp_links = links.clone();
         spawn_thread("peers-tcp", move || tcp_links.accept(&listener, &received))?;
         Ok(links)
@@ -154,7 +161,9 @@
             }
             outgoing.insert(to, sender);
         }
-        if let Some(Err(TrySendError::Full(_))) = outgoing.get(&to).map(|queue| queue.try_send(frame)) {
+        if let Some(Err(TrySendError::Full(_))) =
+            outgoing.get(&to).map(|queue| queue.try_send(frame))
+        {
             self.dropped_frames.fetch_add(1, Ordering::Relaxed);
         }
     }
@@ -184,15 +193,24 @@
                 std::thread::sleep(ACCEPT_ERROR_PAUSE);
                 continue;
             };
-            let Some(slot) = IncomingStreamSlot::try_acquire(self) else { continue };
+            let Some(slot) = IncomingStreamSlot::try_acquire(self) else {
+                continue;
+            };
             let received = received.clone();
             // Where no thread can be started the stream is closed, and its slot is free again.
-            let _ = spawn_thread("peers-in", move || slot.0.read_frames(stream, from, &received));
+            let _ = spawn_thread("peers-in", move || {
+                slot.0.read_frames(stream, from, &received)
+            });
         }
     }
 
     /// Reads frames until the stream ends, stalls or carries a frame that is rejected.
-    fn read_frames(&self, mut stream: TcpStream, from: SocketAddr, received: &SyncSender<Envelope>) {
+    fn read_frames(
+        &self,
+        mut stream: TcpStream,
+        from: SocketAddr,
+        received: &SyncSender<Envelope>,
+    ) {
         while let Ok(header) = read_header(&mut stream) {
             let body_length = match self.config.codec.decode_header(&header) {
                 Ok(length) => length,
--- a/crates/server/src/cluster/pending_requests.rs
+++ b/crates/server/src/cluster/pending_requests.rs
@@ -42,7 +42,11 @@
 impl PendingRequests {
     /// No commands, to be sent to these voters.
     pub(crate) fn new(voters: Vec<Name>) -> Self {
-        PendingRequests { voters, pending: BTreeMap::new(), last_id: ID_BASE }
+        PendingRequests {
+            voters,
+            pending: BTreeMap::new(),
+            last_id: ID_BASE,
+        }
     }
 
     /// Whether a response with that id is for an operator, and not for the lease client.
@@ -57,7 +61,10 @@
 
     /// When [`retry_due`](Self::retry_due) is to be called next.
     pub(crate) fn next_attempt_at(&self) -> Option<Duration> {
-        self.pending.values().map(|request| request.next_attempt_at).min()
+        self.pending
+            .values()
+            .map(|request| request.next_attempt_at)
+            .min()
     }
 
     /// Sends a command to the voters, and the result to `reply`.
@@ -104,15 +111,25 @@
     /// Sends the commands whose time has come to the next voter each.
     pub(crate) fn retry_due(&mut self, now: Duration, router: &MessageRouter) {
         let is_due = |request: &PendingRequest| request.next_attempt_at <= now;
-        let due: Vec<RequestId> =
-            self.pending.iter().filter(|(_, request)| is_due(request)).map(|(id, _)| *id).collect();
+        let due: Vec<RequestId> = self
+            .pending
+            .iter()
+            .filter(|(_, request)| is_due(request))
+            .map(|(id, _)| *id)
+            .collect();
         for id in due {
             self.retry(now, router, id);
         }
     }
 
     /// Sends a command to the voter that leads, as another voter reported.
-    pub(crate) fn redirect(&mut self, now: Duration, router: &MessageRouter, id: RequestId, leader: &Name) {
+    pub(crate) fn redirect(
+        &mut self,
+        now: Duration,
+        router: &MessageRouter,
+        id: RequestId,
+        leader: &Name,
+    ) {
         if let Some(request) = self.unexpired(now, id) {
             router.send(leader, request.message.clone());
         }
@@ -120,7 +137,9 @@
 
     /// Sends a command to the next voter.
     fn retry(&mut self, now: Duration, router: &MessageRouter, id: RequestId) {
-        let Some(request) = self.unexpired(now, id) else { return };
+        let Some(request) = self.unexpired(now, id) else {
+            return;
+        };
         request.attempts += 1;
         request.next_attempt_at = now + RETRY_INTERVAL;
         let (attempts, message) = (request.attempts, request.message.clone());
@@ -132,7 +151,12 @@
     /// A command that waits. One that has waited for too long fails here.
     fn unexpired(&mut self, now: Duration, id: RequestId) -> Option<&mut PendingRequest> {
         if self.pending.get(&id)?.expires_at <= now {
-            self.complete(id, Err(AdminError::NoLeaderResponse { timeout: REQUEST_TIMEOUT }));
+            self.complete(
+                id,
+                Err(AdminError::NoLeaderResponse {
+                    timeout: REQUEST_TIMEOUT,
+                }),
+            );
         }
         self.pending.get_mut(&id)
     }
--- a/crates/server/src/cluster/store_probe.rs
+++ b/crates/server/src/cluster/store_probe.rs
@@ -25,7 +25,10 @@
 /// How long a probe may take. It is the longest step under the lease on probing.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 /// One process probes; another takes over this long after it has died.
-const PROBE_LEASE: LeaseSpec = LeaseSpec { ttl: Duration::from_secs(4), capacity: 1 };
+const PROBE_LEASE: LeaseSpec = LeaseSpec {
+    ttl: Duration::from_secs(4),
+    capacity: 1,
+};
 
 /// The event loop has ended, and the probe ends with it.
 #[derive(Debug, thiserror::Error)]
@@ -100,7 +103,11 @@
             && let Some(address) = self.store.address()
         {
             let connected = TcpStream::connect_timeout(&address, PROBE_TIMEOUT);
-            let outcome = if connected.is_ok() { ProbeOutcome::Succeeded } else { ProbeOutcome::Failed };
+            let outcome = if connected.is_ok() {
+                ProbeOutcome::Succeeded
+            } else {
+                ProbeOutcome::Failed
+            };
             self.last_outcome = Some(outcome);
         }
         Ok(())
@@ -110,10 +117,21 @@
     /// time.
     fn read_verdicts(&self) -> Result<Vec<Verdict>, EventLoopEnded> {
         let (reply, replied) = sync_channel(1);
-        let read = Input::ReadMetadata { key: VERDICT_KEY, reply };
+        let read = Input::ReadMetadata {
+            key: VERDICT_KEY,
+            reply,
+        };
         self.inputs.send(read).map_err(|_| EventLoopEnded)?;
-        let published = replied.recv_timeout(VERDICT_READ_TIMEOUT).unwrap_or_default();
-        Ok(published.into_iter().map(|entry| Verdict { member: entry.member, text: entry.value }).collect())
+        let published = replied
+            .recv_timeout(VERDICT_READ_TIMEOUT)
+            .unwrap_or_default();
+        Ok(published
+            .into_iter()
+            .map(|entry| Verdict {
+                member: entry.member,
+                text: entry.value,
+            })
+            .collect())
     }
 
     /// Whether this process may probe now. The guard is given back where it may not.
@@ -121,7 +139,10 @@
         if self.guard.is_none() && self.wants_lease {
             self.guard = self.leases.acquire_guard(&self.lease).ok();
         }
-        let has_lease = self.guard.as_ref().is_some_and(|guard| guard.fencing_token().is_ok());
+        let has_lease = self
+            .guard
+            .as_ref()
+            .is_some_and(|guard| guard.fencing_token().is_ok());
         if !has_lease {
             self.guard = None;
         }
@@ -133,7 +154,10 @@
             VerdictChange::Publish(text) => Some(text),
             VerdictChange::Withdraw => None,
         };
-        let _ = self.inputs.send(Input::PublishMetadata { key: VERDICT_KEY, value });
+        let _ = self.inputs.send(Input::PublishMetadata {
+            key: VERDICT_KEY,
+            value,
+        });
     }
 
     /// Acquires or releases the lease on probing. A process that held it and needs it no more has found the
--- a/crates/server/src/cluster/tests.rs
+++ b/crates/server/src/cluster/tests.rs
@@ -5,15 +5,15 @@
 use serde_json::{Value, json};
 use tulipgap_consensus::{VoterId, VoterPhase, VoterStatus};
 use tulipgap_leases::{
-    FencingToken, Incarnation, Lease, LeaseHolder, LeaseSpec, LeaseStatus, Owner, QueuedOwner, RejectReason,
-    RenewalNumber,
+    FencingToken, Incarnation, Lease, LeaseHolder, LeaseSpec, LeaseStatus, Owner, QueuedOwner,
+    RejectReason, RenewalNumber,
 };
 use tulipgap_membership::{MemberRecord, MemberState, MemberUpdate, Metadata, Node, Reachability};
 
 use super::clock::Timer;
 use super::control_protocol::{
-    AdminError, AdminRequest, AdminResponse, MemberList, MemberRow, OwnStatus, VoterRow, WantedLeaseRow,
-    to_json,
+    AdminError, AdminRequest, AdminResponse, MemberList, MemberRow, OwnStatus, VoterRow,
+    WantedLeaseRow, to_json,
 };
 
 fn parse(line: &str) -> AdminRequest {
@@ -29,7 +29,10 @@
 }
 
 fn owner(name: &str) -> Owner {
-    Owner { name: name.into(), incarnation: Incarnation(7) }
+    Owner {
+        name: name.into(),
+        incarnation: Incarnation(7),
+    }
 }
 
 fn update(name: &str) -> MemberUpdate {
@@ -54,16 +57,47 @@
     assert_eq!(parse(r#"{"do":"members"}"#), AdminRequest::Members);
     assert_eq!(parse(r#"{"do":"own"}"#), AdminRequest::Own);
     assert_eq!(parse(r#"{"do":"drain"}"#), AdminRequest::Drain);
-    assert_eq!(parse(r#"{"do":"leases"}"#), AdminRequest::Leases { lease: None });
-    assert_eq!(parse(r#"{"do":"leases","lease":"x"}"#), AdminRequest::Leases { lease: Some("x".into()) });
-    let acquire = AdminRequest::Acquire { lease: "x".into(), ttl_ms: 2000, capacity: 3 };
-    assert_eq!(parse(r#"{"do":"take","lease":"x","term_ms":2000,"places":3}"#), acquire);
-    assert_eq!(parse(r#"{"do":"release","lease":"x"}"#), AdminRequest::Release { lease: "x".into() });
-    let revoke = AdminRequest::Revoke { lease: "x".into(), token: 5 };
+    assert_eq!(
+        parse(r#"{"do":"leases"}"#),
+        AdminRequest::Leases { lease: None }
+    );
+    assert_eq!(
+        parse(r#"{"do":"leases","lease":"x"}"#),
+        AdminRequest::Leases {
+            lease: Some("x".into())
+        }
+    );
+    let acquire = AdminRequest::Acquire {
+        lease: "x".into(),
+        ttl_ms: 2000,
+        capacity: 3,
+    };
+    assert_eq!(
+        parse(r#"{"do":"take","lease":"x","term_ms":2000,"places":3}"#),
+        acquire
+    );
+    assert_eq!(
+        parse(r#"{"do":"release","lease":"x"}"#),
+        AdminRequest::Release { lease: "x".into() }
+    );
+    let revoke = AdminRequest::Revoke {
+        lease: "x".into(),
+        token: 5,
+    };
     assert_eq!(parse(r#"{"do":"revoke","lease":"x","token":5}"#), revoke);
-    let transfer = AdminRequest::Transfer { lease: "x".into(), token: 5, to: "b".into() };
-    assert_eq!(parse(r#"{"do":"transfer","lease":"x","token":5,"to":"b"}"#), transfer);
-    let replace = AdminRequest::ReplaceVoter { old: "a".into(), new: "b".into() };
+    let transfer = AdminRequest::Transfer {
+        lease: "x".into(),
+        token: 5,
+        to: "b".into(),
+    };
+    assert_eq!(
+        parse(r#"{"do":"transfer","lease":"x","token":5,"to":"b"}"#),
+        transfer
+    );
+    let replace = AdminRequest::ReplaceVoter {
+        old: "a".into(),
+        new: "b".into(),
+    };
     assert_eq!(parse(r#"{"do":"replace","old":"a","new":"b"}"#), replace);
 }
 
@@ -76,7 +110,10 @@
         r#"{"do":"take","lease":"x","ttl_ms":1,"capacity":1}"#,
         r#"{"do":"release","lease":"x","token":1}"#,
     ] {
-        assert!(serde_json::from_str::<AdminRequest>(line).is_err(), "{line}");
+        assert!(
+            serde_json::from_str::<AdminRequest>(line).is_err(),
+            "{line}"
+        );
     }
 }
 
@@ -84,7 +121,10 @@
 fn short_responses_keep_the_words_of_the_control_socket() {
     assert_eq!(response(AdminResponse::DONE), json!({ "done": true }));
     assert_eq!(response(AdminResponse::REQUESTED), json!({ "asked": true }));
-    assert_eq!(response(AdminResponse::acquiring("x")), json!({ "wanted": true, "lease": "x" }));
+    assert_eq!(
+        response(AdminResponse::acquiring("x")),
+        json!({ "wanted": true, "lease": "x" })
+    );
 }
 
 #[test]
@@ -94,9 +134,18 @@
         (AdminError::NoResponse, "no answer"),
         (AdminError::NoVoters, "this cluster has no voters"),
         (AdminError::TooManyPending, "too many ask already"),
-        (AdminError::NoLeaderResponse { timeout }, "no voter that leads has answered in 5 s"),
-        (AdminError::NoDrainLease, "the block cluster has no block drain"),
-        (AdminError::Rejected(RejectReason::StaleToken), "nobody holds it with that token"),
+        (
+            AdminError::NoLeaderResponse { timeout },
+            "no voter that leads has answered in 5 s",
+        ),
+        (
+            AdminError::NoDrainLease,
+            "the block cluster has no block drain",
+        ),
+        (
+            AdminError::Rejected(RejectReason::StaleToken),
+            "nobody holds it with that token",
+        ),
     ] {
         assert_eq!(error(cause), json!({ "error": text }));
     }
@@ -106,13 +155,27 @@
 fn lease_list_keeps_the_words_of_the_control_socket() {
     let renewal = RenewalNumber::default();
     let lease = Lease {
-        spec: LeaseSpec { ttl: Duration::from_secs(2), capacity: 1 },
-        holders: vec![LeaseHolder { owner: owner("a"), token: FencingToken(4), renewal, revoked: true }],
-        queue: vec![QueuedOwner { owner: owner("b"), renewal }],
+        spec: LeaseSpec {
+            ttl: Duration::from_secs(2),
+            capacity: 1,
+        },
+        holders: vec![LeaseHolder {
+            owner: owner("a"),
+            token: FencingToken(4),
+            renewal,
+            revoked: true,
+        }],
+        queue: vec![QueuedOwner {
+            owner: owner("b"),
+            renewal,
+        }],
     };
     let held = json!([{ "by": "a", "life": 7, "token": 4, "ends": true }]);
     let row = json!({ "lease": "x", "term_ms": 2000, "places": 1, "held": held, "queue": ["b"] });
-    assert_eq!(response(AdminResponse::leases(&[("x".into(), lease)])), json!({ "leases": [row] }));
+    assert_eq!(
+        response(AdminResponse::leases(&[("x".into(), lease)])),
+        json!({ "leases": [row] })
+    );
 }
 
 #[test]
@@ -128,7 +191,9 @@
         LeaseStatus::Queued { ahead: 2 },
         active(true),
         active(false),
-        LeaseStatus::Releasing { token: FencingToken(4) },
+        LeaseStatus::Releasing {
+            token: FencingToken(4),
+        },
     ];
     let voter = VoterStatus {
         id: VoterId(9),
@@ -140,7 +205,9 @@
     };
     let own = OwnStatus {
         name: "a".into(),
-        wanted: statuses.map(|status| WantedLeaseRow::new(&"x".into(), status)).into(),
+        wanted: statuses
+            .map(|status| WantedLeaseRow::new(&"x".into(), status))
+            .into(),
         voter: Some(VoterRow::from(voter)),
         dropped_frames: 1,
     };
@@ -151,8 +218,7 @@
         { "lease": "x", "held": false },
         { "lease": "x", "held": false },
     ]);
-    let voter =
-        json!({ "phase": "set back", "term": 3, "leader": null, "applied": 8, "id": 9, "voters": ["a"] });
+    let voter = json!({ "phase": "set back", "term": 3, "leader": null, "applied": 8, "id": 9, "voters": ["a"] });
     let expected = json!({ "name": "a", "wanted": wanted, "voter": voter, "dropped_frames": 1 });
     assert_eq!(response(AdminResponse::Own(own)), expected);
 }
@@ -186,7 +252,11 @@
         expected["for_s"] = json!(1.5);
         rows.push(expected);
     }
-    let list = MemberList { members, awareness: 2, anomalies: 6 };
+    let list = MemberList {
+        members,
+        awareness: 2,
+        anomalies: 6,
+    };
     let expected = json!({ "members": rows, "badly": 2, "odd": 6 });
     assert_eq!(response(AdminResponse::Members(list)), expected);
 }
@@ -195,7 +265,10 @@
 fn timer_is_due_at_the_earliest_time_and_once() {
     let [early, late] = [1, 2].map(Duration::from_secs);
     let mut timer = Timer::default();
-    assert!(!timer.take_if_due(late), "a timer that is not set is never due");
+    assert!(
+        !timer.take_if_due(late),
+        "a timer that is not set is never due"
+    );
     timer.set_earliest(late);
     timer.set_earliest(early);
     timer.set_earliest(late);
--- a/crates/server/src/cluster/threads.rs
+++ b/crates/server/src/cluster/threads.rs
@@ -14,13 +14,20 @@
 /// # Errors
 /// The system's, where it has no room for one more thread.
 pub(crate) fn spawn_thread(name: &str, body: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    std::thread::Builder::new().name(name.into()).stack_size(STACK_BYTES).spawn(body).map(|_| ())
+    std::thread::Builder::new()
+        .name(name.into())
+        .stack_size(STACK_BYTES)
+        .spawn(body)
+        .map(|_| ())
 }
 
 /// Waits up to `timeout` for one item, and yields it with those that are queued behind it, up to
 /// [`MAX_BATCH`] of them. The batch is empty where none came in time; there is none once all senders are
 /// gone.
-pub(crate) fn receive_batch<T>(receiver: &Receiver<T>, timeout: Duration) -> Option<impl Iterator<Item = T>> {
+pub(crate) fn receive_batch<T>(
+    receiver: &Receiver<T>,
+    timeout: Duration,
+) -> Option<impl Iterator<Item = T>> {
     let first = match receiver.recv_timeout(timeout) {
         Ok(item) => Some(item),
         Err(RecvTimeoutError::Timeout) => None,
--- a/crates/server/src/cluster/voter_thread.rs
+++ b/crates/server/src/cluster/voter_thread.rs
@@ -34,7 +34,13 @@
         let (events, received) = sync_channel(MAX_QUEUED_INPUTS);
         let status = Arc::new(Mutex::new(voter.voter().status()));
         let timer = Timer::due_at(Duration::ZERO);
-        let thread = VoterThread { voter, clock, router, timer, status: status.clone() };
+        let thread = VoterThread {
+            voter,
+            clock,
+            router,
+            timer,
+            status: status.clone(),
+        };
         spawn_thread("voter", move || thread.run(&received))?;
         Ok(VoterHandle { events, status })
     }
@@ -95,17 +101,39 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Send { to, message } => self.router.send(&to, Message::Voter(message)),
-            Action::Respond { to, incarnation, request, response } => {
-                self.router.send(&to, Message::LeaseResponse { incarnation, request, response });
+            Action::Respond {
+                to,
+                incarnation,
+                request,
+                response,
+            } => {
+                self.router.send(
+                    &to,
+                    Message::LeaseResponse {
+                        incarnation,
+                        request,
+                        response,
+                    },
+                );
             }
-            Action::RejectNotLeader { to, request, leader } => {
-                self.router.send(&to, Message::NotLeader { request, leader });
+            Action::RejectNotLeader {
+                to,
+                request,
+                leader,
+            } => {
+                self.router
+                    .send(&to, Message::NotLeader { request, leader });
             }
             Action::NotifySlotAvailable { to, lease } => {
                 self.router.send(&to, Message::SlotAvailable { lease });
             }
-            Action::RespondRead { to, request, leases } => {
-                self.router.send(&to, Message::LeaseList { request, leases });
+            Action::RespondRead {
+                to,
+                request,
+                leases,
+            } => {
+                self.router
+                    .send(&to, Message::LeaseList { request, leases });
             }
             Action::SetTimer { at } => self.timer.set_earliest(at),
             Action::Notice(notice) => log::info!("voter {notice}"),
--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -47,9 +47,14 @@
 
 impl fmt::Display for PeerAddresses {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let or_none = |address: Option<SocketAddr>| address.map_or("none".to_owned(), |a| a.to_string());
+        let or_none =
+            |address: Option<SocketAddr>| address.map_or("none".to_owned(), |a| a.to_string());
         let (registry, store) = (or_none(self.registry), or_none(self.store));
-        write!(f, "kernel={} announce={registry} store={store}", self.executor)
+        write!(
+            f,
+            "kernel={} announce={registry} store={store}",
+            self.executor
+        )
     }
 }
 
@@ -105,9 +110,15 @@
     #[error("LB_CONFIG is not set")]
     NotSet,
     #[error("{}: {source}", path.display())]
-    Read { path: PathBuf, source: std::io::Error },
+    Read {
+        path: PathBuf,
+        source: std::io::Error,
+    },
     #[error("{}: {source}", path.display())]
-    Invalid { path: PathBuf, source: InvalidConfig },
+    Invalid {
+        path: PathBuf,
+        source: InvalidConfig,
+    },
 }
 
 /// What is wrong with the text of the file, with the key at fault.
@@ -116,7 +127,10 @@
     #[error("{0}")]
     Json(#[from] serde_json::Error),
     #[error("{key}: {source}")]
-    Key { key: String, source: serde_json::Error },
+    Key {
+        key: String,
+        source: serde_json::Error,
+    },
     #[error("settings: {0}")]
     Settings(SettingsError),
     #[error("{0}")]
@@ -130,23 +144,37 @@
     #[error("name: '{0}' is no word")]
     Name(String),
     #[error("it is of {name} on {listen}, and this is {own_name}")]
-    OtherBackend { name: String, listen: SocketAddr, own_name: String },
+    OtherBackend {
+        name: String,
+        listen: SocketAddr,
+        own_name: String,
+    },
 }
 
 impl ServerConfig {
     /// Reads the file at `path`.
     pub(crate) fn read(path: Option<&Path>) -> Result<Self, ConfigError> {
         let path = path.ok_or(ConfigError::NotSet)?;
-        let text = std::fs::read_to_string(path)
-            .map_err(|source| ConfigError::Read { path: path.to_owned(), source })?;
-        Self::parse(&text).map_err(|source| ConfigError::Invalid { path: path.to_owned(), source })
+        let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Read {
+            path: path.to_owned(),
+            source,
+        })?;
+        Self::parse(&text).map_err(|source| ConfigError::Invalid {
+            path: path.to_owned(),
+            source,
+        })
     }
 
     fn parse(text: &str) -> Result<Self, InvalidConfig> {
         let file = parse_file(text)?;
         let entries = serde_json::from_str(text)?;
-        let controller = file.settings.controller_config().map_err(InvalidConfig::Settings)?;
-        controller.validate().map_err(|error| InvalidConfig::Settings(error.into()))?;
+        let controller = file
+            .settings
+            .controller_config()
+            .map_err(InvalidConfig::Settings)?;
+        controller
+            .validate()
+            .map_err(|error| InvalidConfig::Settings(error.into()))?;
         let steering = file.settings.steering().map_err(InvalidConfig::Settings)?;
         let Ok(seed) = u64::from_str_radix(&file.seed, 16) else {
             return Err(InvalidConfig::Seed(file.seed));
@@ -182,8 +210,15 @@
         let new = Self::read(path)?;
         if (&new.name, new.listen) != (&self.name, self.listen) {
             let own_name = self.name.clone();
-            let source = InvalidConfig::OtherBackend { name: new.name, listen: new.listen, own_name };
-            return Err(ConfigError::Invalid { path: path.unwrap_or(Path::new("")).to_owned(), source });
+            let source = InvalidConfig::OtherBackend {
+                name: new.name,
+                listen: new.listen,
+                own_name,
+            };
+            return Err(ConfigError::Invalid {
+                path: path.unwrap_or(Path::new("")).to_owned(),
+                source,
+            });
         }
         let keys = new.entries.keys().chain(self.entries.keys());
         let mut needs_restart: Vec<String> = keys
@@ -193,7 +228,10 @@
             .collect();
         needs_restart.sort();
         needs_restart.dedup();
-        Ok(Reloaded { peers: new.peers, needs_restart })
+        Ok(Reloaded {
+            peers: new.peers,
+            needs_restart,
+        })
     }
 }
 
@@ -203,6 +241,9 @@
     let parsed = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(text));
     parsed.map_err(|error| match error.path().to_string() {
         key if key == "." => InvalidConfig::Json(error.into_inner()),
-        key => InvalidConfig::Key { key, source: error.into_inner() },
+        key => InvalidConfig::Key {
+            key,
+            source: error.into_inner(),
+        },
     })
 }
--- a/crates/server/src/connection_limits.rs
+++ b/crates/server/src/connection_limits.rs
@@ -26,12 +26,19 @@
     store_connections: usize,
     admission: Option<&ConnectionLimitsConfig>,
 ) -> Config {
-    let store_connections = store_connections.min(config.sockets.saturating_sub(RESERVED_DESCRIPTORS + 1));
+    let store_connections =
+        store_connections.min(config.sockets.saturating_sub(RESERVED_DESCRIPTORS + 1));
     let default = Config {
         max_descriptors: config.sockets,
         reservations: vec![
-            Reservation { owner: DescriptorOwner::Process, descriptors: RESERVED_DESCRIPTORS },
-            Reservation { owner: DescriptorOwner::Store, descriptors: store_connections },
+            Reservation {
+                owner: DescriptorOwner::Process,
+                descriptors: RESERVED_DESCRIPTORS,
+            },
+            Reservation {
+                owner: DescriptorOwner::Store,
+                descriptors: store_connections,
+            },
         ],
         network_limits: None,
         full_policy: FullPolicy::Wait,
@@ -64,7 +71,10 @@
     let per_network = (places as u32).max(1);
     let mut reservations = default.reservations;
     let known_clients = (places as f64 * admission.known_part) as usize;
-    reservations.push(Reservation { owner: DescriptorOwner::KnownClients, descriptors: known_clients });
+    reservations.push(Reservation {
+        owner: DescriptorOwner::KnownClients,
+        descriptors: known_clients,
+    });
     Config {
         reservations,
         network_limits: Some(NetworkLimits {
@@ -74,16 +84,29 @@
         }),
         full_policy: admission.full_policy(),
         // They were checked when the file was read.
-        trusted_networks: admission.known.iter().filter_map(|network| network.parse().ok()).collect(),
+        trusted_networks: admission
+            .known
+            .iter()
+            .filter_map(|network| network.parse().ok())
+            .collect(),
         reputation_half_life: admission.half_life,
         cold_start_fraction: admission.cold_part,
-        warm_up: if config.controller.starts_cold { config.controller.warm_up } else { Duration::ZERO },
+        warm_up: if config.controller.starts_cold {
+            config.controller.warm_up
+        } else {
+            Duration::ZERO
+        },
         ..default
     }
 }
 
 fn limit(configured: &NetworkLimitConfig, default_connections: u32) -> ConnectionLimit {
     let max_connections = configured.open.unwrap_or(default_connections);
-    let max_rate = configured.rate.unwrap_or(max_connections.max(MIN_CONNECTION_RATE));
-    ConnectionLimit { max_connections, max_rate }
+    let max_rate = configured
+        .rate
+        .unwrap_or(max_connections.max(MIN_CONNECTION_RATE));
+    ConnectionLimit {
+        max_connections,
+        max_rate,
+    }
 }
--- a/crates/server/src/log.rs
+++ b/crates/server/src/log.rs
@@ -36,7 +36,9 @@
         }
         let at = self.start.elapsed().as_secs_f64();
         let (level, message) = (record.level(), record.args());
-        let _ = self.entries.try_send(Entry::Line(format!("{at:9.3} {level:5} {message}\n")));
+        let _ = self
+            .entries
+            .try_send(Entry::Line(format!("{at:9.3} {level:5} {message}\n")));
     }
 
     fn flush(&self) {
@@ -58,10 +60,17 @@
 
 /// Starts logging at the level of this name.
 pub(crate) fn start(level: Option<&str>) {
-    let level = level.and_then(|word| word.parse().ok()).unwrap_or(LevelFilter::Info);
+    let level = level
+        .and_then(|word| word.parse().ok())
+        .unwrap_or(LevelFilter::Info);
     let (entries, written) = sync_channel(MAX_WAITING_LINES);
     std::thread::spawn(move || write(&written));
-    if log::set_boxed_logger(Box::new(Logger { start: Instant::now(), entries })).is_ok() {
+    if log::set_boxed_logger(Box::new(Logger {
+        start: Instant::now(),
+        entries,
+    }))
+    .is_ok()
+    {
         log::set_max_level(level);
     }
 }
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -53,7 +53,10 @@
     #[error("signals: {0}")]
     Signals(std::io::Error),
     #[error("{address}: {source}")]
-    Listen { address: SocketAddr, source: std::io::Error },
+    Listen {
+        address: SocketAddr,
+        source: std::io::Error,
+    },
     #[error("trace: {0}")]
     Trace(std::io::Error),
     #[error("limits.sockets: {0} are too few to be one of a cluster")]
@@ -79,16 +82,34 @@
 fn run(args: &Args, signals: std::io::Result<Signals>) -> Result<(), StartError> {
     let path = std::env::var_os("LB_CONFIG").map(PathBuf::from);
     let mut config = ServerConfig::read(path.as_deref())?;
-    let product = args.settings.as_deref().map(tulipgap_config::read).transpose()?.unwrap_or_default();
+    let product = args
+        .settings
+        .as_deref()
+        .map(tulipgap_config::read)
+        .transpose()?
+        .unwrap_or_default();
     // One core is shared with others: one worker, which sleeps while there is nothing to do.
-    may::config().set_workers(1).set_stack_size(STACK_WORDS).set_pool_capacity(MAX_POOLED_STACKS);
+    may::config()
+        .set_workers(1)
+        .set_stack_size(STACK_WORDS)
+        .set_pool_capacity(MAX_POOLED_STACKS);
     may::config().set_worker_pin(false);
     let signals = signals.map_err(StartError::Signals)?;
-    let listener = TcpListener::bind(config.listen)
-        .map_err(|source| StartError::Listen { address: config.listen, source })?;
+    let listener = TcpListener::bind(config.listen).map_err(|source| StartError::Listen {
+        address: config.listen,
+        source,
+    })?;
     let tracer = start_tracer(product.trace.as_ref(), &config)?;
     let cluster = start_cluster(product.cluster.as_ref(), &mut config)?;
-    serve(config, path.as_deref(), listener, signals, tracer.clone(), product.admission.as_ref(), cluster);
+    serve(
+        config,
+        path.as_deref(),
+        listener,
+        signals,
+        tracer.clone(),
+        product.admission.as_ref(),
+        cluster,
+    );
     if let Some(tracer) = tracer {
         tracer.finish();
         ::log::info!("{}", tracer.summary());
@@ -101,7 +122,9 @@
     tracing: Option<&tulipgap_config::TraceConfig>,
     config: &ServerConfig,
 ) -> Result<Option<Arc<Tracer>>, StartError> {
-    let Some(tracing) = tracing.filter(|tracing| tracing.enabled) else { return Ok(None) };
+    let Some(tracing) = tracing.filter(|tracing| tracing.enabled) else {
+        return Ok(None);
+    };
     let tracer = Tracer::start(tracing, &config.name, &config.controller, &config.names);
     Ok(Some(Arc::new(tracer.map_err(StartError::Trace)?)))
 }
@@ -112,8 +135,13 @@
     block: Option<&tulipgap_config::ClusterConfig>,
     config: &mut ServerConfig,
 ) -> Result<Option<Cluster>, StartError> {
-    let Some(block) = block.filter(|block| block.enabled) else { return Ok(None) };
-    let left = config.sockets.checked_sub(cluster::DESCRIPTORS).filter(|left| *left >= MIN_SOCKETS);
+    let Some(block) = block.filter(|block| block.enabled) else {
+        return Ok(None);
+    };
+    let left = config
+        .sockets
+        .checked_sub(cluster::DESCRIPTORS)
+        .filter(|left| *left >= MIN_SOCKETS);
     config.sockets = left.ok_or(StartError::TooFewSockets(config.sockets))?;
     Ok(Some(cluster::start(block, &config.name, config.seed)?))
 }
--- a/crates/server/src/net/connect.rs
+++ b/crates/server/src/net/connect.rs
@@ -29,7 +29,11 @@
 /// Connects, within `CONNECT_TIMEOUT` and only while that is wanted. The system would go on trying for two minutes: a
 /// peer that moves while a connect to where it was hangs would not be spoken to until then.
 pub(crate) fn connect(address: SocketAddr, is_wanted: impl Fn() -> bool) -> io::Result<TcpStream> {
-    let stream = adopt(Socket::new(Domain::for_address(address), Type::STREAM, None)?)?;
+    let stream = adopt(Socket::new(
+        Domain::for_address(address),
+        Type::STREAM,
+        None,
+    )?)?;
     let waker = Arc::new(stream.waker());
     let end = Instant::now() + CONNECT_TIMEOUT;
     loop {
@@ -42,7 +46,9 @@
             },
         }
         if !is_wanted() {
-            return Err(io::Error::other("a connect that is not wanted any more is left"));
+            return Err(io::Error::other(
+                "a connect that is not wanted any more is left",
+            ));
         }
         if end <= Instant::now() {
             return Err(io::ErrorKind::TimedOut.into());
--- a/crates/server/src/net/executor/gauges.rs
+++ b/crates/server/src/net/executor/gauges.rs
@@ -22,7 +22,9 @@
 
     /// The reading that counts at `now`: none where the last one is old. Cores are not idle because a link broke.
     pub(super) fn at(&self, now: Instant) -> Gauges {
-        let recent = self.0.filter(|(taken, _)| now.saturating_duration_since(*taken) < MAX_GAUGES_AGE);
+        let recent = self
+            .0
+            .filter(|(taken, _)| now.saturating_duration_since(*taken) < MAX_GAUGES_AGE);
         recent.map_or_else(Gauges::default, |(_, gauges)| gauges)
     }
 
--- a/crates/server/src/net/executor/link.rs
+++ b/crates/server/src/net/executor/link.rs
@@ -67,7 +67,10 @@
             let mut state = self.state.lock();
             state.link = Some(output.clone());
             // Commands on the link before may have been lost with it: this reply shows nothing of them.
-            (state.last_notice, state.queries.open(Arc::new(Blocker::new(true)), 0))
+            (
+                state.last_notice,
+                state.queries.open(Arc::new(Blocker::new(true)), 0),
+            )
         };
         output.send(&[open(last_notice).as_bytes()]);
         let mut farewell = None;
@@ -92,7 +95,9 @@
         let mut state = self.state.lock();
         state.output.take()?;
         let commands_before = state.commands_sent;
-        let tag = state.queries.open(Arc::new(Blocker::new(true)), commands_before);
+        let tag = state
+            .queries
+            .open(Arc::new(Blocker::new(true)), commands_before);
         drop(state);
         output.try_send(&[query("SYSINFO", tag).as_bytes()]);
         let (client, output) = (self.clone(), output.clone());
@@ -104,18 +109,40 @@
         Some(tag)
     }
 
-    fn handle_line(self: &Arc<Self>, line: &Line, barrier: u64, output: &Arc<Output>) -> io::Result<()> {
+    fn handle_line(
+        self: &Arc<Self>,
+        line: &Line,
+        barrier: u64,
+        output: &Arc<Output>,
+    ) -> io::Result<()> {
         match Message::decode(line).map_err(protocol_error)? {
-            Message::Booted { is_cold, state, uptime } => {
+            Message::Booted {
+                is_cold,
+                state,
+                uptime,
+            } => {
                 if self.registry.start(is_cold, uptime) {
                     log::info!("kernel up: {state} since {} ms", uptime.as_millis());
                 }
                 // Its reply comes behind all missed notices.
                 output.send(&[query("SYSINFO", barrier).as_bytes()]);
             }
-            Message::RunFinished { notice, id, outcome, work, result } => {
+            Message::RunFinished {
+                notice,
+                id,
+                outcome,
+                work,
+                result,
+            } => {
                 if self.is_new(notice) {
-                    self.run_finished(id, RequestEvent::RunFinished { outcome, result, work });
+                    self.run_finished(
+                        id,
+                        RequestEvent::RunFinished {
+                            outcome,
+                            result,
+                            work,
+                        },
+                    );
                 }
             }
             Message::CallReached { notice, id, body } => {
@@ -123,7 +150,8 @@
                     if let Some(run) = self.state.lock().runs.get_mut(id) {
                         (run.delivery, run.call) = (Delivery::Confirmed, notice);
                     }
-                    self.registry.report(id, RequestEvent::CallReached { call: notice, body });
+                    self.registry
+                        .report(id, RequestEvent::CallReached { call: notice, body });
                 }
             }
             Message::Gauges { tag, values } => {
@@ -136,7 +164,12 @@
                 }
             }
             Message::Worked { tag, succeeded } => self.answered(tag, Reply::Worked(succeeded)),
-            Message::CommandRefused { command, id, word, arguments } => {
+            Message::CommandRefused {
+                command,
+                id,
+                word,
+                arguments,
+            } => {
                 if let Some(count) = REFUSALS.pass() {
                     let arguments = arguments.join(" ");
                     log::warn!("the kernel did not carry out {word} {arguments} ({count} so far)");
@@ -171,7 +204,14 @@
             // Nothing was run, so this shows nothing of how runs do here.
             RefusedCommand::Start => {
                 let (outcome, result) = (Outcome::NotStarted, Bytes::default());
-                self.run_finished(id, RequestEvent::RunFinished { outcome, result, work: None });
+                self.run_finished(
+                    id,
+                    RequestEvent::RunFinished {
+                        outcome,
+                        result,
+                        work: None,
+                    },
+                );
             }
             // The run waits where it waited, and nothing else can be sent to it.
             RefusedCommand::Resume => drop(output.try_send(&[&Command::Cancel.encode(id)])),
--- a/crates/server/src/net/executor/mod.rs
+++ b/crates/server/src/net/executor/mod.rs
@@ -66,7 +66,12 @@
         gauge_names: Vec<String>,
     ) -> Arc<Self> {
         let state = Mutex::new(LinkState::default());
-        Arc::new(ExecutorClient { address: CurrentAddress::new(address), registry, gauge_names, state })
+        Arc::new(ExecutorClient {
+            address: CurrentAddress::new(address),
+            registry,
+            gauge_names,
+            state,
+        })
     }
 
     /// The executor listens there from now on.
@@ -79,10 +84,23 @@
     }
 
     /// Starts the run of a request, which may run `at_most_once` or any number of times.
-    pub(crate) fn start(&self, id: &RequestId, class: &ClassName, body: &Bytes, at_most_once: bool) {
+    pub(crate) fn start(
+        &self,
+        id: &RequestId,
+        class: &ClassName,
+        body: &Bytes,
+        at_most_once: bool,
+    ) {
         self.send(id, &Command::Start { class, body }, |state, delivery| {
             let (class, body) = (class.clone(), body.clone());
-            let run = Run { class, body, at_most_once, last_command: LastCommand::Start, delivery, call: 0 };
+            let run = Run {
+                class,
+                body,
+                at_most_once,
+                last_command: LastCommand::Start,
+                delivery,
+                call: 0,
+            };
             state.runs.insert(id.clone(), run);
         });
     }
@@ -137,7 +155,11 @@
         loop {
             // Under the lock, so that commands arrive in the order of their positions.
             let mut state = self.state.lock();
-            match state.output.as_ref().map_or(SendOutcome::Closed, |output| output.try_send(&[&bytes])) {
+            match state
+                .output
+                .as_ref()
+                .map_or(SendOutcome::Closed, |output| output.try_send(&[&bytes]))
+            {
                 SendOutcome::Full => {}
                 SendOutcome::Closed => return record(&mut state, Delivery::NotSent),
                 SendOutcome::Queued => {
--- a/crates/server/src/net/executor/protocol.rs
+++ b/crates/server/src/net/executor/protocol.rs
@@ -17,7 +17,9 @@
 impl Command<'_> {
     pub(super) fn encode(&self, id: &str) -> Vec<u8> {
         match *self {
-            Command::Start { class, body } => line_with_body(format_args!("SCHED {id} {class}"), body),
+            Command::Start { class, body } => {
+                line_with_body(format_args!("SCHED {id} {class}"), body)
+            }
             Command::Cancel => line(format_args!("PREEMPT {id}")).into_bytes(),
             Command::Reply(reply) => line_with_body(format_args!("IODONE {id}"), reply),
             Command::SkipCall { notice } => line(format_args!("NOIO {id} {notice}")).into_bytes(),
@@ -42,13 +44,41 @@
 
 /// What the executor says. Notices are numbered; the other lines answer the link's own.
 pub(super) enum Message<'a> {
-    Booted { is_cold: bool, state: &'a str, uptime: Duration },
-    RunFinished { notice: u64, id: &'a str, outcome: Outcome, work: Option<Duration>, result: Bytes },
-    CallReached { notice: u64, id: &'a str, body: Bytes },
-    Gauges { tag: u64, values: &'a [&'a str] },
-    Worked { tag: u64, succeeded: bool },
-    CommandRefused { command: RefusedCommand, id: Option<&'a str>, word: &'a str, arguments: &'a [&'a str] },
-    Remark { notice: u64, words: &'a [&'a str] },
+    Booted {
+        is_cold: bool,
+        state: &'a str,
+        uptime: Duration,
+    },
+    RunFinished {
+        notice: u64,
+        id: &'a str,
+        outcome: Outcome,
+        work: Option<Duration>,
+        result: Bytes,
+    },
+    CallReached {
+        notice: u64,
+        id: &'a str,
+        body: Bytes,
+    },
+    Gauges {
+        tag: u64,
+        values: &'a [&'a str],
+    },
+    Worked {
+        tag: u64,
+        succeeded: bool,
+    },
+    CommandRefused {
+        command: RefusedCommand,
+        id: Option<&'a str>,
+        word: &'a str,
+        arguments: &'a [&'a str],
+    },
+    Remark {
+        notice: u64,
+        words: &'a [&'a str],
+    },
 }
 
 /// Which command was not carried out, as far as that makes a difference.
@@ -66,7 +96,8 @@
 
 impl<'a> Message<'a> {
     pub(super) fn decode(line: &'a Line<'a>) -> Result<Self, NotANotice> {
-        Message::of(line).ok_or_else(|| NotANotice(line.words.iter().map(|&word| word.to_owned()).collect()))
+        Message::of(line)
+            .ok_or_else(|| NotANotice(line.words.iter().map(|&word| word.to_owned()).collect()))
     }
 
     fn of(line: &'a Line<'a>) -> Option<Self> {
@@ -74,7 +105,11 @@
         let message = match line.words[..] {
             ["BOOTED", state, uptime] => {
                 let uptime = milliseconds(uptime)?;
-                Message::Booted { is_cold: state == "booting", state, uptime }
+                Message::Booted {
+                    is_cold: state == "booting",
+                    state,
+                    uptime,
+                }
             }
             ["REAP", notice, id, end, took, _] => Message::RunFinished {
                 notice: notice.parse().ok()?,
@@ -83,11 +118,19 @@
                 work: milliseconds(took),
                 result: body(),
             },
-            ["IOREQ", notice, id, _] => {
-                Message::CallReached { notice: notice.parse().ok()?, id, body: body() }
-            }
-            ["INFO", tag, ..] => Message::Gauges { tag: tag.parse().ok()?, values: &line.words[2..] },
-            ["POSTED", tag, end] => Message::Worked { tag: tag.parse().ok()?, succeeded: end == "success" },
+            ["IOREQ", notice, id, _] => Message::CallReached {
+                notice: notice.parse().ok()?,
+                id,
+                body: body(),
+            },
+            ["INFO", tag, ..] => Message::Gauges {
+                tag: tag.parse().ok()?,
+                values: &line.words[2..],
+            },
+            ["POSTED", tag, end] => Message::Worked {
+                tag: tag.parse().ok()?,
+                succeeded: end == "success",
+            },
             ["EINVAL", word, ..] => {
                 let arguments = &line.words[2..];
                 let command = match word {
@@ -95,11 +138,17 @@
                     "NOIO" | "IODONE" => RefusedCommand::Resume,
                     _ => RefusedCommand::Other,
                 };
-                Message::CommandRefused { command, id: arguments.first().copied(), word, arguments }
-            }
-            ["DMESG", notice, ..] => {
-                Message::Remark { notice: notice.parse().ok()?, words: &line.words[2..] }
+                Message::CommandRefused {
+                    command,
+                    id: arguments.first().copied(),
+                    word,
+                    arguments,
+                }
             }
+            ["DMESG", notice, ..] => Message::Remark {
+                notice: notice.parse().ok()?,
+                words: &line.words[2..],
+            },
             _ => return None,
         };
         Some(message)
--- a/crates/server/src/net/executor/queries.rs
+++ b/crates/server/src/net/executor/queries.rs
@@ -33,7 +33,14 @@
     /// Opens a question and returns its tag.
     pub(super) fn open(&mut self, waiter: Arc<Blocker>, commands_before: u64) -> u64 {
         self.last_tag += 1;
-        self.open.insert(self.last_tag, Query { waiter, commands_before, reply: None });
+        self.open.insert(
+            self.last_tag,
+            Query {
+                waiter,
+                commands_before,
+                reply: None,
+            },
+        );
         self.last_tag
     }
 
@@ -52,7 +59,9 @@
 
     /// Whether a question is answered, or will not be.
     pub(super) fn is_over(&self, tag: u64) -> bool {
-        self.open.get(&tag).is_none_or(|query| query.reply.is_some())
+        self.open
+            .get(&tag)
+            .is_none_or(|query| query.reply.is_some())
     }
 
     /// The link has ended: nothing that was asked over it is answered any more.
--- a/crates/server/src/net/executor/resync.rs
+++ b/crates/server/src/net/executor/resync.rs
@@ -51,7 +51,8 @@
 
 impl Run {
     fn fate(&self, commands_arrived: u64, notices_are_missing: bool) -> Fate {
-        let may_be_lost = matches!(self.delivery, Delivery::Sent(position) if commands_arrived < position);
+        let may_be_lost =
+            matches!(self.delivery, Delivery::Sent(position) if commands_arrived < position);
         let start_may_run_twice =
             may_be_lost && self.at_most_once && matches!(self.last_command, LastCommand::Start);
         if notices_are_missing || start_may_run_twice {
@@ -74,13 +75,25 @@
     /// A run may also end just now, behind the notices that were read and before the command arrives: started again, it
     /// would run a second time. One that may not counts as lost instead, where its start was sent.
     pub(super) fn resync(&self, output: &Arc<Output>) {
-        let Some((lost, resend)) = self.state.lock().take_up(output) else { return };
+        let Some((lost, resend)) = self.state.lock().take_up(output) else {
+            return;
+        };
         if !lost.is_empty() {
-            log::warn!("kernel link: {} runs may have ended unheard and count as broken", lost.len());
+            log::warn!(
+                "kernel link: {} runs may have ended unheard and count as broken",
+                lost.len()
+            );
         }
         for id in lost {
             let (outcome, result) = (Outcome::ConnectionLost, Bytes::default());
-            self.registry.report(&id, RequestEvent::RunFinished { outcome, result, work: None });
+            self.registry.report(
+                &id,
+                RequestEvent::RunFinished {
+                    outcome,
+                    result,
+                    work: None,
+                },
+            );
         }
         for id in resend {
             if !self.resend(&id, output) {
@@ -96,15 +109,23 @@
             // yet, or the reply to a question that overtook it would show it as arrived.
             let mut state = self.state.lock();
             let position = state.commands_sent + 1;
-            let unsent = state.runs.get_mut(id).filter(|run| run.delivery == Delivery::NotSent);
+            let unsent = state
+                .runs
+                .get_mut(id)
+                .filter(|run| run.delivery == Delivery::NotSent);
             let Some(run) = unsent else { return true };
             let (command, last_command) = match &run.last_command {
-                LastCommand::Start => {
-                    (Command::Start { class: &run.class, body: &run.body }, LastCommand::Start)
-                }
-                LastCommand::SkipCall | LastCommand::Reply => {
-                    (Command::SkipCall { notice: run.call }, LastCommand::SkipCall)
-                }
+                LastCommand::Start => (
+                    Command::Start {
+                        class: &run.class,
+                        body: &run.body,
+                    },
+                    LastCommand::Start,
+                ),
+                LastCommand::SkipCall | LastCommand::Reply => (
+                    Command::SkipCall { notice: run.call },
+                    LastCommand::SkipCall,
+                ),
                 LastCommand::UnsentReply(reply) => (Command::Reply(reply), LastCommand::Reply),
             };
             match output.try_send(&[&command.encode(id)]) {
@@ -126,26 +147,32 @@
     /// Lets commands go over this link. Returns the runs that are lost and those whose command is sent again, each in
     /// the order of their ids; `None` where the link has broken meanwhile: what is sent goes over the next one.
     fn take_up(&mut self, output: &Arc<Output>) -> Option<(Vec<RequestId>, Vec<RequestId>)> {
-        if !self.link.as_ref().is_some_and(|link| Arc::ptr_eq(link, output)) {
+        if !self
+            .link
+            .as_ref()
+            .is_some_and(|link| Arc::ptr_eq(link, output))
+        {
             return None;
         }
         self.output = Some(output.clone());
         let notices_are_missing = std::mem::replace(&mut self.notices_are_missing, false);
         let commands_arrived = self.commands_arrived;
         let (mut lost, mut resend) = (Vec::new(), Vec::new());
-        self.runs.retain(|id, run| match run.fate(commands_arrived, notices_are_missing) {
-            Fate::Unchanged => true,
-            Fate::Resend => {
-                // Not sent over this link: no reply that comes over it shows that it has arrived.
-                run.delivery = Delivery::NotSent;
-                resend.push(id.clone());
-                true
-            }
-            Fate::Lost => {
-                lost.push(id.clone());
-                false
-            }
-        });
+        self.runs.retain(
+            |id, run| match run.fate(commands_arrived, notices_are_missing) {
+                Fate::Unchanged => true,
+                Fate::Resend => {
+                    // Not sent over this link: no reply that comes over it shows that it has arrived.
+                    run.delivery = Delivery::NotSent;
+                    resend.push(id.clone());
+                    true
+                }
+                Fate::Lost => {
+                    lost.push(id.clone());
+                    false
+                }
+            },
+        );
         lost.sort_unstable();
         resend.sort_unstable();
         Some((lost, resend))
--- a/crates/server/src/net/executor/tests.rs
+++ b/crates/server/src/net/executor/tests.rs
@@ -13,9 +13,21 @@
 
 #[test]
 fn cores_are_not_idle_because_a_link_broke() {
-    let (at, busy) = (Instant::now(), Gauges { cores_busy: Some(0.9), ..Gauges::default() });
-    assert_eq!(LastGauges::taken_at(at, busy).at(at + MAX_GAUGES_AGE / 2), busy);
-    assert_eq!(LastGauges::taken_at(at, busy).at(at + MAX_GAUGES_AGE), Gauges::default());
+    let (at, busy) = (
+        Instant::now(),
+        Gauges {
+            cores_busy: Some(0.9),
+            ..Gauges::default()
+        },
+    );
+    assert_eq!(
+        LastGauges::taken_at(at, busy).at(at + MAX_GAUGES_AGE / 2),
+        busy
+    );
+    assert_eq!(
+        LastGauges::taken_at(at, busy).at(at + MAX_GAUGES_AGE),
+        Gauges::default()
+    );
     assert_eq!(LastGauges::default().at(at), Gauges::default());
 }
 
@@ -47,7 +59,14 @@
     client.state.lock().link = Some(now.clone());
     client.resync(&now);
     client.resync(&ended);
-    assert!(client.state.lock().output.as_ref().is_some_and(|out| Arc::ptr_eq(out, &now)));
+    assert!(
+        client
+            .state
+            .lock()
+            .output
+            .as_ref()
+            .is_some_and(|out| Arc::ptr_eq(out, &now))
+    );
     client.state.lock().link = None;
     client.state.lock().output = None;
     client.resync(&now);
@@ -64,14 +83,27 @@
     let id = |at: u32| RequestId::from(format!("{at:016x}"));
     let start = |at_most_once, delivery| {
         let (class, body) = (ClassName::from("page"), Bytes::from(&b"run"[..]));
-        Run { class, body, at_most_once, last_command: LastCommand::Start, delivery, call: 0 }
+        Run {
+            class,
+            body,
+            at_most_once,
+            last_command: LastCommand::Start,
+            delivery,
+            call: 0,
+        }
     };
-    let one = Command::Start { class: "page", body: b"run" }.encode(&id(0)).len();
+    let one = Command::Start {
+        class: "page",
+        body: b"run",
+    }
+    .encode(&id(0))
+    .len();
     let stream = may::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let link = BufferedStream::new(stream, MAX_LINE_BUFFER_BYTES, one);
     {
         let mut state = client.state.lock();
-        (state.link, state.commands_sent, state.commands_arrived) = (Some(link.output.clone()), 7, 2);
+        (state.link, state.commands_sent, state.commands_arrived) =
+            (Some(link.output.clone()), 7, 2);
         // Known to have arrived, maybe arrived, and never sent.
         let runs = [
             (false, Delivery::Sent(2)),
@@ -80,7 +112,10 @@
             (true, Delivery::NotSent),
             (true, Delivery::Confirmed),
         ];
-        state.runs = (0..).zip(runs).map(|(at, (once, delivery))| (id(at), start(once, delivery))).collect();
+        state.runs = (0..)
+            .zip(runs)
+            .map(|(at, (once, delivery))| (id(at), start(once, delivery)))
+            .collect();
     }
     let mut sent = Vec::new();
     std::thread::scope(|scope| {
@@ -90,19 +125,39 @@
             let state = client.state.lock();
             let mut buffer = link.output.buffer.lock();
             if buffer.len() > 0 {
-                sent.push((state.commands_sent, String::from_utf8(buffer.contiguous().to_vec()).unwrap()));
+                sent.push((
+                    state.commands_sent,
+                    String::from_utf8(buffer.contiguous().to_vec()).unwrap(),
+                ));
                 buffer.consume(one);
             }
         }
         // A command that still waits for room then does not wait for ever.
-        link.output.is_closed.store(true, std::sync::atomic::Ordering::Release);
+        link.output
+            .is_closed
+            .store(true, std::sync::atomic::Ordering::Release);
     });
     let positions: Vec<u64> = sent.iter().map(|sent| sent.0).collect();
-    assert_eq!(positions, [8, 9], "a position for a command that was not sent");
-    assert!(sent[0].1.contains(&*id(1)) && sent[1].1.contains(&*id(3)), "{sent:?}");
+    assert_eq!(
+        positions,
+        [8, 9],
+        "a position for a command that was not sent"
+    );
+    assert!(
+        sent[0].1.contains(&*id(1)) && sent[1].1.contains(&*id(3)),
+        "{sent:?}"
+    );
     let state = client.state.lock();
     assert!(!state.runs.contains_key(&id(2)), "it counts as lost");
     let deliveries = [0, 1, 3, 4].map(|at| state.runs[&id(at)].delivery);
-    assert_eq!(deliveries, [Delivery::Sent(2), Delivery::Sent(8), Delivery::Sent(9), Delivery::Confirmed]);
+    assert_eq!(
+        deliveries,
+        [
+            Delivery::Sent(2),
+            Delivery::Sent(8),
+            Delivery::Sent(9),
+            Delivery::Confirmed
+        ]
+    );
     assert_eq!(link.output.buffered_bytes(), 0, "nothing more is sent");
 }
--- a/crates/server/src/net/frontend/codec.rs
+++ b/crates/server/src/net/frontend/codec.rs
@@ -80,15 +80,25 @@
 
 /// The reply to a call.
 pub(super) enum Reply<'a> {
-    Result { body: &'a [u8], fields: &'a [ReplyField], succeeded: bool },
-    Rejected { fields: &'a [ReplyField] },
-    Failed { fields: &'a [ReplyField] },
+    Result {
+        body: &'a [u8],
+        fields: &'a [ReplyField],
+        succeeded: bool,
+    },
+    Rejected {
+        fields: &'a [ReplyField],
+    },
+    Failed {
+        fields: &'a [ReplyField],
+    },
     Exception(&'a CallError),
 }
 
 /// The length of the first frame, if it is there as a whole.
 pub(super) fn frame_length(input: &[u8]) -> Result<Option<usize>, InvalidFrameLength> {
-    let Some(header) = input.first_chunk::<FRAME_HEADER_BYTES>() else { return Ok(None) };
+    let Some(header) = input.first_chunk::<FRAME_HEADER_BYTES>() else {
+        return Ok(None);
+    };
     let length = usize::try_from(i32::from_be_bytes(*header)).map_err(|_| InvalidFrameLength)?;
     match length {
         0 => Err(InvalidFrameLength),
@@ -119,7 +129,12 @@
         }
         call => call,
     };
-    Some(Message { method: head.name, sequence: head.sequence_number, is_oneway, call })
+    Some(Message {
+        method: head.name,
+        sequence: head.sequence_number,
+        is_oneway,
+        call,
+    })
 }
 
 fn malformed(error: thrift::Error) -> CallError {
@@ -140,7 +155,10 @@
         _ => Ok(false),
     })?;
     match (fields, body) {
-        (Some(fields), body) => Ok(Call::Process { fields, body: body.unwrap_or_default() }),
+        (Some(fields), body) => Ok(Call::Process {
+            fields,
+            body: body.unwrap_or_default(),
+        }),
         (None, _) => Err(CallError::Malformed("no fields".into())),
     }
 }
@@ -196,7 +214,9 @@
     if head.size > 0 && !strings {
         return Err("the fields are no strings".into());
     }
-    (0..head.size).map(|_| Ok((protocol.read_string()?, protocol.read_string()?))).collect()
+    (0..head.size)
+        .map(|_| Ok((protocol.read_string()?, protocol.read_string()?)))
+        .collect()
 }
 
 /// The frame that replies to a message.
@@ -209,29 +229,38 @@
         Reply::Exception(error) => {
             let (kind, text) = match error {
                 CallError::UnknownMethod => (ApplicationErrorKind::UnknownMethod, "unknown method"),
-                CallError::InvalidMessageType => {
-                    (ApplicationErrorKind::InvalidMessageType, "unknown message type")
-                }
+                CallError::InvalidMessageType => (
+                    ApplicationErrorKind::InvalidMessageType,
+                    "unknown message type",
+                ),
                 CallError::Malformed(text) => (ApplicationErrorKind::ProtocolError, text.as_ref()),
             };
             let error = ApplicationError::new(kind, text);
             thrift::Error::write_application_error_to_out_protocol(&error, protocol)
         }
-        Reply::Result { body, fields, succeeded } => result(protocol, 0, |protocol| {
+        Reply::Result {
+            body,
+            fields,
+            succeeded,
+        } => result(protocol, 0, |protocol| {
             protocol.write_field_begin(&field(TType::String, 1))?;
             protocol.write_bytes(body)?;
             write_map(protocol, 2, fields)?;
             protocol.write_field_begin(&field(TType::Bool, 3))?;
             protocol.write_bool(*succeeded)
         }),
-        Reply::Rejected { fields } => result(protocol, 1, |protocol| write_map(protocol, 1, fields)),
+        Reply::Rejected { fields } => {
+            result(protocol, 1, |protocol| write_map(protocol, 1, fields))
+        }
         Reply::Failed { fields } => result(protocol, 2, |protocol| write_map(protocol, 1, fields)),
     })
 }
 
 /// The frame that asks an edge node to send nothing more on a connection.
 pub(super) fn encode_drain_notification(sequence: i32) -> Vec<u8> {
-    framed("noMore", TMessageType::OneWay, sequence, |protocol| protocol.write_field_stop())
+    framed("noMore", TMessageType::OneWay, sequence, |protocol| {
+        protocol.write_field_stop()
+    })
 }
 
 type Output<'a> = TBinaryOutputProtocol<&'a mut Vec<u8>>;
@@ -271,7 +300,11 @@
 
 fn write_map(protocol: &mut Output, id: i16, fields: &[ReplyField]) -> thrift::Result<()> {
     protocol.write_field_begin(&field(TType::Map, id))?;
-    protocol.write_map_begin(&TMapIdentifier::new(TType::String, TType::String, fields.len() as i32))?;
+    protocol.write_map_begin(&TMapIdentifier::new(
+        TType::String,
+        TType::String,
+        fields.len() as i32,
+    ))?;
     for (name, value) in fields {
         protocol.write_string(name)?;
         protocol.write_string(value)?;
--- a/crates/server/src/net/frontend/codec_tests.rs
+++ b/crates/server/src/net/frontend/codec_tests.rs
@@ -3,11 +3,15 @@
 use thrift::protocol::{TMapIdentifier, TMessageType, TOutputProtocol, TType};
 
 use super::{
-    Call, CallError, InvalidFrameLength, Output, Reply, decode, encode_drain_notification, encode_reply,
-    field, frame_length, framed, write_map,
+    Call, CallError, InvalidFrameLength, Output, Reply, decode, encode_drain_notification,
+    encode_reply, field, frame_length, framed, write_map,
 };
 
-fn call(method: &str, kind: TMessageType, write: impl FnOnce(&mut Output) -> thrift::Result<()>) -> Vec<u8> {
+fn call(
+    method: &str,
+    kind: TMessageType,
+    write: impl FnOnce(&mut Output) -> thrift::Result<()>,
+) -> Vec<u8> {
     framed(method, kind, 9, write).split_off(4)
 }
 
@@ -63,7 +67,10 @@
     }
     let malformed = |write: fn(&mut Output) -> thrift::Result<()>| {
         let read = decode(&call("process", TMessageType::Call, write)).unwrap();
-        assert!(matches!(read.call, Err(CallError::Malformed(_))), "{read:?}");
+        assert!(
+            matches!(read.call, Err(CallError::Malformed(_))),
+            "{read:?}"
+        );
     };
     // A body of two gigabytes, a map of a million entries, a map of numbers, no fields at all.
     malformed(|protocol| {
@@ -72,7 +79,11 @@
     });
     malformed(|protocol| {
         protocol.write_field_begin(&field(TType::Map, 1))?;
-        protocol.write_map_begin(&TMapIdentifier::new(TType::String, TType::String, 1_000_000))
+        protocol.write_map_begin(&TMapIdentifier::new(
+            TType::String,
+            TType::String,
+            1_000_000,
+        ))
     });
     malformed(|protocol| {
         protocol.write_field_begin(&field(TType::Map, 1))?;
@@ -94,11 +105,24 @@
 fn methods_and_message_types_are_distinguished() {
     let read = |method, kind| decode(&call(method, kind, |protocol| protocol.write_field_stop()));
     let called = |method, kind| read(method, kind).unwrap().call;
-    assert_eq!(called("probe", TMessageType::Call), Ok(Call::HealthCheck { deep: false }));
-    assert_eq!(called("prob", TMessageType::Call), Err(CallError::UnknownMethod));
-    assert_eq!(called("process", TMessageType::OneWay), Err(CallError::InvalidMessageType));
+    assert_eq!(
+        called("probe", TMessageType::Call),
+        Ok(Call::HealthCheck { deep: false })
+    );
+    assert_eq!(
+        called("prob", TMessageType::Call),
+        Err(CallError::UnknownMethod)
+    );
+    assert_eq!(
+        called("process", TMessageType::OneWay),
+        Err(CallError::InvalidMessageType)
+    );
     assert_eq!(read("process", TMessageType::Reply), None);
-    assert_eq!(decode(b"\0\0\0\x05probe\x01\0\0\0\x01\0"), None, "the old form is not strict");
+    assert_eq!(
+        decode(b"\0\0\0\x05probe\x01\0\0\0\x01\0"),
+        None,
+        "the old form is not strict"
+    );
 }
 
 #[test]
@@ -106,13 +130,27 @@
     let fields = [("signal", "0.2500".to_owned())];
     let bytes = encode_reply("process", 9, &Reply::Rejected { fields: &fields });
     let head = b"\0\0\0\x35\x80\x01\0\x02\0\0\0\x07process\0\0\0\x09\x0c\0\x01\x0d\0\x01\x0b\x0b\0\0\0\x01";
-    assert_eq!(bytes, [&head[..], b"\0\0\0\x06signal\0\0\0\x060.2500\0\0"].concat());
-    let bytes = encode_reply("probe", 1, &Reply::Result { body: b"ab", fields: &[], succeeded: true });
+    assert_eq!(
+        bytes,
+        [&head[..], b"\0\0\0\x06signal\0\0\0\x060.2500\0\0"].concat()
+    );
+    let bytes = encode_reply(
+        "probe",
+        1,
+        &Reply::Result {
+            body: b"ab",
+            fields: &[],
+            succeeded: true,
+        },
+    );
     let head = b"\0\0\0\x2c\x80\x01\0\x02\0\0\0\x05probe\0\0\0\x01\x0c\0\0";
     let rest = b"\x0b\0\x01\0\0\0\x02ab\x0d\0\x02\x0b\x0b\0\0\0\0\x02\0\x03\x01\0\0";
     assert_eq!(bytes, [&head[..], rest].concat());
     let bytes = encode_reply("x", 1, &Reply::Exception(&CallError::UnknownMethod));
     assert_eq!(bytes[4..8], [0x80, 1, 0, 3]);
     assert!(bytes.ends_with(b"\x08\0\x02\0\0\0\x01\0"));
-    assert_eq!(encode_drain_notification(0), b"\0\0\0\x13\x80\x01\0\x04\0\0\0\x06noMore\0\0\0\0\0");
+    assert_eq!(
+        encode_drain_notification(0),
+        b"\0\0\0\x13\x80\x01\0\x04\0\0\0\x06noMore\0\0\0\0\0"
+    );
 }
--- a/crates/server/src/net/frontend/connection.rs
+++ b/crates/server/src/net/frontend/connection.rs
@@ -103,7 +103,8 @@
     }
 
     pub(super) fn reply(&self, method: &str, sequence: i32, reply: &Reply) {
-        self.output.send(&[&codec::encode_reply(method, sequence, reply)]);
+        self.output
+            .send(&[&codec::encode_reply(method, sequence, reply)]);
     }
 
     /// Replies to what was open and removes it, in one step for whoever asks whether something is open: between the two
@@ -156,7 +157,11 @@
 
 impl Frontend {
     /// Serves a connection from its opening to its end.
-    pub(super) fn serve(self: &Arc<Self>, mut stream: BufferedStream, connection: &Arc<Connection>) {
+    pub(super) fn serve(
+        self: &Arc<Self>,
+        mut stream: BufferedStream,
+        connection: &Arc<Connection>,
+    ) {
         let mut session = Session {
             frontend: self,
             connection,
@@ -170,14 +175,23 @@
         // Closed before its place is another's.
         drop(stream);
         self.decide(|limiter, now, actions| {
-            limiter.handle_event(now, Event::Closed { connection: connection.id }, actions);
+            limiter.handle_event(
+                now,
+                Event::Closed {
+                    connection: connection.id,
+                },
+                actions,
+            );
             self.connections.lock().remove(connection.id.0);
         });
         // Cut off: nobody waits for what was open here.
         if let Err(error) = end {
             log::debug!("a connection broke: {error}");
             let open_requests = connection.open_requests.lock();
-            let ids: Vec<RequestId> = open_requests.values().map(|request| request.id.clone()).collect();
+            let ids: Vec<RequestId> = open_requests
+                .values()
+                .map(|request| request.id.clone())
+                .collect();
             drop(open_requests);
             for id in ids {
                 self.registry.report(&id, RequestEvent::CallerGone);
@@ -197,20 +211,30 @@
             if self.finish(is_closing) {
                 return Ok(());
             }
-            if turn.is_used_up() { clock::sleep(TURN_PAUSE) } else { self.stream.wait() }
+            if turn.is_used_up() {
+                clock::sleep(TURN_PAUSE)
+            } else {
+                self.stream.wait()
+            }
         }
     }
 
     /// Asks the edge node to leave, where that is wanted; where the buffer is full, the next turn asks.
     fn send_drain_notification(&mut self) {
-        if !self.drain_notification_is_sent && self.connection.close_is_requested.load(Ordering::Acquire) {
-            let outcome = self.stream.output.try_send(&[&codec::encode_drain_notification(0)]);
+        if !self.drain_notification_is_sent
+            && self.connection.close_is_requested.load(Ordering::Acquire)
+        {
+            let outcome = self
+                .stream
+                .output
+                .try_send(&[&codec::encode_drain_notification(0)]);
             self.drain_notification_is_sent = outcome == SendOutcome::Queued;
         }
     }
 
     fn has_room(&self) -> bool {
-        self.connection.open() < MAX_OPEN_REQUESTS && self.stream.output.buffered_bytes() < MAX_UNREAD_BYTES
+        self.connection.open() < MAX_OPEN_REQUESTS
+            && self.stream.output.buffered_bytes() < MAX_UNREAD_BYTES
     }
 
     fn may_read(&self, turn: &Turn) -> bool {
@@ -219,7 +243,10 @@
 
     /// Reads and handles what has come, for one turn.
     fn read_messages(&mut self) -> io::Result<Turn> {
-        let mut turn = Turn { steps: 0, has_more: self.is_readable };
+        let mut turn = Turn {
+            steps: 0,
+            has_more: self.is_readable,
+        };
         while turn.has_more && self.may_read(&turn) {
             turn.has_more = self.stream.read()?;
             turn.steps += 1;
@@ -238,10 +265,13 @@
 
     fn handle_frame(&mut self, length: usize) {
         let end = codec::FRAME_HEADER_BYTES + length;
-        let message = codec::decode(&self.stream.input.contiguous()[codec::FRAME_HEADER_BYTES..end]);
+        let message =
+            codec::decode(&self.stream.input.contiguous()[codec::FRAME_HEADER_BYTES..end]);
         self.stream.input.consume(end);
         self.has_begun_message = false;
-        self.frontend.notify(Event::MessageCompleted { connection: self.connection.id });
+        self.frontend.notify(Event::MessageCompleted {
+            connection: self.connection.id,
+        });
         let Some(message) = message else {
             self.is_readable = false;
             return;
@@ -256,10 +286,14 @@
     /// Ends the reading where a message takes too long, and tells the limiter of one that has begun. Returns whether the
     /// connection is to close.
     fn check_input(&mut self, turn: &Turn) -> bool {
-        let has_partial_message =
-            self.is_readable && !turn.is_used_up() && self.stream.input.len() > 0 && self.has_room();
+        let has_partial_message = self.is_readable
+            && !turn.is_used_up()
+            && self.stream.input.len() > 0
+            && self.has_room();
         if has_partial_message && !std::mem::replace(&mut self.has_begun_message, true) {
-            self.frontend.notify(Event::MessageStarted { connection: self.connection.id });
+            self.frontend.notify(Event::MessageStarted {
+                connection: self.connection.id,
+            });
         }
         let is_closing = self.connection.is_closing.load(Ordering::Acquire);
         let has_timed_out = self.connection.has_timed_out.load(Ordering::Acquire);
@@ -305,12 +339,21 @@
 impl Frontend {
     /// Handles a message; returns whether it was well-formed.
     fn handle_message(self: &Arc<Self>, connection: &Arc<Connection>, message: Message) -> bool {
-        let Message { method, sequence, is_oneway, call } = message;
+        let Message {
+            method,
+            sequence,
+            is_oneway,
+            call,
+        } = message;
         let handled = match call {
-            Ok(Call::Process { fields, body }) => self.handle_request(connection, sequence, &fields, body),
+            Ok(Call::Process { fields, body }) => {
+                self.handle_request(connection, sequence, &fields, body)
+            }
             Ok(Call::HealthCheck { deep }) => {
                 connection.open_checks.fetch_add(1, Ordering::AcqRel);
-                self.notify(Event::RequestStarted { connection: connection.id });
+                self.notify(Event::RequestStarted {
+                    connection: connection.id,
+                });
                 let (frontend, connection) = (self.clone(), connection.clone());
                 spawn(move || frontend.answer_health_check(&connection, sequence, deep));
                 Ok(())
@@ -327,7 +370,9 @@
         if let Some(count) = MALFORMED_MESSAGES.pass() {
             log::warn!("{method}: {error} ({count} so far)");
         }
-        self.notify(Event::ProtocolViolation { connection: connection.id });
+        self.notify(Event::ProtocolViolation {
+            connection: connection.id,
+        });
         if !is_oneway {
             connection.reply(&method, sequence, &Reply::Exception(&error));
         }
@@ -335,10 +380,14 @@
     }
 
     fn cancel(&self, connection: &Connection, sequence: i32) {
-        let id = connection.open_requests.lock().get_mut(&sequence).map(|request| {
-            request.is_cancelled = true;
-            request.id.clone()
-        });
+        let id = connection
+            .open_requests
+            .lock()
+            .get_mut(&sequence)
+            .map(|request| {
+                request.is_cancelled = true;
+                request.id.clone()
+            });
         if let Some(id) = id {
             self.registry.report(&id, RequestEvent::CallerGone);
         }
--- a/crates/server/src/net/frontend/listener.rs
+++ b/crates/server/src/net/frontend/listener.rs
@@ -53,7 +53,8 @@
     pub(super) fn close(&mut self) {
         self.is_closing = true;
         if let Some(listener) = &self.listener {
-            self.handshakes_until.get_or_insert_with(|| refuse_new_connections(listener));
+            self.handshakes_until
+                .get_or_insert_with(|| refuse_new_connections(listener));
             listener.waker().wakeup();
         }
     }
@@ -86,10 +87,17 @@
                 (may_accept, !actions.is_empty())
             });
             if !may_accept {
-                clock::sleep(if is_evicting { TURN_PAUSE } else { ACCEPT_PAUSE });
+                clock::sleep(if is_evicting {
+                    TURN_PAUSE
+                } else {
+                    ACCEPT_PAUSE
+                });
                 continue;
             }
-            let accepted = listener.inner().accept().and_then(|(stream, peer)| Ok((adopt(stream)?, peer)));
+            let accepted = listener
+                .inner()
+                .accept()
+                .and_then(|(stream, peer)| Ok((adopt(stream)?, peer)));
             match accepted {
                 Ok((stream, peer)) => self.accepted(stream, peer.ip()),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
@@ -141,7 +149,14 @@
         let admitted = self.decide(|limiter, now, actions| {
             let mut connections = self.connections.lock();
             let id = ConnectionId(connections.vacant_key());
-            limiter.handle_event(now, Event::Accepted { connection: id, address }, actions);
+            limiter.handle_event(
+                now,
+                Event::Accepted {
+                    connection: id,
+                    address,
+                },
+                actions,
+            );
             let rejected = actions.iter().find_map(|action| match action {
                 Action::Reject { reason, .. } => Some(*reason),
                 _ => None,
--- a/crates/server/src/net/frontend/mod.rs
+++ b/crates/server/src/net/frontend/mod.rs
@@ -91,7 +91,8 @@
         rejects_connections: bool,
         memory_mb: f64,
     ) -> Arc<Self> {
-        let max_open_requests = memory_mb * OPEN_REQUESTS_MEMORY_FRACTION * 1024.0 / OPEN_REQUEST_KB;
+        let max_open_requests =
+            memory_mb * OPEN_REQUESTS_MEMORY_FRACTION * 1024.0 / OPEN_REQUEST_KB;
         Arc::new(Frontend {
             registry,
             executor,
@@ -199,8 +200,12 @@
 
 impl fmt::Display for FrontendSummary {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let FrontendSummary { connections, malformed_messages, rejected_without_memory, invariants_violated } =
-            self;
+        let FrontendSummary {
+            connections,
+            malformed_messages,
+            rejected_without_memory,
+            invariants_violated,
+        } = self;
         write!(
             f,
             "connections open={connections} malformed_messages={malformed_messages} \
--- a/crates/server/src/net/frontend/parse.rs
+++ b/crates/server/src/net/frontend/parse.rs
@@ -28,7 +28,9 @@
 
 /// The time since the Unix epoch.
 pub(super) fn unix_now() -> Duration {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
 }
 
 /// Typed access to the fields of a request.
@@ -36,7 +38,10 @@
 
 impl<'a> FieldReader<'a> {
     fn get(&self, name: &str) -> Option<&'a str> {
-        self.0.iter().find(|(key, _)| key == name).map(|(_, value)| value.as_str())
+        self.0
+            .iter()
+            .find(|(key, _)| key == name)
+            .map(|(_, value)| value.as_str())
     }
 
     fn non_empty(&self, name: &str) -> Option<&'a str> {
@@ -48,7 +53,9 @@
     }
 
     fn number(&self, name: &'static str) -> Result<Option<f64>, CallError> {
-        let Some(text) = self.get(name) else { return Ok(None) };
+        let Some(text) = self.get(name) else {
+            return Ok(None);
+        };
         match text.parse::<f64>() {
             Ok(value) if value.is_finite() && value >= 0.0 => Ok(Some(value)),
             _ => Err(invalid(name)),
@@ -57,8 +64,12 @@
 
     /// A time in milliseconds; none where the field is 0.
     fn milliseconds(&self, name: &'static str) -> Result<Option<Duration>, CallError> {
-        let Some(value) = self.number(name)?.filter(|&value| value > 0.0) else { return Ok(None) };
-        Duration::try_from_secs_f64(value / 1e3).map(Some).map_err(|_| invalid(name))
+        let Some(value) = self.number(name)?.filter(|&value| value > 0.0) else {
+            return Ok(None);
+        };
+        Duration::try_from_secs_f64(value / 1e3)
+            .map(Some)
+            .map_err(|_| invalid(name))
     }
 }
 
@@ -68,13 +79,19 @@
 
 /// The number behind an id of 16 hexadecimal digits.
 fn parse_id(id: &str) -> Option<u64> {
-    u64::from_str_radix(id, 16).ok().filter(|_| id.len() == 16 && !id.starts_with('+'))
+    u64::from_str_radix(id, 16)
+        .ok()
+        .filter(|_| id.len() == 16 && !id.starts_with('+'))
 }
 
 /// The timestamp of a request that came over a connection accepted at `accepted_at`. Impossible ones are refused: they
 /// would steer what others get, because the mean time unread is measured by them.
 fn parse_timestamp(fields: &FieldReader, accepted_at: Instant) -> Result<Duration, CallError> {
-    let arrived = fields.required("ts")?.parse().map(Duration::from_millis).map_err(|_| invalid("ts"))?;
+    let arrived = fields
+        .required("ts")?
+        .parse()
+        .map(Duration::from_millis)
+        .map_err(|_| invalid("ts"))?;
     let now = unix_now();
     let is_too_old = now.saturating_sub(arrived) > accepted_at.elapsed() + TIMESTAMP_SLACK;
     if is_too_old || arrived > now + TIMESTAMP_SLACK {
@@ -92,15 +109,27 @@
     ) -> Result<ParsedRequest, CallError> {
         let fields = FieldReader(fields);
         let class = fields.required("kind")?;
-        let &handler = self.names.handlers.get(class).ok_or_else(|| invalid("kind"))?;
+        let &handler = self
+            .names
+            .handlers
+            .get(class)
+            .ok_or_else(|| invalid("kind"))?;
         let tenant = match fields.non_empty("owner") {
             None => None,
-            Some(owner) => Some(*self.names.tenants.get(owner).ok_or_else(|| invalid("owner"))?),
+            Some(owner) => Some(
+                *self
+                    .names
+                    .tenants
+                    .get(owner)
+                    .ok_or_else(|| invalid("owner"))?,
+            ),
         };
         let id = fields.required("req")?;
         let number = parse_id(id).ok_or_else(|| invalid("req"))?;
         let arrived = parse_timestamp(&fields, accepted_at)?;
-        let queued_kb = fields.number("need")?.filter(|&kb| kb > 0.0 && kb < MEMORY_LIMIT_KB);
+        let queued_kb = fields
+            .number("need")?
+            .filter(|&kb| kb > 0.0 && kb < MEMORY_LIMIT_KB);
         // An estimate is rough, and at times far more than anybody waits for: rejected for it, but not as malformed.
         let client_timeout = self.registry.client_timeout(handler);
         let max_work = client_timeout.mul_f64(MAX_WORK_FACTOR);
@@ -109,15 +138,19 @@
             return Err(invalid("level"));
         }
         let idempotency_key = fields.non_empty("opkey").map(IdempotencyKey::from);
-        let trace =
-            self.registry.tracer().map(|_| trace_context(&fields, number, idempotency_key.as_deref()));
+        let trace = self
+            .registry
+            .tracer()
+            .map(|_| trace_context(&fields, number, idempotency_key.as_deref()));
         let incoming = IncomingRequest {
             id: id.into(),
             handler,
             tenant,
             age: Duration::ZERO,
             // None waits longer than its handler's clients do: taken at its word, it would be owed an answer for ever.
-            client_wait: fields.milliseconds("timeout")?.map(|wait| wait.min(client_timeout)),
+            client_wait: fields
+                .milliseconds("timeout")?
+                .map(|wait| wait.min(client_timeout)),
             estimated_work,
             queued_kb: queued_kb.ok_or_else(|| invalid("need"))?,
             is_retry: fields.get("resent").is_some_and(|value| value == "1"),
@@ -125,7 +158,12 @@
             body_hash: 0,
             trace,
         };
-        Ok(ParsedRequest { incoming, class: class.into(), number, arrived })
+        Ok(ParsedRequest {
+            incoming,
+            class: class.into(),
+            number,
+            arrived,
+        })
     }
 }
 
--- a/crates/server/src/net/frontend/request.rs
+++ b/crates/server/src/net/frontend/request.rs
@@ -15,7 +15,9 @@
 use super::{Frontend, MALFORMED_MESSAGES, REJECTED_WITHOUT_MEMORY};
 use crate::invariant;
 use crate::net::spawn;
-use crate::requests::{Bytes, ClassName, Command, RegisterError, RequestEvent, RequestId, Response, Ticket};
+use crate::requests::{
+    Bytes, ClassName, Command, RegisterError, RequestEvent, RequestId, Response, Ticket,
+};
 
 /// The longest body of a request.
 const MAX_BODY_BYTES: usize = 2048;
@@ -31,17 +33,29 @@
 
 impl<'a> PendingReply<'a> {
     pub(super) fn new(frontend: &'a Frontend, connection: &'a Connection, sequence: i32) -> Self {
-        PendingReply { frontend, connection, sequence, is_concluded: Cell::new(false) }
+        PendingReply {
+            frontend,
+            connection,
+            sequence,
+            is_concluded: Cell::new(false),
+        }
     }
 
     fn send(&self, reply: &Reply) {
-        invariant!(!self.is_concluded.replace(true), "a request is answered once on its connection");
-        self.connection.conclude("process", self.sequence, reply, |open_requests| {
-            open_requests.remove(&self.sequence);
-        });
+        invariant!(
+            !self.is_concluded.replace(true),
+            "a request is answered once on its connection"
+        );
+        self.connection
+            .conclude("process", self.sequence, reply, |open_requests| {
+                open_requests.remove(&self.sequence);
+            });
         // The standing of a client grows with what was served, and not with what was rejected.
         let is_answered = matches!(reply, Reply::Result { .. });
-        self.frontend.notify(Event::RequestFinished { connection: self.connection.id, is_answered });
+        self.frontend.notify(Event::RequestFinished {
+            connection: self.connection.id,
+            is_answered,
+        });
     }
 }
 
@@ -53,7 +67,10 @@
         } else if !self.is_concluded.replace(true) {
             self.connection.open_requests.lock().remove(&self.sequence);
             let connection = self.connection.id;
-            self.frontend.notify(Event::RequestFinished { connection, is_answered: false });
+            self.frontend.notify(Event::RequestFinished {
+                connection,
+                is_answered: false,
+            });
             self.connection.output.wake();
         }
     }
@@ -82,16 +99,27 @@
         if !self.recent_ids.lock().is_new(request.number) {
             return Err(CallError::Malformed("its id came before".into()));
         }
-        let open = OpenRequest { id: request.incoming.id.clone(), is_cancelled: false };
+        let open = OpenRequest {
+            id: request.incoming.id.clone(),
+            is_cancelled: false,
+        };
         connection.open_requests.lock().insert(sequence, open);
-        self.notify(Event::RequestStarted { connection: connection.id });
+        self.notify(Event::RequestStarted {
+            connection: connection.id,
+        });
         let (frontend, connection) = (self.clone(), connection.clone());
         spawn(move || frontend.process(&connection, sequence, request, body.into()));
         Ok(())
     }
 
-    fn reject_without_memory(&self, connection: &Connection, sequence: i32, request: &ParsedRequest) {
-        self.registry.record_unregistered(&request.incoming, Reason::NO_CAPACITY);
+    fn reject_without_memory(
+        &self,
+        connection: &Connection,
+        sequence: i32,
+        request: &ParsedRequest,
+    ) {
+        self.registry
+            .record_unregistered(&request.incoming, Reason::NO_CAPACITY);
         if let Some(count) = REJECTED_WITHOUT_MEMORY.pass() {
             log::warn!("no memory for another request ({count} so far)");
         }
@@ -106,54 +134,89 @@
 
     /// Processes a request until its run has ended.
     fn process(&self, connection: &Connection, sequence: i32, request: ParsedRequest, body: Bytes) {
-        let ParsedRequest { mut incoming, class, arrived, .. } = request;
+        let ParsedRequest {
+            mut incoming,
+            class,
+            arrived,
+            ..
+        } = request;
         let id = incoming.id.clone();
         let at_most_once = self.registry.runs_at_most_once(incoming.handler);
         // A clock that was set back makes it zero.
         incoming.age = unix_now().saturating_sub(arrived);
         // The client's wait is as it was when the request arrived.
-        incoming.client_wait = incoming.client_wait.map(|wait| wait.saturating_sub(incoming.age));
+        incoming.client_wait = incoming
+            .client_wait
+            .map(|wait| wait.saturating_sub(incoming.age));
         // Cancelled in the very read that brought it, as where much stands unread: it would be run for nobody.
-        if connection.open_requests.lock().get(&sequence).is_some_and(|open| open.is_cancelled) {
+        if connection
+            .open_requests
+            .lock()
+            .get(&sequence)
+            .is_some_and(|open| open.is_cancelled)
+        {
             incoming.client_wait = Some(Duration::ZERO);
         }
         incoming.body_hash = self.body_hasher.hash_one(&body);
         let pending = PendingReply::new(self, connection, sequence);
         match self.registry.register(incoming) {
             Ok(ticket) => {
-                let run = Run { frontend: self, id: &id, class: &class, body: &body, at_most_once };
+                let run = Run {
+                    frontend: self,
+                    id: &id,
+                    class: &class,
+                    body: &body,
+                    at_most_once,
+                };
                 run.carry_out(&ticket, &pending);
             }
             Err(error) => self.reply_unregistered(connection, &pending, error),
         }
     }
 
-    fn reply_unregistered(&self, connection: &Connection, pending: &PendingReply, error: RegisterError) {
+    fn reply_unregistered(
+        &self,
+        connection: &Connection,
+        pending: &PendingReply,
+        error: RegisterError,
+    ) {
         match error {
-            RegisterError::NotStarted => {
-                pending.send(&Reply::Rejected { fields: &self.retry_after_fields() })
-            }
+            RegisterError::NotStarted => pending.send(&Reply::Rejected {
+                fields: &self.retry_after_fields(),
+            }),
             RegisterError::DuplicateId => {
-                pending.send(&Reply::Exception(&CallError::Malformed(error.to_string().into())));
+                pending.send(&Reply::Exception(&CallError::Malformed(
+                    error.to_string().into(),
+                )));
             }
             RegisterError::KeyReused => {
                 if let Some(count) = MALFORMED_MESSAGES.pass() {
                     log::warn!("process: a key that is known, with another body ({count} so far)");
                 }
-                self.notify(Event::ProtocolViolation { connection: connection.id });
-                pending.send(&Reply::Exception(&CallError::Malformed(error.to_string().into())));
+                self.notify(Event::ProtocolViolation {
+                    connection: connection.id,
+                });
+                pending.send(&Reply::Exception(&CallError::Malformed(
+                    error.to_string().into(),
+                )));
             }
         }
     }
 
     /// The field that carries the feedback value with every answer.
     pub(super) fn feedback_field(&self) -> Option<ReplyField> {
-        self.registry.feedback().map(|value| ("signal", format!("{value:.4}")))
+        self.registry
+            .feedback()
+            .map(|value| ("signal", format!("{value:.4}")))
     }
 
     /// When to come back, for what is rejected before the controller has seen it.
     fn retry_after_fields(&self) -> Vec<ReplyField> {
-        self.registry.max_retry_after().map(retry_after_field).into_iter().collect()
+        self.registry
+            .max_retry_after()
+            .map(retry_after_field)
+            .into_iter()
+            .collect()
     }
 }
 
@@ -169,7 +232,12 @@
 impl Run<'_> {
     /// Carries out one command after the other until there are no more.
     fn carry_out(&self, ticket: &Ticket, pending: &PendingReply) {
-        let Frontend { registry, executor, store, .. } = self.frontend;
+        let Frontend {
+            registry,
+            executor,
+            store,
+            ..
+        } = self.frontend;
         let mut calls = 0;
         let mut call_deadline = None;
         loop {
@@ -177,7 +245,13 @@
                 // The call had its time; it may still have had its effect, unless it never left this process.
                 call_deadline = None;
                 let outcome = store.give_up(self.id, calls);
-                registry.report(self.id, RequestEvent::CallFinished { outcome, reply: Bytes::default() });
+                registry.report(
+                    self.id,
+                    RequestEvent::CallFinished {
+                        outcome,
+                        reply: Bytes::default(),
+                    },
+                );
                 continue;
             };
             match command {
@@ -211,10 +285,17 @@
         fields.extend(self.frontend.feedback_field());
         match response {
             Response::Completed(result) => {
-                pending.send(&Reply::Result { body: result, fields: &fields, succeeded: true });
+                pending.send(&Reply::Result {
+                    body: result,
+                    fields: &fields,
+                    succeeded: true,
+                });
             }
             Response::Failed => pending.send(&Reply::Failed { fields: &fields }),
-            Response::Rejected { retry_after, retry_other_server } => {
+            Response::Rejected {
+                retry_after,
+                retry_other_server,
+            } => {
                 fields.extend(retry_after.map(retry_after_field));
                 fields.extend((!retry_other_server).then(|| ("nomore", "1".to_owned())));
                 pending.send(&Reply::Rejected { fields: &fields });
--- a/crates/server/src/net/frontend/tests.rs
+++ b/crates/server/src/net/frontend/tests.rs
@@ -41,15 +41,24 @@
     frontend.accepted(TcpStream::connect(address).unwrap(), address.ip());
     let connection = frontend.connections.lock().iter().next().unwrap().1.clone();
     let mut edge = listener.accept().unwrap().0;
-    edge.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
+    edge.set_read_timeout(Some(Duration::from_secs(30)))
+        .unwrap();
     for sequence in 1..4 {
-        let open = OpenRequest { id: format!("{sequence:016x}").into(), is_cancelled: false };
+        let open = OpenRequest {
+            id: format!("{sequence:016x}").into(),
+            is_cancelled: false,
+        };
         connection.open_requests.lock().insert(sequence, open);
-        frontend.notify(Event::RequestStarted { connection: connection.id });
+        frontend.notify(Event::RequestStarted {
+            connection: connection.id,
+        });
         let failed = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             let _pending = PendingReply::new(&frontend, &connection, sequence);
-            let _locked =
-                (frontend.recent_ids.lock(), frontend.limiter.lock(), connection.open_requests.lock());
+            let _locked = (
+                frontend.recent_ids.lock(),
+                frontend.limiter.lock(),
+                connection.open_requests.lock(),
+            );
             panic!("a fault, as this test plays it");
         }));
         assert!(failed.is_err());
@@ -73,7 +82,10 @@
     std::thread::scope(|scope| {
         scope.spawn(|| {
             for _ in 0..20_000 {
-                let open = OpenRequest { id: "00000000000000c1".into(), is_cancelled: false };
+                let open = OpenRequest {
+                    id: "00000000000000c1".into(),
+                    is_cancelled: false,
+                };
                 connection.open_requests.lock().insert(1, open);
                 step.fetch_add(1, Ordering::AcqRel);
                 connection.conclude("process", 1, &Reply::Failed { fields: &[] }, |open| {
@@ -90,7 +102,10 @@
             let before = step.load(Ordering::Acquire);
             let done = connection.is_done();
             let after = step.load(Ordering::Acquire);
-            assert!(!(done && before == after && before % 2 == 1), "done with an answer owed");
+            assert!(
+                !(done && before == after && before % 2 == 1),
+                "done with an answer owed"
+            );
             if after == usize::MAX - 1 {
                 break;
             }
--- a/crates/server/src/net/lines.rs
+++ b/crates/server/src/net/lines.rs
@@ -30,17 +30,35 @@
 
 /// The first line of the input, once it is there as a whole. `has_body` tells from the words whether a body
 /// follows, of the length that the last word gives.
-pub(crate) fn next(input: &[u8], has_body: impl Fn(&[&str]) -> bool) -> Result<Option<Line<'_>>, LineError> {
-    let Some(end) = input.windows(2).take(MAX_LINE_BYTES).position(|pair| pair == b"\r\n") else {
-        return if input.len() > MAX_LINE_BYTES { Err(LineError::TooLong) } else { Ok(None) };
+pub(crate) fn next(
+    input: &[u8],
+    has_body: impl Fn(&[&str]) -> bool,
+) -> Result<Option<Line<'_>>, LineError> {
+    let Some(end) = input
+        .windows(2)
+        .take(MAX_LINE_BYTES)
+        .position(|pair| pair == b"\r\n")
+    else {
+        return if input.len() > MAX_LINE_BYTES {
+            Err(LineError::TooLong)
+        } else {
+            Ok(None)
+        };
     };
     let text = std::str::from_utf8(&input[..end]).map_err(|_| LineError::NotText)?;
     let words: Vec<&str> = text.split(' ').collect();
     let after = end + 2;
     if !has_body(&words) {
-        return Ok(Some(Line { words, body: &[], used: after }));
+        return Ok(Some(Line {
+            words,
+            body: &[],
+            used: after,
+        }));
     }
-    let length = words.last().and_then(|word| word.parse().ok()).filter(|&length| length <= MAX_BODY_BYTES);
+    let length = words
+        .last()
+        .and_then(|word| word.parse().ok())
+        .filter(|&length| length <= MAX_BODY_BYTES);
     let Some(length): Option<usize> = length else {
         return Err(LineError::InvalidLength);
     };
@@ -48,7 +66,11 @@
         return Ok(None);
     }
     match &input[after + length..after + length + 2] == b"\r\n" {
-        true => Ok(Some(Line { words, body: &input[after..after + length], used: after + length + 2 })),
+        true => Ok(Some(Line {
+            words,
+            body: &input[after..after + length],
+            used: after + length + 2,
+        })),
         false => Err(LineError::UnterminatedBody),
     }
 }
--- a/crates/server/src/net/lines_tests.rs
+++ b/crates/server/src/net/lines_tests.rs
@@ -35,7 +35,10 @@
     assert_eq!(read(&[b'a'; MAX_LINE_BYTES + 1]), Err(LineError::TooLong));
     assert_eq!(read(b"\xff\xfe\r\n"), Err(LineError::NotText));
     for length in ["-1", "x", "99999999999999999999", "70000"] {
-        assert_eq!(read(format!("REAP {length}\r\n").as_bytes()), Err(LineError::InvalidLength));
+        assert_eq!(
+            read(format!("REAP {length}\r\n").as_bytes()),
+            Err(LineError::InvalidLength)
+        );
     }
     assert_eq!(read(b"REAP 2\r\nabcd"), Err(LineError::UnterminatedBody));
     assert_eq!(read(b"INFO 1 2\r\n"), Ok(true));
--- a/crates/server/src/net/registration.rs
+++ b/crates/server/src/net/registration.rs
@@ -55,10 +55,15 @@
 
 /// Sends one datagram. A lost one is made good by the next; a socket that fails is replaced.
 fn send(socket: &mut Option<UdpSocket>, address: SocketAddr, text: &str) {
-    let any: SocketAddr = if address.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0u16; 8], 0).into() };
+    let any: SocketAddr = if address.is_ipv4() {
+        ([0, 0, 0, 0], 0).into()
+    } else {
+        ([0u16; 8], 0).into()
+    };
     let sent = match socket {
         Some(socket) => socket.send_to(text.as_bytes(), address),
-        None => UdpSocket::bind(any).and_then(|new| socket.insert(new).send_to(text.as_bytes(), address)),
+        None => UdpSocket::bind(any)
+            .and_then(|new| socket.insert(new).send_to(text.as_bytes(), address)),
     };
     // Refused: nobody listened to the datagram before.
     if let Err(error) = sent
--- a/crates/server/src/net/ring_buffer.rs
+++ b/crates/server/src/net/ring_buffer.rs
@@ -17,7 +17,12 @@
 impl RingBuffer {
     /// A buffer that holds `max_bytes` at most.
     pub(crate) fn new(max_bytes: usize) -> Self {
-        RingBuffer { bytes: Vec::new(), head: 0, len: 0, max_bytes }
+        RingBuffer {
+            bytes: Vec::new(),
+            head: 0,
+            len: 0,
+            max_bytes,
+        }
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -50,7 +55,11 @@
             self.make_room(1);
         }
         let at = self.tail();
-        let end = if at < self.head { self.head } else { self.bytes.len() };
+        let end = if at < self.head {
+            self.head
+        } else {
+            self.bytes.len()
+        };
         let read = source.read(&mut self.bytes[at..end])?;
         self.len += read;
         Ok(Some(read))
@@ -81,14 +90,22 @@
     pub(crate) fn consume(&mut self, count: usize) {
         let count = count.min(self.len);
         self.len -= count;
-        self.head = if self.len == 0 { 0 } else { (self.head + count) % self.bytes.len() };
+        self.head = if self.len == 0 {
+            0
+        } else {
+            (self.head + count) % self.bytes.len()
+        };
         if self.len == 0 && self.bytes.len() > MIN_CAPACITY {
             self.bytes = Vec::new();
         }
     }
 
     fn tail(&self) -> usize {
-        if self.bytes.is_empty() { 0 } else { (self.head + self.len) % self.bytes.len() }
+        if self.bytes.is_empty() {
+            0
+        } else {
+            (self.head + self.len) % self.bytes.len()
+        }
     }
 
     fn make_room(&mut self, more: usize) {
@@ -96,7 +113,10 @@
         if need <= self.bytes.len() {
             return;
         }
-        let size = need.next_power_of_two().max(MIN_CAPACITY).min(self.max_bytes.max(need));
+        let size = need
+            .next_power_of_two()
+            .max(MIN_CAPACITY)
+            .min(self.max_bytes.max(need));
         let mut bytes = Vec::with_capacity(size);
         bytes.extend_from_slice(self.contiguous());
         bytes.resize(size, 0);
--- a/crates/server/src/net/store/connection.rs
+++ b/crates/server/src/net/store/connection.rs
@@ -63,7 +63,9 @@
         }
         let mut stray_replies = 0;
         loop {
-            let end = link.read_lines(has_body, |line| self.handle_reply(line, id, &mut stray_replies));
+            let end = link.read_lines(has_body, |line| {
+                self.handle_reply(line, id, &mut stray_replies)
+            });
             let mut pool = self.pool.lock();
             if !pool.is_wanted(id) {
                 return Ok(());
@@ -76,7 +78,12 @@
         }
     }
 
-    fn handle_reply(&self, line: &Line, id: ConnectionId, stray_replies: &mut usize) -> io::Result<()> {
+    fn handle_reply(
+        &self,
+        line: &Line,
+        id: ConnectionId,
+        stray_replies: &mut usize,
+    ) -> io::Result<()> {
         let (request, outcome) = protocol::reply(line).map_err(protocol_error)?;
         let received = self.pool.lock().received(id, request, self.address.get());
         match received {
--- a/crates/server/src/net/store/mod.rs
+++ b/crates/server/src/net/store/mod.rs
@@ -94,12 +94,25 @@
     }
 
     /// Makes the call of this number of a request.
-    pub(crate) fn call(self: &Arc<Self>, id: &RequestId, number: usize, timeout: Duration, body: &Bytes) {
-        let address = self.address.get().filter(|_| !self.is_suspended.load(Ordering::Acquire));
+    pub(crate) fn call(
+        self: &Arc<Self>,
+        id: &RequestId,
+        number: usize,
+        timeout: Duration,
+        body: &Bytes,
+    ) {
+        let address = self
+            .address
+            .get()
+            .filter(|_| !self.is_suspended.load(Ordering::Acquire));
         let Some(address) = address else {
             return self.report(id, Outcome::Unreachable, Bytes::default());
         };
-        let call = Call { request: id.clone(), number, bytes: protocol::call(id, timeout, body) };
+        let call = Call {
+            request: id.clone(),
+            number,
+            bytes: protocol::call(id, timeout, body),
+        };
         let mut pool = self.pool.lock();
         pool.close_idle(Some(address));
         if let Some(connection) = pool.take_idle(id) {
@@ -136,6 +149,7 @@
     }
 
     fn report(&self, id: &str, outcome: Outcome, reply: Bytes) {
-        self.registry.report(id, RequestEvent::CallFinished { outcome, reply });
+        self.registry
+            .report(id, RequestEvent::CallFinished { outcome, reply });
     }
 }
--- a/crates/server/src/net/store/pool.rs
+++ b/crates/server/src/net/store/pool.rs
@@ -108,7 +108,8 @@
 
     /// Takes the idle connection that was used last, but for other requests than this one.
     pub(super) fn take_idle(&mut self, request: &RequestId) -> Option<ConnectionId> {
-        let is_other = |id: &ConnectionId| self.connections[id].last_request.as_ref() != Some(request);
+        let is_other =
+            |id: &ConnectionId| self.connections[id].last_request.as_ref() != Some(request);
         let position = self.idle.iter().rposition(is_other)?;
         Some(self.idle.remove(position))
     }
@@ -116,8 +117,13 @@
     /// Gives an open connection without a call its next call.
     pub(super) fn assign(&mut self, id: ConnectionId, call: Call) {
         self.open_calls.insert(call.request.clone(), id);
-        let Some(connection) = self.connections.get_mut(&id) else { return };
-        let added = connection.output.as_ref().map(|output| output.try_send(&[&call.bytes]));
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        let added = connection
+            .output
+            .as_ref()
+            .map(|output| output.try_send(&[&call.bytes]));
         connection.call = Some(call);
         // It has ended, or holds what it should not; its end reports the call.
         if added != Some(SendOutcome::Queued) {
@@ -146,7 +152,8 @@
         }
         let id = self.open_calls.get(request).copied();
         let connection = id.and_then(|id| self.connections.get_mut(&id));
-        let Some(connection) = connection.filter(|connection| connection.call.as_ref().is_some_and(is_it))
+        let Some(connection) =
+            connection.filter(|connection| connection.call.as_ref().is_some_and(is_it))
         else {
             return AbandonedCall::Over;
         };
@@ -154,15 +161,24 @@
         connection.close();
         let was_sent = connection.output.is_some();
         self.open_calls.remove(request);
-        if was_sent { AbandonedCall::Unanswered } else { AbandonedCall::NotSent }
+        if was_sent {
+            AbandonedCall::Unanswered
+        } else {
+            AbandonedCall::NotSent
+        }
     }
 
     /// Closes connections that were idle for long, or that lead elsewhere than to this address.
     pub(super) fn close_idle(&mut self, address: Option<SocketAddr>) {
-        let ConnectionPool { connections, idle, .. } = self;
+        let ConnectionPool {
+            connections, idle, ..
+        } = self;
         idle.retain(|id| {
-            let Some(connection) = connections.get_mut(id) else { return false };
-            let stays = Some(connection.address) == address && connection.last_used.elapsed() < IDLE_TIMEOUT;
+            let Some(connection) = connections.get_mut(id) else {
+                return false;
+            };
+            let stays = Some(connection.address) == address
+                && connection.last_used.elapsed() < IDLE_TIMEOUT;
             if !stays {
                 connection.close();
             }
@@ -172,12 +188,16 @@
 
     /// Whether a connection is still wanted.
     pub(super) fn is_wanted(&self, id: ConnectionId) -> bool {
-        self.connections.get(&id).is_some_and(|connection| !connection.is_closing)
+        self.connections
+            .get(&id)
+            .is_some_and(|connection| !connection.is_closing)
     }
 
     /// A connection is open: its first call is sent. False where it is not in the pool any more.
     pub(super) fn opened(&mut self, id: ConnectionId, output: &Arc<Output>) -> bool {
-        let Some(connection) = self.connections.get_mut(&id) else { return false };
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return false;
+        };
         connection.output = Some(output.clone());
         if let Some(call) = &connection.call {
             output.try_send(&[&call.bytes]);
@@ -189,7 +209,9 @@
     /// may be closed by the store at any time.
     pub(super) fn failed(&mut self, id: ConnectionId) -> bool {
         self.idle.retain(|&other| other != id);
-        self.connections.get(&id).is_none_or(|connection| connection.call.is_none())
+        self.connections
+            .get(&id)
+            .is_none_or(|connection| connection.call.is_none())
     }
 
     /// Takes a reply for a request on a connection, and gives the connection its next call. `current` is where the
@@ -200,7 +222,9 @@
         request: &str,
         current: Option<SocketAddr>,
     ) -> Received {
-        let Some(connection) = self.connections.get_mut(&id) else { return Received::Closed };
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return Received::Closed;
+        };
         let Some(call) = connection.call.take_if(|call| *call.request == *request) else {
             return Received::Stray;
         };
@@ -212,7 +236,11 @@
             connection.close();
         }
         self.open_calls.remove(&call.request);
-        let next = self.waiting.iter().position(|next| next.request != call.request).filter(|_| stays);
+        let next = self
+            .waiting
+            .iter()
+            .position(|next| next.request != call.request)
+            .filter(|_| stays);
         match next.and_then(|position| self.waiting.remove(position)) {
             Some(next) => self.assign(id, next),
             None if stays => self.idle.push(id),
@@ -226,8 +254,17 @@
         let connection = self.connections.remove(&id)?;
         let call = connection.call?;
         // What had not begun to leave has not run.
-        let is_unsent = connection.output.is_none_or(|output| output.buffered_bytes() >= call.bytes.len());
+        let is_unsent = connection
+            .output
+            .is_none_or(|output| output.buffered_bytes() >= call.bytes.len());
         self.open_calls.remove(&call.request);
-        Some((call.request, if is_unsent { Outcome::Unreachable } else { Outcome::ConnectionLost }))
+        Some((
+            call.request,
+            if is_unsent {
+                Outcome::Unreachable
+            } else {
+                Outcome::ConnectionLost
+            },
+        ))
     }
 }
--- a/crates/server/src/net/store/protocol.rs
+++ b/crates/server/src/net/store/protocol.rs
@@ -7,7 +7,10 @@
 
 /// The line and body of a call.
 pub(super) fn call(id: &str, timeout: Duration, body: &[u8]) -> Vec<u8> {
-    line_with_body(format_args!("CALL {id} {}", timeout.as_millis().max(1)), body)
+    line_with_body(
+        format_args!("CALL {id} {}", timeout.as_millis().max(1)),
+        body,
+    )
 }
 
 /// Whether a body follows the line of these words.
@@ -27,6 +30,8 @@
         [id, "BUSY" | "VOID"] => Ok((id, Outcome::Rejected)),
         [id, "ERR"] => Ok((id, Outcome::Failed)),
         [id, "LATE"] => Ok((id, Outcome::TimedOut)),
-        _ => Err(NotAReply(line.words.iter().map(|&word| word.to_owned()).collect())),
+        _ => Err(NotAReply(
+            line.words.iter().map(|&word| word.to_owned()).collect(),
+        )),
     }
 }
--- a/crates/server/src/net/stream.rs
+++ b/crates/server/src/net/stream.rs
@@ -144,13 +144,19 @@
     ) -> io::Result<()> {
         self.flush()?;
         while self.read()? {
-            while let Some(line) = lines::next(self.input.contiguous(), &has_body).map_err(protocol_error)? {
+            while let Some(line) =
+                lines::next(self.input.contiguous(), &has_body).map_err(protocol_error)?
+            {
                 let used = line.used;
                 take(&line)?;
                 self.input.consume(used);
             }
         }
-        if self.is_read_closed { Err(io::ErrorKind::UnexpectedEof.into()) } else { Ok(()) }
+        if self.is_read_closed {
+            Err(io::ErrorKind::UnexpectedEof.into())
+        } else {
+            Ok(())
+        }
     }
 
     /// Whether the peer's system has not acknowledged all that was written: a reset would drop the rest. False where the
@@ -200,6 +206,8 @@
 }
 
 /// The error of a peer that violates its protocol.
-pub(crate) fn protocol_error(what: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> io::Error {
+pub(crate) fn protocol_error(
+    what: impl Into<Box<dyn std::error::Error + Send + Sync>>,
+) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, what)
 }
--- a/crates/server/src/requests/idempotency.rs
+++ b/crates/server/src/requests/idempotency.rs
@@ -51,8 +51,15 @@
     }
 
     /// The body hash of the remembered request that a request with this key duplicates, if it does.
-    pub(super) fn duplicated_body(&self, key: Option<&IdempotencyKey>, arrived_at: Duration) -> Option<u64> {
-        self.entries.get(key?).filter(|entry| entry.covers(arrived_at)).map(|entry| entry.body_hash)
+    pub(super) fn duplicated_body(
+        &self,
+        key: Option<&IdempotencyKey>,
+        arrived_at: Duration,
+    ) -> Option<u64> {
+        self.entries
+            .get(key?)
+            .filter(|entry| entry.covers(arrived_at))
+            .map(|entry| entry.body_hash)
     }
 
     /// Remembers a key for `retention` from now; `owner` is the request that holds it.
@@ -119,8 +126,14 @@
 
     /// Removes the keys whose time is over; one with waiting duplicates is removed once they are answered.
     pub(super) fn expire(&mut self, now: Duration) {
-        while self.expiries.first().is_some_and(|(expires_at, _)| *expires_at <= now) {
-            let Some((_, key)) = self.expiries.pop_first() else { return };
+        while self
+            .expiries
+            .first()
+            .is_some_and(|(expires_at, _)| *expires_at <= now)
+        {
+            let Some((_, key)) = self.expiries.pop_first() else {
+                return;
+            };
             let is_over = |entry: &KeyEntry| entry.expires_at <= now && entry.coalesced.is_empty();
             if self.entries.get(&key).is_some_and(is_over) {
                 self.entries.remove(&key);
@@ -132,20 +145,30 @@
     pub(super) fn take_answered(&mut self, now: Duration) -> Vec<(usize, Response)> {
         let mut answered = Vec::new();
         for key in std::mem::take(&mut self.settled) {
-            let Some(entry) = self.entries.get_mut(&key) else { continue };
-            let Some(response) = entry.response.clone() else { continue };
+            let Some(entry) = self.entries.get_mut(&key) else {
+                continue;
+            };
+            let Some(response) = entry.response.clone() else {
+                continue;
+            };
             let mut coalesced = std::mem::take(&mut entry.coalesced);
             if entry.expires_at <= now {
                 self.entries.remove(&key);
             }
             coalesced.sort_unstable();
-            answered.extend(coalesced.into_iter().map(|duplicate| (duplicate, response.clone())));
+            answered.extend(
+                coalesced
+                    .into_iter()
+                    .map(|duplicate| (duplicate, response.clone())),
+            );
         }
         answered
     }
 
     fn owned_by(&mut self, key: &IdempotencyKey, owner: usize) -> Option<&mut KeyEntry> {
-        self.entries.get_mut(key).filter(|entry| entry.owner == Some(owner))
+        self.entries
+            .get_mut(key)
+            .filter(|entry| entry.owner == Some(owner))
     }
 
     /// The sizes of the three collections, for tests of their bounds.
--- a/crates/server/src/requests/messages.rs
+++ b/crates/server/src/requests/messages.rs
@@ -87,7 +87,10 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Response {
     Completed(Bytes),
-    Rejected { retry_after: Option<Duration>, retry_other_server: bool },
+    Rejected {
+        retry_after: Option<Duration>,
+        retry_other_server: bool,
+    },
     Failed,
 }
 
--- a/crates/server/src/requests/metrics.rs
+++ b/crates/server/src/requests/metrics.rs
@@ -16,7 +16,14 @@
 
 impl fmt::Display for RequestCounts {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let RequestCounts { received, completed, rejected, failed, abandoned, open } = self;
+        let RequestCounts {
+            received,
+            completed,
+            rejected,
+            failed,
+            abandoned,
+            open,
+        } = self;
         write!(
             f,
             "requests received={received} completed={completed} rejected={rejected} failed={failed} \
--- a/crates/server/src/requests/mod.rs
+++ b/crates/server/src/requests/mod.rs
@@ -18,8 +18,8 @@
 mod tests;
 
 pub(crate) use messages::{
-    Bytes, ClassName, Command, IdempotencyKey, IncomingRequest, RegisterError, RequestEvent, RequestId,
-    Response,
+    Bytes, ClassName, Command, IdempotencyKey, IncomingRequest, RegisterError, RequestEvent,
+    RequestId, Response,
 };
 pub(crate) use registry::RequestRegistry;
 pub(crate) use ticket::Ticket;
--- a/crates/server/src/requests/registry.rs
+++ b/crates/server/src/requests/registry.rs
@@ -30,7 +30,12 @@
 impl RequestRegistry {
     pub(crate) fn new(config: Config, seed: u64, tracer: Option<Arc<Tracer>>) -> Self {
         let state = RegistryState::new(&config, tracer.clone());
-        RequestRegistry { config, seed, state: Mutex::new(state), tracer }
+        RequestRegistry {
+            config,
+            seed,
+            state: Mutex::new(state),
+            tracer,
+        }
     }
 
     /// The executor is up, cold or not, since `uptime`. Only the first call has an effect, and returns true. The
@@ -41,7 +46,10 @@
         if state.is_started() {
             return false;
         }
-        let config = Config { starts_cold, ..self.config.clone() };
+        let config = Config {
+            starts_cold,
+            ..self.config.clone()
+        };
         let controller = match Controller::new(&config, self.seed) {
             Ok(controller) => controller,
             Err(error) => {
@@ -50,13 +58,18 @@
             }
         };
         let uptime = if starts_cold { uptime } else { Duration::ZERO };
-        let started_at = Instant::now().checked_sub(uptime).unwrap_or_else(Instant::now);
+        let started_at = Instant::now()
+            .checked_sub(uptime)
+            .unwrap_or_else(Instant::now);
         state.start(controller, started_at);
         true
     }
 
     /// Registers a request that was read. Its ticket yields its commands, the final response among them.
-    pub(crate) fn register(self: &Arc<Self>, incoming: IncomingRequest) -> Result<Ticket, RegisterError> {
+    pub(crate) fn register(
+        self: &Arc<Self>,
+        incoming: IncomingRequest,
+    ) -> Result<Ticket, RegisterError> {
         let mut state = self.state.lock();
         if !state.is_started() {
             self.record_unregistered(&incoming, Reason::NOT_STARTED);
@@ -87,12 +100,19 @@
             is_duplicate: duplicated_body.is_some(),
         }));
         state.record_admission(index);
-        Ok(Ticket { registry: self.clone(), index, waiter })
+        Ok(Ticket {
+            registry: self.clone(),
+            index,
+            waiter,
+        })
     }
 
     /// Whether an attempt of the same keyed request is open or has run: then this one may not be rejected.
     pub(crate) fn is_duplicate(&self, incoming: &IncomingRequest) -> bool {
-        self.state.lock().duplicated_body(incoming.scoped_key().as_ref(), incoming.age).is_some()
+        self.state
+            .lock()
+            .duplicated_body(incoming.scoped_key().as_ref(), incoming.age)
+            .is_some()
     }
 
     /// Reports what became of a request's run or call. Events for a request that is not open are ignored.
@@ -105,7 +125,11 @@
 
     /// Blocks until the next timer is due, and fires it with the gauges of that moment.
     pub(crate) fn tick(&self, gauges: impl FnOnce() -> Gauges) {
-        let left = self.state.lock().until_next_timer().unwrap_or(NOT_STARTED_PAUSE);
+        let left = self
+            .state
+            .lock()
+            .until_next_timer()
+            .unwrap_or(NOT_STARTED_PAUSE);
         if left.is_zero() {
             self.fire_timers(gauges());
         } else {
@@ -158,7 +182,10 @@
 
     /// How long the clients of a handler wait.
     pub(crate) fn client_timeout(&self, handler: HandlerIndex) -> Duration {
-        self.config.handlers.get(handler).map_or(Duration::MAX, |handler| handler.client_timeout)
+        self.config
+            .handlers
+            .get(handler)
+            .map_or(Duration::MAX, |handler| handler.client_timeout)
     }
 
     /// Whether requests of a handler may run at most once.
--- a/crates/server/src/requests/state.rs
+++ b/crates/server/src/requests/state.rs
@@ -64,7 +64,10 @@
     }
 
     pub(super) fn start(&mut self, controller: Controller, started_at: Instant) {
-        self.running = Some(RunningController { controller, started_at });
+        self.running = Some(RunningController {
+            controller,
+            started_at,
+        });
         self.decide(Event::Started);
         // The notice may come before the executor is up: dropped, what arrives long after it would be run.
         self.pass_on_shutdown_notice();
@@ -87,7 +90,10 @@
     }
 
     pub(super) fn counts(&self) -> RequestCounts {
-        RequestCounts { open: self.requests.len(), ..self.counts }
+        RequestCounts {
+            open: self.requests.len(),
+            ..self.counts
+        }
     }
 
     pub(super) fn feedback(&self) -> Option<f64> {
@@ -104,7 +110,9 @@
 
     /// The time on the controller's clock.
     pub(super) fn now(&self) -> Duration {
-        self.running.as_ref().map_or(Duration::ZERO, |running| running.started_at.elapsed())
+        self.running
+            .as_ref()
+            .map_or(Duration::ZERO, |running| running.started_at.elapsed())
     }
 
     /// The time now, where a recording needs it.
@@ -123,7 +131,10 @@
     /// The controller has decided on an arrival: it was admitted unless it is answered.
     pub(super) fn record_admission(&mut self, index: usize) {
         let now = self.trace_time();
-        if let Some(request) = self.requests.get_mut(index).filter(|request| !request.is_answered)
+        if let Some(request) = self
+            .requests
+            .get_mut(index)
+            .filter(|request| !request.is_answered)
             && let Some(trace) = &mut request.trace
         {
             trace.admitted = now;
@@ -135,8 +146,13 @@
     }
 
     /// The body hash of the remembered request that a request of this key and age duplicates, if it does.
-    pub(super) fn duplicated_body(&self, key: Option<&IdempotencyKey>, age: Duration) -> Option<u64> {
-        self.keys.duplicated_body(key, self.now().saturating_sub(age))
+    pub(super) fn duplicated_body(
+        &self,
+        key: Option<&IdempotencyKey>,
+        age: Duration,
+    ) -> Option<u64> {
+        self.keys
+            .duplicated_body(key, self.now().saturating_sub(age))
     }
 
     pub(super) fn next_command(&mut self, index: usize) -> Option<Command> {
@@ -166,20 +182,34 @@
     }
 
     pub(super) fn shutdown_notice(&mut self, received_at: Instant, termination: Duration) {
-        self.shutdown = Some(ShutdownNotice { received_at, termination });
+        self.shutdown = Some(ShutdownNotice {
+            received_at,
+            termination,
+        });
         self.pass_on_shutdown_notice();
     }
 
     /// The grace counts from the notice, however late the controller learns of it.
     fn pass_on_shutdown_notice(&mut self) {
-        if let Some(ShutdownNotice { received_at, termination }) = self.shutdown {
+        if let Some(ShutdownNotice {
+            received_at,
+            termination,
+        }) = self.shutdown
+        {
             let since = received_at.elapsed();
-            self.decide(Event::ShutdownNotice { since, left: termination.saturating_sub(since) });
+            self.decide(Event::ShutdownNotice {
+                since,
+                left: termination.saturating_sub(since),
+            });
         }
     }
 
     pub(super) fn handle_event(&mut self, index: usize, event: RequestEvent) {
-        let Some(request) = self.requests.get_mut(index).filter(|request| !request.is_released) else {
+        let Some(request) = self
+            .requests
+            .get_mut(index)
+            .filter(|request| !request.is_released)
+        else {
             return;
         };
         // Nothing can become of a run that was never started.
@@ -206,9 +236,16 @@
                     request.call = None;
                     request.send(Command::Resume { reply });
                 }
-                self.decide(Event::CallFinished { request: index, outcome });
+                self.decide(Event::CallFinished {
+                    request: index,
+                    outcome,
+                });
             }
-            RequestEvent::RunFinished { outcome, result, work } => {
+            RequestEvent::RunFinished {
+                outcome,
+                result,
+                work,
+            } => {
                 if let Some(trace) = &mut request.trace {
                     trace.work = work;
                 }
@@ -230,7 +267,10 @@
             _ => {}
         }
         self.settle_key(index, response);
-        self.decide(Event::Finished { request: index, outcome });
+        self.decide(Event::Finished {
+            request: index,
+            outcome,
+        });
     }
 
     /// Sends a final response, unless the request has one.
@@ -272,8 +312,12 @@
         let mut events = vec![event];
         while !events.is_empty() {
             let now = self.now();
-            let Some(running) = self.running.as_mut() else { return };
-            let actions = running.controller.handle_events(now, &std::mem::take(&mut events));
+            let Some(running) = self.running.as_mut() else {
+                return;
+            };
+            let actions = running
+                .controller
+                .handle_events(now, &std::mem::take(&mut events));
             for action in actions {
                 self.apply(action, now);
             }
@@ -284,13 +328,27 @@
     fn apply(&mut self, action: Action, now: Duration) {
         match action {
             Action::Start { request } => self.start_run(request),
-            Action::Reject { request, retry_after, retry_other_server, reason } => {
-                invariant!(!self.requests[request].is_answered, "a request is answered once");
-                let response = Response::Rejected { retry_after, retry_other_server };
+            Action::Reject {
+                request,
+                retry_after,
+                retry_other_server,
+                reason,
+            } => {
+                invariant!(
+                    !self.requests[request].is_answered,
+                    "a request is answered once"
+                );
+                let response = Response::Rejected {
+                    retry_after,
+                    retry_other_server,
+                };
                 self.respond(request, response, recorded_reason(reason));
             }
             Action::Fail { request, reason } => {
-                invariant!(!self.requests[request].is_answered, "a request is answered once");
+                invariant!(
+                    !self.requests[request].is_answered,
+                    "a request is answered once"
+                );
                 self.respond(request, Response::Failed, recorded_reason(reason));
             }
             Action::Cancel { request } => self.requests[request].send(Command::Cancel),
@@ -375,7 +433,11 @@
         let now = self.now();
         let mut events = Vec::new();
         for (index, response) in self.keys.take_answered(now) {
-            if self.requests.get(index).is_none_or(|request| request.is_released) {
+            if self
+                .requests
+                .get(index)
+                .is_none_or(|request| request.is_released)
+            {
                 continue;
             }
             let (response, outcome, reason) = match response {
@@ -383,7 +445,10 @@
                 _ => (Response::Failed, Outcome::Failed, Reason::ORIGINAL_FAILED),
             };
             self.respond(index, response, reason);
-            events.push(Event::Finished { request: index, outcome });
+            events.push(Event::Finished {
+                request: index,
+                outcome,
+            });
         }
         events
     }
--- a/crates/server/src/requests/tests.rs
+++ b/crates/server/src/requests/tests.rs
@@ -18,8 +18,11 @@
 mod common;
 use common::{config, ms};
 
-const IDEMPOTENCIES: [Idempotency; 3] =
-    [Idempotency::Idempotent, Idempotency::Keyed, Idempotency::NonIdempotent];
+const IDEMPOTENCIES: [Idempotency; 3] = [
+    Idempotency::Idempotent,
+    Idempotency::Keyed,
+    Idempotency::NonIdempotent,
+];
 const WINDOW: u64 = 2000;
 const TIMEOUT: u64 = 3000;
 
@@ -86,9 +89,17 @@
     fn arbitrary(g: &mut Gen) -> Self {
         let index = |g: &mut Gen| usize::arbitrary(g) % 1000;
         match u8::arbitrary(g) % 32 {
-            0..12 => Step::Register { handler: index(g) % 3, key: index(g) % 4 },
-            12..22 => Step::Report { of: index(g), what: index(g) },
-            22..26 => Step::PassTime { span: u64::arbitrary(g) % 400 },
+            0..12 => Step::Register {
+                handler: index(g) % 3,
+                key: index(g) % 4,
+            },
+            12..22 => Step::Report {
+                of: index(g),
+                what: index(g),
+            },
+            22..26 => Step::PassTime {
+                span: u64::arbitrary(g) % 400,
+            },
             26..31 => Step::TakeCommand { of: index(g) },
             _ => Step::ShutdownNotice,
         }
@@ -123,7 +134,9 @@
     fn register(&mut self, registry: &Arc<RequestRegistry>, handler: usize, key: usize) {
         let id = format!("r{}", self.requests.len());
         let key = (IDEMPOTENCIES[handler] == Idempotency::Keyed).then(|| format!("k{key}"));
-        let ticket = registry.register(incoming(&id, handler, key.as_deref())).expect("its id is new");
+        let ticket = registry
+            .register(incoming(&id, handler, key.as_deref()))
+            .expect("its id is new");
         self.requests.push(ModelRequest {
             ticket,
             id,
@@ -155,18 +168,33 @@
         };
         let outcome = OUTCOMES[what % 8];
         let report = match what % 3 {
-            0 => RequestEvent::RunFinished { outcome, result: bytes(&request.id), work: None },
-            1 => RequestEvent::CallFinished { outcome, reply: bytes("reply") },
+            0 => RequestEvent::RunFinished {
+                outcome,
+                result: bytes(&request.id),
+                work: None,
+            },
+            1 => RequestEvent::CallFinished {
+                outcome,
+                reply: bytes("reply"),
+            },
             _ => {
                 request.calls += 1;
-                RequestEvent::CallReached { call: request.calls, body: bytes("body") }
+                RequestEvent::CallReached {
+                    call: request.calls,
+                    body: bytes("body"),
+                }
             }
         };
         // The executor has not started it: where the registry still listens, that takes the run back.
         let state = registry.state.lock();
         let open = state.request(&request.id);
-        let never_ran = matches!(report, RequestEvent::RunFinished { outcome: Outcome::NotStarted, .. })
-            && open.is_some_and(|request| request.is_started && !request.is_released);
+        let never_ran = matches!(
+            report,
+            RequestEvent::RunFinished {
+                outcome: Outcome::NotStarted,
+                ..
+            }
+        ) && open.is_some_and(|request| request.is_started && !request.is_released);
         drop(state);
         if let Some(key) = request.key.as_ref().filter(|_| never_ran) {
             self.never_ran.push((key.clone(), request.id.clone()));
@@ -189,10 +217,14 @@
                 request.runs += 1;
                 assert_eq!(request.runs, 1, "run once");
                 // Its start was commanded, but by now it is proven never to have run: that is no run.
-                let proven = |key: &String| self.never_ran.contains(&(key.clone(), request.id.clone()));
+                let proven =
+                    |key: &String| self.never_ran.contains(&(key.clone(), request.id.clone()));
                 if let Some(key) = request.key.as_ref().filter(|key| !proven(key)) {
-                    let last = self.ran.insert(key.clone(), (request.arrived_at, request.id.clone()));
-                    let again = last.filter(|(_, id)| !self.never_ran.contains(&(key.clone(), id.clone())));
+                    let last = self
+                        .ran
+                        .insert(key.clone(), (request.arrived_at, request.id.clone()));
+                    let again =
+                        last.filter(|(_, id)| !self.never_ran.contains(&(key.clone(), id.clone())));
                     assert!(
                         again.is_none_or(|last| request.arrived_at.abs_diff(last.0) >= ms(WINDOW)),
                         "once in its window"
@@ -203,7 +235,9 @@
                 assert_eq!(request.answer, None, "answered once");
                 let is_rejected = matches!(answer, Response::Rejected { .. });
                 assert!(
-                    !is_rejected || request.runs == 0 || request.idempotency == Idempotency::Idempotent,
+                    !is_rejected
+                        || request.runs == 0
+                        || request.idempotency == Idempotency::Idempotent,
                     "rejected after a run"
                 );
                 // No other attempt of what ran within the window is rejected either.
@@ -212,7 +246,10 @@
                     // One that arrived before the one that ran was rejected before it, or the other would have been
                     // coalesced with it: its command is only taken late, and it is no duplicate.
                     let came = |id: &str| id[1..].parse::<usize>().unwrap();
-                    let ran = self.ran.get(key).filter(|(_, id)| !proven(id) && came(id) < came(&request.id));
+                    let ran = self
+                        .ran
+                        .get(key)
+                        .filter(|(_, id)| !proven(id) && came(id) < came(&request.id));
                     assert!(
                         ran.is_none_or(|ran| request.arrived_at >= ran.0 + ms(WINDOW)),
                         "a duplicate is rejected after a run"
@@ -250,7 +287,14 @@
     model.register(&registry, 1, 0);
     model.take_command(1);
     model.take_all_commands();
-    assert_eq!(model.ran.values().map(|(_, id)| &id[..]).collect::<Vec<_>>(), ["r1"]);
+    assert_eq!(
+        model
+            .ran
+            .values()
+            .map(|(_, id)| &id[..])
+            .collect::<Vec<_>>(),
+        ["r1"]
+    );
 }
 
 quickcheck! {
@@ -292,22 +336,72 @@
     let ticket = registry.register(incoming("a", 0, None)).unwrap();
     assert_eq!(next_command(&ticket), Some(Command::Start));
     assert_eq!(next_command(&ticket), None);
-    assert_eq!(registry.register(incoming("a", 0, None)).err(), Some(RegisterError::DuplicateId));
-    registry.report("a", RequestEvent::CallReached { call: 4, body: bytes("body") });
-    assert!(matches!(next_command(&ticket), Some(Command::StartCall { body, .. }) if body == bytes("body")));
-    registry.report("a", RequestEvent::CallFinished { outcome: Outcome::Succeeded, reply: bytes("reply") });
-    assert_eq!(next_command(&ticket), Some(Command::Resume { reply: bytes("reply") }));
+    assert_eq!(
+        registry.register(incoming("a", 0, None)).err(),
+        Some(RegisterError::DuplicateId)
+    );
+    registry.report(
+        "a",
+        RequestEvent::CallReached {
+            call: 4,
+            body: bytes("body"),
+        },
+    );
+    assert!(
+        matches!(next_command(&ticket), Some(Command::StartCall { body, .. }) if body == bytes("body"))
+    );
+    registry.report(
+        "a",
+        RequestEvent::CallFinished {
+            outcome: Outcome::Succeeded,
+            reply: bytes("reply"),
+        },
+    );
+    assert_eq!(
+        next_command(&ticket),
+        Some(Command::Resume {
+            reply: bytes("reply")
+        })
+    );
     // A second reply to the same call is ignored.
-    registry.report("a", RequestEvent::CallFinished { outcome: Outcome::Failed, reply: bytes("") });
-    registry.report("a", RequestEvent::CallReached { call: 5, body: bytes("body") });
-    assert!(matches!(next_command(&ticket), Some(Command::StartCall { .. })));
-    registry.report("a", RequestEvent::CallFinished { outcome: Outcome::Rejected, reply: bytes("") });
+    registry.report(
+        "a",
+        RequestEvent::CallFinished {
+            outcome: Outcome::Failed,
+            reply: bytes(""),
+        },
+    );
+    registry.report(
+        "a",
+        RequestEvent::CallReached {
+            call: 5,
+            body: bytes("body"),
+        },
+    );
+    assert!(matches!(
+        next_command(&ticket),
+        Some(Command::StartCall { .. })
+    ));
+    registry.report(
+        "a",
+        RequestEvent::CallFinished {
+            outcome: Outcome::Rejected,
+            reply: bytes(""),
+        },
+    );
     assert_eq!(next_command(&ticket), Some(Command::SkipCall { call: 5 }));
     registry.report(
         "a",
-        RequestEvent::RunFinished { outcome: Outcome::Succeeded, result: bytes("page"), work: None },
+        RequestEvent::RunFinished {
+            outcome: Outcome::Succeeded,
+            result: bytes("page"),
+            work: None,
+        },
+    );
+    assert_eq!(
+        next_command(&ticket),
+        Some(Command::Respond(Response::Completed(bytes("page"))))
     );
-    assert_eq!(next_command(&ticket), Some(Command::Respond(Response::Completed(bytes("page")))));
     assert_eq!(next_command(&ticket), Some(Command::Finish));
     drop(ticket);
     assert_eq!(registry.open(), 0);
@@ -322,13 +416,23 @@
     assert_eq!(next_command(&second), None);
     registry.report(
         "a",
-        RequestEvent::RunFinished { outcome: Outcome::Succeeded, result: bytes("page"), work: None },
+        RequestEvent::RunFinished {
+            outcome: Outcome::Succeeded,
+            result: bytes("page"),
+            work: None,
+        },
+    );
+    assert_eq!(
+        next_command(&second),
+        Some(Command::Respond(Response::Completed(bytes("page"))))
     );
-    assert_eq!(next_command(&second), Some(Command::Respond(Response::Completed(bytes("page")))));
     // A duplicate that arrives after the first has finished gets its result too, until the window has passed.
     registry.pass_time(ms(WINDOW - 100));
     let third = registry.register(incoming("c", 1, Some("k"))).unwrap();
-    assert_eq!(next_command(&third), Some(Command::Respond(Response::Completed(bytes("page")))));
+    assert_eq!(
+        next_command(&third),
+        Some(Command::Respond(Response::Completed(bytes("page"))))
+    );
     registry.pass_time(ms(500));
     let fourth = registry.register(incoming("d", 1, Some("k"))).unwrap();
     assert_eq!(next_command(&fourth), Some(Command::Start));
@@ -356,7 +460,11 @@
     assert_eq!(registry.open(), 1, "its run goes on");
     registry.report(
         "a",
-        RequestEvent::RunFinished { outcome: Outcome::Cancelled, result: bytes(""), work: None },
+        RequestEvent::RunFinished {
+            outcome: Outcome::Cancelled,
+            result: bytes(""),
+            work: None,
+        },
     );
     assert_eq!(registry.open(), 0);
 }
@@ -370,7 +478,9 @@
         let ticket = registry().register(incoming("a", 0, None)).unwrap();
         assert_eq!(ticket.next_command(None), Some(Command::Start));
         for span in (0..20).map(|step| Duration::from_micros(300 * step)) {
-            commands.send(ticket.next_command(Some(Instant::now() + span))).unwrap();
+            commands
+                .send(ticket.next_command(Some(Instant::now() + span)))
+                .unwrap();
         }
     });
     for _ in 0..20 {
@@ -403,10 +513,16 @@
 fn keys_are_forgotten_when_they_expire() {
     let registry = registry();
     for at in 0..5 {
-        let ticket = registry.register(incoming(&format!("r{at}"), 1, Some(&format!("k{at}")))).unwrap();
+        let ticket = registry
+            .register(incoming(&format!("r{at}"), 1, Some(&format!("k{at}"))))
+            .unwrap();
         registry.report(
             &format!("r{at}"),
-            RequestEvent::RunFinished { outcome: Outcome::Succeeded, result: bytes("page"), work: None },
+            RequestEvent::RunFinished {
+                outcome: Outcome::Succeeded,
+                result: bytes("page"),
+                work: None,
+            },
         );
         drop(ticket);
     }
@@ -429,15 +545,34 @@
     config.handlers[0].key_retention = ms(WINDOW);
     let registry = Arc::new(RequestRegistry::new(config, 7, None));
     assert!(registry.start(false, Duration::ZERO));
-    let of = |id: &str, handler, tenant| IncomingRequest { tenant, ..incoming(id, handler, Some("k")) };
-    for (id, handler, tenant) in [("a", 1, Some(0)), ("b", 1, Some(1)), ("c", 0, Some(0)), ("d", 1, None)] {
+    let of = |id: &str, handler, tenant| IncomingRequest {
+        tenant,
+        ..incoming(id, handler, Some("k"))
+    };
+    for (id, handler, tenant) in [
+        ("a", 1, Some(0)),
+        ("b", 1, Some(1)),
+        ("c", 0, Some(0)),
+        ("d", 1, None),
+    ] {
         let ticket = registry.register(of(id, handler, tenant)).unwrap();
-        assert_eq!(next_command(&ticket), Some(Command::Start), "{id} is its own");
+        assert_eq!(
+            next_command(&ticket),
+            Some(Command::Start),
+            "{id} is its own"
+        );
         registry.report(
             id,
-            RequestEvent::RunFinished { outcome: Outcome::Succeeded, result: bytes(id), work: None },
+            RequestEvent::RunFinished {
+                outcome: Outcome::Succeeded,
+                result: bytes(id),
+                work: None,
+            },
+        );
+        assert_eq!(
+            next_command(&ticket),
+            Some(Command::Respond(Response::Completed(bytes(id))))
         );
-        assert_eq!(next_command(&ticket), Some(Command::Respond(Response::Completed(bytes(id)))));
         let repeat = format!("{id}2");
         let ticket = registry.register(of(&repeat, handler, tenant)).unwrap();
         assert_eq!(
@@ -457,12 +592,27 @@
     assert_eq!(next_command(&first), Some(Command::Start));
     registry.report(
         "a",
-        RequestEvent::RunFinished { outcome: Outcome::Succeeded, result: bytes("page"), work: None },
+        RequestEvent::RunFinished {
+            outcome: Outcome::Succeeded,
+            result: bytes("page"),
+            work: None,
+        },
     );
     registry.pass_time(ms(WINDOW + 1000));
-    let late = registry.register(IncomingRequest { age: ms(1500), ..incoming("b", 1, Some("k")) }).unwrap();
-    assert_eq!(next_command(&late), Some(Command::Respond(Response::Completed(bytes("page")))));
-    assert!(registry.is_duplicate(&IncomingRequest { age: ms(1500), ..incoming("c", 1, Some("k")) }));
+    let late = registry
+        .register(IncomingRequest {
+            age: ms(1500),
+            ..incoming("b", 1, Some("k"))
+        })
+        .unwrap();
+    assert_eq!(
+        next_command(&late),
+        Some(Command::Respond(Response::Completed(bytes("page"))))
+    );
+    assert!(registry.is_duplicate(&IncomingRequest {
+        age: ms(1500),
+        ..incoming("c", 1, Some("k"))
+    }));
     assert!(!registry.is_duplicate(&incoming("c", 1, Some("k"))));
     let next = registry.register(incoming("c", 1, Some("k"))).unwrap();
     assert_eq!(next_command(&next), Some(Command::Start));
@@ -473,7 +623,9 @@
     let registry = registry();
     let running = (0..config().cores)
         .map(|at| {
-            let ticket = registry.register(incoming(&format!("full{at}"), 0, None)).unwrap();
+            let ticket = registry
+                .register(incoming(&format!("full{at}"), 0, None))
+                .unwrap();
             assert_eq!(next_command(&ticket), Some(Command::Start));
             ticket
         })
@@ -495,7 +647,11 @@
         let id = format!("full{at}");
         registry.report(
             &id,
-            RequestEvent::RunFinished { outcome: Outcome::Succeeded, result: bytes("page"), work: None },
+            RequestEvent::RunFinished {
+                outcome: Outcome::Succeeded,
+                result: bytes("page"),
+                work: None,
+            },
         );
     }
     assert_eq!(next_command(&again), Some(Command::Start));
@@ -510,10 +666,20 @@
     assert!(registry.start(false, Duration::ZERO));
     assert!(!registry.is_healthy());
     let ticket = registry.register(incoming("a", 0, None)).unwrap();
-    assert_eq!(next_command(&ticket), Some(Command::Start), "within the grace");
+    assert_eq!(
+        next_command(&ticket),
+        Some(Command::Start),
+        "within the grace"
+    );
     registry.pass_time(config().drain_grace + ms(50));
     let ticket = registry.register(incoming("b", 0, None)).unwrap();
-    assert!(matches!(next_command(&ticket), Some(Command::Respond(Response::Rejected { .. }))), "behind it");
+    assert!(
+        matches!(
+            next_command(&ticket),
+            Some(Command::Respond(Response::Rejected { .. }))
+        ),
+        "behind it"
+    );
 }
 
 /// The grace counted from when the controller learned of the notice: where it learned late, requests ran that had
@@ -529,20 +695,48 @@
     let early = registry.register(incoming("a", 0, None)).unwrap();
     assert_eq!(next_command(&early), Some(Command::Start));
     registry.shutdown_notice(notice, grace + ms(3000));
-    let ticket =
-        registry.register(IncomingRequest { age: Duration::ZERO, ..incoming("b", 0, None) }).unwrap();
-    assert!(matches!(next_command(&ticket), Some(Command::Respond(Response::Rejected { .. }))));
-    let ticket = registry.register(IncomingRequest { age: ms(700), ..incoming("c", 0, None) }).unwrap();
-    assert_eq!(next_command(&ticket), Some(Command::Start), "it came within the grace");
+    let ticket = registry
+        .register(IncomingRequest {
+            age: Duration::ZERO,
+            ..incoming("b", 0, None)
+        })
+        .unwrap();
+    assert!(matches!(
+        next_command(&ticket),
+        Some(Command::Respond(Response::Rejected { .. }))
+    ));
+    let ticket = registry
+        .register(IncomingRequest {
+            age: ms(700),
+            ..incoming("c", 0, None)
+        })
+        .unwrap();
+    assert_eq!(
+        next_command(&ticket),
+        Some(Command::Start),
+        "it came within the grace"
+    );
 }
 
 /// Plays one of the events around a key: an attempt, an end or a cancellation of the oldest run, a caller gone, time.
-fn play_event(registry: &Arc<RequestRegistry>, model: &mut Model, gone: &mut Vec<String>, event: usize) {
+fn play_event(
+    registry: &Arc<RequestRegistry>,
+    model: &mut Model,
+    gone: &mut Vec<String>,
+    event: usize,
+) {
     let count = model.requests.len();
     let newest = count.checked_sub(1).map(|at| model.requests[at].id.clone());
-    let oldest =
-        model.requests.iter().find(|request| request.runs > 0 && !request.is_finished).map(|s| s.id.clone());
-    let end = |outcome| RequestEvent::RunFinished { outcome, result: bytes("page"), work: None };
+    let oldest = model
+        .requests
+        .iter()
+        .find(|request| request.runs > 0 && !request.is_finished)
+        .map(|s| s.id.clone());
+    let end = |outcome| RequestEvent::RunFinished {
+        outcome,
+        result: bytes("page"),
+        work: None,
+    };
     match (event, oldest, newest) {
         (0 | 1, ..) => model.register(registry, 1, 0),
         (2, Some(id), _) => registry.report(&id, end(Outcome::Succeeded)),
@@ -573,7 +767,11 @@
     let mut coalesced = 0;
     for order in 0..EVENTS.pow(LENGTH) {
         for queued in [false, true] {
-            let (registry, running) = if queued { registry_at_capacity() } else { (registry(), Vec::new()) };
+            let (registry, running) = if queued {
+                registry_at_capacity()
+            } else {
+                (registry(), Vec::new())
+            };
             let mut model = Model::default();
             let (mut left, mut gone) = (order, Vec::new());
             for _ in 0..LENGTH {
@@ -585,7 +783,11 @@
                 let id = format!("full{at}");
                 registry.report(
                     &id,
-                    RequestEvent::RunFinished { outcome: Outcome::Succeeded, result: bytes(""), work: None },
+                    RequestEvent::RunFinished {
+                        outcome: Outcome::Succeeded,
+                        result: bytes(""),
+                        work: None,
+                    },
                 );
             }
             model.take_all_commands();
@@ -594,8 +796,12 @@
                 model.now += ms(100);
                 model.take_all_commands();
             }
-            let answered = |request: &ModelRequest| request.answer.is_some() || gone.contains(&request.id);
-            assert!(model.requests.iter().all(answered), "lost in order {order}, queued {queued}");
+            let answered =
+                |request: &ModelRequest| request.answer.is_some() || gone.contains(&request.id);
+            assert!(
+                model.requests.iter().all(answered),
+                "lost in order {order}, queued {queued}"
+            );
             coalesced += model
                 .requests
                 .iter()
@@ -603,7 +809,10 @@
                 .count();
         }
     }
-    assert!(coalesced > 1000, "only {coalesced} duplicates were answered with a first one's result");
+    assert!(
+        coalesced > 1000,
+        "only {coalesced} duplicates were answered with a first one's result"
+    );
 }
 
 /// Malicious clients sent a known key with a body of their own, under an id that the executor did not know: they got the
@@ -612,16 +821,34 @@
 fn a_known_key_with_another_body_gets_no_result() {
     let registry = registry();
     let first = registry.register(incoming("a", 1, Some("k"))).unwrap();
-    let other = |id: &str| IncomingRequest { body_hash: 1, ..incoming(id, 1, Some("k")) };
-    assert_eq!(registry.register(other("b")).err(), Some(RegisterError::KeyReused), "while it runs");
+    let other = |id: &str| IncomingRequest {
+        body_hash: 1,
+        ..incoming(id, 1, Some("k"))
+    };
+    assert_eq!(
+        registry.register(other("b")).err(),
+        Some(RegisterError::KeyReused),
+        "while it runs"
+    );
     registry.report(
         "a",
-        RequestEvent::RunFinished { outcome: Outcome::Succeeded, result: bytes("page"), work: None },
+        RequestEvent::RunFinished {
+            outcome: Outcome::Succeeded,
+            result: bytes("page"),
+            work: None,
+        },
+    );
+    assert_eq!(
+        registry.register(other("b")).err(),
+        Some(RegisterError::KeyReused),
+        "and when it is over"
     );
-    assert_eq!(registry.register(other("b")).err(), Some(RegisterError::KeyReused), "and when it is over");
     drop(first);
     let repeat = registry.register(incoming("c", 1, Some("k"))).unwrap();
-    assert_eq!(next_command(&repeat), Some(Command::Respond(Response::Completed(bytes("page")))));
+    assert_eq!(
+        next_command(&repeat),
+        Some(Command::Respond(Response::Completed(bytes("page"))))
+    );
 }
 
 /// A made-up request that comes first with somebody else's key runs nothing, as the executor does not know it: the owner
@@ -629,13 +856,25 @@
 #[test]
 fn a_key_of_a_run_that_never_started_is_free() {
     let registry = registry();
-    let made_up = registry.register(IncomingRequest { body_hash: 1, ..incoming("a", 1, Some("k")) }).unwrap();
+    let made_up = registry
+        .register(IncomingRequest {
+            body_hash: 1,
+            ..incoming("a", 1, Some("k"))
+        })
+        .unwrap();
     assert_eq!(next_command(&made_up), Some(Command::Start));
     registry.report(
         "a",
-        RequestEvent::RunFinished { outcome: Outcome::NotStarted, result: bytes(""), work: None },
+        RequestEvent::RunFinished {
+            outcome: Outcome::NotStarted,
+            result: bytes(""),
+            work: None,
+        },
+    );
+    assert_eq!(
+        next_command(&made_up),
+        Some(Command::Respond(Response::Failed))
     );
-    assert_eq!(next_command(&made_up), Some(Command::Respond(Response::Failed)));
     let own = registry.register(incoming("b", 1, Some("k"))).unwrap();
     assert_eq!(next_command(&own), Some(Command::Start));
 }
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -57,8 +57,16 @@
         cluster: Option<&Cluster>,
     ) -> Result<Arc<Self>, tulipgap_connection_limits::ConfigError> {
         let steering = describe_steering(config.steering);
-        ::log::info!("{} listens on {}; callers are steered {steering}", config.name, config.listen);
-        let registry = Arc::new(RequestRegistry::new(config.controller.clone(), config.seed, tracer));
+        ::log::info!(
+            "{} listens on {}; callers are steered {steering}",
+            config.name,
+            config.listen
+        );
+        let registry = Arc::new(RequestRegistry::new(
+            config.controller.clone(),
+            config.seed,
+            tracer,
+        ));
         let gauge_names = config.names.gauges.clone();
         let executor = ExecutorClient::new(config.peers.executor, registry.clone(), gauge_names);
         let store_connections = config.sockets / STORE_DESCRIPTOR_DIVISOR;
@@ -114,7 +122,11 @@
             self.frontend.sweep();
             self.store.sweep();
             if sweep.is_multiple_of(SWEEPS_PER_SUMMARY) {
-                ::log::info!("so far {}; {}", self.registry.counts(), self.frontend.summary());
+                ::log::info!(
+                    "so far {}; {}",
+                    self.registry.counts(),
+                    self.frontend.summary()
+                );
                 if let Some(tracer) = self.registry.tracer() {
                     ::log::info!("{}", tracer.summary());
                 }
@@ -143,7 +155,10 @@
     /// before the termination.
     pub(crate) fn drain(&self, notice: Instant, cluster: Option<Cluster>) {
         let counts = self.registry.counts();
-        ::log::info!("notice to leave; so far {counts}; {}", self.frontend.summary());
+        ::log::info!(
+            "notice to leave; so far {counts}; {}",
+            self.frontend.summary()
+        );
         if let Some(cluster) = &cluster {
             cluster.start_drain();
         }
@@ -151,7 +166,9 @@
         self.registry.shutdown_notice(notice, self.termination);
         // The controller goes on admitting for a while. Once nothing that arrives may be run any more, a refused
         // connection sends a caller elsewhere sooner than an answer could.
-        let open_until = self.drain_grace.min(self.termination.saturating_sub(MIN_CLOSE_TIME));
+        let open_until = self
+            .drain_grace
+            .min(self.termination.saturating_sub(MIN_CLOSE_TIME));
         std::thread::sleep(open_until.saturating_sub(notice.elapsed()));
         self.frontend.close();
         let is_over = || self.frontend.is_over() && self.registry.open() == 0;
@@ -159,10 +176,17 @@
             std::thread::sleep(DRAIN_POLL_INTERVAL);
         }
         if let Some(cluster) = cluster {
-            cluster.shutdown(self.termination.saturating_sub(notice.elapsed() + TERMINATION_MARGIN / 2));
+            cluster.shutdown(
+                self.termination
+                    .saturating_sub(notice.elapsed() + TERMINATION_MARGIN / 2),
+            );
         }
         let took = notice.elapsed().as_millis();
-        ::log::info!("left after {took} ms; {}; {}", self.registry.counts(), self.frontend.summary());
+        ::log::info!(
+            "left after {took} ms; {}; {}",
+            self.registry.counts(),
+            self.frontend.summary()
+        );
     }
 }
 
--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -55,10 +55,16 @@
 ) {
     for () in requested {
         match config.reload(path.as_deref()) {
-            Ok(Reloaded { peers, needs_restart }) => {
+            Ok(Reloaded {
+                peers,
+                needs_restart,
+            }) => {
                 ::log::info!("configuration reloaded: {peers}");
                 if !needs_restart.is_empty() {
-                    ::log::warn!("configuration reloaded: needs_restart={}", needs_restart.join(","));
+                    ::log::warn!(
+                        "configuration reloaded: needs_restart={}",
+                        needs_restart.join(",")
+                    );
                 }
                 server.move_peers(peers);
             }
--- a/crates/server/src/trace.rs
+++ b/crates/server/src/trace.rs
@@ -8,8 +8,8 @@
 use tulipgap_config::TraceConfig;
 use tulipgap_settings::Names;
 use tulipgap_trace::{
-    Dictionary, DirectoryStorage, HandlerInfo, Micros, Outcome, Reason, Record, Recorder, RecorderConfig,
-    RetentionConfig, TenantInfo,
+    Dictionary, DirectoryStorage, HandlerInfo, Micros, Outcome, Reason, Record, Recorder,
+    RecorderConfig, RetentionConfig, TenantInfo,
 };
 
 use crate::log::LogLimit;
@@ -105,7 +105,11 @@
             Response::Rejected { .. } => Outcome::Rejected,
             Response::Failed => Outcome::Failed,
         };
-        if let Response::Rejected { retry_after, retry_other_server } = *response {
+        if let Response::Rejected {
+            retry_after,
+            retry_other_server,
+        } = *response
+        {
             (self.retry_after, self.no_more) = (retry_after, !retry_other_server);
         }
     }
@@ -179,7 +183,8 @@
 
     /// Records a request that is released now.
     pub(crate) fn record(&self, trace: &RequestTrace, released: Instant) {
-        self.recorder.record(record(trace, released, |at| self.recorder.unix_time(at)));
+        self.recorder
+            .record(record(trace, released, |at| self.recorder.unix_time(at)));
     }
 }
 
@@ -225,16 +230,28 @@
 /// Handlers and tenants with what a summary needs of them, in the order of their indices.
 fn dictionary(config: &Config, names: &Names) -> Dictionary {
     let named = |all: &std::collections::HashMap<String, usize>, at: usize| {
-        all.iter().find(|(_, place)| **place == at).map_or_else(String::new, |(name, _)| name.clone())
+        all.iter()
+            .find(|(_, place)| **place == at)
+            .map_or_else(String::new, |(name, _)| name.clone())
     };
-    let handlers = config.handlers.iter().enumerate().map(|(at, handler)| HandlerInfo {
-        name: named(&names.handlers, at),
-        latency_objective: micros(handler.latency_objective),
-        objective_stretch: handler.objective_stretch,
-        client_timeout: micros(handler.client_timeout),
-        priority_weight: handler.priority_weight,
-        degraded_weight: handler.degraded_weight,
+    let handlers = config
+        .handlers
+        .iter()
+        .enumerate()
+        .map(|(at, handler)| HandlerInfo {
+            name: named(&names.handlers, at),
+            latency_objective: micros(handler.latency_objective),
+            objective_stretch: handler.objective_stretch,
+            client_timeout: micros(handler.client_timeout),
+            priority_weight: handler.priority_weight,
+            degraded_weight: handler.degraded_weight,
+        });
+    let tenants = (0..config.tenants.len()).map(|at| TenantInfo {
+        name: named(&names.tenants, at),
     });
-    let tenants = (0..config.tenants.len()).map(|at| TenantInfo { name: named(&names.tenants, at) });
-    Dictionary { servers: Vec::new(), handlers: handlers.collect(), tenants: tenants.collect() }
+    Dictionary {
+        servers: Vec::new(),
+        handlers: handlers.collect(),
+        tenants: tenants.collect(),
+    }
 }
--- a/crates/server/tests/program/admitting.rs
+++ b/crates/server/tests/program/admitting.rs
@@ -8,7 +8,9 @@
 
 use socket2::{Domain, Socket, Type};
 
-use crate::harness::backend::{TestBackend, start_backend_with, start_backend_with_descriptor_limit};
+use crate::harness::backend::{
+    TestBackend, start_backend_with, start_backend_with_descriptor_limit,
+};
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, request_fields};
 use crate::harness::{LONG_TIMEOUT, wait_until};
 
@@ -34,9 +36,13 @@
 /// A connection from that address; `None` where the server's end of it is not to be had.
 fn from(backend: &TestBackend, address: [u8; 4]) -> Option<EdgeConnection> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    socket.bind(&SocketAddr::from((Ipv4Addr::from(address), 0)).into()).ok()?;
+    socket
+        .bind(&SocketAddr::from((Ipv4Addr::from(address), 0)).into())
+        .ok()?;
     let host: Ipv4Addr = backend.host.parse().unwrap();
-    socket.connect_timeout(&SocketAddr::from((host, 6565)).into(), PROMPT).ok()?;
+    socket
+        .connect_timeout(&SocketAddr::from((host, 6565)).into(), PROMPT)
+        .ok()?;
     let stream: TcpStream = socket.into();
     stream.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
     Some(EdgeConnection { stream })
@@ -46,9 +52,15 @@
 fn served(edge: &mut EdgeConnection, sequence: u32, id: u64) -> bool {
     use std::io::Write;
     // What was refused may be closed before all is written.
-    let message = edge.message(sequence, &request_fields(&format!("{id:016x}"), "20.0"), b"run");
+    let message = edge.message(
+        sequence,
+        &request_fields(&format!("{id:016x}"), "20.0"),
+        b"run",
+    );
     edge.stream.write_all(&message).is_ok()
-        && edge.read_answer().is_some_and(|answer| answer.kind == AnswerKind::Answer)
+        && edge
+            .read_answer()
+            .is_some_and(|answer| answer.kind == AnswerKind::Answer)
 }
 
 /// Has an address earn that it is known: requests done over some seconds.
@@ -56,7 +68,11 @@
     let mut edge = from(backend, address).unwrap();
     let start = Instant::now();
     for sequence in 1.. {
-        assert!(served(&mut edge, sequence, ids.fetch_add(1, Ordering::Relaxed).into()));
+        assert!(served(
+            &mut edge,
+            sequence,
+            ids.fetch_add(1, Ordering::Relaxed).into()
+        ));
         if sequence > 6 && start.elapsed() > Duration::from_millis(2600) {
             return;
         }
@@ -110,7 +126,9 @@
     assert!(flood.join().unwrap() >= 5000);
     println!("slowest of 40 known ones: {slowest:?}");
     assert!(slowest < PROMPT, "{slowest:?}");
-    let files = std::fs::read_dir(format!("/proc/{}/fd", backend.child.id())).unwrap().count();
+    let files = std::fs::read_dir(format!("/proc/{}/fd", backend.child.id()))
+        .unwrap()
+        .count();
     assert!(files <= 128, "{files} descriptors");
 }
 
@@ -118,8 +136,13 @@
 fn one_address_has_its_limit_and_is_rejected_at_once_beyond() {
     let (_folder, file) = settings("  address {\n    open = 5\n    rate = 1000\n  }");
     let backend = start_backend_with(256, Some(&file));
-    let mut edges: Vec<EdgeConnection> = (0..12).filter_map(|_| from(&backend, [127, 98, 1, 1])).collect();
-    let in_time: Vec<bool> = (1..).zip(&mut edges).map(|(id, edge)| served(edge, 1, id)).collect();
+    let mut edges: Vec<EdgeConnection> = (0..12)
+        .filter_map(|_| from(&backend, [127, 98, 1, 1]))
+        .collect();
+    let in_time: Vec<bool> = (1..)
+        .zip(&mut edges)
+        .map(|(id, edge)| served(edge, 1, id))
+        .collect();
     assert_eq!(in_time.iter().filter(|&&served| served).count(), 5);
     // Who is refused learns it at once, and not by waiting.
     let start = Instant::now();
@@ -141,35 +164,48 @@
     let (_folder, file) =
         settings("  when_full = \"refuse\"\n  address {\n    open = 1000\n    rate = 1000\n  }");
     let mut backend = start_backend_with_descriptor_limit(256, 60, &file);
-    let mut early: Vec<EdgeConnection> =
-        (1..=3).map(|host| from(&backend, [127, 97, 1, host]).unwrap()).collect();
+    let mut early: Vec<EdgeConnection> = (1..=3)
+        .map(|host| from(&backend, [127, 97, 1, host]).unwrap())
+        .collect();
     for (id, edge) in (1u32..).zip(&mut early) {
         edge.request(1, &format!("{id:016x}"), b"hang");
     }
-    wait_until("they run", || backend.kernel.lock().unwrap().runs.len() == 3);
+    wait_until("they run", || {
+        backend.kernel.lock().unwrap().runs.len() == 3
+    });
     // Far more than there are descriptors; each is let in, refused or waits, and none stops the server.
-    let many: Vec<EdgeConnection> = (0..120).filter_map(|at| from(&backend, [127, 96, 1, at % 4])).collect();
+    let many: Vec<EdgeConnection> = (0..120)
+        .filter_map(|at| from(&backend, [127, 96, 1, at % 4]))
+        .collect();
     assert!(backend.child.try_wait().unwrap().is_none());
     drop(many);
     wait_until("it takes new ones again", || {
-        from(&backend, [127, 95, 1, 1]).is_some_and(|mut edge| served(&mut edge, 1, fastrand::u64(..)))
+        from(&backend, [127, 95, 1, 1])
+            .is_some_and(|mut edge| served(&mut edge, 1, fastrand::u64(..)))
     });
     // Once more, and then it leaves.
-    let many: Vec<EdgeConnection> = (0..120).filter_map(|at| from(&backend, [127, 96, 1, at % 4])).collect();
+    let many: Vec<EdgeConnection> = (0..120)
+        .filter_map(|at| from(&backend, [127, 96, 1, at % 4]))
+        .collect();
     backend.signal("TERM");
     let notice = early[0].read_answer();
-    assert!(notice.is_some_and(|answer| answer.kind == AnswerKind::NoMore), "it leaves");
+    assert!(
+        notice.is_some_and(|answer| answer.kind == AnswerKind::NoMore),
+        "it leaves"
+    );
     for id in 1..=3 {
-        backend.kernel.lock().unwrap().end(&format!("{id:016x}"), "success", b"late, and whole");
+        backend
+            .kernel
+            .lock()
+            .unwrap()
+            .end(&format!("{id:016x}"), "success", b"late, and whole");
     }
     for edge in &mut early {
-        let answer =
-            std::iter::from_fn(|| edge.read_answer()).find(|answer| answer.kind != AnswerKind::NoMore);
-        assert!(
-            answer.is_some_and(
-                |answer| answer.kind == AnswerKind::Answer && answer.contains(b"late, and whole")
-            )
-        );
+        let answer = std::iter::from_fn(|| edge.read_answer())
+            .find(|answer| answer.kind != AnswerKind::NoMore);
+        assert!(answer.is_some_and(
+            |answer| answer.kind == AnswerKind::Answer && answer.contains(b"late, and whole")
+        ));
     }
     drop(many);
     drop(early);
