--- a/crates/server/tests/program/cost.rs
+++ b/crates/server/tests/program/cost.rs
@@ -16,9 +16,15 @@
 /// CPU seconds that the threads of a process have used, by their names.
 fn cpu(pid: u32) -> std::collections::BTreeMap<String, f64> {
     let mut all = std::collections::BTreeMap::new();
-    for task in std::fs::read_dir(format!("/proc/{pid}/task")).unwrap().flatten() {
+    for task in std::fs::read_dir(format!("/proc/{pid}/task"))
+        .unwrap()
+        .flatten()
+    {
         let read = |file: &str| std::fs::read_to_string(task.path().join(file)).unwrap_or_default();
-        let nanoseconds = read("schedstat").split(' ').next().and_then(|word| word.parse::<f64>().ok());
+        let nanoseconds = read("schedstat")
+            .split(' ')
+            .next()
+            .and_then(|word| word.parse::<f64>().ok());
         *all.entry(read("comm").trim().to_owned()).or_default() += nanoseconds.unwrap_or(0.0) / 1e9;
     }
     all
@@ -47,10 +53,18 @@
             })
         })
         .collect();
-    let mut times: Vec<Duration> = edges.into_iter().flat_map(|edge| edge.join().unwrap()).collect();
+    let mut times: Vec<Duration> = edges
+        .into_iter()
+        .flat_map(|edge| edge.join().unwrap())
+        .collect();
     let after = cpu(backend.child.id());
-    let used: f64 = after.iter().map(|(name, used)| used - before.get(name).unwrap_or(&0.0)).sum();
-    let writer = after.get("trace").map_or(0.0, |used| used - before.get("trace").unwrap_or(&0.0));
+    let used: f64 = after
+        .iter()
+        .map(|(name, used)| used - before.get(name).unwrap_or(&0.0))
+        .sum();
+    let writer = after
+        .get("trace")
+        .map_or(0.0, |used| used - before.get("trace").unwrap_or(&0.0));
     times.sort();
     let at = |part: f64| times[(times.len() as f64 * part) as usize].as_secs_f64() * 1e6;
     backend.signal("TERM");
@@ -76,7 +90,10 @@
         );
         pairs.push((on, off));
     }
-    for (at, what) in ["CPU a req", "of the writer", "median", "99th percentile"].iter().enumerate() {
+    for (at, what) in ["CPU a req", "of the writer", "median", "99th percentile"]
+        .iter()
+        .enumerate()
+    {
         let mut ratios: Vec<f64> = pairs.iter().map(|(on, off)| on[at] / off[at]).collect();
         let mut more: Vec<f64> = pairs.iter().map(|(on, off)| on[at] - off[at]).collect();
         ratios.sort_by(f64::total_cmp);
@@ -101,7 +118,11 @@
 #[ignore = "a measurement"]
 fn cost_of_a_cluster() {
     let folder = tempfile::tempdir().unwrap();
-    std::fs::write(folder.path().join("key"), b"long enough to keep anybody out").unwrap();
+    std::fs::write(
+        folder.path().join("key"),
+        b"long enough to keep anybody out",
+    )
+    .unwrap();
     let hosts: Vec<String> = (0..5).map(|_| unique_address()).collect();
     let settings = |at: usize| {
         let path = |name: &str| folder.path().join(name).display().to_string();
@@ -116,7 +137,9 @@
         std::fs::write(&file, text).unwrap();
         file
     };
-    let _others: Vec<TestBackend> = (1..5).map(|at| start_backend_with(1024, Some(&settings(at)))).collect();
+    let _others: Vec<TestBackend> = (1..5)
+        .map(|at| start_backend_with(1024, Some(&settings(at))))
+        .collect();
     pairs(&settings(0), 5);
 }
 
@@ -134,7 +157,10 @@
             let mut node = backend.connect();
             std::thread::spawn(move || {
                 for sequence in 1..=ALL / EDGES {
-                    let id = format!("{:016x}", fastrand::u64(..) << 32 | u64::from(edge << 24 | sequence));
+                    let id = format!(
+                        "{:016x}",
+                        fastrand::u64(..) << 32 | u64::from(edge << 24 | sequence)
+                    );
                     let body: &[u8] = if sequence % 5 == 0 { b"call" } else { b"run" };
                     if sequence % 11 == 0 {
                         node.process(sequence, &request_fields_with(&id, "ms", "60000.00"), body);
@@ -150,7 +176,9 @@
     let took = start.elapsed();
     backend.signal("TERM");
     assert!(backend.wait_for_exit().success());
-    let files = std::fs::read_dir(folder.path().join("trace")).unwrap().flatten();
+    let files = std::fs::read_dir(folder.path().join("trace"))
+        .unwrap()
+        .flatten();
     let bytes: u64 = files.map(|file| file.metadata().unwrap().len()).sum();
     let records = crate::recording::count(folder.path());
     let each = bytes as f64 / records as f64;
--- a/crates/server/tests/program/docs.rs
+++ b/crates/server/tests/program/docs.rs
@@ -9,7 +9,10 @@
 
 /// All source text below a folder.
 fn sources(folder: &Path, text: &mut String) {
-    for entry in fs::read_dir(folder).expect("a folder of the repository").flatten() {
+    for entry in fs::read_dir(folder)
+        .expect("a folder of the repository")
+        .flatten()
+    {
         let path = entry.path();
         if path.is_dir() {
             sources(&path, text);
@@ -28,11 +31,21 @@
             is_log_table = false;
             continue;
         }
-        let first_column = row.trim_start_matches('|').split('|').next().unwrap_or_default();
+        let first_column = row
+            .trim_start_matches('|')
+            .split('|')
+            .next()
+            .unwrap_or_default();
         if first_column.trim() == "line" {
             is_log_table = true;
         } else if is_log_table {
-            lines.extend(first_column.split('`').skip(1).step_by(2).map(str::to_owned));
+            lines.extend(
+                first_column
+                    .split('`')
+                    .skip(1)
+                    .step_by(2)
+                    .map(str::to_owned),
+            );
         }
     }
     lines
@@ -59,7 +72,11 @@
             part.push(' ');
         }
     }
-    parts.into_iter().map(|part| part.trim().to_owned()).max_by_key(String::len).expect("there is one")
+    parts
+        .into_iter()
+        .map(|part| part.trim().to_owned())
+        .max_by_key(String::len)
+        .expect("there is one")
 }
 
 /// Source text with line continuations in string literals joined, so that a message is found as it is printed.
@@ -82,15 +99,27 @@
     let text = joined(&text.replace(include_str!("docs.rs"), ""));
     let page = fs::read_to_string(root().join("docs/on-call.md")).expect("the on-call page");
     let lines = quoted_lines(&page);
-    assert!(lines.len() > 25, "only {} lines were found in the page", lines.len());
-    let missing: Vec<&String> = lines.iter().filter(|line| !text.contains(&longest_literal(line))).collect();
-    assert!(missing.is_empty(), "in docs/on-call.md and not in the code: {missing:#?}");
+    assert!(
+        lines.len() > 25,
+        "only {} lines were found in the page",
+        lines.len()
+    );
+    let missing: Vec<&String> = lines
+        .iter()
+        .filter(|line| !text.contains(&longest_literal(line)))
+        .collect();
+    assert!(
+        missing.is_empty(),
+        "in docs/on-call.md and not in the code: {missing:#?}"
+    );
 }
 
 /// Names of tests in a page: code with at least four underscores and nothing but a name in it.
 fn quoted_tests(page: &str) -> Vec<&str> {
     let is_name = |code: &&str| {
-        let is_word = code.chars().all(|c| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_');
+        let is_word = code
+            .chars()
+            .all(|c| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_');
         is_word && code.matches('_').count() >= 4
     };
     page.split('`').skip(1).step_by(2).filter(is_name).collect()
@@ -103,9 +132,19 @@
     sources(&root().join("tests"), &mut text);
     let page = fs::read_to_string(root().join("docs/crossings.md")).expect("the page of crossings");
     let tests = quoted_tests(&page);
-    assert!(tests.len() > 60, "only {} tests were found in the page", tests.len());
-    let missing: Vec<&&str> = tests.iter().filter(|test| !text.contains(&format!("fn {test}("))).collect();
-    assert!(missing.is_empty(), "in docs/crossings.md and not in the code: {missing:#?}");
+    assert!(
+        tests.len() > 60,
+        "only {} tests were found in the page",
+        tests.len()
+    );
+    let missing: Vec<&&str> = tests
+        .iter()
+        .filter(|test| !text.contains(&format!("fn {test}(")))
+        .collect();
+    assert!(
+        missing.is_empty(),
+        "in docs/crossings.md and not in the code: {missing:#?}"
+    );
 }
 
 #[test]
--- a/crates/server/tests/program/fleet.rs
+++ b/crates/server/tests/program/fleet.rs
@@ -24,15 +24,26 @@
 fn deployed(key: &str) -> String {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/balancer.toml");
     let text = std::fs::read_to_string(file).unwrap();
-    let line = text.lines().find_map(|line| line.strip_prefix(key)?.trim_start().strip_prefix('='));
-    line.unwrap_or_else(|| panic!("{key} is told")).trim().trim_matches('"').to_owned()
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix(key)?.trim_start().strip_prefix('='));
+    line.unwrap_or_else(|| panic!("{key} is told"))
+        .trim()
+        .trim_matches('"')
+        .to_owned()
 }
 
 /// A filter of this and all later programs of the process: what is refused gets ENOSYS.
 fn refuse() -> std::io::Result<()> {
-    let step = |code: u32, jt: u8, jf: u8, k: u32| libc::sock_filter { code: code as u16, jt, jf, k };
+    let step = |code: u32, jt: u8, jf: u8, k: u32| libc::sock_filter {
+        code: code as u16,
+        jt,
+        jf,
+        k,
+    };
     let load = |at: u32| step(libc::BPF_LD | libc::BPF_W | libc::BPF_ABS, 0, 0, at);
-    let equal = |k: u32, jt: u8, jf: u8| step(libc::BPF_JMP | libc::BPF_JEQ | libc::BPF_K, jt, jf, k);
+    let equal =
+        |k: u32, jt: u8, jf: u8| step(libc::BPF_JMP | libc::BPF_JEQ | libc::BPF_K, jt, jf, k);
     let end = |k: u32| step(libc::BPF_RET | libc::BPF_K, 0, 0, k);
     let no = libc::SECCOMP_RET_ERRNO | libc::ENOSYS as u32;
     let mut steps = vec![load(0)];
@@ -41,15 +52,27 @@
     }
     // The first argument of a clone tells whether it is a thread.
     steps.extend([equal(libc::SYS_clone as u32, 0, 3), load(16)]);
-    steps.push(step(libc::BPF_JMP | libc::BPF_JSET | libc::BPF_K, 1, 0, libc::CLONE_THREAD as u32));
+    steps.push(step(
+        libc::BPF_JMP | libc::BPF_JSET | libc::BPF_K,
+        1,
+        0,
+        libc::CLONE_THREAD as u32,
+    ));
     steps.extend([end(no), end(libc::SECCOMP_RET_ALLOW)]);
-    let program = libc::sock_fprog { len: steps.len() as u16, filter: steps.as_mut_ptr() };
+    let program = libc::sock_fprog {
+        len: steps.len() as u16,
+        filter: steps.as_mut_ptr(),
+    };
     // The steps outlive both calls, and neither takes memory or a lock.
     let set = unsafe {
         libc::prctl(libc::PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) == 0
             && libc::prctl(libc::PR_SET_SECCOMP, libc::SECCOMP_MODE_FILTER, &program) == 0
     };
-    if set { Ok(()) } else { Err(std::io::Error::last_os_error()) }
+    if set {
+        Ok(())
+    } else {
+        Err(std::io::Error::last_os_error())
+    }
 }
 
 /// `run` is one program, by exec, with nothing on top: recordings, which want a lasting disk, and whatever a
@@ -64,30 +87,64 @@
 /// Starts the backend by the deploy file's command, under the filter.
 fn start_as_deployed() -> TestBackend {
     let host = unique_address();
-    let (kernel, store) = (serve_executor(SharedExecutor::default(), &host), start_store(&host));
+    let (kernel, store) = (
+        serve_executor(SharedExecutor::default(), &host),
+        start_store(&host),
+    );
     let file = write_config(&host, &config_json(&host));
     let run = deployed("run").replace("target/release/tulipgapd", env!("CARGO_BIN_EXE_tulipgapd"));
     let mut command = Command::new("/bin/sh");
-    command.args(["-c", &run]).env("LB_CONFIG", &file).stdin(Stdio::null()).stderr(Stdio::piped());
+    command
+        .args(["-c", &run])
+        .env("LB_CONFIG", &file)
+        .stdin(Stdio::null())
+        .stderr(Stdio::piped());
     // Safe: it only makes system calls.
     let child = unsafe { command.pre_exec(refuse) }.spawn().unwrap();
-    TestBackend { host, kernel, store, child, file }
+    TestBackend {
+        host,
+        kernel,
+        store,
+        child,
+        file,
+    }
 }
 
 /// The shell has made way for it, which is linked dynamically and has no further process and no file.
 fn assert_single_process(backend: &TestBackend) {
     let of = |what: &str| format!("/proc/{}/{what}", backend.child.id());
     let maps = std::fs::read_to_string(of("maps")).unwrap();
-    assert!(maps.contains("/tulipgapd") && maps.contains("/libc.so"), "{maps}");
-    let threads = std::fs::read_dir(of("task")).unwrap().map(|thread| thread.unwrap().path());
-    let children: Vec<_> =
-        threads.filter_map(|thread| std::fs::read_to_string(thread.join("children")).ok()).collect();
-    assert!(children.iter().all(|children| children.is_empty()), "{children:?}");
-    let links =
-        std::fs::read_dir(of("fd")).unwrap().filter_map(|fd| std::fs::read_link(fd.ok()?.path()).ok());
-    let known = ["socket:", "pipe:", "anon_inode:[eventpoll]", "anon_inode:[eventfd]", "/dev/null"];
-    let others: BTreeSet<_> =
-        links.filter(|link| !known.iter().any(|known| link.to_string_lossy().starts_with(known))).collect();
+    assert!(
+        maps.contains("/tulipgapd") && maps.contains("/libc.so"),
+        "{maps}"
+    );
+    let threads = std::fs::read_dir(of("task"))
+        .unwrap()
+        .map(|thread| thread.unwrap().path());
+    let children: Vec<_> = threads
+        .filter_map(|thread| std::fs::read_to_string(thread.join("children")).ok())
+        .collect();
+    assert!(
+        children.iter().all(|children| children.is_empty()),
+        "{children:?}"
+    );
+    let links = std::fs::read_dir(of("fd"))
+        .unwrap()
+        .filter_map(|fd| std::fs::read_link(fd.ok()?.path()).ok());
+    let known = [
+        "socket:",
+        "pipe:",
+        "anon_inode:[eventpoll]",
+        "anon_inode:[eventfd]",
+        "/dev/null",
+    ];
+    let others: BTreeSet<_> = links
+        .filter(|link| {
+            !known
+                .iter()
+                .any(|known| link.to_string_lossy().starts_with(known))
+        })
+        .collect();
     // Standard output is the test's own, whatever that is.
     let ours = std::fs::read_link("/proc/self/fd/1").unwrap();
     assert!(others.iter().all(|other| *other == ours), "{others:?}");
@@ -99,16 +156,33 @@
     let of = |what: &str| format!("/proc/{}/{what}", backend.child.id());
     let inodes: BTreeSet<String> = std::fs::read_dir(of("fd"))
         .unwrap()
-        .filter_map(|fd| std::fs::read_link(fd.ok()?.path()).ok()?.to_str().map(str::to_owned))
+        .filter_map(|fd| {
+            std::fs::read_link(fd.ok()?.path())
+                .ok()?
+                .to_str()
+                .map(str::to_owned)
+        })
         .filter_map(|link| Some(link.strip_prefix("socket:[")?.strip_suffix(']')?.to_owned()))
         .collect();
     let own = |table: &str, state: Option<&str>| {
         let text = std::fs::read_to_string(of(table)).unwrap();
-        let lines = text.lines().skip(1).map(|line| line.split_whitespace().collect::<Vec<_>>());
-        lines.filter(|row| inodes.contains(row[9]) && state.is_none_or(|state| row[3] == state)).count()
+        let lines = text
+            .lines()
+            .skip(1)
+            .map(|line| line.split_whitespace().collect::<Vec<_>>());
+        lines
+            .filter(|row| inodes.contains(row[9]) && state.is_none_or(|state| row[3] == state))
+            .count()
     };
-    assert_eq!(own("net/tcp", Some("0A")) + own("net/tcp6", Some("0A")), 1, "sockets that listen");
-    assert!(own("net/udp", None) + own("net/udp6", None) <= 1, "the reports alone");
+    assert_eq!(
+        own("net/tcp", Some("0A")) + own("net/tcp6", Some("0A")),
+        1,
+        "sockets that listen"
+    );
+    assert!(
+        own("net/udp", None) + own("net/udp6", None) <= 1,
+        "the reports alone"
+    );
     for thread in std::fs::read_dir(of("task")).unwrap() {
         let name = std::fs::read_to_string(thread.unwrap().path().join("comm")).unwrap_or_default();
         let among = ["cluster", "peers", "voter", "control", "trial"];
@@ -124,7 +198,10 @@
     edge.request(1, "0000000000000f01", b"run");
     edge.expect_answer(1, AnswerKind::Answer);
     edge.request(2, "0000000000000f02", b"call");
-    assert!(edge.expect_answer(2, AnswerKind::Answer).contains(b"richer"));
+    assert!(
+        edge.expect_answer(2, AnswerKind::Answer)
+            .contains(b"richer")
+    );
     backend.signal("HUP");
     edge.request(3, "0000000000000f03", b"run");
     edge.expect_answer(3, AnswerKind::Answer);
--- a/crates/server/tests/program/harness/backend.rs
+++ b/crates/server/tests/program/harness/backend.rs
@@ -37,7 +37,12 @@
         std::thread::sleep(Duration::from_millis(5));
     };
     let mut written = String::new();
-    child.stderr.take().unwrap().read_to_string(&mut written).unwrap();
+    child
+        .stderr
+        .take()
+        .unwrap()
+        .read_to_string(&mut written)
+        .unwrap();
     (status, written)
 }
 
@@ -46,7 +51,10 @@
 }
 
 /// Starts the program, with the product's own configuration where one is given.
-pub(crate) fn spawn_backend_with(file: &std::path::Path, settings: Option<&std::path::Path>) -> Child {
+pub(crate) fn spawn_backend_with(
+    file: &std::path::Path,
+    settings: Option<&std::path::Path>,
+) -> Child {
     let program = env!("CARGO_BIN_EXE_tulipgapd");
     // For measurements: all of its threads on one core, as where it is deployed.
     let mut command = match std::env::var("TULIPGAP_CORE") {
@@ -60,7 +68,12 @@
     if let Some(settings) = settings {
         command.arg("--settings").arg(settings);
     }
-    command.env("LB_CONFIG", file).stdin(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap()
+    command
+        .env("LB_CONFIG", file)
+        .stdin(Stdio::null())
+        .stderr(Stdio::piped())
+        .spawn()
+        .unwrap()
 }
 
 /// A backend whose configuration promises more descriptors than the system grants.
@@ -70,13 +83,33 @@
     settings: &std::path::Path,
 ) -> TestBackend {
     let host = unique_address();
-    let (kernel, store) = (serve_executor(SharedExecutor::default(), &host), start_store(&host));
-    let file = write_config(&host, &config_json(&host).replace("1024", &sockets.to_string()));
+    let (kernel, store) = (
+        serve_executor(SharedExecutor::default(), &host),
+        start_store(&host),
+    );
+    let file = write_config(
+        &host,
+        &config_json(&host).replace("1024", &sockets.to_string()),
+    );
     let mut command = Command::new("sh");
-    command.args(["-c", &format!("ulimit -n {limit}; exec \"$0\" --settings \"$1\"")]);
+    command.args([
+        "-c",
+        &format!("ulimit -n {limit}; exec \"$0\" --settings \"$1\""),
+    ]);
     command.arg(env!("CARGO_BIN_EXE_tulipgapd")).arg(settings);
-    let child = command.env("LB_CONFIG", &file).stdin(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap();
-    let backend = TestBackend { host, kernel, store, child, file };
+    let child = command
+        .env("LB_CONFIG", &file)
+        .stdin(Stdio::null())
+        .stderr(Stdio::piped())
+        .spawn()
+        .unwrap();
+    let backend = TestBackend {
+        host,
+        kernel,
+        store,
+        child,
+        file,
+    };
     backend.wait_until_serving();
     backend
 }
@@ -102,12 +135,27 @@
     start_backend_with(sockets, None)
 }
 
-pub(crate) fn start_backend_with(sockets: usize, settings: Option<&std::path::Path>) -> TestBackend {
+pub(crate) fn start_backend_with(
+    sockets: usize,
+    settings: Option<&std::path::Path>,
+) -> TestBackend {
     let host = unique_address();
-    let (kernel, store) = (serve_executor(SharedExecutor::default(), &host), start_store(&host));
-    let file = write_config(&host, &config_json(&host).replace("1024", &sockets.to_string()));
+    let (kernel, store) = (
+        serve_executor(SharedExecutor::default(), &host),
+        start_store(&host),
+    );
+    let file = write_config(
+        &host,
+        &config_json(&host).replace("1024", &sockets.to_string()),
+    );
     let child = spawn_backend_with(&file, settings);
-    let backend = TestBackend { host, kernel, store, child, file };
+    let backend = TestBackend {
+        host,
+        kernel,
+        store,
+        child,
+        file,
+    };
     backend.wait_until_serving();
     backend
 }
@@ -122,7 +170,9 @@
     /// executor is up.
     pub(crate) fn wait_until_healthy(&self, is_expected: impl Fn(&ReceivedAnswer) -> bool) {
         wait_until("it serves", || {
-            let Ok(stream) = TcpStream::connect((&self.host[..], 6565)) else { return false };
+            let Ok(stream) = TcpStream::connect((&self.host[..], 6565)) else {
+                return false;
+            };
             let mut edge = EdgeConnection { stream };
             edge.call(1, "probe", b"\x02\0\x01\x01\0");
             edge.read_answer().is_some_and(|answer| {
@@ -141,7 +191,9 @@
 
     pub(crate) fn signal(&self, signal: &str) {
         let pid = self.child.id().to_string();
-        let kill = Command::new("sh").args(["-c", "kill -$1 \"$0\"", &pid, signal]).status();
+        let kill = Command::new("sh")
+            .args(["-c", "kill -$1 \"$0\"", &pid, signal])
+            .status();
         assert!(kill.unwrap().success());
     }
 
--- a/crates/server/tests/program/harness/edge_node.rs
+++ b/crates/server/tests/program/harness/edge_node.rs
@@ -35,28 +35,54 @@
 }
 
 pub(crate) fn request_fields(id: &str, need: &str) -> Vec<(&'static str, String)> {
-    let ts = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
-    let mut fields = vec![("kind", "page".to_owned()), ("req", id.to_owned()), ("ts", ts.to_string())];
-    fields.extend([("owner", "acme".to_owned()), ("ms", "5.00".to_owned()), ("need", need.to_owned())]);
-    fields.extend([("via", "4".to_owned()), ("level", "0.5".to_owned()), ("unheard", "of".to_owned())]);
+    let ts = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis();
+    let mut fields = vec![
+        ("kind", "page".to_owned()),
+        ("req", id.to_owned()),
+        ("ts", ts.to_string()),
+    ];
+    fields.extend([
+        ("owner", "acme".to_owned()),
+        ("ms", "5.00".to_owned()),
+        ("need", need.to_owned()),
+    ]);
+    fields.extend([
+        ("via", "4".to_owned()),
+        ("level", "0.5".to_owned()),
+        ("unheard", "of".to_owned()),
+    ]);
     fields
 }
 
 /// The fields of a request, one of them changed.
-pub(crate) fn request_fields_with(id: &str, name: &str, value: &str) -> Vec<(&'static str, String)> {
+pub(crate) fn request_fields_with(
+    id: &str,
+    name: &str,
+    value: &str,
+) -> Vec<(&'static str, String)> {
     let mut fields = request_fields(id, "20.0");
     fields.iter_mut().find(|(key, _)| *key == name).unwrap().1 = value.to_owned();
     fields
 }
 
 fn call(sequence: u32, method: &str, arguments: &[u8]) -> Vec<u8> {
-    let head = [&b"\x80\x01\0\x01"[..], &encode_string(method.as_bytes()), &sequence.to_be_bytes()].concat();
+    let head = [
+        &b"\x80\x01\0\x01"[..],
+        &encode_string(method.as_bytes()),
+        &sequence.to_be_bytes(),
+    ]
+    .concat();
     encode_string(&[&head, arguments].concat())
 }
 
 impl EdgeConnection {
     pub(crate) fn call(&mut self, sequence: u32, method: &str, arguments: &[u8]) {
-        self.stream.write_all(&call(sequence, method, arguments)).unwrap();
+        self.stream
+            .write_all(&call(sequence, method, arguments))
+            .unwrap();
     }
 
     /// A health check as it is written.
@@ -65,9 +91,15 @@
     }
 
     pub(crate) fn oneway(&mut self, sequence: u32, method: &str) {
-        let head =
-            [&b"\x80\x01\0\x04"[..], &encode_string(method.as_bytes()), &sequence.to_be_bytes()].concat();
-        self.stream.write_all(&encode_string(&[&head[..], b"\0"].concat())).unwrap();
+        let head = [
+            &b"\x80\x01\0\x04"[..],
+            &encode_string(method.as_bytes()),
+            &sequence.to_be_bytes(),
+        ]
+        .concat();
+        self.stream
+            .write_all(&encode_string(&[&head[..], b"\0"].concat()))
+            .unwrap();
     }
 
     pub(crate) fn process(&mut self, sequence: u32, fields: &[(&str, String)], body: &[u8]) {
@@ -77,9 +109,19 @@
 
     /// A request as it is written.
     pub(crate) fn message(&self, sequence: u32, fields: &[(&str, String)], body: &[u8]) -> Vec<u8> {
-        let mut map = [&b"\x0d\0\x01\x0b\x0b"[..], &(fields.len() as u32).to_be_bytes()].concat();
+        let mut map = [
+            &b"\x0d\0\x01\x0b\x0b"[..],
+            &(fields.len() as u32).to_be_bytes(),
+        ]
+        .concat();
         for (name, value) in fields {
-            map.extend([encode_string(name.as_bytes()), encode_string(value.as_bytes())].concat());
+            map.extend(
+                [
+                    encode_string(name.as_bytes()),
+                    encode_string(value.as_bytes()),
+                ]
+                .concat(),
+            );
         }
         let arguments = [&map[..], b"\x0b\0\x02", &encode_string(body), b"\0"].concat();
         call(sequence, "process", &arguments)
@@ -105,7 +147,11 @@
             (2, Some([12, 0, 2])) => AnswerKind::Crashed,
             other => panic!("no answer: {other:?}"),
         };
-        Some(ReceivedAnswer { kind, sequence, bytes })
+        Some(ReceivedAnswer {
+            kind,
+            sequence,
+            bytes,
+        })
     }
 
     /// Waits until it is closed, and ignores what comes before.
--- a/crates/server/tests/program/harness/executor.rs
+++ b/crates/server/tests/program/harness/executor.rs
@@ -36,7 +36,11 @@
 
 impl ExecutorStub {
     pub(crate) fn notice(&mut self, word: &str, rest: String, body: &[u8]) {
-        let head = format!("{word} {} {rest} {}\r\n", self.notices.len() + 1, body.len());
+        let head = format!(
+            "{word} {} {rest} {}\r\n",
+            self.notices.len() + 1,
+            body.len()
+        );
         let bytes = [head.as_bytes(), body, b"\r\n"].concat();
         if let Some(link) = &mut self.link {
             let _ = link.write_all(&bytes);
@@ -141,7 +145,8 @@
             kernel.link = Some(stream.try_clone().unwrap());
             kernel.link_count += 1;
             number = kernel.link_count;
-            kernel.send_line("BOOTED steady 1000.0\r\nDMESG 0 a remark of no meaning\r\n".to_owned());
+            kernel
+                .send_line("BOOTED steady 1000.0\r\nDMESG 0 a remark of no meaning\r\n".to_owned());
             // One notice too many: what was read before must not be handled twice.
             let from = last.parse::<usize>().unwrap().saturating_sub(1);
             let missed = kernel.notices[from..].concat();
--- a/crates/server/tests/program/harness/store.rs
+++ b/crates/server/tests/program/harness/store.rs
@@ -21,7 +21,10 @@
 
 impl StoreStub {
     pub(crate) fn plan(&self, replies: &[&str]) {
-        self.plan.lock().unwrap().extend(replies.iter().map(|reply| reply.to_string()));
+        self.plan
+            .lock()
+            .unwrap()
+            .extend(replies.iter().map(|reply| reply.to_string()));
     }
 
     pub(crate) fn serve(&self, stream: TcpStream) {
@@ -29,7 +32,9 @@
         let mut line = String::new();
         while !self.down.load(Ordering::Acquire) && input.read_line(&mut line).unwrap_or(0) > 0 {
             let words: Vec<&str> = line.trim_end().split(' ').collect();
-            let ["CALL", id, _, length] = words[..] else { panic!("no call: {words:?}") };
+            let ["CALL", id, _, length] = words[..] else {
+                panic!("no call: {words:?}")
+            };
             let mut body = vec![0; length.parse::<usize>().unwrap() + 2];
             input.read_exact(&mut body).unwrap();
             self.calls.fetch_add(1, Ordering::AcqRel);
@@ -39,12 +44,19 @@
             match self.plan.lock().unwrap().pop_front() {
                 None => {
                     let head = format!("{id} OK {length}\r\n");
-                    (&stream).write_all(&[head.as_bytes(), &body].concat()).unwrap();
+                    (&stream)
+                        .write_all(&[head.as_bytes(), &body].concat())
+                        .unwrap();
                 }
                 Some(reply) if reply.is_empty() => {
-                    self.open.lock().unwrap().insert(id.to_owned(), stream.try_clone().unwrap());
+                    self.open
+                        .lock()
+                        .unwrap()
+                        .insert(id.to_owned(), stream.try_clone().unwrap());
                 }
-                Some(reply) => (&stream).write_all(reply.replace("ID", id).as_bytes()).unwrap(),
+                Some(reply) => (&stream)
+                    .write_all(reply.replace("ID", id).as_bytes())
+                    .unwrap(),
             }
             line.clear();
         }
--- a/crates/server/tests/program/leases.rs
+++ b/crates/server/tests/program/leases.rs
@@ -62,9 +62,14 @@
         from.set(Some(since));
         let acts = |lease: &str| {
             let is_accepted_begin = |record: &&OperationRecord| {
-                record.phase == OperationPhase::Begin && record.rejection.is_none() && record.lease == lease
+                record.phase == OperationPhase::Begin
+                    && record.rejection.is_none()
+                    && record.lease == lease
             };
-            out.history[since..].iter().filter(is_accepted_begin).count()
+            out.history[since..]
+                .iter()
+                .filter(is_accepted_begin)
+                .count()
         };
         met.set(acts("one") >= 10 && acts("two") >= 10);
         met.get()
@@ -72,7 +77,11 @@
     let outcome = run(&plan, program(), folder.path(), |_| {}, enough)
         .unwrap_or_else(|error| panic!("{what}: {error}"));
     assert_eq!(outcome.violation, None, "{what}");
-    assert!(met.get(), "{what}: no acts after the last fault: {:?}", outcome.tokens);
+    assert!(
+        met.get(),
+        "{what}: no acts after the last fault: {:?}",
+        outcome.tokens
+    );
     println!(
         "{what}: {} operations, {} rejected, no operation for {:?}",
         outcome.operations, outcome.rejected, outcome.longest_idle
@@ -82,21 +91,32 @@
 
 #[test]
 fn a_holder_stopped_in_mid_act_is_shut_out_when_it_wakes() {
-    let stop = |of: &str, at: u32| format!("stop {{\n at = {at}\n of = \"{of}\"\n back = {}\n}}\n", at + 5);
+    let stop = |of: &str, at: u32| {
+        format!(
+            "stop {{\n at = {at}\n of = \"{of}\"\n back = {}\n}}\n",
+            at + 5
+        )
+    };
     let all: String = ["a-1", "a-2", "b-1", "b-2", "c-1"]
         .iter()
         .zip([4, 7, 10, 13, 16])
         .map(|(of, at)| stop(of, at))
         .collect();
     let outcome = holds("stopped", &all);
-    assert!(outcome.tokens["one"] >= 2, "the lease went on to others: {:?}", outcome.tokens);
+    assert!(
+        outcome.tokens["one"] >= 2,
+        "the lease went on to others: {:?}",
+        outcome.tokens
+    );
 }
 
 #[test]
 fn a_holder_and_a_leader_cut_off_and_killed() {
     let cut = |of: &str, at: u32, one_way: bool| {
         let to = at + 5;
-        format!("cut {{\n from = {at}\n to = {to}\n between = [\"{of}\", \"\"]\n one_way = {one_way}\n}}\n")
+        format!(
+            "cut {{\n from = {at}\n to = {to}\n between = [\"{of}\", \"\"]\n one_way = {one_way}\n}}\n"
+        )
     };
     let cuts = cut("a-1", 3, false) + &cut("b-1", 9, true) + &cut("c-1", 15, false);
     holds(
@@ -108,8 +128,9 @@
 
 #[test]
 fn all_voters_killed_at_once_then_a_quorum_lost() {
-    let kill =
-        |of: &str, at: u32, back: u32| format!("crash {{\n at = {at}\n of = \"{of}\"\n back = {back}\n}}\n");
+    let kill = |of: &str, at: u32, back: u32| {
+        format!("crash {{\n at = {at}\n of = \"{of}\"\n back = {back}\n}}\n")
+    };
     let all = ["a-1", "b-1", "c-1"].map(|of| kill(of, 4, 5)).concat();
     holds("killed", &(all + &kill("a-1", 9, 15) + &kill("b-1", 9, 16)));
 }
@@ -190,7 +211,10 @@
     let to = if held["by"] == "b-2" { "c-1" } else { "b-2" };
     let token = &held["token"];
     // That it came to pass is seen by who holds it: an answer may be lost, and the word said twice.
-    asked(socket, &format!(r#"{{"do":"transfer","lease":"one","token":{token},"to":"{to}"}}"#));
+    asked(
+        socket,
+        &format!(r#"{{"do":"transfer","lease":"one","token":{token},"to":"{to}"}}"#),
+    );
     Some((to, token.clone()))
 }
 
@@ -202,7 +226,8 @@
     let drains = |member: &str| {
         let own = asked(&at(member), r#"{"do":"own"}"#);
         let rows = own["wanted"].as_array().unwrap();
-        rows.iter().any(|row| row["lease"].as_str().unwrap().starts_with("drain/") && row["held"] == true)
+        rows.iter()
+            .any(|row| row["lease"].as_str().unwrap().starts_with("drain/") && row["held"] == true)
     };
     let socket = at("a-1");
     let step = Cell::new(0);
@@ -222,15 +247,25 @@
                 step.set(1);
             }
             1 if held["by"] == before.borrow()[0] => {
-                assert!(held["token"].as_u64() > before.borrow()[1].as_u64(), "tokens only grow");
-                let taken = asked(&socket, r#"{"do":"take","lease":"mine","term_ms":2000,"places":1}"#);
+                assert!(
+                    held["token"].as_u64() > before.borrow()[1].as_u64(),
+                    "tokens only grow"
+                );
+                let taken = asked(
+                    &socket,
+                    r#"{"do":"take","lease":"mine","term_ms":2000,"places":1}"#,
+                );
                 assert_eq!(taken["wanted"], true, "{taken}");
                 step.set(2);
             }
             2 => {
                 let own = asked(&socket, r#"{"do":"own"}"#);
-                let mine =
-                    own["wanted"].as_array().unwrap().iter().find(|row| row["lease"] == "mine").cloned();
+                let mine = own["wanted"]
+                    .as_array()
+                    .unwrap()
+                    .iter()
+                    .find(|row| row["lease"] == "mine")
+                    .cloned();
                 if mine.is_some_and(|mine| mine["held"] == true) {
                     asked(&socket, r#"{"do":"release","lease":"mine"}"#);
                     step.set(3);
@@ -270,7 +305,8 @@
     let (udp, peer) = (UdpSocket::bind((host, 0)).unwrap(), format!("{host}:7100"));
     let mut rng = fastrand::Rng::with_seed(7);
     let elsewhere =
-        tulipgap_peer_protocol::FrameCodec::new("elsewhere", b"long enough to keep anybody out").unwrap();
+        tulipgap_peer_protocol::FrameCodec::new("elsewhere", b"long enough to keep anybody out")
+            .unwrap();
     let message = tulipgap_peer_protocol::Message::SlotAvailable { lease: "x".into() };
     let said = tulipgap_peer_protocol::Envelope {
         from: "m".into(),
@@ -310,8 +346,16 @@
     let start = |text: &str| {
         std::fs::write(at("settings.hcl"), text).unwrap();
         let mut command = Command::new(program());
-        command.arg("--settings").arg(at("settings.hcl")).env("LB_CONFIG", &file);
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap()
+        command
+            .arg("--settings")
+            .arg(at("settings.hcl"))
+            .env("LB_CONFIG", &file);
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap()
     };
     let refusal = |text: &str| {
         let ended = start(text).wait_with_output().unwrap();
@@ -323,7 +367,11 @@
     std::fs::write(at("key"), b"long enough to keep anybody out").unwrap();
     assert!(refusal(&settings(" voters = [\"n3\"]\n")).contains("a voter needs one"));
 
-    std::fs::write(&file, config_json(&host).replace("\"sockets\":1024", "\"sockets\":64")).unwrap();
+    std::fs::write(
+        &file,
+        config_json(&host).replace("\"sockets\":1024", "\"sockets\":64"),
+    )
+    .unwrap();
     assert!(refusal(&settings("")).contains("too few to be one of a cluster"));
     std::fs::write(&file, config_json(&host)).unwrap();
 
@@ -331,8 +379,14 @@
     wait_until("it listens", || UnixStream::connect(at("control")).is_ok());
     send_garbage(&host);
     let members = asked(&at("control"), r#"{"do":"members"}"#);
-    assert_eq!(members["members"].as_array().map(Vec::len), Some(1), "{members}");
-    let kill = Command::new("sh").args(["-c", "kill -TERM \"$0\"", &child.id().to_string()]).status();
+    assert_eq!(
+        members["members"].as_array().map(Vec::len),
+        Some(1),
+        "{members}"
+    );
+    let kill = Command::new("sh")
+        .args(["-c", "kill -TERM \"$0\"", &child.id().to_string()])
+        .status();
     assert!(kill.unwrap().success());
     assert_eq!(child.wait().unwrap().code(), Some(0));
     assert!(!at("control").exists(), "the socket is gone with it");
@@ -343,9 +397,16 @@
 /// is back all make their calls again, and nothing of the verdict is left.
 #[test]
 fn one_of_a_zone_probes_a_store_that_is_down() {
-    let (hosts, away) = ([unique_address(), unique_address(), unique_address()], unique_address());
+    let (hosts, away) = (
+        [unique_address(), unique_address(), unique_address()],
+        unique_address(),
+    );
     let folder = tempfile::tempdir().unwrap();
-    std::fs::write(folder.path().join("key"), b"long enough to keep anybody out").unwrap();
+    std::fs::write(
+        folder.path().join("key"),
+        b"long enough to keep anybody out",
+    )
+    .unwrap();
     let path = |name: &str| folder.path().join(name).display().to_string();
     let start = |at: usize| {
         let (host, name) = (&hosts[at], format!("m{at}"));
@@ -359,11 +420,19 @@
         let settings_file = folder.path().join(format!("{name}.hcl"));
         std::fs::write(&settings_file, settings).unwrap();
         let kernel = serve_executor(SharedExecutor::default(), host);
-        let told = config_json(host)
-            .replace(&format!("\"store\":\"{host}:7700\""), &format!("\"store\":\"{away}:7700\""));
+        let told = config_json(host).replace(
+            &format!("\"store\":\"{host}:7700\""),
+            &format!("\"store\":\"{away}:7700\""),
+        );
         let file = write_config(host, &told);
         let child = spawn_backend_with(&file, Some(&settings_file));
-        let backend = TestBackend { host: host.clone(), kernel, store: StoreStub::default(), child, file };
+        let backend = TestBackend {
+            host: host.clone(),
+            kernel,
+            store: StoreStub::default(),
+            child,
+            file,
+        };
         backend.wait_until_serving();
         backend
     };
@@ -373,21 +442,26 @@
     let verdicts = |at: usize| -> Vec<String> {
         let told = asked(&control(at), r#"{"do":"members"}"#);
         let rows = told["members"].as_array().unwrap().iter();
-        rows.filter(|row| row["facts"]["store"].is_string()).map(|row| row["name"].to_string()).collect()
+        rows.filter(|row| row["facts"]["store"].is_string())
+            .map(|row| row["name"].to_string())
+            .collect()
     };
     let number = Cell::new(0);
     let calls = |backend: &TestBackend| {
         number.set(number.get() + 1);
         let mut edge = backend.connect();
         edge.request(1, &format!("{:016x}", 0xc000 + number.get()), b"call");
-        edge.expect_answer(1, AnswerKind::Answer).contains(b"richer")
+        edge.expect_answer(1, AnswerKind::Answer)
+            .contains(b"richer")
     };
     wait_until("all have the verdict of one", || {
         assert!(!backends.iter().any(&calls), "nobody answers at the store");
         (0..3).all(|at| verdicts(at).len() == 1) && (1..3).all(|at| verdicts(at) == verdicts(0))
     });
     let _store = start_store(&away);
-    wait_until("the verdict is withdrawn", || (0..3).all(|at| verdicts(at).is_empty()));
+    wait_until("the verdict is withdrawn", || {
+        (0..3).all(|at| verdicts(at).is_empty())
+    });
     for backend in &backends {
         wait_until("its calls are made again", || calls(backend));
     }
--- a/crates/server/tests/program/load.rs
+++ b/crates/server/tests/program/load.rs
@@ -52,7 +52,12 @@
                 Some(answer) if answer.sequence == sequence => {
                     load.answered.fetch_add(1, Ordering::Relaxed);
                     let span = from.elapsed().as_micros() as u64;
-                    load.spans.lock().unwrap().entry(member.name.clone()).or_default().push(span);
+                    load.spans
+                        .lock()
+                        .unwrap()
+                        .entry(member.name.clone())
+                        .or_default()
+                        .push(span);
                 }
                 Some(answer) => {
                     let what = format!(
@@ -64,7 +69,10 @@
                 None => {
                     load.lost.fetch_add(1, Ordering::Relaxed);
                     if !killed && !load.over.load(Ordering::Relaxed) {
-                        load.wrong.lock().unwrap().push(format!("{}: {id} has no answer", member.name));
+                        load.wrong
+                            .lock()
+                            .unwrap()
+                            .push(format!("{}: {id} has no answer", member.name));
                     }
                     break;
                 }
@@ -129,13 +137,15 @@
     let kernels: Mutex<Vec<SharedExecutor>> = Mutex::default();
     let begins = |members: &[MemberEndpoints]| {
         for (at, member) in members.iter().enumerate() {
-            kernels
-                .lock()
-                .unwrap()
-                .push(serve_executor(SharedExecutor::default(), &member.executor.ip().to_string()));
+            kernels.lock().unwrap().push(serve_executor(
+                SharedExecutor::default(),
+                &member.executor.ip().to_string(),
+            ));
             for lane in 0..2 {
                 let (load, member) = (load.clone(), member.clone());
-                std::thread::spawn(move || edge(&load, &member, at * 2 + lane, member.name == "c-1"));
+                std::thread::spawn(move || {
+                    edge(&load, &member, at * 2 + lane, member.name == "c-1")
+                });
             }
         }
     };
@@ -157,8 +167,8 @@
         done
     };
     let program = Path::new(env!("CARGO_BIN_EXE_tulipgapd"));
-    let outcome =
-        run(&plan, program, folder.path(), begins, enough).unwrap_or_else(|error| panic!("{error}"));
+    let outcome = run(&plan, program, folder.path(), begins, enough)
+        .unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(outcome.violation, None);
     assert_eq!(*load.wrong.lock().unwrap(), Vec::<String>::new());
     // Each has effects, so that it must never run twice.
@@ -173,13 +183,20 @@
             .collect();
         assert_eq!(twice, Vec::<String>::new(), "run twice");
     }
-    let (sent, answered) = (load.sent.load(Ordering::Relaxed), load.answered.load(Ordering::Relaxed));
+    let (sent, answered) = (
+        load.sent.load(Ordering::Relaxed),
+        load.answered.load(Ordering::Relaxed),
+    );
     println!(
         "{sent} sent, {answered} answered, {} lost with their process",
         load.lost.load(Ordering::Relaxed)
     );
     for (member, spans) in load.spans.lock().unwrap().iter_mut() {
         spans.sort_unstable();
-        println!("{member}: p50 {} us, p99 {} us", spans[spans.len() / 2], spans[spans.len() * 99 / 100]);
+        println!(
+            "{member}: p50 {} us, p99 {} us",
+            spans[spans.len() / 2],
+            spans[spans.len() * 99 / 100]
+        );
     }
 }
--- a/crates/server/tests/program/members.rs
+++ b/crates/server/tests/program/members.rs
@@ -18,11 +18,14 @@
         met.get()
     };
     let program = Path::new(env!("CARGO_BIN_EXE_tulipgapd"));
-    let outcome =
-        run(&plan, program, folder.path(), |_| {}, enough).unwrap_or_else(|error| panic!("{what}: {error}"));
+    let outcome = run(&plan, program, folder.path(), |_| {}, enough)
+        .unwrap_or_else(|error| panic!("{what}: {error}"));
     assert_eq!(outcome.violation, None, "{what}");
     assert!(met.get(), "{what}: views still differ");
-    println!("{what}: {:?} of {:?}, {} false deaths", outcome.worst, plan.bounds, outcome.false_deaths);
+    println!(
+        "{what}: {:?} of {:?}, {} false deaths",
+        outcome.worst, plan.bounds, outcome.false_deaths
+    );
 }
 
 fn cut(a: &str, b: &str, from: u32, to: u32, more: &str) -> String {
@@ -38,7 +41,10 @@
     let cuts = cut("north", "west", 5, 17, "") + &cut("north", "south", 5, 17, "");
     agree_again(
         "halves",
-        &(cuts + &crash("north-1", 8.0, 12) + &crash("west-1", 8.0, 12) + &crash("south-2", 9.0, 22)),
+        &(cuts
+            + &crash("north-1", 8.0, 12)
+            + &crash("west-1", 8.0, 12)
+            + &crash("south-2", 9.0, 22)),
     );
 }
 
--- a/crates/server/tests/program/recording.rs
+++ b/crates/server/tests/program/recording.rs
@@ -28,12 +28,17 @@
 }
 
 fn files(folder: &Path) -> Vec<Read> {
-    let mut paths: Vec<PathBuf> =
-        std::fs::read_dir(folder.join("trace")).unwrap().map(|entry| entry.unwrap().path()).collect();
+    let mut paths: Vec<PathBuf> = std::fs::read_dir(folder.join("trace"))
+        .unwrap()
+        .map(|entry| entry.unwrap().path())
+        .collect();
     paths.sort();
     let mut all = Vec::new();
     for path in paths {
-        let mut read = Read { records: Vec::new(), losses: Vec::new() };
+        let mut read = Read {
+            records: Vec::new(),
+            losses: Vec::new(),
+        };
         // One that has just been begun may have no header yet.
         let Ok(trace) = TraceReader::open(std::fs::File::open(path).unwrap()) else {
             continue;
@@ -65,7 +70,9 @@
         assert_eq!((record.caller, record.tenant), (Some(4), Some(0)));
         assert_eq!(record.started.is_some(), record.id != 0xa3, "{record:?}");
         if let Some(run) = record.started {
-            assert!(record.admitted.unwrap() >= record.read.unwrap() && run >= record.read.unwrap());
+            assert!(
+                record.admitted.unwrap() >= record.read.unwrap() && run >= record.read.unwrap()
+            );
         }
     }
 }
@@ -79,24 +86,47 @@
     edge.expect_answer(1, AnswerKind::Answer);
     edge.request(2, "00000000000000a2", b"call");
     edge.expect_answer(2, AnswerKind::Answer);
-    edge.process(3, &request_fields_with("00000000000000a3", "ms", "60000.00"), b"run");
+    edge.process(
+        3,
+        &request_fields_with("00000000000000a3", "ms", "60000.00"),
+        b"run",
+    );
     edge.expect_answer(3, AnswerKind::Rejected);
     edge.request(4, "00000000000000a4", b"unknown");
     edge.expect_answer(4, AnswerKind::Crashed);
     let mut marked = request_fields("00000000000000a5", "20.0");
-    marked.extend([("resent", "1".to_owned()), ("subject", "7f3a9c21e0b4d655".to_owned())]);
+    marked.extend([
+        ("resent", "1".to_owned()),
+        ("subject", "7f3a9c21e0b4d655".to_owned()),
+    ]);
     marked.push(("opkey", "some key".to_owned()));
     edge.process(5, &marked, b"run");
     edge.expect_answer(5, AnswerKind::Answer);
     // One whose caller goes.
     let mut other = backend.connect();
     other.request(1, "00000000000000a6", b"hang");
-    wait_until("it runs", || backend.kernel.lock().unwrap().runs.contains_key("00000000000000a6"));
+    wait_until("it runs", || {
+        backend
+            .kernel
+            .lock()
+            .unwrap()
+            .runs
+            .contains_key("00000000000000a6")
+    });
     // An answer that is never read makes the end of the connection a reset.
     other.request(2, "00000000000000a7", b"run");
-    wait_until("an answer has come", || other.stream.peek(&mut [0; 16]).is_ok_and(|count| count > 0));
+    wait_until("an answer has come", || {
+        other.stream.peek(&mut [0; 16]).is_ok_and(|count| count > 0)
+    });
     drop(other);
-    wait_until("its run is stopped", || backend.kernel.lock().unwrap().ends.contains_key("00000000000000a6"));
+    wait_until("its run is stopped", || {
+        backend
+            .kernel
+            .lock()
+            .unwrap()
+            .ends
+            .contains_key("00000000000000a6")
+    });
     backend.signal("TERM");
     assert!(backend.wait_for_exit().success());
 
@@ -107,7 +137,9 @@
     let by_id: BTreeMap<u64, &Record> = records.iter().map(|record| (record.id, record)).collect();
     assert_eq!(by_id.len(), 7);
     let of = |last: u64| by_id[&(0xa0 + last)];
-    let told: Vec<(Outcome, Reason)> = (1..=6).map(|last| (of(last).outcome, of(last).reason)).collect();
+    let told: Vec<(Outcome, Reason)> = (1..=6)
+        .map(|last| (of(last).outcome, of(last).reason))
+        .collect();
     assert_eq!(told[0], (Outcome::Completed, Reason::NONE));
     assert_eq!(told[1], (Outcome::Completed, Reason::NONE));
     assert_eq!(told[2], (Outcome::Rejected, Reason::PREDICTED_LATE));
@@ -116,8 +148,14 @@
     assert_times_in_order(&records);
     // The work that the kernel told.
     assert_eq!(of(1).work, Some(1500));
-    assert_eq!((of(2).calls, of(2).first_call.is_some(), of(1).calls), (1, true, 0));
-    assert_eq!((of(3).estimated_work, of(3).admitted), (Some(40_000_000), None));
+    assert_eq!(
+        (of(2).calls, of(2).first_call.is_some(), of(1).calls),
+        (1, true, 0)
+    );
+    assert_eq!(
+        (of(3).estimated_work, of(3).admitted),
+        (Some(40_000_000), None)
+    );
     assert!(of(5).is_retry && of(5).subject == Some(0x7f3a_9c21_e0b4_d655) && of(5).key.is_some());
     assert!(of(1).feedback.is_some());
 }
@@ -141,10 +179,21 @@
         let began = std::time::Instant::now();
         loop {
             sequence += 1;
-            edge.request(sequence, &format!("{:016x}", (start + 10) * 100_000 + u64::from(sequence)), b"run");
+            edge.request(
+                sequence,
+                &format!("{:016x}", (start + 10) * 100_000 + u64::from(sequence)),
+                b"run",
+            );
             edge.expect_answer(sequence, AnswerKind::Answer);
-            let early = |file: &Read| file.records.iter().filter(|record| record.id < 2000).count();
-            if sequence % 100 == 0 && files(folder.path()).iter().map(early).sum::<usize>() == answered {
+            let early = |file: &Read| {
+                file.records
+                    .iter()
+                    .filter(|record| record.id < 2000)
+                    .count()
+            };
+            if sequence % 100 == 0
+                && files(folder.path()).iter().map(early).sum::<usize>() == answered
+            {
                 break;
             }
             assert!(began.elapsed() < LONG_TIMEOUT, "a block is on disk in time");
@@ -162,7 +211,10 @@
     let mut ids = HashSet::new();
     for file in &files {
         assert!(file.losses.contains(&Loss::MissingEnd), "{:?}", file.losses);
-        assert!(file.records.iter().all(|record| ids.insert(record.id)), "no record twice");
+        assert!(
+            file.records.iter().all(|record| ids.insert(record.id)),
+            "no record twice"
+        );
     }
     let early = ids.iter().filter(|&&id| id < 2000).count();
     assert_eq!(early, answered, "all that was over long before is there");
@@ -183,7 +235,10 @@
     assert!(backend.wait_for_exit().success());
     let mut log = String::new();
     std::io::Read::read_to_string(&mut backend.child.stderr.take().unwrap(), &mut log).unwrap();
-    assert!(log.contains("trace: ") && log.contains("50 records missing"), "{log}");
+    assert!(
+        log.contains("trace: ") && log.contains("50 records missing"),
+        "{log}"
+    );
 }
 
 #[test]
@@ -195,12 +250,20 @@
     let file = write_config(&host, &config_json(&host));
     let run = |arguments: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_tulipgapd"));
-        command.args(arguments).env("LB_CONFIG", &file).stdin(Stdio::null()).output().unwrap()
+        command
+            .args(arguments)
+            .env("LB_CONFIG", &file)
+            .stdin(Stdio::null())
+            .output()
+            .unwrap()
     };
     let output = run(&["--settings", settings.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(2));
     let error = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(error.contains("bad.hcl:3:3: 'trace.queu' is no name; is 'queue' meant?"), "{error}");
+    assert!(
+        error.contains("bad.hcl:3:3: 'trace.queu' is no name; is 'queue' meant?"),
+        "{error}"
+    );
     assert!(String::from_utf8_lossy(&run(&["--help"]).stdout).contains("--settings"));
     assert!(run(&["--version"]).stdout.starts_with(b"tulipgapd "));
     assert_eq!(run(&["--nonsense"]).status.code(), Some(2));
--- a/crates/server/tests/program/standing.rs
+++ b/crates/server/tests/program/standing.rs
@@ -13,7 +13,8 @@
 use socket2::{Domain, SockRef, Socket, Type};
 
 use crate::harness::backend::{
-    TestBackend, config_json, spawn_backend, start_backend, start_backend_with_sockets, write_config,
+    TestBackend, config_json, spawn_backend, start_backend, start_backend_with_sockets,
+    write_config,
 };
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, request_fields, request_fields_with};
 use crate::harness::executor::{SharedExecutor, large_result, serve_executor, serve_executor_link};
@@ -28,7 +29,10 @@
 /// Starts a backend whose configuration is changed by these replacements.
 fn stand_with_changes(changes: &[(&str, &str)]) -> TestBackend {
     let host = unique_address();
-    let (kernel, store) = (serve_executor(SharedExecutor::default(), &host), start_store(&host));
+    let (kernel, store) = (
+        serve_executor(SharedExecutor::default(), &host),
+        start_store(&host),
+    );
     let mut configuration = config_json(&host);
     for (from, to) in changes {
         assert!(configuration.contains(from), "{from}");
@@ -36,7 +40,13 @@
     }
     let file = write_config(&host, &configuration);
     let child = spawn_backend(&file);
-    let backend = TestBackend { host, kernel, store, child, file };
+    let backend = TestBackend {
+        host,
+        kernel,
+        store,
+        child,
+        file,
+    };
     backend.wait_until_serving();
     backend
 }
@@ -161,15 +171,27 @@
     // Long before the close, which follows the notification by 2 s.
     backend.signal("STOP");
     for (at, edge) in (0u32..).zip(&mut edges) {
-        let message = edge.message(2, &request_fields(&format!("000000000a10{at:04x}"), "20.0"), b"run");
-        let length = if at % 2 == 0 { message.len() } else { message.len() / 2 };
+        let message = edge.message(
+            2,
+            &request_fields(&format!("000000000a10{at:04x}"), "20.0"),
+            b"run",
+        );
+        let length = if at % 2 == 0 {
+            message.len()
+        } else {
+            message.len() / 2
+        };
         edge.stream.write_all(&message[..length]).unwrap();
     }
     std::thread::sleep(Duration::from_millis(2200));
     backend.signal("CONT");
     for (at, edge) in (0u32..).zip(&mut edges) {
         let expected = u32::from(at % 2 == 0);
-        assert_eq!(answers_until_close(edge).get(&2).copied().unwrap_or(0), expected, "connection {at}");
+        assert_eq!(
+            answers_until_close(edge).get(&2).copied().unwrap_or(0),
+            expected,
+            "connection {at}"
+        );
         assert_eq!(
             u32::from(was_run(&backend, &format!("000000000a10{at:04x}"))),
             expected,
@@ -186,22 +208,36 @@
     let mut edges = resting_connections(&backend, 16, "000000000a05");
     let messages: Vec<Vec<u8>> = (0u32..)
         .zip(&edges)
-        .map(|(at, edge)| edge.message(2, &request_fields(&format!("000000000a06{at:04x}"), "20.0"), b"run"))
+        .map(|(at, edge)| {
+            edge.message(
+                2,
+                &request_fields(&format!("000000000a06{at:04x}"), "20.0"),
+                b"run",
+            )
+        })
         .collect();
     for (at, (edge, message)) in edges.iter_mut().zip(&messages).enumerate() {
         if at == 8 {
             backend.signal("TERM");
         }
-        edge.stream.write_all(&message[..message.len() * (at + 1) / 17]).unwrap();
+        edge.stream
+            .write_all(&message[..message.len() * (at + 1) / 17])
+            .unwrap();
     }
     for (at, (edge, message)) in edges.iter_mut().zip(&messages).enumerate() {
         if at % 2 == 0 {
-            edge.stream.write_all(&message[message.len() * (at + 1) / 17..]).unwrap();
+            edge.stream
+                .write_all(&message[message.len() * (at + 1) / 17..])
+                .unwrap();
         }
     }
     for (at, edge) in edges.iter_mut().enumerate() {
         let answers = answers_until_close(edge);
-        assert_eq!(answers.get(&2).copied().unwrap_or(0), u32::from(at % 2 == 0), "connection {at}");
+        assert_eq!(
+            answers.get(&2).copied().unwrap_or(0),
+            u32::from(at % 2 == 0),
+            "connection {at}"
+        );
     }
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
@@ -218,7 +254,11 @@
                 let id = format!("000000000a08{at:04x}");
                 wait_for_drain_notification(&mut edge);
                 // Some at the notification, the others around the close 2 s behind it.
-                let pause = if at < 8 { 0 } else { 1960 + u64::from(at - 8) * 10 };
+                let pause = if at < 8 {
+                    0
+                } else {
+                    1960 + u64::from(at - 8) * 10
+                };
                 std::thread::sleep(Duration::from_millis(pause));
                 let message = edge.message(2, &request_fields(&id, "20.0"), b"run");
                 let half = message.len() / 2;
@@ -261,9 +301,14 @@
     let _ = edge.stream.write_all(&late);
     std::thread::sleep(Duration::from_millis(50));
     let answers = answers_until_close(&mut edge);
-    let answered = (1..=REQUESTS).filter(|sequence| answers.get(sequence) == Some(&1)).count();
+    let answered = (1..=REQUESTS)
+        .filter(|sequence| answers.get(sequence) == Some(&1))
+        .count();
     assert_eq!(answered as u32, REQUESTS, "answers lost: {answers:?}");
-    assert!(!was_run(&backend, "000000000a0a0001"), "run behind the close");
+    assert!(
+        !was_run(&backend, "000000000a0a0001"),
+        "run behind the close"
+    );
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
@@ -277,9 +322,12 @@
     std::thread::scope(|scope| {
         for _ in 0..THREADS {
             scope.spawn(|| {
-                let mut backend = stand_with_changes(&[(r#""drain_grace":1000.0"#, r#""drain_grace":50.0"#)]);
+                let mut backend =
+                    stand_with_changes(&[(r#""drain_grace":1000.0"#, r#""drain_grace":50.0"#)]);
                 for _ in 0..STARTS_PER_THREAD {
-                    lost.lock().unwrap().extend(resets_at_shutdown(&mut backend, CALLERS));
+                    lost.lock()
+                        .unwrap()
+                        .extend(resets_at_shutdown(&mut backend, CALLERS));
                     backend.child = spawn_backend(&backend.file);
                     backend.wait_until_serving();
                 }
@@ -294,8 +342,13 @@
     let address: SocketAddr = format!("{}:6565", backend.host).parse().unwrap();
     backend.signal("TERM");
     let resets = std::thread::scope(|scope| {
-        let callers: Vec<_> = (0..callers).map(|_| scope.spawn(|| connect_until_refused(address))).collect();
-        callers.into_iter().flat_map(|caller| caller.join().unwrap()).collect()
+        let callers: Vec<_> = (0..callers)
+            .map(|_| scope.spawn(|| connect_until_refused(address)))
+            .collect();
+        callers
+            .into_iter()
+            .flat_map(|caller| caller.join().unwrap())
+            .collect()
     });
     assert_eq!(backend.wait_for_exit().code(), Some(0));
     resets
@@ -335,15 +388,31 @@
         let call = calls.recv_timeout(LONG_TIMEOUT).unwrap();
         assert_eq!(call.id, id);
         backend.signal("STOP");
-        (&call.stream).write_all(format!("{id} OK 3\r\nown\r\n").as_bytes()).unwrap();
+        (&call.stream)
+            .write_all(format!("{id} OK 3\r\nown\r\n").as_bytes())
+            .unwrap();
         if turn % 2 == 0 {
-            SockRef::from(&call.stream).set_linger(Some(Duration::ZERO)).unwrap();
+            SockRef::from(&call.stream)
+                .set_linger(Some(Duration::ZERO))
+                .unwrap();
         }
         drop(call);
         backend.signal("CONT");
-        assert!(edge.expect_answer(turn + 1, AnswerKind::Answer).contains(b"richer"), "turn {turn}");
+        assert!(
+            edge.expect_answer(turn + 1, AnswerKind::Answer)
+                .contains(b"richer"),
+            "turn {turn}"
+        );
     }
-    assert!(backend.kernel.lock().unwrap().replies.iter().all(|reply| reply == b"own"));
+    assert!(
+        backend
+            .kernel
+            .lock()
+            .unwrap()
+            .replies
+            .iter()
+            .all(|reply| reply == b"own")
+    );
 }
 
 /// A result and the end of the executor's link backend in the buffer, by turns with the shutdown notice beside them.
@@ -354,12 +423,19 @@
     for turn in 0..6u32 {
         let id = format!("000000000a0c{turn:04x}");
         edge.request(turn + 1, &id, b"hang");
-        wait_until("it runs", || backend.kernel.lock().unwrap().runs.contains_key(&id));
+        wait_until("it runs", || {
+            backend.kernel.lock().unwrap().runs.contains_key(&id)
+        });
         backend.signal("STOP");
         {
             let mut kernel = backend.kernel.lock().unwrap();
             kernel.end(&id, "success", b"its own");
-            kernel.link.take().unwrap().shutdown(Shutdown::Both).unwrap();
+            kernel
+                .link
+                .take()
+                .unwrap()
+                .shutdown(Shutdown::Both)
+                .unwrap();
         }
         if turn == 5 {
             backend.signal("TERM");
@@ -368,11 +444,23 @@
         let answer = std::iter::from_fn(|| edge.read_answer())
             .find(|answer| answer.kind != AnswerKind::NoMore)
             .unwrap();
-        assert_eq!((answer.sequence, &answer.kind), (turn + 1, &AnswerKind::Answer));
+        assert_eq!(
+            (answer.sequence, &answer.kind),
+            (turn + 1, &AnswerKind::Answer)
+        );
         assert!(answer.contains(b"its own"));
     }
     assert_eq!(answers_until_close(&mut edge), HashMap::new(), "once each");
-    assert!(backend.kernel.lock().unwrap().ends.values().all(|&ends| ends == 1), "run again");
+    assert!(
+        backend
+            .kernel
+            .lock()
+            .unwrap()
+            .ends
+            .values()
+            .all(|&ends| ends == 1),
+        "run again"
+    );
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
@@ -391,10 +479,20 @@
         for mut stream in listener.incoming().map_while(Result::ok) {
             let mut bytes = [0; 512];
             // A call is written at once, so it is read at once.
-            let Ok(length) = stream.read(&mut bytes) else { continue };
+            let Ok(length) = stream.read(&mut bytes) else {
+                continue;
+            };
             let text = String::from_utf8_lossy(&bytes[..length]).into_owned();
-            let Some(id) = text.split(' ').nth(1) else { continue };
-            if sender.send(Call { id: id.to_owned(), stream }).is_err() {
+            let Some(id) = text.split(' ').nth(1) else {
+                continue;
+            };
+            if sender
+                .send(Call {
+                    id: id.to_owned(),
+                    stream,
+                })
+                .is_err()
+            {
                 return;
             }
         }
@@ -402,7 +500,13 @@
     let kernel = serve_executor(SharedExecutor::default(), &host);
     let file = write_config(&host, &config_json(&host));
     let child = spawn_backend(&file);
-    let backend = TestBackend { host, kernel, store: StoreStub::default(), child, file };
+    let backend = TestBackend {
+        host,
+        kernel,
+        store: StoreStub::default(),
+        child,
+        file,
+    };
     backend.wait_until_serving();
     (backend, calls)
 }
@@ -450,7 +554,10 @@
     store.join().unwrap();
     let kernel = backend.kernel.lock().unwrap();
     assert!(!kernel.replies.is_empty());
-    assert!(kernel.replies.iter().all(|reply| reply == BODY.as_bytes()), "part of a reply");
+    assert!(
+        kernel.replies.iter().all(|reply| reply == BODY.as_bytes()),
+        "part of a reply"
+    );
     assert!(kernel.ends.values().all(|&ends| ends == 1));
 }
 
@@ -460,37 +567,63 @@
     let backend = start_backend();
     let mut edge = backend.connect();
     edge.request(1, "000000000a0e0001", b"call");
-    assert!(edge.expect_answer(1, AnswerKind::Answer).contains(b"richer"));
+    assert!(
+        edge.expect_answer(1, AnswerKind::Answer)
+            .contains(b"richer")
+    );
     let mut ports = Vec::new();
     for socket in sockets_of(backend.child.id()) {
-        let (Ok(local), Ok(peer)) = (socket.local_addr(), socket.peer_addr()) else { continue };
-        let (Some(local), Some(peer)) = (local.as_socket(), peer.as_socket()) else { continue };
+        let (Ok(local), Ok(peer)) = (socket.local_addr(), socket.peer_addr()) else {
+            continue;
+        };
+        let (Some(local), Some(peer)) = (local.as_socket(), peer.as_socket()) else {
+            continue;
+        };
         if socket.r#type().unwrap() == Type::STREAM {
-            let port = if local.port() == 6565 { 6565 } else { peer.port() };
+            let port = if local.port() == 6565 {
+                6565
+            } else {
+                peer.port()
+            };
             assert!(socket.tcp_nodelay().unwrap(), "{local} to {peer}");
             ports.push(port);
         }
     }
     for port in [6565, 7300, 7700] {
-        assert!(ports.contains(&port), "no connection of port {port}: {ports:?}");
+        assert!(
+            ports.contains(&port),
+            "no connection of port {port}: {ports:?}"
+        );
     }
 }
 
 /// Copies of the sockets of a child process.
 fn sockets_of(process: u32) -> Vec<Socket> {
     let process_fd = unsafe { libc::syscall(libc::SYS_pidfd_open, process, 0) };
-    assert!(process_fd >= 0, "pidfd_open: {}", std::io::Error::last_os_error());
+    assert!(
+        process_fd >= 0,
+        "pidfd_open: {}",
+        std::io::Error::last_os_error()
+    );
     let process_fd = unsafe { OwnedFd::from_raw_fd(process_fd as i32) };
     let mut sockets = Vec::new();
-    for entry in std::fs::read_dir(format!("/proc/{process}/fd")).unwrap().flatten() {
+    for entry in std::fs::read_dir(format!("/proc/{process}/fd"))
+        .unwrap()
+        .flatten()
+    {
         let is_socket = std::fs::read_link(entry.path())
             .is_ok_and(|target| target.to_string_lossy().starts_with("socket:"));
         if !is_socket {
             continue;
         }
         let number: i32 = entry.file_name().to_str().unwrap().parse().unwrap();
-        let copy = unsafe { libc::syscall(libc::SYS_pidfd_getfd, process_fd.as_raw_fd(), number, 0) };
-        assert!(copy >= 0, "pidfd_getfd: {}", std::io::Error::last_os_error());
+        let copy =
+            unsafe { libc::syscall(libc::SYS_pidfd_getfd, process_fd.as_raw_fd(), number, 0) };
+        assert!(
+            copy >= 0,
+            "pidfd_getfd: {}",
+            std::io::Error::last_os_error()
+        );
         sockets.push(unsafe { Socket::from_raw_fd(copy as i32) });
     }
     sockets
@@ -503,7 +636,13 @@
     let mut senders: Vec<EdgeConnection> = (0..100).map(|_| backend.connect()).collect();
     let messages: Vec<Vec<u8>> = (0u32..)
         .zip(&senders)
-        .map(|(at, edge)| edge.message(1, &request_fields(&format!("000000000b01{at:04x}"), "20.0"), b"run"))
+        .map(|(at, edge)| {
+            edge.message(
+                1,
+                &request_fields(&format!("000000000b01{at:04x}"), "20.0"),
+                b"run",
+            )
+        })
         .collect();
     let running = AtomicBool::new(true);
     std::thread::scope(|scope| {
@@ -556,14 +695,19 @@
         }
         running.store(false, Ordering::Release);
         let slowest = other.join().unwrap();
-        println!("slowest answer beside 100 slow readers: {slowest:?}; {served} of theirs were served");
+        println!(
+            "slowest answer beside 100 slow readers: {slowest:?}; {served} of theirs were served"
+        );
         assert!(slowest < PROMPT, "{slowest:?}");
     });
     assert!(served > 0);
     for edge in &mut readers {
         edge.stream.set_nonblocking(true).unwrap();
         let more = edge.stream.read(&mut [0; 64]);
-        assert!(more.is_err_and(|error| error.kind() == ErrorKind::WouldBlock), "once each");
+        assert!(
+            more.is_err_and(|error| error.kind() == ErrorKind::WouldBlock),
+            "once each"
+        );
     }
 }
 
@@ -578,13 +722,16 @@
         let flood: Vec<_> = (0..4)
             .map(|_| {
                 scope.spawn(move || {
-                    let connect = |_| TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
+                    let connect =
+                        |_| TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
                     (0..250).filter_map(connect).collect::<Vec<_>>().len()
                 })
             })
             .collect();
         let connected: usize = flood.into_iter().map(|thread| thread.join().unwrap()).sum();
-        let files = std::fs::read_dir(format!("/proc/{}/fd", backend.child.id())).unwrap().count();
+        let files = std::fs::read_dir(format!("/proc/{}/fd", backend.child.id()))
+            .unwrap()
+            .count();
         running.store(false, Ordering::Release);
         let slowest = other.join().unwrap();
         println!("slowest answer beside a flood of {connected} connections: {slowest:?}");
@@ -605,7 +752,9 @@
     const REQUESTS: u32 = 3000;
     let backend = start_backend();
     let mut edge = backend.connect();
-    let mut writer = EdgeConnection { stream: edge.stream.try_clone().unwrap() };
+    let mut writer = EdgeConnection {
+        stream: edge.stream.try_clone().unwrap(),
+    };
     let running = AtomicBool::new(true);
     let mut counts: HashMap<u32, u32> = HashMap::new();
     std::thread::scope(|scope| {
@@ -624,7 +773,10 @@
         println!("slowest answer beside a flood of {REQUESTS} requests: {slowest:?}");
         assert!(slowest < PROMPT, "{slowest:?}");
     });
-    assert!((1..=REQUESTS).all(|sequence| counts.get(&sequence) == Some(&1)), "once each");
+    assert!(
+        (1..=REQUESTS).all(|sequence| counts.get(&sequence) == Some(&1)),
+        "once each"
+    );
 }
 
 /// Duplicates of a keyed request inside, at the edge of and past a window of 1.5 s, which counts by arrival at the
@@ -657,12 +809,17 @@
             let (backend, keyed) = (&backend, &keyed);
             scope.spawn(move || {
                 let key = format!("window-{case}");
-                let (first_id, second_id) =
-                    (format!("000000000c01{case:04x}"), format!("000000000c02{case:04x}"));
+                let (first_id, second_id) = (
+                    format!("000000000c01{case:04x}"),
+                    format!("000000000c02{case:04x}"),
+                );
                 let mut edge = backend.connect();
                 let first_stamp = unix_milliseconds();
                 edge.process(1, &keyed(&first_id, &key, first_stamp), b"run");
-                assert!(edge.expect_answer(1, AnswerKind::Answer).contains(first_id.as_bytes()));
+                assert!(
+                    edge.expect_answer(1, AnswerKind::Answer)
+                        .contains(first_id.as_bytes())
+                );
                 let second_stamp = (first_stamp + WINDOW_MS).saturating_add_signed(offset);
                 while unix_milliseconds() < second_stamp {
                     std::thread::sleep(Duration::from_millis(1));
@@ -684,7 +841,9 @@
 }
 
 fn unix_milliseconds() -> u64 {
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap();
     now.as_millis() as u64
 }
 
@@ -716,17 +875,27 @@
     for peer in [Peer::Executor, Peer::Store, Peer::Registry] {
         for presence in [Presence::Absent, Presence::Slow, Presence::Present] {
             let times = startup_times(peer, presence, STARTS);
-            let (median, worst) = median_and_worst(times.iter().map(|times| times.first_answer).collect());
+            let (median, worst) =
+                median_and_worst(times.iter().map(|times| times.first_answer).collect());
             print!("{peer:?} {presence:?}: first answer p50 {median:?}, worst {worst:?}");
-            assert!(worst < MAX_TIME_TO_FIRST_ANSWER, "{peer:?} {presence:?}: {worst:?}");
-            let served: Vec<Duration> = times.iter().filter_map(|times| times.first_served).collect();
+            assert!(
+                worst < MAX_TIME_TO_FIRST_ANSWER,
+                "{peer:?} {presence:?}: {worst:?}"
+            );
+            let served: Vec<Duration> = times
+                .iter()
+                .filter_map(|times| times.first_served)
+                .collect();
             if served.is_empty() {
                 println!();
                 assert_eq!((peer, presence), (Peer::Executor, Presence::Absent));
             } else {
                 let (median, worst) = median_and_worst(served);
                 println!("; first served p50 {median:?}, worst {worst:?}");
-                assert!(worst < MAX_TIME_TO_FIRST_ANSWER, "{peer:?} {presence:?}: {worst:?}");
+                assert!(
+                    worst < MAX_TIME_TO_FIRST_ANSWER,
+                    "{peer:?} {presence:?}: {worst:?}"
+                );
             }
         }
     }
@@ -740,7 +909,13 @@
 /// Starts a backend so many times beside the same peers.
 fn startup_times(peer: Peer, presence: Presence, starts: usize) -> Vec<StartupTimes> {
     let host = unique_address();
-    let presence_of = |other: Peer| if other == peer { presence } else { Presence::Present };
+    let presence_of = |other: Peer| {
+        if other == peer {
+            presence
+        } else {
+            Presence::Present
+        }
+    };
     let kernel = SharedExecutor::default();
     match presence_of(Peer::Executor) {
         Presence::Absent => {}
@@ -764,7 +939,13 @@
     let file = write_config(&host, &config_json(&host));
     let mut begin = Instant::now();
     let child = spawn_backend(&file);
-    let mut backend = TestBackend { host, kernel, store, child, file };
+    let mut backend = TestBackend {
+        host,
+        kernel,
+        store,
+        child,
+        file,
+    };
     let may_serve = presence_of(Peer::Executor) != Presence::Absent;
     let mut times = Vec::new();
     loop {
@@ -779,7 +960,9 @@
     }
     if peer == Peer::Registry && presence == Presence::Present {
         let registry = registry.as_ref().unwrap();
-        registry.set_read_timeout(Some(MAX_TIME_TO_FIRST_ANSWER)).unwrap();
+        registry
+            .set_read_timeout(Some(MAX_TIME_TO_FIRST_ANSWER))
+            .unwrap();
         registry.recv(&mut [0; 64]).expect("a report");
     }
     drop((silent_store, registry));
@@ -795,10 +978,16 @@
             let now = begin.elapsed();
             let first_answer = *first_answer.get_or_insert(now);
             if kind == AnswerKind::Answer {
-                return StartupTimes { first_answer, first_served: Some(now) };
+                return StartupTimes {
+                    first_answer,
+                    first_served: Some(now),
+                };
             }
             if !may_serve {
-                return StartupTimes { first_answer, first_served: None };
+                return StartupTimes {
+                    first_answer,
+                    first_served: None,
+                };
             }
         }
         std::thread::sleep(Duration::from_millis(1));
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -22,8 +22,8 @@
 use std::time::Duration;
 
 use tulipgap::{
-    CallerFeedback, Cancellation, Config, ConfigError, Dependency, Gauges, HandlerConfig, HandlerIndex,
-    Idempotency, TenantConfig, TenantIndex,
+    CallerFeedback, Cancellation, Config, ConfigError, Dependency, Gauges, HandlerConfig,
+    HandlerIndex, Idempotency, TenantConfig, TenantIndex,
 };
 
 pub use schema::Settings;
@@ -104,11 +104,18 @@
 ///
 /// Returns [`SettingsError::Time`] for a value that is negative, not finite or too long.
 pub fn milliseconds(key: &str, value: f64) -> Result<Duration, SettingsError> {
-    Duration::try_from_secs_f64(value / 1e3).map_err(|_| SettingsError::Time { key: key.to_owned(), value })
+    Duration::try_from_secs_f64(value / 1e3).map_err(|_| SettingsError::Time {
+        key: key.to_owned(),
+        value,
+    })
 }
 
 fn fraction(key: &'static str, value: f64) -> Result<f64, SettingsError> {
-    if (0.0..=1.0).contains(&value) { Ok(value) } else { Err(SettingsError::Fraction { key, value }) }
+    if (0.0..=1.0).contains(&value) {
+        Ok(value)
+    } else {
+        Err(SettingsError::Fraction { key, value })
+    }
 }
 
 /// The gauge of that name, if the controller reads it.
@@ -141,18 +148,28 @@
         if let Some(class) = self.classes.iter().position(is_pure_write) {
             return Err(SettingsError::PureWrite { class });
         }
-        Ok(match (self.family_info.list_follows, self.family_info.say) {
-            (true, Say::Silent) => Steering::EndpointList,
-            (true, _) => Steering::Both,
-            (false, Say::Silent) => Steering::RetryAfterOnly,
-            (false, _) => Steering::FeedbackValue,
-        })
+        Ok(
+            match (self.family_info.list_follows, self.family_info.say) {
+                (true, Say::Silent) => Steering::EndpointList,
+                (true, _) => Steering::Both,
+                (false, Say::Silent) => Steering::RetryAfterOnly,
+                (false, _) => Steering::FeedbackValue,
+            },
+        )
     }
 
     /// The names that the settings use.
     pub fn names(&self) -> Names {
-        let handlers = self.classes.iter().enumerate().map(|(index, class)| (class.name.clone(), index));
-        let tenants = self.tenants.iter().enumerate().map(|(index, tenant)| (tenant.name.clone(), index));
+        let handlers = self
+            .classes
+            .iter()
+            .enumerate()
+            .map(|(index, class)| (class.name.clone(), index));
+        let tenants = self
+            .tenants
+            .iter()
+            .enumerate()
+            .map(|(index, tenant)| (tenant.name.clone(), index));
         Names {
             handlers: handlers.collect(),
             tenants: tenants.collect(),
@@ -174,9 +191,13 @@
         let classes = self.classes.iter().enumerate();
         let tenants = self.tenants.iter();
         Ok(Config {
-            handlers: classes.map(|(index, class)| self.handler(index, class)).collect::<Result<_, _>>()?,
+            handlers: classes
+                .map(|(index, class)| self.handler(index, class))
+                .collect::<Result<_, _>>()?,
             tenants: tenants
-                .map(|tenant| TenantConfig { rate_quota_per_s: tenant.allowance_per_s })
+                .map(|tenant| TenantConfig {
+                    rate_quota_per_s: tenant.allowance_per_s,
+                })
                 .collect(),
             over_quota_weight: fraction("over_share_worth", self.over_share_worth.unwrap_or(1.0))?,
             cores: info.cores,
@@ -203,7 +224,10 @@
                 Say::Silent => CallerFeedback::None,
             },
             max_retry_after: match self.limits.retry_after {
-                true => Some(milliseconds("limits.max_retry_after", self.limits.max_retry_after)?),
+                true => Some(milliseconds(
+                    "limits.max_retry_after",
+                    self.limits.max_retry_after,
+                )?),
                 false => None,
             },
             servers: self.fleet_size,
@@ -219,7 +243,11 @@
         if length == 0 || length == classes {
             return Ok(());
         }
-        Err(SettingsError::Length { key, length, classes })
+        Err(SettingsError::Length {
+            key,
+            length,
+            classes,
+        })
     }
 
     fn dependency(&self) -> Result<Dependency, SettingsError> {
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -98,7 +98,9 @@
 
 impl Default for Clients {
     fn default() -> Self {
-        Clients { marks_retry: retries_are_marked() }
+        Clients {
+            marks_retry: retries_are_marked(),
+        }
     }
 }
 
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -23,15 +23,24 @@
 fn the_way_of_steering_follows_from_the_settings_alone() {
     let old = settings(r#","say":"weight""#, r#","effect":"pure""#);
     assert_eq!(old.steering().unwrap(), Steering::FeedbackValue);
-    let new = settings(r#","say":"silent","list_follows":true"#, r#","effect":"side_effect","write":true"#);
+    let new = settings(
+        r#","say":"silent","list_follows":true"#,
+        r#","effect":"side_effect","write":true"#,
+    );
     assert_eq!(new.steering().unwrap(), Steering::EndpointList);
     let config = new.controller_config().unwrap();
     assert_eq!(config.feedback, CallerFeedback::None);
     assert_eq!(
-        (config.handlers[0].idempotency, config.handlers[1].idempotency),
+        (
+            config.handlers[0].idempotency,
+            config.handlers[1].idempotency
+        ),
         (Idempotency::Keyed, Idempotency::NonIdempotent)
     );
-    assert_eq!(config.handlers[0].key_retention, Duration::from_millis(16_743));
+    assert_eq!(
+        config.handlers[0].key_retention,
+        Duration::from_millis(16_743)
+    );
 }
 
 #[test]
@@ -40,7 +49,11 @@
     assert!(unmarked.controller_config().unwrap().marks_retries);
     unmarked.clients = serde_json::from_str(r#"{"marks_retry":false}"#).unwrap();
     assert!(!unmarked.controller_config().unwrap().marks_retries);
-    assert_eq!(unmarked.controller_config().unwrap().servers, 0, "the fleet size is unknown");
+    assert_eq!(
+        unmarked.controller_config().unwrap().servers,
+        0,
+        "the fleet size is unknown"
+    );
     unmarked.fleet_size = 350;
     assert_eq!(unmarked.controller_config().unwrap().servers, 350);
 }
@@ -48,10 +61,17 @@
 /// A value beside a list that follows health was refused at start as half a move, and recife-matching has both.
 #[test]
 fn the_ways_of_steering_are_distinguished_and_an_idempotent_write_is_refused() {
-    let both = settings(r#","say":"weight","list_follows":true"#, r#","effect":"pure""#);
+    let both = settings(
+        r#","say":"weight","list_follows":true"#,
+        r#","effect":"pure""#,
+    );
     assert_eq!(both.steering().unwrap(), Steering::Both);
     let neither = settings(r#","say":"silent""#, r#","effect":"pure""#);
     assert_eq!(neither.steering().unwrap(), Steering::RetryAfterOnly);
     let pure_write = settings(r#","say":"silent""#, r#","effect":"pure","write":true"#);
-    assert!(pure_write.steering().is_err_and(|error| error.to_string().starts_with("classes[1].write: ")));
+    assert!(
+        pure_write
+            .steering()
+            .is_err_and(|error| error.to_string().starts_with("classes[1].write: "))
+    );
 }
--- a/crates/simhost/src/backend.rs
+++ b/crates/simhost/src/backend.rs
@@ -32,11 +32,20 @@
         let text = fields.text("facts")?;
         let invalid = |error: &dyn std::error::Error| fields.error("facts", error.to_string());
         let settings: Settings = text.parse().map_err(|error| invalid(&error))?;
-        let config = settings.controller_config().map_err(|error| invalid(&error))?;
+        let config = settings
+            .controller_config()
+            .map_err(|error| invalid(&error))?;
         let controller = Controller::new(&config, seed).map_err(|error| invalid(&error))?;
         let (ids, indices) = (Slab::new(), HashMap::new());
         let names = settings.names();
-        Ok(Backend { started_at: now, controller, names, ids, indices, events: vec![Event::Started] })
+        Ok(Backend {
+            started_at: now,
+            controller,
+            names,
+            ids,
+            indices,
+            events: vec![Event::Started],
+        })
     }
 
     /// The index of a request that the module has not ended yet.
@@ -48,20 +57,31 @@
     pub(crate) fn handle_line(&mut self, kind: &str, fields: &Fields) -> Result<(), WireError> {
         let event = match kind {
             "INCOMING" => Some(self.arrival(fields)?),
-            "GONE" => self.request(fields)?.map(|request| Event::CallerGone { request }),
-            "AT_CALL" => self.request(fields)?.map(|request| Event::ReachedCall { request }),
+            "GONE" => self
+                .request(fields)?
+                .map(|request| Event::CallerGone { request }),
+            "AT_CALL" => self
+                .request(fields)?
+                .map(|request| Event::ReachedCall { request }),
             "DONE" => {
                 let outcome = fields.outcome()?;
-                self.request(fields)?.map(|request| Event::Finished { request, outcome })
+                self.request(fields)?
+                    .map(|request| Event::Finished { request, outcome })
             }
             "CAME_BACK" => {
                 let outcome = fields.outcome()?;
-                self.request(fields)?.map(|request| Event::CallFinished { request, outcome })
+                self.request(fields)?
+                    .map(|request| Event::CallFinished { request, outcome })
             }
-            "ELAPSED" => Some(Event::TimerFired { gauges: fields.gauges()? }),
+            "ELAPSED" => Some(Event::TimerFired {
+                gauges: fields.gauges()?,
+            }),
             "SIGTERM" => {
                 let left = fields.time("expires_in", fields.required_number("expires_in")?)?;
-                Some(Event::ShutdownNotice { since: Duration::ZERO, left })
+                Some(Event::ShutdownNotice {
+                    since: Duration::ZERO,
+                    left,
+                })
             }
             other => return Err(WireError::at(fields.line, other, "it is no known message")),
         };
@@ -95,8 +115,10 @@
         let age = fields.time("queued_for", fields.number("queued_for")?.unwrap_or(0.0))?;
         let (client_wait, estimated_work) = (positive("expires_in")?, positive("work")?);
         let queued_kb = fields.required_number("footprint")?;
-        let (is_retry, is_duplicate) =
-            (fields.flag("again_by_client")?, fields.optional("original").is_some());
+        let (is_retry, is_duplicate) = (
+            fields.flag("again_by_client")?,
+            fields.optional("original").is_some(),
+        );
         let request = self.ids.insert(id.to_owned());
         self.indices.insert(id.to_owned(), request);
         Ok(Event::Arrived(Arrival {
@@ -132,32 +154,63 @@
         };
         match *action {
             Action::Start { request } => line("EXECUTE", Some(request), format_args!("")),
-            Action::Reject { request, retry_after, retry_other_server, .. } => {
-                let (wait, last) =
-                    (as_millis(retry_after.unwrap_or_default()), u8::from(!retry_other_server));
-                line("TURN_AWAY", Some(request), format_args!(" wait={wait:.3} terminal={last}"));
+            Action::Reject {
+                request,
+                retry_after,
+                retry_other_server,
+                ..
+            } => {
+                let (wait, last) = (
+                    as_millis(retry_after.unwrap_or_default()),
+                    u8::from(!retry_other_server),
+                );
+                line(
+                    "TURN_AWAY",
+                    Some(request),
+                    format_args!(" wait={wait:.3} terminal={last}"),
+                );
             }
             Action::Fail { request, .. } => line("REPORT_FAILURE", Some(request), format_args!("")),
             Action::Cancel { request } => line("YANK", Some(request), format_args!("")),
             Action::Coalesce { request } => line("JOIN", Some(request), format_args!("")),
             Action::RememberKey { request, retention } => {
-                line("KEEP", Some(request), format_args!(" lifetime={:.3}", as_millis(retention)));
+                line(
+                    "KEEP",
+                    Some(request),
+                    format_args!(" lifetime={:.3}", as_millis(retention)),
+                );
             }
             Action::ForgetKey { request } => line("EVICT", Some(request), format_args!("")),
             Action::StartCall { request, timeout } => {
-                line("DIAL", Some(request), format_args!(" patience={:.3}", as_millis(timeout)));
+                line(
+                    "DIAL",
+                    Some(request),
+                    format_args!(" patience={:.3}", as_millis(timeout)),
+                );
             }
             Action::SkipCall { request } => line("OMIT", Some(request), format_args!("")),
             Action::SetFeedback { value } => line("SAY", None, format_args!(" amount={value:.4}")),
             Action::SetIdleTimeout { timeout } => {
-                line("CLOSE_IDLE", None, format_args!(" lifetime={:.3}", as_millis(timeout)));
+                line(
+                    "CLOSE_IDLE",
+                    None,
+                    format_args!(" lifetime={:.3}", as_millis(timeout)),
+                );
             }
             Action::SetHealth { healthy } => {
-                line("SET_HEALTH", None, format_args!(" enable={} light=1", u8::from(healthy)));
+                line(
+                    "SET_HEALTH",
+                    None,
+                    format_args!(" enable={} light=1", u8::from(healthy)),
+                );
             }
             Action::SetTimer { at } => {
                 let at = self.started_at + as_millis(at);
-                line("TIMER", None, format_args!(" handle=beat alarm_time={at:.3}"));
+                line(
+                    "TIMER",
+                    None,
+                    format_args!(" handle=beat alarm_time={at:.3}"),
+                );
             }
             Action::Release { request } => {
                 let id = self.ids.remove(request);
--- a/crates/simhost/src/fields.rs
+++ b/crates/simhost/src/fields.rs
@@ -9,14 +9,22 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum WireError {
     #[error("line {line}: {field}: {problem}")]
-    Malformed { line: usize, field: String, problem: String },
+    Malformed {
+        line: usize,
+        field: String,
+        problem: String,
+    },
     #[error("standard streams: {0}")]
     Io(#[from] std::io::Error),
 }
 
 impl WireError {
     pub(crate) fn at(line: usize, field: &str, problem: impl Into<String>) -> Self {
-        WireError::Malformed { line, field: field.to_owned(), problem: problem.into() }
+        WireError::Malformed {
+            line,
+            field: field.to_owned(),
+            problem: problem.into(),
+        }
     }
 }
 
@@ -34,7 +42,11 @@
                 return Err(WireError::at(line, rest, "it is no name=value pair"));
             };
             let text = name == "facts";
-            let (value, next) = if text { (after, "") } else { after.split_once(' ').unwrap_or((after, "")) };
+            let (value, next) = if text {
+                (after, "")
+            } else {
+                after.split_once(' ').unwrap_or((after, ""))
+            };
             pairs.push((name, value));
             rest = next;
         }
@@ -42,7 +54,10 @@
     }
 
     fn find(&self, name: &str) -> Option<&'a str> {
-        self.pairs.iter().find(|(key, _)| *key == name).map(|(_, value)| *value)
+        self.pairs
+            .iter()
+            .find(|(key, _)| *key == name)
+            .map(|(_, value)| *value)
     }
 
     pub(crate) fn error(&self, name: &str, problem: impl Into<String>) -> WireError {
@@ -51,12 +66,16 @@
 
     /// The value of a field that may not be missing or empty.
     pub(crate) fn text(&self, name: &str) -> Result<&'a str, WireError> {
-        self.find(name).filter(|value| !value.is_empty()).ok_or_else(|| self.error(name, "it is missing"))
+        self.find(name)
+            .filter(|value| !value.is_empty())
+            .ok_or_else(|| self.error(name, "it is missing"))
     }
 
     pub(crate) fn integer(&self, name: &str) -> Result<u64, WireError> {
         let value = self.text(name)?;
-        value.parse().map_err(|_| self.error(name, format!("'{value}' is no whole number")))
+        value
+            .parse()
+            .map_err(|_| self.error(name, format!("'{value}' is no whole number")))
     }
 
     pub(crate) fn number(&self, name: &str) -> Result<Option<f64>, WireError> {
@@ -70,7 +89,8 @@
     }
 
     pub(crate) fn required_number(&self, name: &str) -> Result<f64, WireError> {
-        self.number(name)?.ok_or_else(|| self.error(name, "it is missing"))
+        self.number(name)?
+            .ok_or_else(|| self.error(name, "it is missing"))
     }
 
     pub(crate) fn time(&self, name: &str, value: f64) -> Result<Duration, WireError> {
@@ -106,7 +126,12 @@
 
     pub(crate) fn gauges(&self) -> Result<Gauges, WireError> {
         let mut gauges = Gauges::default();
-        for pair in self.find("feedback").unwrap_or("").split(',').filter(|pair| !pair.is_empty()) {
+        for pair in self
+            .find("feedback")
+            .unwrap_or("")
+            .split(',')
+            .filter(|pair| !pair.is_empty())
+        {
             let Some((name, value)) = pair.split_once(':') else {
                 return Err(self.error("feedback", format!("'{pair}' is no name:value pair")));
             };
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -47,8 +47,8 @@
         }
         let fields = Fields::parse(number, rest)?;
         let id = match kind {
-            "SPAWN" | "POWER_OFF" | "INCOMING" | "GONE" | "AT_CALL" | "DONE" | "CAME_BACK" | "ELAPSED"
-            | "SIGTERM" => fields.integer("backend_id")?,
+            "SPAWN" | "POWER_OFF" | "INCOMING" | "GONE" | "AT_CALL" | "DONE" | "CAME_BACK"
+            | "ELAPSED" | "SIGTERM" => fields.integer("backend_id")?,
             _ => return Err(WireError::at(number, kind, "it is no known message")),
         };
         match kind {
@@ -73,7 +73,11 @@
     /// The input ended before this line.
     pub(crate) fn finish(&self, number: usize) -> Result<(), WireError> {
         match self.in_batch {
-            true => Err(WireError::at(number, "OVER_TO_YOU", "the input ends inside a batch")),
+            true => Err(WireError::at(
+                number,
+                "OVER_TO_YOU",
+                "the input ends inside a batch",
+            )),
             false => Ok(()),
         }
     }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -33,8 +33,8 @@
         if input.read_until(b'\n', &mut line)? == 0 {
             return host.finish(number);
         }
-        let text =
-            std::str::from_utf8(&line).map_err(|_| WireError::at(number, "line", "it is not UTF-8"))?;
+        let text = std::str::from_utf8(&line)
+            .map_err(|_| WireError::at(number, "line", "it is not UTF-8"))?;
         if let Some(reply) = host.line(number, text.trim_end_matches(['\n', '\r']))? {
             output.write_all(reply.as_bytes())?;
             output.flush()?;
--- a/crates/simhost/src/tests.rs
+++ b/crates/simhost/src/tests.rs
@@ -16,17 +16,33 @@
 }
 
 fn spawn() -> String {
-    format!("SPAWN backend_id=3 prng=7 facts={}", FACTS.replace('\n', ""))
+    format!(
+        "SPAWN backend_id=3 prng=7 facts={}",
+        FACTS.replace('\n', "")
+    )
 }
 
 #[test]
 fn a_request_is_admitted_run_and_released() {
-    let incoming =
-        "INCOMING backend_id=3 tid=t/a who=1 footprint=10.5 queued_for=2 type=page work=20.0 odd_key=9";
+    let incoming = "INCOMING backend_id=3 tid=t/a who=1 footprint=10.5 queued_for=2 type=page work=20.0 odd_key=9";
     let done = "DONE backend_id=3 tid=t/a latency=20.0 reason=success";
     let spawn = spawn();
-    let lines = ["CLOCK t=5000.5", &spawn, "OVER_TO_YOU", "CLOCK t=5010", incoming, "OVER_TO_YOU"];
-    let rest = ["CLOCK t=5030", done, done, "OVER_TO_YOU", "CLOCK t=5040", "OVER_TO_YOU"];
+    let lines = [
+        "CLOCK t=5000.5",
+        &spawn,
+        "OVER_TO_YOU",
+        "CLOCK t=5010",
+        incoming,
+        "OVER_TO_YOU",
+    ];
+    let rest = [
+        "CLOCK t=5030",
+        done,
+        done,
+        "OVER_TO_YOU",
+        "CLOCK t=5040",
+        "OVER_TO_YOU",
+    ];
     let (output, result) = run(&[&lines[..], &rest[..]].concat());
     assert_eq!(result, Ok(()));
     let expected = "SET_HEALTH backend_id=3 enable=1 light=1\nTIMER backend_id=3 handle=beat alarm_time=5025.500\n\
@@ -39,16 +55,46 @@
     let spawn = spawn();
     let incoming = |fields: &str| format!("INCOMING backend_id=3 {fields}");
     for (line, message) in [
-        ("HELLO backend_id=3".to_owned(), "line 3: HELLO: it is no known message"),
-        (incoming("footprint=1 type=page"), "line 3: tid: it is missing"),
-        (incoming("tid=t/a type=page"), "line 3: footprint: it is missing"),
-        (incoming("tid=t/a footprint=x type=page"), "line 3: footprint: 'x' is no number of at least 0"),
-        (incoming("tid=t/a footprint=1 type=pag"), "line 3: type: 'pag' is no known class"),
-        (incoming("tid=t/a footprint"), "line 3: footprint: it is no name=value pair"),
-        ("DONE backend_id=3 tid=t/a reason=fine".to_owned(), "line 3: reason: 'fine' is no outcome"),
-        ("SIGTERM backend_id=3".to_owned(), "line 3: expires_in: it is missing"),
-        ("GONE backend_id=x tid=t/a".to_owned(), "line 3: backend_id: 'x' is no whole number"),
-        ("CLOCK t=7".to_owned(), "line 3: CLOCK: it is no known message"),
+        (
+            "HELLO backend_id=3".to_owned(),
+            "line 3: HELLO: it is no known message",
+        ),
+        (
+            incoming("footprint=1 type=page"),
+            "line 3: tid: it is missing",
+        ),
+        (
+            incoming("tid=t/a type=page"),
+            "line 3: footprint: it is missing",
+        ),
+        (
+            incoming("tid=t/a footprint=x type=page"),
+            "line 3: footprint: 'x' is no number of at least 0",
+        ),
+        (
+            incoming("tid=t/a footprint=1 type=pag"),
+            "line 3: type: 'pag' is no known class",
+        ),
+        (
+            incoming("tid=t/a footprint"),
+            "line 3: footprint: it is no name=value pair",
+        ),
+        (
+            "DONE backend_id=3 tid=t/a reason=fine".to_owned(),
+            "line 3: reason: 'fine' is no outcome",
+        ),
+        (
+            "SIGTERM backend_id=3".to_owned(),
+            "line 3: expires_in: it is missing",
+        ),
+        (
+            "GONE backend_id=x tid=t/a".to_owned(),
+            "line 3: backend_id: 'x' is no whole number",
+        ),
+        (
+            "CLOCK t=7".to_owned(),
+            "line 3: CLOCK: it is no known message",
+        ),
     ] {
         let (output, result) = run(&["CLOCK t=5000", &spawn, &line, "OVER_TO_YOU"]);
         assert_eq!((output.as_str(), result), ("", Err(message.to_owned())));
@@ -57,19 +103,38 @@
 
 #[test]
 fn invalid_settings_are_rejected_at_start() {
-    let wrong = |from: &str, to: &str| run(&["CLOCK t=0", &spawn().replace(from, to), "OVER_TO_YOU"]).1;
-    assert_eq!(wrong("\"cores\":2", "\"cores\":0"), Err("line 2: facts: no cores are given".to_owned()));
+    let wrong =
+        |from: &str, to: &str| run(&["CLOCK t=0", &spawn().replace(from, to), "OVER_TO_YOU"]).1;
+    assert_eq!(
+        wrong("\"cores\":2", "\"cores\":0"),
+        Err("line 2: facts: no cores are given".to_owned())
+    );
     let missing = wrong("\"halt\":\"drop\",", "").unwrap_err();
-    assert!(missing.starts_with("line 2: facts: missing field `halt`"), "{missing}");
+    assert!(
+        missing.starts_with("line 2: facts: missing field `halt`"),
+        "{missing}"
+    );
 }
 
 #[test]
 fn the_clock_and_the_batches_are_in_order() {
     let back = run(&["CLOCK t=10", "OVER_TO_YOU", "CLOCK t=9", "OVER_TO_YOU"]);
-    assert_eq!(back, ("NEXT\n".to_owned(), Err("line 3: t: the clock went back".to_owned())));
+    assert_eq!(
+        back,
+        (
+            "NEXT\n".to_owned(),
+            Err("line 3: t: the clock went back".to_owned())
+        )
+    );
     let cut = run(&["CLOCK t=10"]).1;
-    assert_eq!(cut, Err("line 2: OVER_TO_YOU: the input ends inside a batch".to_owned()));
-    assert_eq!(run(&["OVER_TO_YOU"]).1, Err("line 1: OVER_TO_YOU: a batch opens with CLOCK".to_owned()));
+    assert_eq!(
+        cut,
+        Err("line 2: OVER_TO_YOU: the input ends inside a batch".to_owned())
+    );
+    assert_eq!(
+        run(&["OVER_TO_YOU"]).1,
+        Err("line 1: OVER_TO_YOU: a batch opens with CLOCK".to_owned())
+    );
 }
 
 /// The second of two deployments: other classes, tenants, effects and figures than the first.
@@ -79,9 +144,13 @@
         r#""name":"order","objective":300.0,"deadline":900.0,"worth":5.0,"effect":"token","memory_span":2000.0},
            {"name":"page","objective":700.0,"deadline":1500.0,"worth":2.0,"effect":"side_effect"}"#,
     );
-    let other = other.replace(r#""say":"weight""#, r#""say":"credit","callers":9"#).replace('\n', " ");
-    let with_tenants = other
-        .replace(r#""fleet_size":3"#, r#""tenants":[{"name":"a","allowance_per_s":9.0}],"fleet_size":7"#);
+    let other = other
+        .replace(r#""say":"weight""#, r#""say":"credit","callers":9"#)
+        .replace('\n', " ");
+    let with_tenants = other.replace(
+        r#""fleet_size":3"#,
+        r#""tenants":[{"name":"a","allowance_per_s":9.0}],"fleet_size":7"#,
+    );
     assert_ne!(with_tenants, other);
     with_tenants
 }
@@ -97,7 +166,10 @@
     let mut host = Host::default();
     let mut day = vec![spawn];
     let mut ends: Vec<(usize, String)> = Vec::new();
-    for (line, text) in [clock(0), day[0].clone(), "OVER_TO_YOU".to_owned()].iter().enumerate() {
+    for (line, text) in [clock(0), day[0].clone(), "OVER_TO_YOU".to_owned()]
+        .iter()
+        .enumerate()
+    {
         host.line(line + 1, text).unwrap();
     }
     for step in 1..3000usize {
@@ -111,7 +183,10 @@
         let original =
             is_duplicate.then(|| format!(" original=t/{deployment}x{}", step - 1 - rng.usize(..8)));
         let original = original.unwrap_or_default();
-        let ended = ends.iter().position(|(by, _)| *by <= step).map(|position| ends.swap_remove(position).1);
+        let ended = ends
+            .iter()
+            .position(|(by, _)| *by <= step)
+            .map(|position| ends.swap_remove(position).1);
         day.push(match (ended, step % 8) {
             (Some(tid), _) => format!("DONE backend_id={id} tid={tid} latency=20.0 reason=success"),
             (None, 0) => {
@@ -123,10 +198,17 @@
             ),
         });
         let mut reply = None;
-        for (line, text) in [clock(step), day[step].clone(), "OVER_TO_YOU".to_owned()].iter().enumerate() {
+        for (line, text) in [clock(step), day[step].clone(), "OVER_TO_YOU".to_owned()]
+            .iter()
+            .enumerate()
+        {
             reply = host.line(3 * step + line + 1, text).unwrap();
         }
-        for line in reply.unwrap().lines().filter(|line| line.starts_with("EXECUTE")) {
+        for line in reply
+            .unwrap()
+            .lines()
+            .filter(|line| line.starts_with("EXECUTE"))
+        {
             let tid = line.split(" tid=").nth(1).unwrap();
             ends.push((step + 2 + rng.usize(..20), tid.to_owned()));
         }
@@ -149,7 +231,11 @@
 
 fn lines_of(output: &str, id: usize) -> Vec<String> {
     let own = format!(" backend_id={id} ");
-    output.lines().filter(|line| line.contains(&own)).map(str::to_owned).collect()
+    output
+        .lines()
+        .filter(|line| line.contains(&own))
+        .map(str::to_owned)
+        .collect()
 }
 
 /// Two customers in one process, the events of one between those of the other. Each acts exactly as it does alone:
@@ -158,8 +244,9 @@
 fn two_deployments_in_one_process_act_as_each_does_alone() {
     let mut rng = fastrand::Rng::with_seed(7);
     let deployments = [spawn(), spawn_other()].into_iter().enumerate();
-    let days: Vec<Vec<String>> =
-        deployments.map(|(deployment, spawn)| generate_day(deployment, spawn, &mut rng)).collect();
+    let days: Vec<Vec<String>> = deployments
+        .map(|(deployment, spawn)| generate_day(deployment, spawn, &mut rng))
+        .collect();
     let together = play(&[&days[0], &days[1]]);
     for (deployment, day) in days.iter().enumerate() {
         let id = deployment + 3;
--- a/crates/trace/benches/trace.rs
+++ b/crates/trace/benches/trace.rs
@@ -6,8 +6,8 @@
 
 use criterion::{BatchSize, BenchmarkId, Criterion, Throughput};
 use tulipgap_trace::{
-    BlockEntry, Filter, Index, Micros, Record, Recorder, RecorderConfig, RetentionConfig, RotatingWriter,
-    Storage, StoredFile, SyntheticLoad, generate_load,
+    BlockEntry, Filter, Index, Micros, Record, Recorder, RecorderConfig, RetentionConfig,
+    RotatingWriter, Storage, StoredFile, SyntheticLoad, generate_load,
 };
 
 const SECOND: Micros = 1_000_000;
@@ -37,7 +37,10 @@
 
 fn load(duration: Micros) -> Vec<(Micros, Record)> {
     let mut all = Vec::new();
-    let load = SyntheticLoad { duration, ..SyntheticLoad::default() };
+    let load = SyntheticLoad {
+        duration,
+        ..SyntheticLoad::default()
+    };
     generate_load(&load, |over, record| all.push((over - load.start, record)));
     all
 }
@@ -67,8 +70,12 @@
         b.iter_batched(
             || some.clone(),
             |some| {
-                let mut writer =
-                    RotatingWriter::new(NullStorage, recording(), SyntheticLoad::default().start, 1);
+                let mut writer = RotatingWriter::new(
+                    NullStorage,
+                    recording(),
+                    SyntheticLoad::default().start,
+                    1,
+                );
                 for (at, record) in some {
                     writer.record(Duration::from_micros(at as u64), record);
                 }
@@ -80,7 +87,12 @@
     // What the server's own thread does; the queue is emptied between.
     group.bench_function("handed over by the server", |b| {
         b.iter_batched(
-            || (some.clone(), Recorder::start(NullStorage, recording(), |_| {}).unwrap()),
+            || {
+                (
+                    some.clone(),
+                    Recorder::start(NullStorage, recording(), |_| {}).unwrap(),
+                )
+            },
             |(some, recorder)| {
                 for (_, record) in some {
                     recorder.record(record);
@@ -107,7 +119,11 @@
                 records: 950,
                 from: from - SECOND,
                 to: from + 5 * SECOND,
-                handlers: if rare { [0, 1, 2, 9].into() } else { [0, 1, 2].into() },
+                handlers: if rare {
+                    [0, 1, 2, 9].into()
+                } else {
+                    [0, 1, 2].into()
+                },
                 outcomes: if rare { 15 } else { 3 },
             });
         }
@@ -120,14 +136,32 @@
         let mut index = index_of(servers, hours);
         index.prepare();
         let (from, to) = (37 * 60 * SECOND, 38 * 60 * SECOND);
-        let minute = Filter { from: Some(from), to: Some(to), ..Filter::default() };
-        let rare = Filter { handlers: Some([9].into()), ..Filter::default() };
-        let both = Filter { handlers: Some([9].into()), ..minute.clone() };
+        let minute = Filter {
+            from: Some(from),
+            to: Some(to),
+            ..Filter::default()
+        };
+        let rare = Filter {
+            handlers: Some([9].into()),
+            ..Filter::default()
+        };
+        let both = Filter {
+            handlers: Some([9].into()),
+            ..minute.clone()
+        };
         let mut group = c.benchmark_group(name);
-        for (what, filter) in [("a minute", minute), ("a rare handler", rare), ("both", both)] {
+        for (what, filter) in [
+            ("a minute", minute),
+            ("a rare handler", rare),
+            ("both", both),
+        ] {
             assert_eq!(index.find(&filter), index.scan(&filter));
-            group.bench_function(BenchmarkId::new("index", what), |b| b.iter(|| index.find(&filter)));
-            group.bench_function(BenchmarkId::new("scan", what), |b| b.iter(|| index.scan(&filter)));
+            group.bench_function(BenchmarkId::new("index", what), |b| {
+                b.iter(|| index.find(&filter))
+            });
+            group.bench_function(BenchmarkId::new("scan", what), |b| {
+                b.iter(|| index.scan(&filter))
+            });
         }
         group.bench_function("building the index", |b| {
             b.iter_batched(
--- a/crates/trace/src/anonymise.rs
+++ b/crates/trace/src/anonymise.rs
@@ -46,7 +46,10 @@
         let is_hex = trimmed.iter().all(u8::is_ascii_hexdigit) && trimmed.len().is_multiple_of(2);
         let bytes = if is_hex && !trimmed.is_empty() {
             let digit = |byte: u8| (byte as char).to_digit(16).unwrap_or_default() as u8;
-            trimmed.chunks(2).map(|pair| digit(pair[0]) << 4 | digit(pair[1])).collect()
+            trimmed
+                .chunks(2)
+                .map(|pair| digit(pair[0]) << 4 | digit(pair[1]))
+                .collect()
         } else {
             text.to_vec()
         };
@@ -65,7 +68,10 @@
     /// The hash of a value. The same value of two kinds has two hashes.
     fn hash(&self, kind: &str, bytes: &[u8]) -> blake3::Hash {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
-        hasher.update(&(kind.len() as u64).to_le_bytes()).update(kind.as_bytes()).update(bytes);
+        hasher
+            .update(&(kind.len() as u64).to_le_bytes())
+            .update(kind.as_bytes())
+            .update(bytes);
         hasher.finalize()
     }
 
@@ -104,17 +110,29 @@
     source.survey().map_err(RewriteError::read("input"))?;
     let mut names = source.dictionary().clone();
     if hidden.tenants {
-        names.tenants.iter_mut().for_each(|tenant| tenant.name = key.hash_name("tenant", &tenant.name));
+        names
+            .tenants
+            .iter_mut()
+            .for_each(|tenant| tenant.name = key.hash_name("tenant", &tenant.name));
     }
     if hidden.servers {
-        names.servers.iter_mut().for_each(|server| *server = key.hash_name("server", server));
+        names
+            .servers
+            .iter_mut()
+            .for_each(|server| *server = key.hash_name("server", server));
     }
     if hidden.handlers {
-        names.handlers.iter_mut().for_each(|handler| handler.name = key.hash_name("handler", &handler.name));
+        names
+            .handlers
+            .iter_mut()
+            .for_each(|handler| handler.name = key.hash_name("handler", &handler.name));
     }
     let original = source.header().clone();
-    let server =
-        if hidden.servers { key.hash_name("server", &original.server) } else { original.server.clone() };
+    let server = if hidden.servers {
+        key.hash_name("server", &original.server)
+    } else {
+        original.server.clone()
+    };
     let mut header = Header::new(NEWEST_VERSION, 0, &server, original.start);
     header.names = names.clone();
     // The id of the source would connect the copy with it; a hash of it still shows a file that is given
@@ -123,7 +141,9 @@
     let mut writer = Writer::new(out, header, BlockConfig::default())?;
     let mut source = source.rewind().map_err(RewriteError::read("input"))?;
     source.rename(names);
-    let summary = copy(source, &Filter::default(), &mut writer, |record| hide(record, key))?;
+    let summary = copy(source, &Filter::default(), &mut writer, |record| {
+        hide(record, key)
+    })?;
     writer.finish()?;
     Ok(summary)
 }
@@ -131,6 +151,8 @@
 fn hide(record: &mut Record, key: &HashKey) {
     record.id = key.hash_number("id", record.id);
     record.key = record.key.map(|value| key.hash_number("key", value));
-    record.subject = record.subject.map(|value| key.hash_number("subject", value));
+    record.subject = record
+        .subject
+        .map(|value| key.hash_number("subject", value));
     record.caller = record.caller.map(|value| key.hash_number("caller", value));
 }
--- a/crates/trace/src/block/decode.rs
+++ b/crates/trace/src/block/decode.rs
@@ -6,7 +6,9 @@
 
 use zstd::bulk::Decompressor;
 
-use super::{BlockHeader, MAX_COLUMNS, MAX_PLANES, MAX_TABLE_ENTRIES, layout, prediction, presence};
+use super::{
+    BlockHeader, MAX_COLUMNS, MAX_PLANES, MAX_TABLE_ENTRIES, layout, prediction, presence,
+};
 use crate::TraceError;
 use crate::columns;
 use crate::record::Record;
@@ -51,7 +53,10 @@
 ) -> Result<Vec<EncodedColumn<'a>>, TraceError> {
     let count = input.read_u64()?;
     if count > MAX_COLUMNS as u64 {
-        return Err(TraceError::LimitExceeded { what: "columns of a block", value: count });
+        return Err(TraceError::LimitExceeded {
+            what: "columns of a block",
+            value: count,
+        });
     }
     let max_part_bytes = (header.records * MAX_PART_BYTES_PER_RECORD + MAX_PART_EXTRA_BYTES) as u64;
     let mut all = Vec::new();
@@ -59,10 +64,18 @@
         all.push(read_column_entry(input, max_part_bytes)?);
     }
     for part in all.iter_mut().flat_map(|column| &mut column.parts) {
-        let length = if part.compressed_length > 0 { part.compressed_length } else { part.raw_length };
+        let length = if part.compressed_length > 0 {
+            part.compressed_length
+        } else {
+            part.raw_length
+        };
         part.body = input.read_bytes(length)?;
     }
-    if input.is_empty() { Ok(all) } else { Err(TraceError::Invalid("bytes behind a block")) }
+    if input.is_empty() {
+        Ok(all)
+    } else {
+        Err(TraceError::Invalid("bytes behind a block"))
+    }
 }
 
 /// What stands about a column before all bodies.
@@ -83,7 +96,10 @@
         let raw_length = input.read_u64()?;
         let compressed_length = input.read_u64()?;
         if raw_length > max_part_bytes {
-            return Err(TraceError::LimitExceeded { what: "bytes of a column", value: raw_length });
+            return Err(TraceError::LimitExceeded {
+                what: "bytes of a column",
+                value: raw_length,
+            });
         }
         column.parts.push(Part {
             raw_length: raw_length as usize,
@@ -103,7 +119,10 @@
 impl<'a> PartReader<'a, '_> {
     /// The bytes of the next part.
     fn next(&mut self) -> Result<Cow<'a, [u8]>, TraceError> {
-        let part = self.parts.next().ok_or(TraceError::Invalid("the parts of a column"))?;
+        let part = self
+            .parts
+            .next()
+            .ok_or(TraceError::Invalid("the parts of a column"))?;
         if part.compressed_length == 0 {
             return Ok(part.body.into());
         }
@@ -151,8 +170,14 @@
     fn varints(&mut self, count: usize) -> Result<Vec<u64>, TraceError> {
         let bytes = self.next()?;
         let mut input = ByteReader(&bytes);
-        let values = (0..count).map(|_| input.read_u64()).collect::<Result<_, _>>()?;
-        if input.is_empty() { Ok(values) } else { Err(TraceError::Invalid("bytes behind a column")) }
+        let values = (0..count)
+            .map(|_| input.read_u64())
+            .collect::<Result<_, _>>()?;
+        if input.is_empty() {
+            Ok(values)
+        } else {
+            Err(TraceError::Invalid("bytes behind a column"))
+        }
     }
 
     fn table(&mut self, count: usize) -> Result<Vec<u64>, TraceError> {
@@ -160,7 +185,10 @@
         let mut input = ByteReader(&bytes);
         let entries = input.read_u64()?;
         if entries > MAX_TABLE_ENTRIES as u64 {
-            return Err(TraceError::LimitExceeded { what: "entries of a table", value: entries });
+            return Err(TraceError::LimitExceeded {
+                what: "entries of a table",
+                value: entries,
+            });
         }
         let mut previous = 0u64;
         let mut table = Vec::new();
@@ -169,7 +197,10 @@
             table.push(previous);
         }
         let entry = |position: u64| {
-            let entry = usize::try_from(position).ok().and_then(|position| table.get(position)).copied();
+            let entry = usize::try_from(position)
+                .ok()
+                .and_then(|position| table.get(position))
+                .copied();
             entry.ok_or(TraceError::Invalid("a position in a table"))
         };
         self.planes(count)?.into_iter().map(entry).collect()
@@ -182,16 +213,26 @@
     records: usize,
     decompressor: &mut Decompressor<'static>,
 ) -> Result<Vec<Option<u64>>, TraceError> {
-    let mut parts = PartReader { parts: column.parts.clone().into_iter(), decompressor };
+    let mut parts = PartReader {
+        parts: column.parts.clone().into_iter(),
+        decompressor,
+    };
     let bitmap = match column.presence {
         presence::ALL => None,
         presence::BITMAP => Some(parts.next()?),
         _ => return Err(TraceError::Invalid("which records have a value")),
     };
-    if bitmap.as_ref().is_some_and(|bitmap| bitmap.len() != records.div_ceil(8)) {
+    if bitmap
+        .as_ref()
+        .is_some_and(|bitmap| bitmap.len() != records.div_ceil(8))
+    {
         return Err(TraceError::Invalid("which records have a value"));
     }
-    let has_value = |at: usize| bitmap.as_ref().is_none_or(|bitmap| bitmap[at / 8] >> (at % 8) & 1 == 1);
+    let has_value = |at: usize| {
+        bitmap
+            .as_ref()
+            .is_none_or(|bitmap| bitmap[at / 8] >> (at % 8) & 1 == 1)
+    };
     let count = (0..records).filter(|&at| has_value(at)).count();
     let values = match column.layout {
         layout::CONSTANT => parts.constant(count)?,
@@ -204,7 +245,9 @@
         return Err(TraceError::Invalid("the parts of a column"));
     }
     let mut values = values.into_iter();
-    Ok((0..records).map(|at| if has_value(at) { values.next() } else { None }).collect())
+    Ok((0..records)
+        .map(|at| if has_value(at) { values.next() } else { None })
+        .collect())
 }
 
 /// A column whose values are known.
@@ -237,7 +280,10 @@
                 return Err(TraceError::InvalidValue { column: known.name });
             }
         }
-        decoded.push(DecodedColumn { id: column.id, values });
+        decoded.push(DecodedColumn {
+            id: column.id,
+            values,
+        });
     }
     Ok(records)
 }
@@ -259,7 +305,9 @@
         }
         prediction::OTHER_COLUMN => {
             // The other column stands before this one, or there is none.
-            let other = decoded.iter().find(|other| other.id == u64::from(column.other_column));
+            let other = decoded
+                .iter()
+                .find(|other| other.id == u64::from(column.other_column));
             for (at, value) in values.iter_mut().enumerate() {
                 let predicted = other.and_then(|other| other.values[at]).unwrap_or(0);
                 *value = value.map(|value| sum(value, predicted));
--- a/crates/trace/src/block/encode.rs
+++ b/crates/trace/src/block/encode.rs
@@ -29,7 +29,10 @@
 ///
 /// # Errors
 /// [`WriteError::ValueOutOfRange`] names the column that a value does not fit.
-pub(crate) fn columns_of(records: &[Record], version: u32) -> Result<Vec<ColumnValues>, WriteError> {
+pub(crate) fn columns_of(
+    records: &[Record],
+    version: u32,
+) -> Result<Vec<ColumnValues>, WriteError> {
     let mut all = Vec::new();
     for column in columns::of_version(version) {
         let mut values = Vec::with_capacity(records.len());
@@ -38,18 +41,35 @@
             check_value(column, version, value)?;
             values.push(value);
         }
-        all.push(ColumnValues { id: column.id, kind: column.kind, prediction: column.prediction, values });
+        all.push(ColumnValues {
+            id: column.id,
+            kind: column.kind,
+            prediction: column.prediction,
+            values,
+        });
     }
     Ok(all)
 }
 
 /// Checks that a value is no wider than its column.
-pub(crate) fn check_value(column: &Column, version: u32, value: Option<u64>) -> Result<(), WriteError> {
+pub(crate) fn check_value(
+    column: &Column,
+    version: u32,
+    value: Option<u64>,
+) -> Result<(), WriteError> {
     let bits = column.max_bits(version);
     match value {
         Some(value) if bits < 64 && value >> bits != 0 => {
-            let value = if column.kind == ColumnKind::Signed { zigzag_decode(value) } else { value as i64 };
-            Err(WriteError::ValueOutOfRange { column: column.name, value, bits })
+            let value = if column.kind == ColumnKind::Signed {
+                zigzag_decode(value)
+            } else {
+                value as i64
+            };
+            Err(WriteError::ValueOutOfRange {
+                column: column.name,
+                value,
+                bits,
+            })
         }
         _ => Ok(()),
     }
@@ -79,10 +99,21 @@
         let parts: Vec<Vec<u8>> = bitmap.into_iter().chain(laid_out.parts).collect();
         out.push(parts.len() as u8);
         for raw in parts {
-            let compressed = if is_uniform(&raw) { Vec::new() } else { compressor.compress(&raw)? };
+            let compressed = if is_uniform(&raw) {
+                Vec::new()
+            } else {
+                compressor.compress(&raw)?
+            };
             let is_compressed = !compressed.is_empty() && compressed.len() < raw.len();
             write_u64(&mut out, raw.len() as u64);
-            write_u64(&mut out, if is_compressed { compressed.len() as u64 } else { 0 });
+            write_u64(
+                &mut out,
+                if is_compressed {
+                    compressed.len() as u64
+                } else {
+                    0
+                },
+            );
             bodies.push(if is_compressed { compressed } else { raw });
         }
     }
@@ -99,7 +130,10 @@
         counts[usize::from(byte)] += 1;
     }
     let count = bytes.len() as f64;
-    let equal_pairs: f64 = counts.iter().map(|&count| f64::from(count) * f64::from(count)).sum();
+    let equal_pairs: f64 = counts
+        .iter()
+        .map(|&count| f64::from(count) * f64::from(count))
+        .sum();
     equal_pairs * 256.0 <= count * count * MIN_BYTE_SKEW + count * 256.0
 }
 
@@ -117,8 +151,9 @@
         Prediction::OtherColumn(id) => {
             let other = columns.iter().find(|other| other.id == id);
             let predicted = |at: usize| other.and_then(|other| other.values[at]).unwrap_or(0);
-            let step =
-                |(at, value): (usize, &Option<u64>)| value.map(|value| difference(value, predicted(at)));
+            let step = |(at, value): (usize, &Option<u64>)| {
+                value.map(|value| difference(value, predicted(at)))
+            };
             column.values.iter().enumerate().map(step).collect()
         }
     }
@@ -135,7 +170,11 @@
         return (presence::ALL, None);
     }
     let mut bitmap = vec![0u8; values.len().div_ceil(8)];
-    for (at, _) in values.iter().enumerate().filter(|(_, value)| value.is_some()) {
+    for (at, _) in values
+        .iter()
+        .enumerate()
+        .filter(|(_, value)| value.is_some())
+    {
         bitmap[at / 8] |= 1 << (at % 8);
     }
     (presence::BITMAP, Some(bitmap))
@@ -150,22 +189,43 @@
 /// Lays values out in the way that is likely to compress best.
 fn lay_out(values: &[u64]) -> LaidOut {
     let Some(&first) = values.first() else {
-        return LaidOut { layout: layout::CONSTANT, parts: Vec::new() };
+        return LaidOut {
+            layout: layout::CONSTANT,
+            parts: Vec::new(),
+        };
     };
     if values.iter().all(|&value| value == first) {
-        return LaidOut { layout: layout::CONSTANT, parts: vec![varints(&[first])] };
+        return LaidOut {
+            layout: layout::CONSTANT,
+            parts: vec![varints(&[first])],
+        };
     }
     if let Some(table) = table_of(values) {
-        return LaidOut { layout: layout::TABLE, parts: table_parts(values, &table) };
+        return LaidOut {
+            layout: layout::TABLE,
+            parts: table_parts(values, &table),
+        };
     }
     // Times of one order of magnitude compress best as planes, of which the upper ones are nearly constant.
     // Small numbers with a few long ones among them do so as varints.
-    let width = values.iter().max().map_or(1, |&longest| byte_width(longest));
-    let short = values.iter().filter(|&&value| byte_width(value) * 2 < width).count();
+    let width = values
+        .iter()
+        .max()
+        .map_or(1, |&longest| byte_width(longest));
+    let short = values
+        .iter()
+        .filter(|&&value| byte_width(value) * 2 < width)
+        .count();
     if width <= 2 || short * 8 < values.len() * 7 {
-        LaidOut { layout: layout::PLANES, parts: planes(values, width) }
+        LaidOut {
+            layout: layout::PLANES,
+            parts: planes(values, width),
+        }
     } else {
-        LaidOut { layout: layout::VARINTS, parts: vec![varints(values)] }
+        LaidOut {
+            layout: layout::VARINTS,
+            parts: vec![varints(values)],
+        }
     }
 }
 
@@ -185,7 +245,11 @@
 /// The distinct values in ascending order, where a table of them pays.
 fn table_of(values: &[u64]) -> Option<Vec<u64>> {
     // Where a sample hardly repeats, the table is not made of all values.
-    let sample = values.iter().step_by(values.len() / TABLE_SAMPLE + 1).copied().collect();
+    let sample = values
+        .iter()
+        .step_by(values.len() / TABLE_SAMPLE + 1)
+        .copied()
+        .collect();
     if distinct(sample).len() * 2 > TABLE_SAMPLE {
         return None;
     }
@@ -212,10 +276,19 @@
         .map(|position| position as u64)
         .collect();
     let width = if table.len() <= 256 { 1 } else { 2 };
-    std::iter::once(entries).chain(planes(&positions, width)).collect()
+    std::iter::once(entries)
+        .chain(planes(&positions, width))
+        .collect()
 }
 
 /// The lowest bytes of all values, then the next ones, and so on.
 fn planes(values: &[u64], width: usize) -> Vec<Vec<u8>> {
-    (0..width).map(|plane| values.iter().map(|value| (value >> (8 * plane)) as u8).collect()).collect()
+    (0..width)
+        .map(|plane| {
+            values
+                .iter()
+                .map(|value| (value >> (8 * plane)) as u8)
+                .collect()
+        })
+        .collect()
 }
--- a/crates/trace/src/block/mod.rs
+++ b/crates/trace/src/block/mod.rs
@@ -85,10 +85,20 @@
             number,
             records_before,
             records: records.len(),
-            from: records.iter().map(|record| record.reached).min().unwrap_or_default(),
-            to: records.iter().map(|record| record.reached).max().unwrap_or_default(),
+            from: records
+                .iter()
+                .map(|record| record.reached)
+                .min()
+                .unwrap_or_default(),
+            to: records
+                .iter()
+                .map(|record| record.reached)
+                .max()
+                .unwrap_or_default(),
             handlers: records.iter().map(|record| record.handler).collect(),
-            outcomes: records.iter().fold(0, |bits, record| bits | record.outcome.bit()),
+            outcomes: records
+                .iter()
+                .fold(0, |bits, record| bits | record.outcome.bit()),
         }
     }
 
@@ -114,21 +124,35 @@
         let to = from.wrapping_add(input.read_u64()? as i64);
         let handler_count = input.read_u64()?;
         if handler_count > records as u64 {
-            return Err(TraceError::LimitExceeded { what: "handlers of a block", value: handler_count });
+            return Err(TraceError::LimitExceeded {
+                what: "handlers of a block",
+                value: handler_count,
+            });
         }
         let mut handlers = BTreeSet::new();
         for _ in 0..handler_count {
             handlers.insert(input.read_u32()?);
         }
         let outcomes = input.read_u32()?;
-        Ok(BlockHeader { number, records_before, records, from, to, handlers, outcomes })
+        Ok(BlockHeader {
+            number,
+            records_before,
+            records,
+            from,
+            to,
+            handlers,
+            outcomes,
+        })
     }
 }
 
 /// Checks a number of records that a file claims for a block.
 pub(crate) fn check_record_count(records: usize) -> Result<(), TraceError> {
     if records > MAX_RECORDS {
-        return Err(TraceError::LimitExceeded { what: "records of a block", value: records as u64 });
+        return Err(TraceError::LimitExceeded {
+            what: "records of a block",
+            value: records as u64,
+        });
     }
     Ok(())
 }
--- a/crates/trace/src/check.rs
+++ b/crates/trace/src/check.rs
@@ -97,7 +97,11 @@
             Item::Records(records) => {
                 report.blocks += 1;
                 report.records += records.len() as u64;
-                let to = records.iter().map(|record| record.reached).max().unwrap_or(latest);
+                let to = records
+                    .iter()
+                    .map(|record| record.reached)
+                    .max()
+                    .unwrap_or(latest);
                 report.set_back_blocks += u64::from(to < latest.saturating_sub(SET_BACK));
                 latest = latest.max(to);
                 for record in &records {
@@ -109,20 +113,35 @@
     }
     report.unknown_columns = reader.unknown_columns();
     // A damaged block is missing among those that were read, and is a loss already.
-    report.has_wrong_index =
-        survey.is_indexed && report.losses.is_empty() && survey.index.blocks() != reader.blocks().blocks();
+    report.has_wrong_index = survey.is_indexed
+        && report.losses.is_empty()
+        && survey.index.blocks() != reader.blocks().blocks();
     Ok(report)
 }
 
 /// Which times of a record are out of order.
 fn time_contradictions(record: &Record) -> [(&'static str, bool); 5] {
-    let is_reversed =
-        |first: Option<Micros>, then: Option<Micros>| matches!((first, then), (Some(a), Some(b)) if b < a);
+    let is_reversed = |first: Option<Micros>, then: Option<Micros>| matches!((first, then), (Some(a), Some(b)) if b < a);
     [
-        ("read before it reached the machine", is_reversed(Some(0), record.read)),
-        ("admitted before it was read", is_reversed(record.read, record.admitted)),
-        ("run before it was admitted", is_reversed(record.admitted, record.started)),
-        ("answered before it was read", is_reversed(record.read, record.answered)),
-        ("over before it was answered", is_reversed(record.answered, record.released)),
+        (
+            "read before it reached the machine",
+            is_reversed(Some(0), record.read),
+        ),
+        (
+            "admitted before it was read",
+            is_reversed(record.read, record.admitted),
+        ),
+        (
+            "run before it was admitted",
+            is_reversed(record.admitted, record.started),
+        ),
+        (
+            "answered before it was read",
+            is_reversed(record.read, record.answered),
+        ),
+        (
+            "over before it was answered",
+            is_reversed(record.answered, record.released),
+        ),
     ]
 }
--- a/crates/trace/src/clock_offsets.rs
+++ b/crates/trace/src/clock_offsets.rs
@@ -41,15 +41,25 @@
 
 /// Estimates the clocks of `servers` against that of the first. Records may come in any order in which
 /// attempts of one request are not too far apart.
-pub fn estimate_clock_offsets(records: impl Iterator<Item = Record>, servers: &[u32]) -> Vec<ClockOffset> {
+pub fn estimate_clock_offsets(
+    records: impl Iterator<Item = Record>,
+    servers: &[u32],
+) -> Vec<ClockOffset> {
     let mut min_delays = MinDelays::new();
     let mut requests: HashMap<CorrelationKey, Vec<Attempt>> = HashMap::new();
     let mut order: VecDeque<(Micros, CorrelationKey)> = VecDeque::new();
     for record in records {
-        let (Some(key), Some(answered)) = (CorrelationKey::of(&record), record.answered) else { continue };
+        let (Some(key), Some(answered)) = (CorrelationKey::of(&record), record.answered) else {
+            continue;
+        };
         let reached = record.reached;
         let answered = reached.saturating_add(answered);
-        let attempt = Attempt { server: record.server, reached, answered, is_retry: record.is_retry };
+        let attempt = Attempt {
+            server: record.server,
+            reached,
+            answered,
+            is_retry: record.is_retry,
+        };
         let others = requests.entry(key).or_default();
         for other in others.iter() {
             add_delay(&mut min_delays, other, &attempt);
@@ -60,9 +70,12 @@
         if others.len() < MAX_ATTEMPTS {
             others.push(attempt);
         }
-        let is_old = |&(at, _): &(Micros, CorrelationKey)| reached.saturating_sub(at) > CORRELATION_WINDOW;
+        let is_old =
+            |&(at, _): &(Micros, CorrelationKey)| reached.saturating_sub(at) > CORRELATION_WINDOW;
         while order.len() > MAX_REMEMBERED_REQUESTS || order.front().is_some_and(is_old) {
-            let Some((_, key)) = order.pop_front() else { break };
+            let Some((_, key)) = order.pop_front() else {
+                break;
+            };
             requests.remove(&key);
         }
     }
@@ -78,7 +91,9 @@
     };
     if first.server != retry.server {
         let delay = retry.reached.saturating_sub(first.answered);
-        let min_delay = min_delays.entry((first.server, retry.server)).or_insert(delay);
+        let min_delay = min_delays
+            .entry((first.server, retry.server))
+            .or_insert(delay);
         *min_delay = (*min_delay).min(delay);
     }
 }
@@ -98,12 +113,17 @@
 /// the first server on.
 fn offsets_from(min_delays: &MinDelays, servers: &[u32]) -> Vec<ClockOffset> {
     let pairs = bounded_pairs(min_delays);
-    let unknown = |&server: &u32| ClockOffset { server, offset: None, uncertainty: 0 };
+    let unknown = |&server: &u32| ClockOffset {
+        server,
+        offset: None,
+        uncertainty: 0,
+    };
     let mut clocks: Vec<ClockOffset> = servers.iter().map(unknown).collect();
     if let Some(first) = clocks.first_mut() {
         first.offset = Some(0);
     }
-    while let Some((at, offset, uncertainty)) = pairs.iter().find_map(|pair| extend(pair, &clocks)) {
+    while let Some((at, offset, uncertainty)) = pairs.iter().find_map(|pair| extend(pair, &clocks))
+    {
         (clocks[at].offset, clocks[at].uncertainty) = (Some(offset), uncertainty);
     }
     clocks
@@ -113,11 +133,18 @@
     let mut pairs = Vec::new();
     for (&(a, b), &high) in min_delays.iter().filter(|((a, b), _)| a < b) {
         // offset(a) - offset(b) is at most the least delay from a to b, and at least minus that from b to a.
-        let Some(low) = min_delays.get(&(b, a)).map(|&delay| -delay) else { continue };
+        let Some(low) = min_delays.get(&(b, a)).map(|&delay| -delay) else {
+            continue;
+        };
         // Bounds that contradict each other (answers recorded late, or attempts correlated wrongly) say
         // nothing.
         if low <= high {
-            pairs.push(BoundedPair { width: high - low, a, b, middle: low + (high - low) / 2 });
+            pairs.push(BoundedPair {
+                width: high - low,
+                a,
+                b,
+                middle: low + (high - low) / 2,
+            });
         }
     }
     pairs.sort_unstable();
--- a/crates/trace/src/columns.rs
+++ b/crates/trace/src/columns.rs
@@ -20,12 +20,20 @@
 }
 
 impl ColumnKind {
-    const ALL: [ColumnKind; 5] =
-        [ColumnKind::Unsigned, ColumnKind::Signed, ColumnKind::Float, ColumnKind::Name, ColumnKind::Flag];
+    const ALL: [ColumnKind; 5] = [
+        ColumnKind::Unsigned,
+        ColumnKind::Signed,
+        ColumnKind::Float,
+        ColumnKind::Name,
+        ColumnKind::Flag,
+    ];
 
     /// Its number in a block.
     pub(crate) fn code(self) -> u8 {
-        ColumnKind::ALL.iter().position(|&kind| kind == self).unwrap_or_default() as u8
+        ColumnKind::ALL
+            .iter()
+            .position(|&kind| kind == self)
+            .unwrap_or_default() as u8
     }
 
     /// Its name in a header.
@@ -105,7 +113,9 @@
         (
             |record| Some(u64::from(record.$field)),
             |record, value| {
-                let Ok(number) = u32::try_from(value) else { return false };
+                let Ok(number) = u32::try_from(value) else {
+                    return false;
+                };
                 record.$field = number;
                 true
             },
@@ -136,7 +146,16 @@
     prediction: Prediction,
     (get, set): Access,
 ) -> Column {
-    Column { id, name, kind, since, bits, prediction, get, set }
+    Column {
+        id,
+        name,
+        kind,
+        since,
+        bits,
+        prediction,
+        get,
+        set,
+    }
 }
 
 pub(crate) const REACHED: u8 = 1;
@@ -159,9 +178,16 @@
     },
 );
 const OUTCOME_ACCESS: Access = (
-    |record| Outcome::ALL.iter().position(|&outcome| outcome == record.outcome).map(|index| index as u64),
+    |record| {
+        Outcome::ALL
+            .iter()
+            .position(|&outcome| outcome == record.outcome)
+            .map(|index| index as u64)
+    },
     |record, value| {
-        let known = usize::try_from(value).ok().and_then(|index| Outcome::ALL.get(index));
+        let known = usize::try_from(value)
+            .ok()
+            .and_then(|index| Outcome::ALL.get(index));
         record.outcome = known.copied().unwrap_or_default();
         known.is_some()
     },
@@ -190,31 +216,231 @@
 
 /// All columns, in the order of their ids. An id is never given to another meaning.
 pub const COLUMNS: &[Column] = &[
-    column(REACHED, "reached", ColumnKind::Signed, 1, [64, 64], Prediction::PreviousRecord, REACHED_ACCESS),
-    column(2, "read", ColumnKind::Signed, 1, [32, 64], Prediction::Zero, signed!(read)),
-    column(3, "answered", ColumnKind::Signed, 1, [32, 64], Prediction::OtherColumn(2), signed!(answered)),
-    column(HANDLER, "handler", ColumnKind::Name, 1, [32, 32], Prediction::Zero, required!(handler)),
-    column(5, "tenant", ColumnKind::Name, 1, [32, 32], Prediction::Zero, TENANT_ACCESS),
-    column(6, "retry", ColumnKind::Flag, 1, [1, 1], Prediction::Zero, flag!(is_retry)),
-    column(OUTCOME, "outcome", ColumnKind::Name, 1, [8, 8], Prediction::Zero, OUTCOME_ACCESS),
-    column(8, "reason", ColumnKind::Name, 1, [8, 8], Prediction::Zero, REASON_ACCESS),
-    column(9, "id", ColumnKind::Unsigned, 1, [64, 64], Prediction::Zero, ID_ACCESS),
-    column(SERVER, "server", ColumnKind::Name, 2, [32, 32], Prediction::Zero, required!(server)),
-    column(11, "caller", ColumnKind::Unsigned, 2, [64, 64], Prediction::Zero, optional!(caller)),
-    column(12, "admitted", ColumnKind::Signed, 2, [64, 64], Prediction::OtherColumn(2), signed!(admitted)),
-    column(13, "run", ColumnKind::Signed, 2, [64, 64], Prediction::OtherColumn(12), signed!(started)),
-    column(14, "called", ColumnKind::Signed, 2, [64, 64], Prediction::OtherColumn(13), signed!(first_call)),
-    column(15, "over", ColumnKind::Signed, 2, [64, 64], Prediction::OtherColumn(3), signed!(released)),
-    column(16, "patience", ColumnKind::Signed, 2, [64, 64], Prediction::Zero, signed!(client_wait)),
-    column(17, "hint", ColumnKind::Signed, 2, [64, 64], Prediction::Zero, signed!(estimated_work)),
-    column(18, "work", ColumnKind::Signed, 2, [64, 64], Prediction::Zero, signed!(work)),
-    column(19, "calls", ColumnKind::Unsigned, 2, [32, 32], Prediction::Zero, required!(calls)),
-    column(20, "skipped", ColumnKind::Unsigned, 2, [32, 32], Prediction::Zero, required!(skipped_calls)),
-    column(21, "advice", ColumnKind::Float, 2, [64, 64], Prediction::Zero, FEEDBACK_ACCESS),
-    column(22, "subject", ColumnKind::Unsigned, 2, [64, 64], Prediction::Zero, optional!(subject)),
-    column(23, "key", ColumnKind::Unsigned, 2, [64, 64], Prediction::Zero, optional!(key)),
-    column(24, "wait", ColumnKind::Signed, 2, [64, 64], Prediction::Zero, signed!(retry_after)),
-    column(25, "no_more", ColumnKind::Flag, 2, [1, 1], Prediction::Zero, flag!(no_retry)),
+    column(
+        REACHED,
+        "reached",
+        ColumnKind::Signed,
+        1,
+        [64, 64],
+        Prediction::PreviousRecord,
+        REACHED_ACCESS,
+    ),
+    column(
+        2,
+        "read",
+        ColumnKind::Signed,
+        1,
+        [32, 64],
+        Prediction::Zero,
+        signed!(read),
+    ),
+    column(
+        3,
+        "answered",
+        ColumnKind::Signed,
+        1,
+        [32, 64],
+        Prediction::OtherColumn(2),
+        signed!(answered),
+    ),
+    column(
+        HANDLER,
+        "handler",
+        ColumnKind::Name,
+        1,
+        [32, 32],
+        Prediction::Zero,
+        required!(handler),
+    ),
+    column(
+        5,
+        "tenant",
+        ColumnKind::Name,
+        1,
+        [32, 32],
+        Prediction::Zero,
+        TENANT_ACCESS,
+    ),
+    column(
+        6,
+        "retry",
+        ColumnKind::Flag,
+        1,
+        [1, 1],
+        Prediction::Zero,
+        flag!(is_retry),
+    ),
+    column(
+        OUTCOME,
+        "outcome",
+        ColumnKind::Name,
+        1,
+        [8, 8],
+        Prediction::Zero,
+        OUTCOME_ACCESS,
+    ),
+    column(
+        8,
+        "reason",
+        ColumnKind::Name,
+        1,
+        [8, 8],
+        Prediction::Zero,
+        REASON_ACCESS,
+    ),
+    column(
+        9,
+        "id",
+        ColumnKind::Unsigned,
+        1,
+        [64, 64],
+        Prediction::Zero,
+        ID_ACCESS,
+    ),
+    column(
+        SERVER,
+        "server",
+        ColumnKind::Name,
+        2,
+        [32, 32],
+        Prediction::Zero,
+        required!(server),
+    ),
+    column(
+        11,
+        "caller",
+        ColumnKind::Unsigned,
+        2,
+        [64, 64],
+        Prediction::Zero,
+        optional!(caller),
+    ),
+    column(
+        12,
+        "admitted",
+        ColumnKind::Signed,
+        2,
+        [64, 64],
+        Prediction::OtherColumn(2),
+        signed!(admitted),
+    ),
+    column(
+        13,
+        "run",
+        ColumnKind::Signed,
+        2,
+        [64, 64],
+        Prediction::OtherColumn(12),
+        signed!(started),
+    ),
+    column(
+        14,
+        "called",
+        ColumnKind::Signed,
+        2,
+        [64, 64],
+        Prediction::OtherColumn(13),
+        signed!(first_call),
+    ),
+    column(
+        15,
+        "over",
+        ColumnKind::Signed,
+        2,
+        [64, 64],
+        Prediction::OtherColumn(3),
+        signed!(released),
+    ),
+    column(
+        16,
+        "patience",
+        ColumnKind::Signed,
+        2,
+        [64, 64],
+        Prediction::Zero,
+        signed!(client_wait),
+    ),
+    column(
+        17,
+        "hint",
+        ColumnKind::Signed,
+        2,
+        [64, 64],
+        Prediction::Zero,
+        signed!(estimated_work),
+    ),
+    column(
+        18,
+        "work",
+        ColumnKind::Signed,
+        2,
+        [64, 64],
+        Prediction::Zero,
+        signed!(work),
+    ),
+    column(
+        19,
+        "calls",
+        ColumnKind::Unsigned,
+        2,
+        [32, 32],
+        Prediction::Zero,
+        required!(calls),
+    ),
+    column(
+        20,
+        "skipped",
+        ColumnKind::Unsigned,
+        2,
+        [32, 32],
+        Prediction::Zero,
+        required!(skipped_calls),
+    ),
+    column(
+        21,
+        "advice",
+        ColumnKind::Float,
+        2,
+        [64, 64],
+        Prediction::Zero,
+        FEEDBACK_ACCESS,
+    ),
+    column(
+        22,
+        "subject",
+        ColumnKind::Unsigned,
+        2,
+        [64, 64],
+        Prediction::Zero,
+        optional!(subject),
+    ),
+    column(
+        23,
+        "key",
+        ColumnKind::Unsigned,
+        2,
+        [64, 64],
+        Prediction::Zero,
+        optional!(key),
+    ),
+    column(
+        24,
+        "wait",
+        ColumnKind::Signed,
+        2,
+        [64, 64],
+        Prediction::Zero,
+        signed!(retry_after),
+    ),
+    column(
+        25,
+        "no_more",
+        ColumnKind::Flag,
+        2,
+        [1, 1],
+        Prediction::Zero,
+        flag!(no_retry),
+    ),
 ];
 
 /// The columns that a format version has.
--- a/crates/trace/src/copy.rs
+++ b/crates/trace/src/copy.rs
@@ -32,9 +32,14 @@
 }
 
 impl<W: Write, F: FnMut(&mut Record)> Copy<'_, W, F> {
-    fn push<R: Read>(&mut self, records: Vec<Record>, source: &TraceReader<R>) -> Result<(), RewriteError> {
+    fn push<R: Read>(
+        &mut self,
+        records: Vec<Record>,
+        source: &TraceReader<R>,
+    ) -> Result<(), RewriteError> {
         for mut record in records {
-            self.mapping.apply(&mut record, source.dictionary(), self.out);
+            self.mapping
+                .apply(&mut record, source.dictionary(), self.out);
             (self.change)(&mut record);
             self.out.push(record)?;
             self.summary.records += 1;
@@ -58,11 +63,20 @@
         error: &TraceError,
         server: &str,
     ) -> Result<(), RewriteError> {
-        let frame = Loss::InvalidFrame { offset: block.offset, reason: error.to_string() };
-        let records = Loss::MissingRecords { count: block.records as u64 };
+        let frame = Loss::InvalidFrame {
+            offset: block.offset,
+            reason: error.to_string(),
+        };
+        let records = Loss::MissingRecords {
+            count: block.records as u64,
+        };
         for loss in [frame, records] {
             if let Some(gap) = gap_for_loss(&loss, server) {
-                self.out.write_gap(&Gap { from: block.from, to: block.to, ..gap })?;
+                self.out.write_gap(&Gap {
+                    from: block.from,
+                    to: block.to,
+                    ..gap
+                })?;
             }
             self.summary.losses.push(loss);
         }
@@ -91,7 +105,12 @@
 /// As [`copy()`].
 pub fn copy_surveyed<R: Read + Seek, W: Write>(
     source: TraceReader<R>,
-    Survey { mut index, gaps, losses, is_indexed }: Survey,
+    Survey {
+        mut index,
+        gaps,
+        losses,
+        is_indexed,
+    }: Survey,
     filter: &Filter,
     out: &mut Writer<W>,
     change: impl FnMut(&mut Record),
@@ -105,7 +124,15 @@
     }
     let mut source = source.with_filter(filter.clone());
     let mapping = DictionaryMapping::new(source.dictionary(), out);
-    let mut copy = Copy { out, mapping, change, summary: CopySummary { losses, ..CopySummary::default() } };
+    let mut copy = Copy {
+        out,
+        mapping,
+        change,
+        summary: CopySummary {
+            losses,
+            ..CopySummary::default()
+        },
+    };
     for at in index.find(filter) {
         let block = &index.blocks()[at];
         match source.read_block(block) {
@@ -131,7 +158,12 @@
 ) -> Result<CopySummary, RewriteError> {
     let mut source = source.with_filter(filter.clone());
     let mapping = DictionaryMapping::new(source.dictionary(), out);
-    let mut copy = Copy { out, mapping, change, summary: CopySummary::default() };
+    let mut copy = Copy {
+        out,
+        mapping,
+        change,
+        summary: CopySummary::default(),
+    };
     while let Some(item) = source.next() {
         match item.map_err(RewriteError::read(SOURCE_NAME))? {
             Item::Records(records) => copy.push(records, &source)?,
--- a/crates/trace/src/correlate.rs
+++ b/crates/trace/src/correlate.rs
@@ -31,7 +31,12 @@
     /// An idempotency key, which belongs to a handler.
     Idempotency { handler: u32, key: u64 },
     /// A read by what it is about.
-    Read { handler: u32, tenant: Option<u32>, caller: u64, subject: u64 },
+    Read {
+        handler: u32,
+        tenant: Option<u32>,
+        caller: u64,
+        subject: u64,
+    },
 }
 
 impl CorrelationKey {
@@ -42,7 +47,12 @@
             return Some(CorrelationKey::Idempotency { handler, key });
         }
         let (caller, subject) = (record.caller?, record.subject?);
-        Some(CorrelationKey::Read { handler, tenant: record.tenant, caller, subject })
+        Some(CorrelationKey::Read {
+            handler,
+            tenant: record.tenant,
+            caller,
+            subject,
+        })
     }
 }
 
@@ -67,7 +77,11 @@
         self.forget_old(record.reached);
         let is_completed = record.outcome == Outcome::Completed;
         let Some(key) = CorrelationKey::of(record) else {
-            return if record.is_retry { Attempt::OrphanRetry } else { Attempt::First };
+            return if record.is_retry {
+                Attempt::OrphanRetry
+            } else {
+                Attempt::First
+            };
         };
         // An idempotency key shows a retry even where its mark was lost; a read without the mark is a new
         // one.
@@ -80,7 +94,13 @@
             }
             _ if record.is_retry => Attempt::OrphanRetry,
             _ => {
-                self.requests.insert(key, Request { reached: record.reached, is_completed });
+                self.requests.insert(
+                    key,
+                    Request {
+                        reached: record.reached,
+                        is_completed,
+                    },
+                );
                 self.order.push_back((record.reached, key));
                 Attempt::First
             }
@@ -95,7 +115,11 @@
             }
             self.order.pop_front();
             // A later first attempt may have replaced it.
-            if self.requests.get(&key).is_some_and(|request| request.reached == reached) {
+            if self
+                .requests
+                .get(&key)
+                .is_some_and(|request| request.reached == reached)
+            {
                 self.requests.remove(&key);
             }
         }
--- a/crates/trace/src/dictionary.rs
+++ b/crates/trace/src/dictionary.rs
@@ -24,17 +24,24 @@
 impl Dictionary {
     /// The name of a handler; `handler-N` where the dictionary has none.
     pub fn handler(&self, index: u32) -> String {
-        self.handlers.get(index as usize).map_or_else(|| format!("handler-{index}"), |info| info.name.clone())
+        self.handlers
+            .get(index as usize)
+            .map_or_else(|| format!("handler-{index}"), |info| info.name.clone())
     }
 
     /// The name of a tenant; `tenant-N` where the dictionary has none.
     pub fn tenant(&self, index: u32) -> String {
-        self.tenants.get(index as usize).map_or_else(|| format!("tenant-{index}"), |info| info.name.clone())
+        self.tenants
+            .get(index as usize)
+            .map_or_else(|| format!("tenant-{index}"), |info| info.name.clone())
     }
 
     /// The name of a server; `server-N` where the dictionary has none.
     pub fn server(&self, index: u32) -> String {
-        self.servers.get(index as usize).cloned().unwrap_or_else(|| format!("server-{index}"))
+        self.servers
+            .get(index as usize)
+            .cloned()
+            .unwrap_or_else(|| format!("server-{index}"))
     }
 
     /// Appends the entries of another dictionary, as a file continues its own.
@@ -45,9 +52,16 @@
         self.servers.extend(more.servers);
         self.handlers.extend(more.handlers);
         self.tenants.extend(more.tenants);
-        let longest = self.servers.len().max(self.handlers.len()).max(self.tenants.len());
+        let longest = self
+            .servers
+            .len()
+            .max(self.handlers.len())
+            .max(self.tenants.len());
         if longest > MAX_NAMES {
-            return Err(TraceError::LimitExceeded { what: "names", value: longest as u64 });
+            return Err(TraceError::LimitExceeded {
+                what: "names",
+                value: longest as u64,
+            });
         }
         Ok(())
     }
@@ -80,7 +94,11 @@
     pub fn objective(&self, estimated_work: Option<Micros>) -> Micros {
         let stretch = self.objective_stretch * estimated_work.unwrap_or(0) as f64;
         let objective = self.latency_objective.saturating_add(stretch as Micros);
-        if self.client_timeout > 0 { objective.min(self.client_timeout) } else { objective }
+        if self.client_timeout > 0 {
+            objective.min(self.client_timeout)
+        } else {
+            objective
+        }
     }
 }
 
--- a/crates/trace/src/framing.rs
+++ b/crates/trace/src/framing.rs
@@ -15,7 +15,8 @@
 /// The longest payload of a frame. A header that claims more is not one.
 pub(crate) const MAX_PAYLOAD_BYTES: usize = 8 * 1024 * 1024;
 /// The longest frame, with its header and checksum.
-pub(crate) const MAX_FRAME_BYTES: u64 = (MAX_PAYLOAD_BYTES + FRAME_HEADER_BYTES + CHECKSUM_BYTES) as u64;
+pub(crate) const MAX_FRAME_BYTES: u64 =
+    (MAX_PAYLOAD_BYTES + FRAME_HEADER_BYTES + CHECKSUM_BYTES) as u64;
 /// How much is read of the input at a time.
 const READ_BYTES: usize = 64 * 1024;
 
@@ -43,11 +44,15 @@
 impl EndMark {
     const PAYLOAD_BYTES: usize = 24;
     /// The length of its frame.
-    pub(crate) const FRAME_BYTES: usize = FRAME_HEADER_BYTES + EndMark::PAYLOAD_BYTES + CHECKSUM_BYTES;
+    pub(crate) const FRAME_BYTES: usize =
+        FRAME_HEADER_BYTES + EndMark::PAYLOAD_BYTES + CHECKSUM_BYTES;
 
     /// The payload of its frame.
     pub(crate) fn encode(self) -> Vec<u8> {
-        [self.index_offset, self.blocks, self.records].iter().flat_map(|value| value.to_le_bytes()).collect()
+        [self.index_offset, self.blocks, self.records]
+            .iter()
+            .flat_map(|value| value.to_le_bytes())
+            .collect()
     }
 
     /// Where the index begins, as a payload states it; `None` where the payload is too short.
@@ -75,7 +80,8 @@
 pub(crate) fn read_prelude(bytes: &[u8]) -> Option<u32> {
     let bytes: &[u8; PRELUDE_BYTES] = bytes.get(..PRELUDE_BYTES)?.try_into().ok()?;
     let version = read_u32_at(bytes, 8)?;
-    (bytes[..8] == MAGIC[..] && read_u32_at(bytes, 12)? == crc32fast::hash(&bytes[..12])).then_some(version)
+    (bytes[..8] == MAGIC[..] && read_u32_at(bytes, 12)? == crc32fast::hash(&bytes[..12]))
+        .then_some(version)
 }
 
 fn read_u32_at(bytes: &[u8], at: usize) -> Option<u32> {
@@ -99,8 +105,12 @@
 /// # Errors
 /// `InvalidInput` where the payload is longer than [`MAX_PAYLOAD_BYTES`].
 pub(crate) fn write_frame(out: &mut impl Write, kind: u8, payload: &[u8]) -> io::Result<u64> {
-    let too_long =
-        || io::Error::new(io::ErrorKind::InvalidInput, "the payload is longer than a frame may be");
+    let too_long = || {
+        io::Error::new(
+            io::ErrorKind::InvalidInput,
+            "the payload is longer than a frame may be",
+        )
+    };
     if payload.len() > MAX_PAYLOAD_BYTES {
         return Err(too_long());
     }
@@ -140,9 +150,17 @@
 #[derive(Debug, PartialEq)]
 pub(crate) enum Segment {
     /// An intact frame.
-    Frame { offset: u64, kind: u8, payload: Vec<u8> },
+    Frame {
+        offset: u64,
+        kind: u8,
+        payload: Vec<u8>,
+    },
     /// Bytes that are no intact frame; `is_torn` where the file ends in them.
-    Skipped { offset: u64, bytes: u64, is_torn: bool },
+    Skipped {
+        offset: u64,
+        bytes: u64,
+        is_torn: bool,
+    },
 }
 
 /// Reads frame after frame, and skips what is not an intact frame. It buffers one frame at a time, so memory
@@ -160,7 +178,13 @@
 impl<R: Read> FrameReader<R> {
     /// Reads from `input`, which stands at the start of the file.
     pub(crate) fn new(input: R) -> Self {
-        FrameReader { input, buffer: Vec::new(), consumed: 0, buffer_offset: 0, is_at_end: false }
+        FrameReader {
+            input,
+            buffer: Vec::new(),
+            consumed: 0,
+            buffer_offset: 0,
+            is_at_end: false,
+        }
     }
 
     /// The next bytes, at most that many, without consuming them.
@@ -228,7 +252,11 @@
                 }
                 let offset = self.offset();
                 self.consume(FRAME_HEADER_BYTES + payload.len() + CHECKSUM_BYTES);
-                return Ok(Some(Segment::Frame { offset, kind, payload }));
+                return Ok(Some(Segment::Frame {
+                    offset,
+                    kind,
+                    payload,
+                }));
             }
             // Skipped bytes are reported in bounded segments, too.
             if skipped >= MAX_PAYLOAD_BYTES {
@@ -237,7 +265,9 @@
             let rest = &self.buffer[self.consumed + skipped..];
             match rest.iter().skip(1).position(|&byte| byte == MARKER[0]) {
                 Some(next) => skipped += next + 1,
-                None if self.is_at_end && rest.len() <= FRAME_HEADER_BYTES => return Ok(self.skip_rest()),
+                None if self.is_at_end && rest.len() <= FRAME_HEADER_BYTES => {
+                    return Ok(self.skip_rest());
+                }
                 None => skipped += rest.len().max(1),
             }
             if self.is_at_end && self.consumed + skipped >= self.buffer.len() {
@@ -250,7 +280,9 @@
     fn frame_at(&mut self, ahead: usize) -> io::Result<Option<(u8, Vec<u8>)>> {
         self.fill(ahead + FRAME_HEADER_BYTES)?;
         let rest = &self.buffer[self.consumed + ahead..];
-        let Some((_, length)) = parse_frame_header(rest) else { return Ok(None) };
+        let Some((_, length)) = parse_frame_header(rest) else {
+            return Ok(None);
+        };
         self.fill(ahead + FRAME_HEADER_BYTES + length + CHECKSUM_BYTES)?;
         let rest = &self.buffer[self.consumed + ahead..];
         Ok(parse_frame(rest).map(|(kind, payload)| (kind, payload.to_vec())))
@@ -264,7 +296,11 @@
     fn skip(&mut self, bytes: usize, is_torn: bool) -> Segment {
         let offset = self.offset();
         self.consume(bytes);
-        Segment::Skipped { offset, bytes: bytes as u64, is_torn }
+        Segment::Skipped {
+            offset,
+            bytes: bytes as u64,
+            is_torn,
+        }
     }
 
     /// Skips all that is left of the file.
--- a/crates/trace/src/index.rs
+++ b/crates/trace/src/index.rs
@@ -42,8 +42,22 @@
 
 impl BlockEntry {
     pub(crate) fn new(offset: u64, length: u64, block: &BlockHeader) -> Self {
-        let BlockHeader { records, from, to, outcomes, .. } = *block;
-        BlockEntry { offset, length, records, from, to, handlers: block.handlers.clone(), outcomes }
+        let BlockHeader {
+            records,
+            from,
+            to,
+            outcomes,
+            ..
+        } = *block;
+        BlockEntry {
+            offset,
+            length,
+            records,
+            from,
+            to,
+            handlers: block.handlers.clone(),
+            outcomes,
+        }
     }
 }
 
@@ -65,8 +79,14 @@
     pub fn matches(&self, record: &Record) -> bool {
         self.from.is_none_or(|from| record.reached >= from)
             && self.to.is_none_or(|to| record.reached < to)
-            && self.handlers.as_ref().is_none_or(|handlers| handlers.contains(&record.handler))
-            && self.outcomes.as_ref().is_none_or(|outcomes| outcomes.contains(&record.outcome))
+            && self
+                .handlers
+                .as_ref()
+                .is_none_or(|handlers| handlers.contains(&record.handler))
+            && self
+                .outcomes
+                .as_ref()
+                .is_none_or(|outcomes| outcomes.contains(&record.outcome))
     }
 
     /// Whether it may match a record of a block.
@@ -74,13 +94,20 @@
         let has_outcome = |outcome: &Outcome| block.outcomes & outcome.bit() != 0;
         self.from.is_none_or(|from| block.to >= from)
             && self.to.is_none_or(|to| block.from < to)
-            && self.handlers.as_ref().is_none_or(|handlers| !handlers.is_disjoint(&block.handlers))
-            && self.outcomes.as_ref().is_none_or(|outcomes| outcomes.iter().any(has_outcome))
+            && self
+                .handlers
+                .as_ref()
+                .is_none_or(|handlers| !handlers.is_disjoint(&block.handlers))
+            && self
+                .outcomes
+                .as_ref()
+                .is_none_or(|outcomes| outcomes.iter().any(has_outcome))
     }
 
     /// Whether a gap lies in the time span; one without times might.
     pub(crate) fn may_match_gap(&self, gap: &Gap) -> bool {
-        let overlaps = self.from.is_none_or(|from| gap.to >= from) && self.to.is_none_or(|to| gap.from < to);
+        let overlaps =
+            self.from.is_none_or(|from| gap.to >= from) && self.to.is_none_or(|to| gap.from < to);
         gap.to == 0 || overlaps
     }
 }
@@ -144,22 +171,36 @@
     /// The positions of the blocks that may have matching records, ascending.
     pub fn find(&mut self, filter: &Filter) -> Vec<usize> {
         self.prepare();
-        let Some(lookup) = &self.lookup else { return Vec::new() };
-        let mut found: Vec<usize> = lookup.find(filter).into_iter().map(|at| at as usize).collect();
+        let Some(lookup) = &self.lookup else {
+            return Vec::new();
+        };
+        let mut found: Vec<usize> = lookup
+            .find(filter)
+            .into_iter()
+            .map(|at| at as usize)
+            .collect();
         found.sort_unstable();
         found
     }
 
     /// The same as [`Index::find`], by looking at each block.
     pub fn scan(&self, filter: &Filter) -> Vec<usize> {
-        let matching = |(at, block): (usize, &BlockEntry)| filter.may_match_block(block).then_some(at);
-        self.blocks.iter().enumerate().filter_map(matching).collect()
+        let matching =
+            |(at, block): (usize, &BlockEntry)| filter.may_match_block(block).then_some(at);
+        self.blocks
+            .iter()
+            .enumerate()
+            .filter_map(matching)
+            .collect()
     }
 
     /// The payload of an index frame.
     pub(crate) fn encode(&self, names: &Dictionary, gaps: &[Gap]) -> io::Result<Vec<u8>> {
         let mut raw = Vec::new();
-        let metadata = IndexMetadata { names: names.clone(), gaps: gaps.to_vec() };
+        let metadata = IndexMetadata {
+            names: names.clone(),
+            gaps: gaps.to_vec(),
+        };
         let text = serde_json::to_vec(&metadata)?;
         write_u64(&mut raw, text.len() as u64);
         raw.extend_from_slice(&text);
@@ -187,12 +228,16 @@
     }
 
     /// Reads the payload of an index frame that begins at `index_offset`; all blocks stand before it.
-    pub(crate) fn decode(payload: &[u8], index_offset: u64) -> Result<(Index, IndexMetadata), TraceError> {
+    pub(crate) fn decode(
+        payload: &[u8],
+        index_offset: u64,
+    ) -> Result<(Index, IndexMetadata), TraceError> {
         let raw = unpack(payload)?;
         let mut input = ByteReader(&raw);
         let text_length = input.read_u64()?;
         let text = input.read_bytes(usize::try_from(text_length).unwrap_or(usize::MAX))?;
-        let metadata = serde_json::from_slice(text).map_err(|_| TraceError::Invalid("a dictionary"))?;
+        let metadata =
+            serde_json::from_slice(text).map_err(|_| TraceError::Invalid("a dictionary"))?;
         let count = input.read_u64()?;
         let mut index = Index::default();
         let (mut previous_end, mut previous_from) = (0, 0);
@@ -215,12 +260,18 @@
     let mut input = ByteReader(payload);
     let length = input.read_u64()?;
     if length > MAX_RAW_BYTES {
-        return Err(TraceError::LimitExceeded { what: "bytes of an index", value: length });
+        return Err(TraceError::LimitExceeded {
+            what: "bytes of an index",
+            value: length,
+        });
     }
     // Unpacked as a stream, so that no memory is taken for a length that is only claimed.
     let mut raw = Vec::new();
     let stream = zstd::stream::read::Decoder::new(input.0)?;
-    stream.take(length).read_to_end(&mut raw).map_err(|_| TraceError::Invalid("a compressed index"))?;
+    stream
+        .take(length)
+        .read_to_end(&mut raw)
+        .map_err(|_| TraceError::Invalid("a compressed index"))?;
     Ok(raw)
 }
 
@@ -233,8 +284,14 @@
 ) -> Result<BlockEntry, TraceError> {
     let offset = previous_end.checked_add(input.read_u64()?);
     let length = input.read_u64()?;
-    let ends_before_index = |offset: &u64| offset.checked_add(length).is_some_and(|end| end <= index_offset);
-    let offset = offset.filter(ends_before_index).ok_or(TraceError::Invalid("a block entry in the index"))?;
+    let ends_before_index = |offset: &u64| {
+        offset
+            .checked_add(length)
+            .is_some_and(|end| end <= index_offset)
+    };
+    let offset = offset
+        .filter(ends_before_index)
+        .ok_or(TraceError::Invalid("a block entry in the index"))?;
     let records = input.read_u64()? as usize;
     check_record_count(records)?;
     let from = previous_from.wrapping_add(input.read_i64()?);
@@ -244,7 +301,15 @@
     for _ in 0..input.read_u64()? {
         handlers.insert(input.read_u32()?);
     }
-    Ok(BlockEntry { offset, length, records, from, to, handlers, outcomes })
+    Ok(BlockEntry {
+        offset,
+        length,
+        records,
+        from,
+        to,
+        handlers,
+        outcomes,
+    })
 }
 
 /// What is built once over the blocks to answer many questions. A rank is a position in `order`.
@@ -287,19 +352,33 @@
             latest[node] = latest[2 * node].max(latest[2 * node + 1]);
         }
         let starts = order.iter().map(|&at| blocks[at as usize].from).collect();
-        Lookup { order, starts, latest, leaves, handlers, outcomes }
+        Lookup {
+            order,
+            starts,
+            latest,
+            leaves,
+            handlers,
+            outcomes,
+        }
     }
 
     /// Positions of the blocks that may have matching records, in no particular order.
     fn find(&self, filter: &Filter) -> Vec<u32> {
-        let end = filter.to.map_or(self.order.len(), |to| self.starts.partition_point(|&from| from < to));
+        let end = filter.to.map_or(self.order.len(), |to| {
+            self.starts.partition_point(|&from| from < to)
+        });
         let from = filter.from.unwrap_or(Micros::MIN);
         let mut ranks = Vec::new();
         match self.ranks_by_name(filter) {
             // Few blocks have those handlers and outcomes, so each is looked at.
             Some(named) if named.len() * 8 < end as u64 => {
                 let is_late = |&rank: &u32| self.latest[self.leaves + rank as usize] >= from;
-                ranks.extend(named.iter().take_while(|&rank| (rank as usize) < end).filter(is_late));
+                ranks.extend(
+                    named
+                        .iter()
+                        .take_while(|&rank| (rank as usize) < end)
+                        .filter(is_late),
+                );
             }
             named => {
                 self.collect_overlapping(1, 0..self.leaves, end, from, &mut ranks);
@@ -308,18 +387,35 @@
                 }
             }
         }
-        ranks.into_iter().map(|rank| self.order[rank as usize]).collect()
+        ranks
+            .into_iter()
+            .map(|rank| self.order[rank as usize])
+            .collect()
     }
 
     /// Ranks of the blocks with the wanted handlers and outcomes; `None` where all are wanted.
     fn ranks_by_name(&self, filter: &Filter) -> Option<RoaringBitmap> {
         let union = |bitmaps: Vec<&RoaringBitmap>| {
-            bitmaps.into_iter().fold(RoaringBitmap::new(), |all, bitmap| all | bitmap)
+            bitmaps
+                .into_iter()
+                .fold(RoaringBitmap::new(), |all, bitmap| all | bitmap)
         };
-        let handlers = (filter.handlers.as_ref())
-            .map(|wanted| union(wanted.iter().filter_map(|handler| self.handlers.get(handler)).collect()));
-        let outcomes = (filter.outcomes.as_ref())
-            .map(|wanted| union(wanted.iter().map(|&outcome| &self.outcomes[outcome as usize]).collect()));
+        let handlers = (filter.handlers.as_ref()).map(|wanted| {
+            union(
+                wanted
+                    .iter()
+                    .filter_map(|handler| self.handlers.get(handler))
+                    .collect(),
+            )
+        });
+        let outcomes = (filter.outcomes.as_ref()).map(|wanted| {
+            union(
+                wanted
+                    .iter()
+                    .map(|&outcome| &self.outcomes[outcome as usize])
+                    .collect(),
+            )
+        });
         match (handlers, outcomes) {
             (Some(handlers), Some(outcomes)) => Some(handlers & outcomes),
             (handlers, outcomes) => handlers.or(outcomes),
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -121,31 +121,51 @@
         damaged: &mut Vec<DamagedBlock>,
     ) -> Result<Option<MergeKey>, RewriteError> {
         while let Some(next) = self.blocks.last() {
-            let first = self.buffer.peek().map(|Reverse(first)| first.record.reached);
+            let first = self
+                .buffer
+                .peek()
+                .map(|Reverse(first)| first.record.reached);
             if first.is_some_and(|first| first < next.from.saturating_add(self.source.offset)) {
                 break;
             }
-            let Some(block) = self.blocks.pop() else { break };
+            let Some(block) = self.blocks.pop() else {
+                break;
+            };
             match self.source.reader.read_block(&block) {
-                Ok(records) => records.into_iter().for_each(|record| self.buffer_record(record, out)),
-                Err(error @ TraceError::Io(_)) => return Err(RewriteError::read(&self.source.name)(error)),
+                Ok(records) => records
+                    .into_iter()
+                    .for_each(|record| self.buffer_record(record, out)),
+                Err(error @ TraceError::Io(_)) => {
+                    return Err(RewriteError::read(&self.source.name)(error));
+                }
                 Err(error) => {
-                    damaged.push(DamagedBlock { source_name: self.source.name.clone(), block, error });
+                    damaged.push(DamagedBlock {
+                        source_name: self.source.name.clone(),
+                        block,
+                        error,
+                    });
                 }
             }
             if self.buffer.len() > MAX_BUFFERED_RECORDS {
-                return Err(RewriteError::TooManyOverlappingRecords { name: self.source.name.clone() });
+                return Err(RewriteError::TooManyOverlappingRecords {
+                    name: self.source.name.clone(),
+                });
             }
         }
         Ok(self.buffer.peek().map(|Reverse(first)| first.key))
     }
 
     fn buffer_record<W: Write>(&mut self, mut record: Record, out: &mut Writer<W>) {
-        self.mapping.apply(&mut record, self.source.reader.dictionary(), out);
+        self.mapping
+            .apply(&mut record, self.source.reader.dictionary(), out);
         record.reached = record.reached.saturating_add(self.source.offset);
         self.records_read += 1;
         let key = (record.sort_key(), self.position);
-        self.buffer.push(Reverse(BufferedRecord { key, number: self.records_read, record }));
+        self.buffer.push(Reverse(BufferedRecord {
+            key,
+            number: self.records_read,
+            record,
+        }));
     }
 }
 
@@ -168,7 +188,10 @@
     let mut total_records = 0;
     for source in sources {
         if let Some(first) = same_file(&source, &sorted) {
-            summary.duplicate_files.push(DuplicateFile { name: source.name, first });
+            summary.duplicate_files.push(DuplicateFile {
+                name: source.name,
+                first,
+            });
             continue;
         }
         let (source, records) = prepare_source(source, sorted.len(), out, &mut summary)?;
@@ -176,7 +199,12 @@
         sorted.push(source);
     }
     let damaged = merge_records(sorted, out, total_records, &mut summary, progress)?;
-    for DamagedBlock { source_name, block, error } in damaged {
+    for DamagedBlock {
+        source_name,
+        block,
+        error,
+    } in damaged
+    {
         out.write_gap(&Gap {
             reason: GapReason::Damaged,
             records: Some(block.records as u64),
@@ -185,8 +213,14 @@
             server: String::new(),
             clock_change: 0,
         })?;
-        let loss = Loss::InvalidFrame { offset: block.offset, reason: error.to_string() };
-        summary.losses.push(SourceLoss { name: source_name, loss });
+        let loss = Loss::InvalidFrame {
+            offset: block.offset,
+            reason: error.to_string(),
+        };
+        summary.losses.push(SourceLoss {
+            name: source_name,
+            loss,
+        });
     }
     Ok(summary)
 }
@@ -199,7 +233,9 @@
 {
     let file_id = &source.reader.header().file_id;
     let is_same = |other: &&SortedSource<R>| other.source.reader.header().file_id == *file_id;
-    let first = earlier.iter().find(|other| !file_id.is_empty() && is_same(other))?;
+    let first = earlier
+        .iter()
+        .find(|other| !file_id.is_empty() && is_same(other))?;
     Some(first.source.name.clone())
 }
 
@@ -210,13 +246,24 @@
     out: &mut Writer<W>,
     summary: &mut MergeSummary,
 ) -> Result<(SortedSource<R>, u64), RewriteError> {
-    let survey = source.reader.survey().map_err(RewriteError::read(&source.name))?;
-    let Survey { index, gaps, losses, .. } = survey;
+    let survey = source
+        .reader
+        .survey()
+        .map_err(RewriteError::read(&source.name))?;
+    let Survey {
+        index,
+        gaps,
+        losses,
+        ..
+    } = survey;
     for loss in losses {
         if let Some(gap) = gap_for_loss(&loss, &source.reader.header().server) {
             out.write_gap(&gap)?;
         }
-        summary.losses.push(SourceLoss { name: source.name.clone(), loss });
+        summary.losses.push(SourceLoss {
+            name: source.name.clone(),
+            loss,
+        });
     }
     for mut gap in gaps {
         gap.from = gap.from.saturating_add(source.offset);
@@ -227,7 +274,14 @@
     let mut blocks = index.blocks().to_vec();
     blocks.sort_by_key(|block| Reverse((block.from, block.offset)));
     let buffer = BinaryHeap::new();
-    let sorted = SortedSource { source, position, blocks, mapping, buffer, records_read: 0 };
+    let sorted = SortedSource {
+        source,
+        position,
+        blocks,
+        mapping,
+        buffer,
+        records_read: 0,
+    };
     Ok((sorted, index.records()))
 }
 
@@ -248,7 +302,10 @@
     let mut same_key: Vec<Record> = Vec::new();
     while let Some(Reverse((_, position))) = first_keys.pop() {
         if let Some(Reverse(BufferedRecord { record, .. })) = sources[position].buffer.pop() {
-            if same_key.first().is_some_and(|first| first.sort_key() != record.sort_key()) {
+            if same_key
+                .first()
+                .is_some_and(|first| first.sort_key() != record.sort_key())
+            {
                 same_key.clear();
             }
             if same_key.contains(&record) {
--- a/crates/trace/src/metadata.rs
+++ b/crates/trace/src/metadata.rs
@@ -22,7 +22,12 @@
 impl ColumnInfo {
     fn new(column: &Column, version: u32) -> Self {
         let (name, kind) = (column.name.to_owned(), column.kind.name().to_owned());
-        ColumnInfo { id: column.id, name, kind, bits: column.max_bits(version) }
+        ColumnInfo {
+            id: column.id,
+            name,
+            kind,
+            bits: column.max_bits(version),
+        }
     }
 }
 
@@ -58,8 +63,13 @@
             server: server.to_owned(),
             start,
             program: concat!("tulipgap ", env!("CARGO_PKG_VERSION")).to_owned(),
-            columns: columns::of_version(version).map(|column| ColumnInfo::new(column, version)).collect(),
-            names: Dictionary { servers: vec![server.to_owned()], ..Dictionary::default() },
+            columns: columns::of_version(version)
+                .map(|column| ColumnInfo::new(column, version))
+                .collect(),
+            names: Dictionary {
+                servers: vec![server.to_owned()],
+                ..Dictionary::default()
+            },
         }
     }
 }
--- a/crates/trace/src/reader/error.rs
+++ b/crates/trace/src/reader/error.rs
@@ -79,22 +79,37 @@
 impl fmt::Display for Loss {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Loss::SkippedBytes { offset, bytes, is_torn: true } => {
-                write!(f, "torn off at byte {offset}: the last {bytes} bytes are no whole block")
+            Loss::SkippedBytes {
+                offset,
+                bytes,
+                is_torn: true,
+            } => {
+                write!(
+                    f,
+                    "torn off at byte {offset}: the last {bytes} bytes are no whole block"
+                )
             }
             Loss::SkippedBytes { offset, bytes, .. } => {
                 write!(f, "damaged at byte {offset}: {bytes} bytes passed over")
             }
-            Loss::InvalidFrame { offset, reason } => write!(f, "damaged at byte {offset}: {reason}"),
+            Loss::InvalidFrame { offset, reason } => {
+                write!(f, "damaged at byte {offset}: {reason}")
+            }
             Loss::MissingRecords { count } => write!(f, "{count} records are lost there"),
             Loss::MissingEnd => {
-                write!(f, "no end mark: the recording was cut off, or is still being written")
+                write!(
+                    f,
+                    "no end mark: the recording was cut off, or is still being written"
+                )
             }
             Loss::RecordCountMismatch { stated, read } => {
                 write!(f, "the file tells of {stated} records, {read} were read")
             }
             Loss::DamagedHeader => {
-                write!(f, "the header is damaged: names are known only as far as they came again")
+                write!(
+                    f,
+                    "the header is damaged: names are known only as far as they came again"
+                )
             }
         }
     }
--- a/crates/trace/src/reader/mod.rs
+++ b/crates/trace/src/reader/mod.rs
@@ -76,7 +76,10 @@
     pub fn open(input: R) -> Result<Self, TraceError> {
         let mut frames = FrameReader::new(input);
         let version = read_version(&mut frames)?;
-        let FileStart { header, losses: mut pending } = read_start(&mut frames)?;
+        let FileStart {
+            header,
+            losses: mut pending,
+        } = read_start(&mut frames)?;
         let header = match header {
             Some(header) if header.version > NEWEST_VERSION => {
                 return Err(TraceError::UnsupportedVersion(header.version));
@@ -85,7 +88,11 @@
             None => {
                 pending.push(Item::Loss(Loss::DamagedHeader));
                 let placeholder = Header::new(version.unwrap_or(NEWEST_VERSION), 0, "?", 0);
-                Header { names: Dictionary::default(), file_id: String::new(), ..placeholder }
+                Header {
+                    names: Dictionary::default(),
+                    file_id: String::new(),
+                    ..placeholder
+                }
             }
         };
         Ok(TraceReader {
@@ -123,13 +130,19 @@
     /// Puts other names in place of those of the file, at the same indices.
     pub fn rename(&mut self, dictionary: Dictionary) {
         let original_servers = std::mem::replace(&mut self.dictionary, dictionary.clone()).servers;
-        self.renaming = Some(Renaming { dictionary, original_servers });
+        self.renaming = Some(Renaming {
+            dictionary,
+            original_servers,
+        });
     }
 
     /// A gap with its server under the name that it has here.
     fn renamed(&self, mut gap: Gap) -> Gap {
         if let Some(renaming) = &self.renaming {
-            let index = renaming.original_servers.iter().position(|server| *server == gap.server);
+            let index = renaming
+                .original_servers
+                .iter()
+                .position(|server| *server == gap.server);
             let name = index.and_then(|index| renaming.dictionary.servers.get(index));
             gap.server = name.cloned().unwrap_or_default();
         }
@@ -144,7 +157,11 @@
     /// The columns that were met and are not known here, by the names that the header has for them.
     pub fn unknown_columns(&self) -> Vec<String> {
         let name = |id: &u64| {
-            let info = self.header.columns.iter().find(|column| u64::from(column.id) == *id);
+            let info = self
+                .header
+                .columns
+                .iter()
+                .find(|column| u64::from(column.id) == *id);
             info.map_or_else(|| format!("column {id}"), |column| column.name.clone())
         };
         self.unknown_columns.iter().map(name).collect()
@@ -165,10 +182,22 @@
                         self.pending.push(Item::Loss(Loss::MissingEnd));
                     }
                 }
-                Some(Segment::Skipped { offset, bytes, is_torn }) => {
-                    return Ok(Some(Item::Loss(Loss::SkippedBytes { offset, bytes, is_torn })));
+                Some(Segment::Skipped {
+                    offset,
+                    bytes,
+                    is_torn,
+                }) => {
+                    return Ok(Some(Item::Loss(Loss::SkippedBytes {
+                        offset,
+                        bytes,
+                        is_torn,
+                    })));
                 }
-                Some(Segment::Frame { offset, kind, payload }) => {
+                Some(Segment::Frame {
+                    offset,
+                    kind,
+                    payload,
+                }) => {
                     if let Err(error) = self.handle_frame(offset, kind, &payload) {
                         let reason = error.to_string();
                         return Ok(Some(Item::Loss(Loss::InvalidFrame { offset, reason })));
@@ -184,10 +213,12 @@
             kind::NAMES | kind::INDEX if self.renaming.is_some() => Ok(()),
             kind::NAMES => {
                 let more = serde_json::from_slice(payload);
-                self.dictionary.extend(more.map_err(|_| TraceError::Invalid("a dictionary"))?)
+                self.dictionary
+                    .extend(more.map_err(|_| TraceError::Invalid("a dictionary"))?)
             }
             kind::GAP => {
-                let gap = serde_json::from_slice(payload).map_err(|_| TraceError::Invalid("a gap"))?;
+                let gap =
+                    serde_json::from_slice(payload).map_err(|_| TraceError::Invalid("a gap"))?;
                 self.pending.push(Item::Gap(self.renamed(gap)));
                 Ok(())
             }
@@ -212,7 +243,8 @@
         // A block states how many records stand before it, and so how many were in blocks that are lost.
         let missing = block.records_before.saturating_sub(self.records_before);
         if missing > 0 {
-            self.pending.push(Item::Loss(Loss::MissingRecords { count: missing }));
+            self.pending
+                .push(Item::Loss(Loss::MissingRecords { count: missing }));
         }
         self.records_before = block.records_before.saturating_add(block.records as u64);
         let entry = BlockEntry::new(offset, length, &block);
@@ -231,7 +263,8 @@
         let stated = EndMark::read_records(payload).ok_or(TraceError::Invalid("the end mark"))?;
         let read = self.records_read;
         if stated != read {
-            self.pending.push(Item::Loss(Loss::RecordCountMismatch { stated, read }));
+            self.pending
+                .push(Item::Loss(Loss::RecordCountMismatch { stated, read }));
         }
         Ok(())
     }
@@ -243,7 +276,10 @@
         mut input: ByteReader,
     ) -> Result<Vec<Record>, TraceError> {
         let encoded = block::read_columns(&mut input, block)?;
-        if !encoded.iter().any(|column| column.id == u64::from(columns::REACHED)) {
+        if !encoded
+            .iter()
+            .any(|column| column.id == u64::from(columns::REACHED))
+        {
             return Err(TraceError::Invalid("a block without times"));
         }
         block::decode_records(block, &encoded, &mut self.unknown_columns)
@@ -270,8 +306,16 @@
             Ok(Some(version))
         }
         None => {
-            let matching = start.iter().zip(framing::MAGIC).filter(|(a, b)| a == b).count();
-            if matching < MIN_MAGIC_MATCH { Err(TraceError::NotARecording) } else { Ok(None) }
+            let matching = start
+                .iter()
+                .zip(framing::MAGIC)
+                .filter(|(a, b)| a == b)
+                .count();
+            if matching < MIN_MAGIC_MATCH {
+                Err(TraceError::NotARecording)
+            } else {
+                Ok(None)
+            }
         }
     }
 }
@@ -281,15 +325,37 @@
     let mut losses = Vec::new();
     loop {
         match frames.next_segment()?.ok_or(TraceError::MissingHeader)? {
-            Segment::Skipped { offset, bytes, is_torn } => {
-                losses.push(Item::Loss(Loss::SkippedBytes { offset, bytes, is_torn }));
+            Segment::Skipped {
+                offset,
+                bytes,
+                is_torn,
+            } => {
+                losses.push(Item::Loss(Loss::SkippedBytes {
+                    offset,
+                    bytes,
+                    is_torn,
+                }));
             }
-            Segment::Frame { kind: kind::HEADER, payload, .. } => {
-                return Ok(FileStart { header: serde_json::from_slice(&payload).ok(), losses });
+            Segment::Frame {
+                kind: kind::HEADER,
+                payload,
+                ..
+            } => {
+                return Ok(FileStart {
+                    header: serde_json::from_slice(&payload).ok(),
+                    losses,
+                });
             }
-            Segment::Frame { offset, kind, payload } => {
+            Segment::Frame {
+                offset,
+                kind,
+                payload,
+            } => {
                 frames.put_back(offset, kind, &payload);
-                return Ok(FileStart { header: None, losses });
+                return Ok(FileStart {
+                    header: None,
+                    losses,
+                });
             }
         }
     }
--- a/crates/trace/src/reader/random_access.rs
+++ b/crates/trace/src/reader/random_access.rs
@@ -34,21 +34,34 @@
         let mut survey = match self.index_at_end()? {
             Some((index, IndexMetadata { names, gaps })) => {
                 self.dictionary = names;
-                Survey { index, gaps, losses: Vec::new(), is_indexed: true }
+                Survey {
+                    index,
+                    gaps,
+                    losses: Vec::new(),
+                    is_indexed: true,
+                }
             }
             None => self.survey_by_reading()?,
         };
         if let Some(renaming) = &self.renaming {
             self.dictionary = renaming.dictionary.clone();
         }
-        survey.gaps = survey.gaps.into_iter().map(|gap| self.renamed(gap)).collect();
+        survey.gaps = survey
+            .gaps
+            .into_iter()
+            .map(|gap| self.renamed(gap))
+            .collect();
         Ok(survey)
     }
 
     /// Reads the file from its start, but for the records.
     fn survey_by_reading(&mut self) -> Result<Survey, TraceError> {
         // No block can match, so only the headers of blocks are read.
-        let nothing = Filter { from: Some(Micros::MAX), to: Some(Micros::MIN), ..Filter::default() };
+        let nothing = Filter {
+            from: Some(Micros::MAX),
+            to: Some(Micros::MIN),
+            ..Filter::default()
+        };
         let input = self.frames.input();
         input.seek(SeekFrom::Start(0))?;
         let mut reader = TraceReader::open(input)?.with_filter(nothing);
@@ -79,17 +92,26 @@
             Some(renaming) => renaming.dictionary.clone(),
             None => fresh.dictionary,
         };
-        Ok(TraceReader { filter: self.filter, renaming: self.renaming, dictionary, ..fresh })
+        Ok(TraceReader {
+            filter: self.filter,
+            renaming: self.renaming,
+            dictionary,
+            ..fresh
+        })
     }
 
     fn index_at_end(&mut self) -> Result<Option<(Index, IndexMetadata)>, TraceError> {
         let input = self.frames.input();
         let length = input.seek(SeekFrom::End(0))?;
-        let Some(end) = length.checked_sub(EndMark::FRAME_BYTES as u64) else { return Ok(None) };
+        let Some(end) = length.checked_sub(EndMark::FRAME_BYTES as u64) else {
+            return Ok(None);
+        };
         let mut bytes = [0; EndMark::FRAME_BYTES];
         input.seek(SeekFrom::Start(end))?;
         input.read_exact(&mut bytes)?;
-        let Some((kind::END, payload)) = framing::parse_frame(&bytes) else { return Ok(None) };
+        let Some((kind::END, payload)) = framing::parse_frame(&bytes) else {
+            return Ok(None);
+        };
         let index_offset = EndMark::read_index_offset(payload).unwrap_or(0);
         if index_offset == 0 || index_offset >= end {
             return Ok(None);
@@ -97,7 +119,9 @@
         input.seek(SeekFrom::Start(index_offset))?;
         let mut bytes = Vec::new();
         // An index is one frame, so no more than the longest frame is read.
-        input.take((end - index_offset).min(framing::MAX_FRAME_BYTES)).read_to_end(&mut bytes)?;
+        input
+            .take((end - index_offset).min(framing::MAX_FRAME_BYTES))
+            .read_to_end(&mut bytes)?;
         match framing::parse_frame(&bytes) {
             Some((kind::INDEX, payload)) => Ok(Index::decode(payload, index_offset).ok()),
             _ => Ok(None),
@@ -145,6 +169,9 @@
         let mut input = ByteReader(&payload);
         let block = BlockHeader::read(&mut input)?;
         let columns = block::read_columns(&mut input, &block)?;
-        Ok(columns.iter().map(|column| (column.id, column.stored_bytes())).collect())
+        Ok(columns
+            .iter()
+            .map(|column| (column.id, column.stored_bytes()))
+            .collect())
     }
 }
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -20,8 +20,12 @@
 
 impl Outcome {
     /// All outcomes, in the order of their stored numbers.
-    pub const ALL: [Outcome; 4] =
-        [Outcome::Completed, Outcome::Rejected, Outcome::Failed, Outcome::Abandoned];
+    pub const ALL: [Outcome; 4] = [
+        Outcome::Completed,
+        Outcome::Rejected,
+        Outcome::Failed,
+        Outcome::Abandoned,
+    ];
 
     /// The word for it in exports, summaries and command line options.
     pub fn name(self) -> &'static str {
@@ -35,7 +39,9 @@
 
     /// The outcome of that [`Outcome::name`].
     pub fn from_name(name: &str) -> Option<Outcome> {
-        Outcome::ALL.into_iter().find(|outcome| outcome.name() == name)
+        Outcome::ALL
+            .into_iter()
+            .find(|outcome| outcome.name() == name)
     }
 
     /// The bit that stands for it in a set of outcomes.
@@ -116,7 +122,10 @@
 
 /// The first 8 bytes of a hash as a big-endian number.
 pub(crate) fn leading_u64(hash: &blake3::Hash) -> u64 {
-    hash.as_bytes().iter().take(8).fold(0, |number, &byte| number << 8 | u64::from(byte))
+    hash.as_bytes()
+        .iter()
+        .take(8)
+        .fold(0, |number, &byte| number << 8 | u64::from(byte))
 }
 
 /// One attempt of a request. Handlers, tenants and servers are indices into the dictionary of its file. All
@@ -181,6 +190,11 @@
 impl Record {
     /// The key by which records are sorted and merged; ties beyond it go by the order of the files.
     pub fn sort_key(&self) -> SortKey {
-        (self.reached, self.id, self.answered.unwrap_or(Micros::MAX) as u64, self.server)
+        (
+            self.reached,
+            self.id,
+            self.answered.unwrap_or(Micros::MAX) as u64,
+            self.server,
+        )
     }
 }
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -54,7 +54,9 @@
 
 /// The Unix time of now.
 pub fn unix_now() -> Micros {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as Micros)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_micros() as Micros)
 }
 
 impl Recorder {
@@ -86,17 +88,26 @@
             noted_rejections: 0,
             noted_clock_change: 0,
         };
-        let thread = std::thread::Builder::new().name("trace".into()).spawn(move || {
-            worker.run(&on_error);
-            worker.finish(&on_error);
-        })?;
-        Ok(Recorder { shared, start, start_unix, thread: Mutex::new(Some(thread)) })
+        let thread = std::thread::Builder::new()
+            .name("trace".into())
+            .spawn(move || {
+                worker.run(&on_error);
+                worker.finish(&on_error);
+            })?;
+        Ok(Recorder {
+            shared,
+            start,
+            start_unix,
+            thread: Mutex::new(Some(thread)),
+        })
     }
 
     /// Adds a record, or counts it as missing where the queue is full. It never blocks.
     pub fn record(&self, record: Record) {
         if self.shared.queue.push(record).is_err() {
-            self.shared.rejected_by_queue.fetch_add(1, Ordering::Relaxed);
+            self.shared
+                .rejected_by_queue
+                .fetch_add(1, Ordering::Relaxed);
         }
     }
 
@@ -119,7 +130,9 @@
     /// time.
     pub fn finish(&self, timeout: Duration) -> bool {
         self.shared.is_stopping.store(true, Ordering::Release);
-        let Some(thread) = self.thread.lock().ok().and_then(|mut thread| thread.take()) else { return true };
+        let Some(thread) = self.thread.lock().ok().and_then(|mut thread| thread.take()) else {
+            return true;
+        };
         thread.thread().unpark();
         let start = Instant::now();
         while !thread.is_finished() {
@@ -166,17 +179,23 @@
         let now = self.start.elapsed();
         let rejections = self.shared.rejected_by_queue.load(Ordering::Relaxed);
         if rejections > self.noted_rejections {
-            self.writer.note_dropped(now, rejections - self.noted_rejections);
+            self.writer
+                .note_dropped(now, rejections - self.noted_rejections);
             self.noted_rejections = rejections;
         }
-        let change = unix_now() - self.start_unix - now.as_micros() as Micros - self.noted_clock_change;
+        let change =
+            unix_now() - self.start_unix - now.as_micros() as Micros - self.noted_clock_change;
         if change.abs() > MAX_CLOCK_DRIFT {
             self.writer.note_clock_change(now, change);
             self.noted_clock_change += change;
         }
         self.writer.tick(now);
-        self.shared.missing_records.store(self.writer.missing_records(), Ordering::Relaxed);
-        self.shared.storage_failures.store(self.writer.counters().failures, Ordering::Relaxed);
+        self.shared
+            .missing_records
+            .store(self.writer.missing_records(), Ordering::Relaxed);
+        self.shared
+            .storage_failures
+            .store(self.writer.counters().failures, Ordering::Relaxed);
         if let Some(error) = self.writer.take_last_error() {
             on_error(&error);
         }
