--- a/crates/trace/src/retention.rs
+++ b/crates/trace/src/retention.rs
@@ -78,7 +78,12 @@
     /// Drop the received record.
     DropRecord,
     /// Write a gap, of records that are missing since that time.
-    WriteGap { reason: GapReason, records: u64, since: Duration, clock_change: Micros },
+    WriteGap {
+        reason: GapReason,
+        records: u64,
+        since: Duration,
+        clock_change: Micros,
+    },
     /// Seal the block that is buffered, and sync the file.
     SealBlock,
     /// Close the file.
@@ -155,7 +160,8 @@
         let mut actions = Vec::new();
         match event {
             Event::FilesFound(files) => {
-                self.closed_files.extend(files.iter().map(|file| (file.number, file.bytes)));
+                self.closed_files
+                    .extend(files.iter().map(|file| (file.number, file.bytes)));
                 let last = self.closed_files.keys().next_back();
                 self.next_number = last.map_or(1, |last| last.saturating_add(1));
             }
@@ -170,7 +176,9 @@
                 // loop.
                 self.closed_files.entry(*number).or_insert(0);
             }
-            Event::RecordsDropped { reason, records } => self.add_missing(now, *reason, *records, 0),
+            Event::RecordsDropped { reason, records } => {
+                self.add_missing(now, *reason, *records, 0)
+            }
             Event::ClockSet { change } => self.add_missing(now, GapReason::ClockSet, 0, *change),
             Event::Tick => self.tick(now, &mut actions),
             Event::Shutdown => {
@@ -187,7 +195,11 @@
     pub(crate) fn next_deadline(&self) -> Option<Duration> {
         let file = self.open_file.as_ref()?;
         let rotate_at = self.rotate_at(file);
-        Some(if file.buffered_records > 0 { file.seal_at.min(rotate_at) } else { rotate_at })
+        Some(if file.buffered_records > 0 {
+            file.seal_at.min(rotate_at)
+        } else {
+            rotate_at
+        })
     }
 
     /// Records that are missing so far, for whatever reason.
@@ -217,8 +229,14 @@
             }
             self.open_file(now, actions);
         }
-        let RetentionConfig { seal_after, block_records, .. } = self.config;
-        let Some(file) = self.open_file.as_mut() else { return };
+        let RetentionConfig {
+            seal_after,
+            block_records,
+            ..
+        } = self.config;
+        let Some(file) = self.open_file.as_mut() else {
+            return;
+        };
         actions.push(Action::AppendRecord);
         file.buffered_records += 1;
         if file.buffered_records == 1 {
@@ -231,9 +249,14 @@
 
     /// Opens a file, after enough of the oldest ones are removed for it to grow to its full size.
     fn open_file(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let max_file_bytes = self.config.rotate_bytes.saturating_add(ROTATION_SLACK_BYTES);
+        let max_file_bytes = self
+            .config
+            .rotate_bytes
+            .saturating_add(ROTATION_SLACK_BYTES);
         while self.closed_bytes().saturating_add(max_file_bytes) > self.config.keep_bytes {
-            let Some((number, _)) = self.closed_files.pop_first() else { break };
+            let Some((number, _)) = self.closed_files.pop_first() else {
+                break;
+            };
             actions.push(Action::RemoveFile { number });
         }
         let number = self.next_number;
@@ -251,7 +274,9 @@
     }
 
     fn block_written(&mut self, now: Duration, bytes: u64, actions: &mut Vec<Action>) {
-        let Some(file) = self.open_file.as_mut() else { return };
+        let Some(file) = self.open_file.as_mut() else {
+            return;
+        };
         (file.bytes, file.buffered_records) = (bytes, 0);
         for gap in file.pending_gaps.drain(..) {
             // More may be missing since the gap was handed out.
@@ -271,8 +296,11 @@
     fn close_file(&mut self, actions: &mut Vec<Action>) {
         if let Some(file) = self.open_file.take() {
             // The bytes of its index are not known before it is closed.
-            self.closed_files.insert(file.number, file.bytes.saturating_add(INDEX_SLACK_BYTES));
-            actions.push(Action::CloseFile { number: file.number });
+            self.closed_files
+                .insert(file.number, file.bytes.saturating_add(INDEX_SLACK_BYTES));
+            actions.push(Action::CloseFile {
+                number: file.number,
+            });
         }
     }
 
@@ -289,7 +317,9 @@
     }
 
     fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let Some(file) = self.open_file.as_ref() else { return };
+        let Some(file) = self.open_file.as_ref() else {
+            return;
+        };
         let is_old = now >= self.rotate_at(file);
         let is_seal_due = file.buffered_records > 0 && now >= file.seal_at;
         if !self.missing.is_empty() && file.pending_gaps.is_empty() {
@@ -303,11 +333,21 @@
         }
     }
 
-    fn add_missing(&mut self, now: Duration, reason: GapReason, records: u64, clock_change: Micros) {
+    fn add_missing(
+        &mut self,
+        now: Duration,
+        reason: GapReason,
+        records: u64,
+        clock_change: Micros,
+    ) {
         if records == 0 && clock_change == 0 {
             return;
         }
-        let none = Missing { records: 0, since: self.complete_at.min(now), clock_change: 0 };
+        let none = Missing {
+            records: 0,
+            since: self.complete_at.min(now),
+            clock_change: 0,
+        };
         let missing = self.missing.entry(reason).or_insert(none);
         missing.records += records;
         missing.clock_change += clock_change;
@@ -316,15 +356,38 @@
 
     /// Has all that is missing written as gaps. It counts as missing until the file is known to have the gap.
     fn write_gaps(&mut self, actions: &mut Vec<Action>) {
-        let Some(file) = self.open_file.as_mut() else { return };
-        for (&reason, &Missing { mut records, since, mut clock_change }) in &self.missing {
-            for pending in file.pending_gaps.iter().filter(|pending| pending.reason == reason) {
+        let Some(file) = self.open_file.as_mut() else {
+            return;
+        };
+        for (
+            &reason,
+            &Missing {
+                mut records,
+                since,
+                mut clock_change,
+            },
+        ) in &self.missing
+        {
+            for pending in file
+                .pending_gaps
+                .iter()
+                .filter(|pending| pending.reason == reason)
+            {
                 records -= pending.records;
                 clock_change -= pending.clock_change;
             }
             if records > 0 || clock_change != 0 {
-                actions.push(Action::WriteGap { reason, records, since, clock_change });
-                file.pending_gaps.push(PendingGap { reason, records, clock_change });
+                actions.push(Action::WriteGap {
+                    reason,
+                    records,
+                    since,
+                    clock_change,
+                });
+                file.pending_gaps.push(PendingGap {
+                    reason,
+                    records,
+                    clock_change,
+                });
             }
         }
     }
--- a/crates/trace/src/rewrite.rs
+++ b/crates/trace/src/rewrite.rs
@@ -43,7 +43,10 @@
 impl RewriteError {
     /// The error for a file of that name.
     pub(crate) fn read(name: &str) -> impl Fn(TraceError) -> RewriteError {
-        move |source| RewriteError::Read { name: name.to_owned(), source }
+        move |source| RewriteError::Read {
+            name: name.to_owned(),
+            source,
+        }
     }
 }
 
@@ -58,26 +61,49 @@
     /// Adds to the dictionary of `out` the names that it does not have.
     pub(crate) fn new<W: Write>(names: &Dictionary, out: &mut Writer<W>) -> Self {
         DictionaryMapping {
-            servers: names.servers.iter().map(|name| out.server_index(name)).collect(),
-            handlers: names.handlers.iter().map(|handler| out.handler_index(handler)).collect(),
-            tenants: names.tenants.iter().map(|tenant| out.tenant_index(tenant)).collect(),
+            servers: names
+                .servers
+                .iter()
+                .map(|name| out.server_index(name))
+                .collect(),
+            handlers: names
+                .handlers
+                .iter()
+                .map(|handler| out.handler_index(handler))
+                .collect(),
+            tenants: names
+                .tenants
+                .iter()
+                .map(|tenant| out.tenant_index(tenant))
+                .collect(),
         }
     }
 
     /// Replaces the indices of a record. Names may have been added to the dictionary since the mapping was
     /// made. An index that the dictionary does not have gets a name that says so, and never that of another
     /// entry.
-    pub(crate) fn apply<W: Write>(&mut self, record: &mut Record, names: &Dictionary, out: &mut Writer<W>) {
-        record.server =
-            mapped(&mut self.servers, record.server, |index| out.server_index(&names.server(index)));
+    pub(crate) fn apply<W: Write>(
+        &mut self,
+        record: &mut Record,
+        names: &Dictionary,
+        out: &mut Writer<W>,
+    ) {
+        record.server = mapped(&mut self.servers, record.server, |index| {
+            out.server_index(&names.server(index))
+        });
         record.handler = mapped(&mut self.handlers, record.handler, |index| {
-            let unnamed = || HandlerInfo { name: names.handler(index), ..HandlerInfo::default() };
+            let unnamed = || HandlerInfo {
+                name: names.handler(index),
+                ..HandlerInfo::default()
+            };
             let handler = names.handlers.get(index as usize).cloned();
             out.handler_index(&handler.unwrap_or_else(unnamed))
         });
         record.tenant = record.tenant.map(|tenant| {
             mapped(&mut self.tenants, tenant, |index| {
-                out.tenant_index(&TenantInfo { name: names.tenant(index) })
+                out.tenant_index(&TenantInfo {
+                    name: names.tenant(index),
+                })
             })
         });
     }
@@ -101,5 +127,12 @@
         _ => return None,
     };
     let server = server.to_owned();
-    Some(Gap { reason: GapReason::Damaged, records, from: 0, to: 0, server, clock_change: 0 })
+    Some(Gap {
+        reason: GapReason::Damaged,
+        records,
+        from: 0,
+        to: 0,
+        server,
+        clock_change: 0,
+    })
 }
--- a/crates/trace/src/rotating_writer.rs
+++ b/crates/trace/src/rotating_writer.rs
@@ -100,7 +100,14 @@
 
     /// Notes records that did not get here because the queue before the writer was full.
     pub fn note_dropped(&mut self, now: Duration, records: u64) {
-        self.handle_event(now, Event::RecordsDropped { reason: GapReason::QueueFull, records }, None);
+        self.handle_event(
+            now,
+            Event::RecordsDropped {
+                reason: GapReason::QueueFull,
+                records,
+            },
+            None,
+        );
     }
 
     /// Notes that the system's clock was set by so much.
@@ -141,7 +148,11 @@
     /// Closes the open file.
     pub fn finish(mut self, now: Duration) -> RotationResult<S> {
         self.handle_event(now, Event::Shutdown, None);
-        RotationResult { storage: self.storage, counters: self.counters, last_error: self.last_error }
+        RotationResult {
+            storage: self.storage,
+            counters: self.counters,
+            last_error: self.last_error,
+        }
     }
 
     fn handle_event(&mut self, now: Duration, event: Event, mut record: Option<Record>) {
@@ -168,10 +179,22 @@
                     self.append(now, record)?;
                 }
             }
-            Action::WriteGap { reason, records, since, clock_change } => {
+            Action::WriteGap {
+                reason,
+                records,
+                since,
+                clock_change,
+            } => {
                 let (from, to) = (self.unix_time(since), self.unix_time(now));
                 let server = self.config.server.clone();
-                let gap = Gap { reason, records: Some(records), from, to, server, clock_change };
+                let gap = Gap {
+                    reason,
+                    records: Some(records),
+                    from,
+                    to,
+                    server,
+                    clock_change,
+                };
                 if let Some(writer) = &mut self.writer {
                     writer.write_gap(&gap)?;
                 }
@@ -206,11 +229,26 @@
     }
 
     fn open_file(&mut self, now: Duration, number: u64) -> Result<(), WriteError> {
-        self.next_file_id = self.next_file_id.wrapping_mul(FILE_ID_FACTOR).wrapping_add(1);
-        let RecorderConfig { version, server, names, retention, .. } = &self.config;
+        self.next_file_id = self
+            .next_file_id
+            .wrapping_mul(FILE_ID_FACTOR)
+            .wrapping_add(1);
+        let RecorderConfig {
+            version,
+            server,
+            names,
+            retention,
+            ..
+        } = &self.config;
         let mut header = Header::new(*version, self.next_file_id, server, self.unix_time(now));
-        header.names = Dictionary { servers: vec![server.clone()], ..names.clone() };
-        let blocks = BlockConfig { max_records: retention.block_records, ..BlockConfig::default() };
+        header.names = Dictionary {
+            servers: vec![server.clone()],
+            ..names.clone()
+        };
+        let blocks = BlockConfig {
+            max_records: retention.block_records,
+            ..BlockConfig::default()
+        };
         let file = self.storage.create(number)?;
         self.writer = Some(Writer::new(file, header, blocks)?);
         self.counters.files += 1;
@@ -218,12 +256,17 @@
     }
 
     fn append(&mut self, now: Duration, record: Record) -> Result<(), WriteError> {
-        let Some(writer) = &mut self.writer else { return Ok(()) };
+        let Some(writer) = &mut self.writer else {
+            return Ok(());
+        };
         match writer.push(record) {
             // The record is at fault, and not the storage.
             Err(error @ WriteError::ValueOutOfRange { .. }) => {
                 self.last_error = Some(error);
-                let dropped = Event::RecordsDropped { reason: GapReason::ValueOutOfRange, records: 1 };
+                let dropped = Event::RecordsDropped {
+                    reason: GapReason::ValueOutOfRange,
+                    records: 1,
+                };
                 self.handle_event(now, dropped, None);
                 Ok(())
             }
--- a/crates/trace/src/storage.rs
+++ b/crates/trace/src/storage.rs
@@ -54,20 +54,37 @@
     /// server's name that do not belong into a file name are replaced. With `is_synced`, what is written
     /// survives a crash of the machine, and not only of the process.
     pub fn new(path: &Path, server: &str, is_synced: bool) -> Self {
-        let file_name_char = |c: char| if c.is_ascii_alphanumeric() || "-_.".contains(c) { c } else { '_' };
+        let file_name_char = |c: char| {
+            if c.is_ascii_alphanumeric() || "-_.".contains(c) {
+                c
+            } else {
+                '_'
+            }
+        };
         let server = server.chars().map(file_name_char).collect();
-        DirectoryStorage { path: path.to_owned(), server, is_synced }
+        DirectoryStorage {
+            path: path.to_owned(),
+            server,
+            is_synced,
+        }
     }
 
     /// The path of a file.
     pub fn file_path(&self, number: u64) -> PathBuf {
-        self.path.join(format!("{}-{number:0MIN_NUMBER_DIGITS$}{FILE_SUFFIX}", self.server))
+        self.path.join(format!(
+            "{}-{number:0MIN_NUMBER_DIGITS$}{FILE_SUFFIX}",
+            self.server
+        ))
     }
 
     /// The number in the name of a file; `None` where the file is not one of this storage.
     fn file_number(&self, name: &str) -> Option<u64> {
-        let digits = name.strip_prefix(&self.server)?.strip_prefix('-')?.strip_suffix(FILE_SUFFIX)?;
-        let is_number = digits.len() >= MIN_NUMBER_DIGITS && digits.bytes().all(|byte| byte.is_ascii_digit());
+        let digits = name
+            .strip_prefix(&self.server)?
+            .strip_prefix('-')?
+            .strip_suffix(FILE_SUFFIX)?;
+        let is_number =
+            digits.len() >= MIN_NUMBER_DIGITS && digits.bytes().all(|byte| byte.is_ascii_digit());
         is_number.then(|| digits.parse().ok())?
     }
 }
@@ -80,8 +97,15 @@
         let mut files = Vec::new();
         for entry in std::fs::read_dir(&self.path)? {
             let entry = entry?;
-            if let Some(number) = entry.file_name().to_str().and_then(|name| self.file_number(name)) {
-                files.push(StoredFile { number, bytes: entry.metadata()?.len() });
+            if let Some(number) = entry
+                .file_name()
+                .to_str()
+                .and_then(|name| self.file_number(name))
+            {
+                files.push(StoredFile {
+                    number,
+                    bytes: entry.metadata()?.len(),
+                });
             }
         }
         Ok(files)
@@ -89,11 +113,18 @@
 
     fn create(&mut self, number: u64) -> io::Result<File> {
         std::fs::create_dir_all(&self.path)?;
-        OpenOptions::new().write(true).create_new(true).open(self.file_path(number))
+        OpenOptions::new()
+            .write(true)
+            .create_new(true)
+            .open(self.file_path(number))
     }
 
     fn sync(&mut self, file: &mut File) -> io::Result<()> {
-        if self.is_synced { file.sync_data() } else { Ok(()) }
+        if self.is_synced {
+            file.sync_data()
+        } else {
+            Ok(())
+        }
     }
 
     fn remove(&mut self, number: u64) -> io::Result<()> {
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -25,7 +25,8 @@
 impl Default for ResponseTimes {
     fn default() -> Self {
         // These bounds are valid, and so are three digits.
-        let histogram = Histogram::new_with_bounds(1, MAX_RESPONSE_TIME, 3).or_else(|_| Histogram::new(3));
+        let histogram =
+            Histogram::new_with_bounds(1, MAX_RESPONSE_TIME, 3).or_else(|_| Histogram::new(3));
         ResponseTimes(histogram.unwrap_or_else(|_| unreachable!("three digits are valid")))
     }
 }
@@ -124,7 +125,9 @@
     fn add_completed(&mut self, record: &Record, attempt: Attempt, names: &Dictionary) {
         let handler = names.handlers.get(record.handler as usize);
         let response_time = record.answered.unwrap_or(0);
-        let objective = handler.map_or(Micros::MAX, |handler| handler.objective(record.estimated_work));
+        let objective = handler.map_or(Micros::MAX, |handler| {
+            handler.objective(record.estimated_work)
+        });
         let is_in_time = response_time <= objective;
         let is_degraded = record.skipped_calls > 0;
         if is_in_time {
@@ -134,12 +137,19 @@
         }
         self.degraded += u64::from(is_degraded);
         // A request that was completed before is worth nothing a second time.
-        if is_in_time && attempt != (Attempt::Retry { was_completed: true }) {
+        if is_in_time
+            && attempt
+                != (Attempt::Retry {
+                    was_completed: true,
+                })
+        {
             let weight = handler.map_or(0.0, |handler| handler.priority_weight);
             let degraded_weight = handler.map_or(1.0, |handler| handler.degraded_weight);
             self.answered_weight += weight * if is_degraded { degraded_weight } else { 1.0 };
         }
-        self.response_times.0.saturating_record(response_time.max(1) as u64);
+        self.response_times
+            .0
+            .saturating_record(response_time.max(1) as u64);
     }
 }
 
@@ -167,7 +177,10 @@
 impl Summary {
     /// An empty summary; with `is_by_minute` it has a row for each minute, too.
     pub fn new(is_by_minute: bool) -> Self {
-        Summary { is_by_minute, ..Summary::default() }
+        Summary {
+            is_by_minute,
+            ..Summary::default()
+        }
     }
 
     /// The statistics of all records.
@@ -180,7 +193,9 @@
         let attempt = self.correlator.observe(record);
         self.total.add(record, attempt, names);
         let handler = names.handler(record.handler);
-        let tenant = record.tenant.map_or_else(|| NO_TENANT.to_owned(), |tenant| names.tenant(tenant));
+        let tenant = record
+            .tenant
+            .map_or_else(|| NO_TENANT.to_owned(), |tenant| names.tenant(tenant));
         let group = |minute, handler: &str, tenant: &str| Group {
             minute,
             handler: handler.to_owned(),
@@ -188,17 +203,27 @@
         };
         let mut groups = vec![group(None, &handler, ""), group(None, &handler, &tenant)];
         if self.is_by_minute {
-            groups.push(group(Some(record.reached.div_euclid(MINUTE) * MINUTE), "", ""));
+            groups.push(group(
+                Some(record.reached.div_euclid(MINUTE) * MINUTE),
+                "",
+                "",
+            ));
         }
         for group in groups {
-            self.groups.entry(group).or_default().add(record, attempt, names);
+            self.groups
+                .entry(group)
+                .or_default()
+                .add(record, attempt, names);
         }
     }
 
     /// The rows of the summary: all records first, then the groups in their order.
     pub fn rows(&self) -> Vec<SummaryRow> {
         let total = SummaryRow::new(Group::default(), &self.total);
-        let groups = self.groups.iter().map(|(group, counts)| SummaryRow::new(group.clone(), counts));
+        let groups = self
+            .groups
+            .iter()
+            .map(|(group, counts)| SummaryRow::new(group.clone(), counts));
         std::iter::once(total).chain(groups).collect()
     }
 }
--- a/crates/trace/src/synthetic.rs
+++ b/crates/trace/src/synthetic.rs
@@ -52,7 +52,14 @@
 impl Default for SyntheticLoad {
     fn default() -> Self {
         let start = 1_764_576_000_000_000;
-        SyntheticLoad { duration: 60_000_000, rate: 190.0, seed: 1, start, server: 0, cores: 12 }
+        SyntheticLoad {
+            duration: 60_000_000,
+            rate: 190.0,
+            seed: 1,
+            start,
+            server: 0,
+            cores: 12,
+        }
     }
 }
 
@@ -75,7 +82,9 @@
                 handler("buy", 2, 20.0, 0.0),
             ],
             tenants: ["north", "south", "east", "west", "old-town", "harbour"]
-                .map(|name| TenantInfo { name: name.to_owned() })
+                .map(|name| TenantInfo {
+                    name: name.to_owned(),
+                })
                 .to_vec(),
         }
     }
@@ -96,7 +105,10 @@
 
 impl<T> Default for Schedule<T> {
     fn default() -> Self {
-        Schedule { times: BinaryHeap::new(), values: BTreeMap::new() }
+        Schedule {
+            times: BinaryHeap::new(),
+            values: BTreeMap::new(),
+        }
     }
 }
 
@@ -126,7 +138,8 @@
 impl Distributions {
     fn new(rate: f64) -> Self {
         Distributions {
-            arrival_pause: Exp::new(rate.max(1e-6)).unwrap_or_else(|_| unreachable!("the rate is above 0")),
+            arrival_pause: Exp::new(rate.max(1e-6))
+                .unwrap_or_else(|_| unreachable!("the rate is above 0")),
             subject: Zipf::new(SUBJECTS, SUBJECT_EXPONENT)
                 .unwrap_or_else(|_| unreachable!("the parameters are valid")),
             work: HANDLER_WORK.map(|(median, spread)| {
@@ -148,7 +161,9 @@
     let (mut number, mut next_arrival) = (0u64, 0 as Micros);
     loop {
         // The next first attempt, or a retry that is due sooner.
-        let next_retry = retries.next_time().filter(|&at| at < next_arrival || next_arrival >= load.duration);
+        let next_retry = retries
+            .next_time()
+            .filter(|&at| at < next_arrival || next_arrival >= load.duration);
         let (at, attempt) = if next_retry.is_some() {
             let Some(retry) = retries.pop() else { continue };
             retry
@@ -158,7 +173,13 @@
             let at = next_arrival;
             next_arrival += (distributions.arrival_pause.sample(&mut random) * 1e6) as Micros;
             let record = first_attempt(load, &mut random, &distributions);
-            (at, PendingAttempt { record, attempts: 1 })
+            (
+                at,
+                PendingAttempt {
+                    record,
+                    attempts: 1,
+                },
+            )
         };
         while released.next_time().is_some_and(|end| end <= at) {
             if let Some((end, record)) = released.pop() {
@@ -178,8 +199,14 @@
             && random.random_bool(RETRY_PROBABILITY)
         {
             let pause = record.retry_after.unwrap_or(0) + random.random_range(20_000..400_000);
-            let retry = Record { is_retry: true, ..attempt.record };
-            let retry = PendingAttempt { record: retry, attempts: attempt.attempts + 1 };
+            let retry = Record {
+                is_retry: true,
+                ..attempt.record
+            };
+            let retry = PendingAttempt {
+                record: retry,
+                attempts: attempt.attempts + 1,
+            };
             retries.insert(end + pause, number, retry);
         }
         released.insert(end, number, record);
@@ -190,7 +217,11 @@
 }
 
 /// The first attempt of a request, as its client sends it.
-fn first_attempt(load: &SyntheticLoad, random: &mut ChaCha8Rng, distributions: &Distributions) -> Record {
+fn first_attempt(
+    load: &SyntheticLoad,
+    random: &mut ChaCha8Rng,
+    distributions: &Distributions,
+) -> Record {
     let handler = match random.random_range(0..100) {
         0..55 => 0usize,
         55..92 => 1,
@@ -199,7 +230,10 @@
     let work = (distributions.work[handler].sample(random) * 1e3) as Micros;
     // Estimates are rough, in hundredths of a millisecond.
     let estimated_work = (work as f64 * random.random_range(0.7..1.4) / 10.0) as Micros * 10;
-    let tenant = [24, 47, 65, 78, 90].iter().filter(|&&to| random.random_range(0..100) >= to).count() as u32;
+    let tenant = [24, 47, 65, 78, 90]
+        .iter()
+        .filter(|&&to| random.random_range(0..100) >= to)
+        .count() as u32;
     let is_keyed = handler == KEYED_HANDLER;
     let subject_rank = distributions.subject.sample(random) as u64;
     Record {
@@ -238,7 +272,9 @@
     record.read = Some(read);
     record.admitted = Some(read + random.random_range(2..9));
     let work = record.work.take().unwrap_or(0);
-    let Some(core) = (0..core_free_at.len()).min_by_key(|&core| core_free_at[core]) else { return };
+    let Some(core) = (0..core_free_at.len()).min_by_key(|&core| core_free_at[core]) else {
+        return;
+    };
     let queue_wait = (core_free_at[core] - now).max(0);
     let objective = LATENCY_OBJECTIVES[record.handler as usize % 3];
     let busy_cores = core_free_at.iter().filter(|&&until| until > now).count();
@@ -262,8 +298,16 @@
         return;
     }
     let started = read + queue_wait + random.random_range(8..40);
-    let calls = if record.handler as usize == KEYED_HANDLER { 1 } else { u32::from(random.random_bool(0.7)) };
-    let call_time = if calls > 0 { random.random_range(4_000..40_000) } else { 0 };
+    let calls = if record.handler as usize == KEYED_HANDLER {
+        1
+    } else {
+        u32::from(random.random_bool(0.7))
+    };
+    let call_time = if calls > 0 {
+        random.random_range(4_000..40_000)
+    } else {
+        0
+    };
     record.started = Some(started);
     record.first_call = (calls > 0).then(|| started + work / 4);
     record.calls = calls;
--- a/crates/trace/src/varint.rs
+++ b/crates/trace/src/varint.rs
@@ -37,7 +37,10 @@
 
     /// Reads that many bytes.
     pub(crate) fn read_bytes(&mut self, count: usize) -> Result<&'a [u8], TraceError> {
-        let (bytes, rest) = self.0.split_at_checked(count).ok_or(TraceError::Invalid("a length"))?;
+        let (bytes, rest) = self
+            .0
+            .split_at_checked(count)
+            .ok_or(TraceError::Invalid("a length"))?;
         self.0 = rest;
         Ok(bytes)
     }
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -49,7 +49,10 @@
 
 impl Default for BlockConfig {
     fn default() -> Self {
-        BlockConfig { max_records: 4096, max_time_span: 60_000_000 }
+        BlockConfig {
+            max_records: 4096,
+            max_time_span: 60_000_000,
+        }
     }
 }
 
@@ -104,7 +107,10 @@
             out,
             written_names: WrittenNames::all_of(&dictionary),
             dictionary,
-            config: BlockConfig { max_records: config.max_records.clamp(1, block::MAX_RECORDS), ..config },
+            config: BlockConfig {
+                max_records: config.max_records.clamp(1, block::MAX_RECORDS),
+                ..config
+            },
             buffer: Vec::new(),
             index: Index::default(),
             gaps: Vec::new(),
@@ -140,17 +146,29 @@
 
     /// The index of a server, which is added to the dictionary if it is new.
     pub fn server_index(&mut self, name: &str) -> u32 {
-        index_of(&mut self.dictionary.servers, |known| known == name, || name.to_owned())
+        index_of(
+            &mut self.dictionary.servers,
+            |known| known == name,
+            || name.to_owned(),
+        )
     }
 
     /// The index of a handler, which is added to the dictionary if it is new.
     pub fn handler_index(&mut self, handler: &HandlerInfo) -> u32 {
-        index_of(&mut self.dictionary.handlers, |known| known == handler, || handler.clone())
+        index_of(
+            &mut self.dictionary.handlers,
+            |known| known == handler,
+            || handler.clone(),
+        )
     }
 
     /// The index of a tenant, which is added to the dictionary if it is new.
     pub fn tenant_index(&mut self, tenant: &TenantInfo) -> u32 {
-        index_of(&mut self.dictionary.tenants, |known| known == tenant, || tenant.clone())
+        index_of(
+            &mut self.dictionary.tenants,
+            |known| known == tenant,
+            || tenant.clone(),
+        )
     }
 
     /// The names of the columns that this format version does not have.
@@ -174,7 +192,11 @@
         // Format 1 has one server alone: the index of another one would be lost silently.
         if version == 1 && record.server != 0 {
             let value = i64::from(record.server);
-            return Err(WriteError::ValueOutOfRange { column: "server", value, bits: 0 });
+            return Err(WriteError::ValueOutOfRange {
+                column: "server",
+                value,
+                bits: 0,
+            });
         }
         let max_time_span = self.config.max_time_span.unsigned_abs();
         let is_far = |first: &Record| first.reached.abs_diff(record.reached) > max_time_span;
@@ -217,7 +239,8 @@
         self.write_frame(kind::BLOCK, &payload)?;
         self.records += self.buffer.len() as u64;
         self.buffer.clear();
-        self.index.add(BlockEntry::new(offset, self.bytes - offset, &block));
+        self.index
+            .add(BlockEntry::new(offset, self.bytes - offset, &block));
         Ok(())
     }
 
@@ -235,7 +258,11 @@
             let payload = self.index.encode(&self.dictionary, &self.gaps)?;
             self.write_frame(kind::INDEX, &payload)?;
         }
-        let end = EndMark { index_offset, blocks: self.index.len() as u64, records: self.records };
+        let end = EndMark {
+            index_offset,
+            blocks: self.index.len() as u64,
+            records: self.records,
+        };
         self.write_frame(kind::END, &end.encode())?;
         self.out.flush()?;
         Ok((self.out, self.bytes))
@@ -243,7 +270,11 @@
 
     /// Writes what is new in the dictionary.
     fn write_names(&mut self) -> Result<(), WriteError> {
-        let WrittenNames { servers, handlers, tenants } = self.written_names;
+        let WrittenNames {
+            servers,
+            handlers,
+            tenants,
+        } = self.written_names;
         let more = Dictionary {
             servers: self.dictionary.servers[servers..].to_vec(),
             handlers: self.dictionary.handlers[handlers..].to_vec(),
@@ -265,7 +296,11 @@
 }
 
 /// The position of an entry in a list, to which it is added if it is new.
-fn index_of<T>(known: &mut Vec<T>, is_same: impl Fn(&T) -> bool, new_entry: impl FnOnce() -> T) -> u32 {
+fn index_of<T>(
+    known: &mut Vec<T>,
+    is_same: impl Fn(&T) -> bool,
+    new_entry: impl FnOnce() -> T,
+) -> u32 {
     let index = known.iter().position(is_same).unwrap_or_else(|| {
         known.push(new_entry());
         known.len() - 1
--- a/crates/trace/tests/files/common.rs
+++ b/crates/trace/tests/files/common.rs
@@ -3,8 +3,8 @@
 use std::io::Cursor;
 
 use tulipgap_trace::{
-    BlockConfig, Dictionary, Gap, Header, Item, Loss, Micros, Record, SyntheticLoad, TraceError, TraceReader,
-    Writer, generate_load,
+    BlockConfig, Dictionary, Gap, Header, Item, Loss, Micros, Record, SyntheticLoad, TraceError,
+    TraceReader, Writer, generate_load,
 };
 
 pub(crate) fn names() -> Dictionary {
@@ -14,7 +14,12 @@
 /// Records of synthetic load.
 pub(crate) fn records(duration: Micros, seed: u64) -> Vec<Record> {
     let mut all = Vec::new();
-    let load = SyntheticLoad { duration, seed, cores: 6, ..SyntheticLoad::default() };
+    let load = SyntheticLoad {
+        duration,
+        seed,
+        cores: 6,
+        ..SyntheticLoad::default()
+    };
     generate_load(&load, |_, record| all.push(record));
     all
 }
@@ -26,8 +31,17 @@
 }
 
 /// A complete file of these records.
-pub(crate) fn file(version: u32, id: u128, server: &str, records: &[Record], block: usize) -> Vec<u8> {
-    let blocks = BlockConfig { max_records: block, ..BlockConfig::default() };
+pub(crate) fn file(
+    version: u32,
+    id: u128,
+    server: &str,
+    records: &[Record],
+    block: usize,
+) -> Vec<u8> {
+    let blocks = BlockConfig {
+        max_records: block,
+        ..BlockConfig::default()
+    };
     let mut writer = Writer::new(Vec::new(), header(version, id, server), blocks).unwrap();
     for record in records {
         writer.push(record.clone()).unwrap();
@@ -65,8 +79,30 @@
 
 /// A record with the columns of format 1 alone.
 pub(crate) fn format_1_record(record: &Record) -> Record {
-    let Record { handler, tenant, id, is_retry, reached, read, answered, outcome, reason, .. } = *record;
-    Record { handler, tenant, id, is_retry, reached, read, answered, outcome, reason, ..Record::default() }
+    let Record {
+        handler,
+        tenant,
+        id,
+        is_retry,
+        reached,
+        read,
+        answered,
+        outcome,
+        reason,
+        ..
+    } = *record;
+    Record {
+        handler,
+        tenant,
+        id,
+        is_retry,
+        reached,
+        read,
+        answered,
+        outcome,
+        reason,
+        ..Record::default()
+    }
 }
 
 pub(crate) fn sorted(mut records: Vec<Record>) -> Vec<Record> {
--- a/crates/trace/tests/files/damage.rs
+++ b/crates/trace/tests/files/damage.rs
@@ -5,8 +5,8 @@
 
 use quickcheck::quickcheck;
 use tulipgap_trace::{
-    BlockConfig, BlockEntry, Filter, GapReason, Loss, MergeSource, Micros, Record, SyntheticLoad, TraceError,
-    TraceReader, Writer, check, copy, merge, stream,
+    BlockConfig, BlockEntry, Filter, GapReason, Loss, MergeSource, Micros, Record, SyntheticLoad,
+    TraceError, TraceReader, Writer, check, copy, merge, stream,
 };
 
 use crate::common::{file, header, open, read_all, records, sorted};
@@ -41,16 +41,27 @@
             let back = match read_all(&bytes[..cut]) {
                 Ok(back) => back,
                 // Not even the header is intact.
-                Err(TraceError::NotARecording | TraceError::MissingHeader) if cut < ends[0].0 => continue,
+                Err(TraceError::NotARecording | TraceError::MissingHeader) if cut < ends[0].0 => {
+                    continue;
+                }
                 Err(error) => panic!("cut at {cut}: {error}"),
             };
-            let blocks = ends.iter().filter(|(end, kind)| *kind == b'B' && *end <= cut).count();
+            let blocks = ends
+                .iter()
+                .filter(|(end, kind)| *kind == b'B' && *end <= cut)
+                .count();
             let expected = (blocks * BLOCK).min(recorded.len());
             assert_eq!(back.records[..], whole.records[..expected], "cut at {cut}");
             assert!(!back.losses.is_empty(), "cut at {cut}: the loss is said");
-            let torn =
-                back.losses.iter().any(|loss| matches!(loss, Loss::SkippedBytes { is_torn: true, .. }));
-            assert_eq!(torn, cut > 16 && !ends.iter().any(|(end, _)| *end == cut), "cut at {cut}");
+            let torn = back
+                .losses
+                .iter()
+                .any(|loss| matches!(loss, Loss::SkippedBytes { is_torn: true, .. }));
+            assert_eq!(
+                torn,
+                cut > 16 && !ends.iter().any(|(end, _)| *end == cut),
+                "cut at {cut}"
+            );
         }
     }
 }
@@ -127,22 +138,40 @@
     let back = read_all(&hostile).unwrap();
     assert_eq!(back.records.len(), recorded.len());
     assert!(
-        matches!(back.losses[..], [Loss::SkippedBytes { bytes: 24, is_torn: false, .. }]),
+        matches!(
+            back.losses[..],
+            [Loss::SkippedBytes {
+                bytes: 24,
+                is_torn: false,
+                ..
+            }]
+        ),
         "{:?}",
         back.losses
     );
     // Invalid counts within a block with a valid checksum.
     let claims = [
         // Records without end, all of one time; handlers without end; records without their times.
-        &[0, 0, 255, 255, 255, 255, 15, 0, 0, 0, 1, 1, 1, 1, 0, 0, 0, 0, 1, 1, 0, 0][..],
+        &[
+            0, 0, 255, 255, 255, 255, 15, 0, 0, 0, 1, 1, 1, 1, 0, 0, 0, 0, 1, 1, 0, 0,
+        ][..],
         &[0, 0, 255, 255, 3, 0, 0, 255, 255, 255, 255, 15],
         &[0, 0, 255, 255, 3, 0, 0, 0, 1, 0],
     ];
     for claim in claims {
-        let hostile = [&bytes[..ends[0].0], &frame(b'B', claim), &bytes[ends[0].0..]].concat();
+        let hostile = [
+            &bytes[..ends[0].0],
+            &frame(b'B', claim),
+            &bytes[ends[0].0..],
+        ]
+        .concat();
         let back = read_all(&hostile).unwrap();
         assert_eq!(back.records.len(), recorded.len());
-        assert!(matches!(back.losses[..], [Loss::InvalidFrame { .. }]), "{:?}", back.losses);
+        assert!(
+            matches!(back.losses[..], [Loss::InvalidFrame { .. }]),
+            "{:?}",
+            back.losses
+        );
     }
 }
 
@@ -152,16 +181,26 @@
     let ends = frames(&bytes);
     let growing = &bytes[..ends[2].0];
     let back = read_all(growing).unwrap();
-    assert_eq!((back.records.len(), &back.losses[..]), (2 * BLOCK, &[Loss::MissingEnd][..]));
+    assert_eq!(
+        (back.records.len(), &back.losses[..]),
+        (2 * BLOCK, &[Loss::MissingEnd][..])
+    );
     // Also by time, without an index.
     let mut trace = open(growing);
     let survey = trace.survey().unwrap();
     assert!(!survey.is_indexed && survey.index.len() == 2);
     let mut out = Writer::new(Vec::new(), header(2, 9, "n1"), BlockConfig::default()).unwrap();
     let from = sorted(recorded.clone())[5].reached;
-    let wanted = Filter { from: Some(from), ..Filter::default() };
+    let wanted = Filter {
+        from: Some(from),
+        ..Filter::default()
+    };
     let done = copy(open(growing), &wanted, &mut out, |_| {}).unwrap();
-    let expected = back.records.iter().filter(|record| record.reached >= from).count();
+    let expected = back
+        .records
+        .iter()
+        .filter(|record| record.reached >= from)
+        .count();
     assert_eq!(done.records, expected as u64);
 }
 
@@ -173,7 +212,13 @@
     bytes[middle] ^= 0xFF;
     let back = read_all(&bytes).unwrap();
     assert_eq!(back.records.len(), recorded.len() - BLOCK);
-    assert!(back.losses.contains(&Loss::MissingRecords { count: BLOCK as u64 }), "{:?}", back.losses);
+    assert!(
+        back.losses.contains(&Loss::MissingRecords {
+            count: BLOCK as u64
+        }),
+        "{:?}",
+        back.losses
+    );
     // After a repair it is sound, and has the gap.
     let mut out = Writer::new(Vec::new(), header(2, 9, "n1"), BlockConfig::default()).unwrap();
     stream(open(&bytes), &Filter::default(), &mut out, |_| {}).unwrap();
@@ -181,13 +226,18 @@
     let found = check(open(&repaired)).unwrap();
     assert!(found.is_sound(), "{found:?}");
     assert!(
-        found.gaps.iter().any(|gap| gap.records == Some(BLOCK as u64) && gap.reason == GapReason::Damaged)
+        found
+            .gaps
+            .iter()
+            .any(|gap| gap.records == Some(BLOCK as u64) && gap.reason == GapReason::Damaged)
     );
     // A copy by the index of the damaged file reports it, too.
     let mut out = Writer::new(Vec::new(), header(2, 9, "n1"), BlockConfig::default()).unwrap();
     let done = copy(open(&bytes), &Filter::default(), &mut out, |_| {}).unwrap();
     assert_eq!(done.records as usize, recorded.len() - BLOCK);
-    assert!(done.losses.contains(&Loss::MissingRecords { count: BLOCK as u64 }));
+    assert!(done.losses.contains(&Loss::MissingRecords {
+        count: BLOCK as u64
+    }));
 }
 
 #[test]
@@ -211,7 +261,10 @@
     });
     merge(sources.into(), &mut out, |_, _| {}).unwrap();
     assert!(
-        out.dictionary().handlers.iter().any(|handler| handler.name == "handler-1"),
+        out.dictionary()
+            .handlers
+            .iter()
+            .any(|handler| handler.name == "handler-1"),
         "{:?}",
         out.dictionary()
     );
@@ -219,8 +272,12 @@
 
 #[test]
 fn out_of_order_times_are_preserved_and_reported() {
-    let reversed =
-        Record { read: Some(500), answered: Some(-200), released: Some(-300), ..Record::default() };
+    let reversed = Record {
+        read: Some(500),
+        answered: Some(-200),
+        released: Some(-300),
+        ..Record::default()
+    };
     let bytes = file(2, 1, "n1", std::slice::from_ref(&reversed), 10);
     assert_eq!(read_all(&bytes).unwrap().records, [reversed]);
     let found = check(open(&bytes)).unwrap();
@@ -242,13 +299,32 @@
     let bytes = file(2, 1, "n1", &set, 64);
     let mut trace = open(&bytes);
     let mut index = trace.survey().unwrap().index;
-    assert!(index.blocks().iter().all(|place| place.to - place.from < HOUR / 2), "no block spans the hour");
-    let (from, to) = (set[half].reached - 1_000_000, SyntheticLoad::default().start - HOUR / 2);
-    let wanted = Filter { from: Some(from), to: Some(to), ..Filter::default() };
-    assert!(index.find(&wanted).len() < index.len(), "the first half is not read");
+    assert!(
+        index
+            .blocks()
+            .iter()
+            .all(|place| place.to - place.from < HOUR / 2),
+        "no block spans the hour"
+    );
+    let (from, to) = (
+        set[half].reached - 1_000_000,
+        SyntheticLoad::default().start - HOUR / 2,
+    );
+    let wanted = Filter {
+        from: Some(from),
+        to: Some(to),
+        ..Filter::default()
+    };
+    assert!(
+        index.find(&wanted).len() < index.len(),
+        "the first half is not read"
+    );
     let mut out = Writer::new(Vec::new(), header(2, 9, "n1"), BlockConfig::default()).unwrap();
     let done = copy(open(&bytes), &wanted, &mut out, |_| {}).unwrap();
-    assert_eq!(done.records as usize, set.iter().filter(|record| wanted.matches(record)).count());
+    assert_eq!(
+        done.records as usize,
+        set.iter().filter(|record| wanted.matches(record)).count()
+    );
     assert!(check(open(&bytes)).unwrap().set_back_blocks > 0);
 }
 
@@ -275,10 +351,14 @@
     let place = open(&bytes).survey().unwrap().index.blocks()[0].clone();
     bytes.resize(bytes.len() + 20 * 1024 * 1024, 0);
     let count = std::rc::Rc::default();
-    let mut trace = TraceReader::open(Counted(Cursor::new(bytes), std::rc::Rc::clone(&count))).unwrap();
+    let mut trace =
+        TraceReader::open(Counted(Cursor::new(bytes), std::rc::Rc::clone(&count))).unwrap();
     assert!(trace.read_block(&place).is_ok() && trace.column_sizes(&place).is_ok());
     let before = count.get();
-    let hostile = BlockEntry { length: 1 << 40, ..place };
+    let hostile = BlockEntry {
+        length: 1 << 40,
+        ..place
+    };
     assert!(trace.read_block(&hostile).is_err() && trace.column_sizes(&hostile).is_err());
     assert_eq!(count.get(), before, "nothing is read by such a length");
 }
--- a/crates/trace/tests/files/format.rs
+++ b/crates/trace/tests/files/format.rs
@@ -2,7 +2,8 @@
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use tulipgap_trace::{
-    BlockConfig, BlockEntry, Filter, HandlerInfo, Index, Outcome, Reason, Record, TraceError, Writer,
+    BlockConfig, BlockEntry, Filter, HandlerInfo, Index, Outcome, Reason, Record, TraceError,
+    Writer,
 };
 
 use crate::common::{file, format_1_record, header, open, read_all, records, sorted};
@@ -22,7 +23,8 @@
 impl Arbitrary for Any {
     fn arbitrary(g: &mut Gen) -> Self {
         let mut some = |chance: u8| (u8::arbitrary(g) % 4 < chance).then(|| value(g));
-        let [read, admitted, started, first_call, answered, released] = [3, 2, 2, 1, 3, 3].map(&mut some);
+        let [read, admitted, started, first_call, answered, released] =
+            [3, 2, 2, 1, 3, 3].map(&mut some);
         let [client_wait, estimated_work, work, retry_after] = [1, 2, 2, 1].map(&mut some);
         let [key, subject, caller] = [1, 2, 3].map(|chance| some(chance).map(|value| value as u64));
         Any(Record {
@@ -101,31 +103,64 @@
     let bytes = file(1, 1, "n1", &recorded, 100);
     let back = read_all(&bytes).unwrap();
     assert!(back.losses.is_empty() && back.unknown.is_empty());
-    assert_eq!(sorted(back.records), sorted(recorded.iter().map(format_1_record).collect()));
+    assert_eq!(
+        sorted(back.records),
+        sorted(recorded.iter().map(format_1_record).collect())
+    );
     let writer = Writer::new(Vec::new(), header(1, 1, "n1"), BlockConfig::default()).unwrap();
-    assert!(writer.omitted_columns().contains(&"work") && !writer.omitted_columns().contains(&"reached"));
+    assert!(
+        writer.omitted_columns().contains(&"work")
+            && !writer.omitted_columns().contains(&"reached")
+    );
     assert!(bytes.len() < file(2, 1, "n1", &recorded, 100).len());
 }
 
 #[test]
 fn an_out_of_range_value_is_an_error_naming_its_column() {
     let mut writer = Writer::new(Vec::new(), header(1, 1, "n1"), BlockConfig::default()).unwrap();
-    let late = Record { answered: Some(3_600_000_000), ..Record::default() };
+    let late = Record {
+        answered: Some(3_600_000_000),
+        ..Record::default()
+    };
     let error = writer.push(late).unwrap_err();
-    assert_eq!(error.to_string(), "answered: 3600000000 does not fit its column of 32 bits");
-    let other = Record { server: 1, ..Record::default() };
-    assert!(writer.push(other).unwrap_err().to_string().starts_with("server: 1 "));
+    assert_eq!(
+        error.to_string(),
+        "answered: 3600000000 does not fit its column of 32 bits"
+    );
+    let other = Record {
+        server: 1,
+        ..Record::default()
+    };
+    assert!(
+        writer
+            .push(other)
+            .unwrap_err()
+            .to_string()
+            .starts_with("server: 1 ")
+    );
     // Other records are still taken.
     writer.push(Record::default()).unwrap();
-    assert_eq!(read_all(&writer.finish().unwrap().0).unwrap().records.len(), 1);
+    assert_eq!(
+        read_all(&writer.finish().unwrap().0).unwrap().records.len(),
+        1
+    );
 }
 
 #[test]
 fn names_added_after_the_header_are_read() {
     let mut writer = Writer::new(Vec::new(), header(2, 1, "n1"), BlockConfig::default()).unwrap();
     writer.push(Record::default()).unwrap();
-    let late = writer.handler_index(&HandlerInfo { name: "late".into(), ..HandlerInfo::default() });
-    writer.push(Record { handler: late, id: 2, ..Record::default() }).unwrap();
+    let late = writer.handler_index(&HandlerInfo {
+        name: "late".into(),
+        ..HandlerInfo::default()
+    });
+    writer
+        .push(Record {
+            handler: late,
+            id: 2,
+            ..Record::default()
+        })
+        .unwrap();
     let bytes = writer.finish().unwrap().0;
     let back = read_all(&bytes).unwrap();
     assert_eq!(back.names.handler(late), "late");
@@ -139,19 +174,38 @@
 fn an_unknown_column_is_skipped_and_named() {
     let recorded = records(1_000_000, 2);
     let mut later = header(2, 1, "n1");
-    later.columns.iter_mut().filter(|column| column.id == 24).for_each(|column| {
-        (column.id, column.name) = (99, "mood".into());
-    });
-    let mut writer =
-        Writer::new(Vec::new(), later, BlockConfig { max_records: 50, ..BlockConfig::default() }).unwrap();
-    recorded.iter().for_each(|record| writer.push(record.clone()).unwrap());
+    later
+        .columns
+        .iter_mut()
+        .filter(|column| column.id == 24)
+        .for_each(|column| {
+            (column.id, column.name) = (99, "mood".into());
+        });
+    let mut writer = Writer::new(
+        Vec::new(),
+        later,
+        BlockConfig {
+            max_records: 50,
+            ..BlockConfig::default()
+        },
+    )
+    .unwrap();
+    recorded
+        .iter()
+        .for_each(|record| writer.push(record.clone()).unwrap());
     let (bytes, _) = writer.finish().unwrap();
     let patched = patch_column_id(&bytes, 24, 99);
     let back = read_all(&patched).unwrap();
     assert_eq!(back.unknown, ["mood"]);
-    let without = |record: &Record| Record { retry_after: None, ..record.clone() };
+    let without = |record: &Record| Record {
+        retry_after: None,
+        ..record.clone()
+    };
     assert!(back.losses.is_empty(), "{:?}", back.losses);
-    assert_eq!(sorted(back.records), sorted(recorded.iter().map(without).collect()));
+    assert_eq!(
+        sorted(back.records),
+        sorted(recorded.iter().map(without).collect())
+    );
 }
 
 /// Gives a column of each block another id, and the block a valid checksum.
@@ -164,7 +218,9 @@
         let mut payload = frame[12..12 + length].to_vec();
         if frame[3] == b'B' {
             // Its entry: id, kind (signed), presence, prediction, other column, layout.
-            let at = payload.windows(3).rposition(|w| w[0] == from && w[1] == 1 && w[2] == 1 && from == 24);
+            let at = payload
+                .windows(3)
+                .rposition(|w| w[0] == from && w[1] == 1 && w[2] == 1 && from == 24);
             payload[at.unwrap()] = to;
         }
         out.extend_from_slice(&frame[..12]);
@@ -183,7 +239,13 @@
     let check = crc32fast::hash(&bytes[..12]);
     bytes[12..16].copy_from_slice(&check.to_le_bytes());
     let error = read_all(&bytes).unwrap_err();
-    assert_eq!(error.to_string(), "format 3 is newer than this program, which reads up to 2");
-    assert!(matches!(read_all(b"GIF89a, and so on and on"), Err(TraceError::NotARecording)));
+    assert_eq!(
+        error.to_string(),
+        "format 3 is newer than this program, which reads up to 2"
+    );
+    assert!(matches!(
+        read_all(b"GIF89a, and so on and on"),
+        Err(TraceError::NotARecording)
+    ));
     assert!(matches!(read_all(b""), Err(TraceError::NotARecording)));
 }
--- a/crates/trace/tests/files/golden.rs
+++ b/crates/trace/tests/files/golden.rs
@@ -5,7 +5,9 @@
 //! two servers' files in format 2, one of them repaired after damage, so that it has a gap.
 
 use serde_json::{Map, Value, json};
-use tulipgap_trace::{COLUMNS, ColumnKind, Dictionary, GapReason, Outcome, Record, SyntheticLoad, check};
+use tulipgap_trace::{
+    COLUMNS, ColumnKind, Dictionary, GapReason, Outcome, Record, SyntheticLoad, check,
+};
 
 use crate::common::{Contents, open, read_all};
 
@@ -13,7 +15,9 @@
 fn exported(record: &Record, names: &Dictionary) -> Value {
     let mut row = Map::new();
     for column in COLUMNS {
-        let Some(raw) = (column.get)(record) else { continue };
+        let Some(raw) = (column.get)(record) else {
+            continue;
+        };
         let signed = (raw >> 1) as i64 ^ -((raw & 1) as i64);
         let value = match (column.name, column.kind) {
             ("handler", _) => json!(names.handler(record.handler)),
@@ -34,8 +38,16 @@
 
 fn assert_same_records(recording: &[u8], export: &str) -> Contents {
     let back = read_all(recording).unwrap();
-    assert!(back.losses.is_empty() && back.unknown.is_empty(), "{:?} {:?}", back.losses, back.unknown);
-    let expected: Vec<Value> = export.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
+    assert!(
+        back.losses.is_empty() && back.unknown.is_empty(),
+        "{:?} {:?}",
+        back.losses,
+        back.unknown
+    );
+    let expected: Vec<Value> = export
+        .lines()
+        .map(|line| serde_json::from_str(line).unwrap())
+        .collect();
     assert_eq!(back.records.len(), expected.len());
     for (record, expected) in back.records.iter().zip(&expected) {
         assert_eq!(exported(record, &back.names), *expected);
@@ -57,17 +69,29 @@
     let recording = include_bytes!("golden/format-2.tgt");
     let back = assert_same_records(recording, include_str!("golden/format-2.jsonl"));
     assert_eq!(back.names.servers, ["north-1", "north-2"]);
-    assert_eq!(back.names.handlers, SyntheticLoad::dictionary("north-1").handlers);
+    assert_eq!(
+        back.names.handlers,
+        SyntheticLoad::dictionary("north-1").handlers
+    );
     for outcome in Outcome::ALL {
-        assert!(back.records.iter().any(|record| record.outcome == outcome), "{}", outcome.name());
+        assert!(
+            back.records.iter().any(|record| record.outcome == outcome),
+            "{}",
+            outcome.name()
+        );
     }
     let survey = open(recording).survey().unwrap();
     assert!(survey.is_indexed);
     assert_eq!(survey.gaps, back.gaps);
     assert_eq!(survey.index.records() as usize, back.records.len());
-    let [bytes, counted] = &back.gaps[..] else { panic!("two gaps: {:?}", back.gaps) };
+    let [bytes, counted] = &back.gaps[..] else {
+        panic!("two gaps: {:?}", back.gaps)
+    };
     assert_eq!((bytes.reason, bytes.records), (GapReason::Damaged, None));
-    assert_eq!((counted.reason, counted.server.as_str()), (GapReason::Damaged, "north-1"));
+    assert_eq!(
+        (counted.reason, counted.server.as_str()),
+        (GapReason::Damaged, "north-1")
+    );
     assert!(counted.records.is_some_and(|records| records > 0));
     assert!(check(open(recording)).unwrap().is_sound());
 }
--- a/crates/trace/tests/files/recorder.rs
+++ b/crates/trace/tests/files/recorder.rs
@@ -48,13 +48,21 @@
         let pause = self.0.0.lock().unwrap().pause;
         std::thread::sleep(pause);
         let mut state = self.0.0.lock().unwrap();
-        let taken = state.free_bytes.map_or(bytes.len(), |free_bytes| free_bytes.min(bytes.len()));
+        let taken = state
+            .free_bytes
+            .map_or(bytes.len(), |free_bytes| free_bytes.min(bytes.len()));
         if taken == 0 && !bytes.is_empty() {
             return Err(io::ErrorKind::StorageFull.into());
         }
         state.free_bytes = state.free_bytes.map(|free_bytes| free_bytes - taken);
-        state.files.entry(self.1).or_default().extend_from_slice(&bytes[..taken]);
-        state.max_bytes = state.max_bytes.max(state.files.values().map(Vec::len).sum());
+        state
+            .files
+            .entry(self.1)
+            .or_default()
+            .extend_from_slice(&bytes[..taken]);
+        state.max_bytes = state
+            .max_bytes
+            .max(state.files.values().map(Vec::len).sum());
         Ok(taken)
     }
 
@@ -67,13 +75,19 @@
     type File = MemoryFile;
 
     fn list(&mut self) -> io::Result<Vec<StoredFile>> {
-        let stored = |(&number, bytes): (&u64, &Vec<u8>)| StoredFile { number, bytes: bytes.len() as u64 };
+        let stored = |(&number, bytes): (&u64, &Vec<u8>)| StoredFile {
+            number,
+            bytes: bytes.len() as u64,
+        };
         Ok(self.0.lock().unwrap().files.iter().map(stored).collect())
     }
 
     fn create(&mut self, number: u64) -> io::Result<MemoryFile> {
         let mut state = self.0.lock().unwrap();
-        assert!(state.files.insert(number, Vec::new()).is_none(), "no file is written over");
+        assert!(
+            state.files.insert(number, Vec::new()).is_none(),
+            "no file is written over"
+        );
         Ok(MemoryFile(self.clone(), number))
     }
 
@@ -86,16 +100,31 @@
         if state.stuck.contains(&number) {
             return Err(io::ErrorKind::PermissionDenied.into());
         }
-        state.files.remove(&number).map(drop).ok_or_else(|| io::ErrorKind::NotFound.into())
+        state
+            .files
+            .remove(&number)
+            .map(drop)
+            .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 }
 
 fn recording(queue_capacity: usize) -> RecorderConfig {
-    RecorderConfig { version: 2, server: "n1".into(), names: names(), retention: retention(), queue_capacity }
+    RecorderConfig {
+        version: 2,
+        server: "n1".into(),
+        names: names(),
+        retention: retention(),
+        queue_capacity,
+    }
 }
 
 fn writer(storage: &MemoryStorage) -> RotatingWriter<MemoryStorage> {
-    let mut writer = RotatingWriter::new(storage.clone(), recording(1), SyntheticLoad::default().start, 1);
+    let mut writer = RotatingWriter::new(
+        storage.clone(),
+        recording(1),
+        SyntheticLoad::default().start,
+        1,
+    );
     writer.start();
     writer
 }
@@ -121,15 +150,27 @@
     }
     writer.finish(ms(1_000_000));
     let state = storage.0.lock().unwrap();
-    assert!(state.max_bytes as u64 <= retention().keep_bytes, "{}", state.max_bytes);
+    assert!(
+        state.max_bytes as u64 <= retention().keep_bytes,
+        "{}",
+        state.max_bytes
+    );
     assert!(!state.files.contains_key(&1), "the oldest file is removed");
     assert!(state.files.len() > 2);
-    assert!(state.files.values().all(|bytes| read_all(bytes).unwrap().losses.is_empty()));
+    assert!(
+        state
+            .files
+            .values()
+            .all(|bytes| read_all(bytes).unwrap().losses.is_empty())
+    );
     // The last records are left, without a gap.
     drop(state);
     let (records, gaps) = contents(&storage);
     assert!(gaps.is_empty());
-    assert_eq!(sorted(records.clone()), sorted(recorded[recorded.len() - records.len()..].to_vec()));
+    assert_eq!(
+        sorted(records.clone()),
+        sorted(recorded[recorded.len() - records.len()..].to_vec())
+    );
 }
 
 #[test]
@@ -150,7 +191,8 @@
     storage.0.lock().unwrap().free_bytes = Some(9_000);
     let mut config = recording(1);
     config.retention.keep_bytes = 64 * 1024 * 1024;
-    let mut writer = RotatingWriter::new(storage.clone(), config, SyntheticLoad::default().start, 1);
+    let mut writer =
+        RotatingWriter::new(storage.clone(), config, SyntheticLoad::default().start, 1);
     writer.start();
     let recorded = records(20_000_000, 1);
     let mut full_until = None;
@@ -167,14 +209,28 @@
     let (received, missing) = (writer.counters().received, writer.missing_records());
     assert!(full_until.is_some() && missing > 500, "{missing}");
     // Retried with a growing backoff, not with each record.
-    assert!(writer.counters().failures < 10, "{}", writer.counters().failures);
+    assert!(
+        writer.counters().failures < 10,
+        "{}",
+        writer.counters().failures
+    );
     writer.finish(ms(1_000_000));
     let (records, gaps) = contents(&storage);
-    assert_eq!(records.len() as u64 + missing, received, "each record is there, or counted as missing");
-    let noted: u64 =
-        gaps.iter().filter(|gap| gap.reason == GapReason::DiskFailure).filter_map(|gap| gap.records).sum();
+    assert_eq!(
+        records.len() as u64 + missing,
+        received,
+        "each record is there, or counted as missing"
+    );
+    let noted: u64 = gaps
+        .iter()
+        .filter(|gap| gap.reason == GapReason::DiskFailure)
+        .filter_map(|gap| gap.records)
+        .sum();
     assert_eq!(noted, missing);
-    assert!(gaps.iter().all(|gap| gap.from <= gap.to && gap.from >= SyntheticLoad::default().start));
+    assert!(
+        gaps.iter()
+            .all(|gap| gap.from <= gap.to && gap.from >= SyntheticLoad::default().start)
+    );
 }
 
 #[test]
@@ -201,7 +257,12 @@
     assert!(
         matches!(
             gaps[..],
-            [Gap { reason: GapReason::ClockSet, clock_change: -3_600_000_000, records: Some(0), .. }]
+            [Gap {
+                reason: GapReason::ClockSet,
+                clock_change: -3_600_000_000,
+                records: Some(0),
+                ..
+            }]
         ),
         "{gaps:?}"
     );
@@ -210,15 +271,32 @@
 #[test]
 fn an_out_of_range_record_is_counted_and_others_are_kept() {
     let storage = MemoryStorage::default();
-    let config = RecorderConfig { version: 1, ..recording(1) };
-    let mut writer = RotatingWriter::new(storage.clone(), config, SyntheticLoad::default().start, 1);
+    let config = RecorderConfig {
+        version: 1,
+        ..recording(1)
+    };
+    let mut writer =
+        RotatingWriter::new(storage.clone(), config, SyntheticLoad::default().start, 1);
     writer.start();
-    writer.record(ms(0), Record { answered: Some(i64::MAX), ..Record::default() });
+    writer.record(
+        ms(0),
+        Record {
+            answered: Some(i64::MAX),
+            ..Record::default()
+        },
+    );
     writer.record(ms(1), Record::default());
-    assert!(writer.last_error().is_some_and(|error| error.to_string().starts_with("answered: ")));
+    assert!(
+        writer
+            .last_error()
+            .is_some_and(|error| error.to_string().starts_with("answered: "))
+    );
     writer.finish(ms(200));
     let (records, gaps) = contents(&storage);
-    assert_eq!((records.len(), gaps[0].reason, gaps[0].records), (1, GapReason::ValueOutOfRange, Some(1)));
+    assert_eq!(
+        (records.len(), gaps[0].reason, gaps[0].records),
+        (1, GapReason::ValueOutOfRange, Some(1))
+    );
 }
 
 #[test]
@@ -241,8 +319,11 @@
     }
     assert!(recorder.finish(Duration::from_secs(30)));
     let (records, gaps) = contents(&storage);
-    let noted: u64 =
-        gaps.iter().filter(|gap| gap.reason == GapReason::QueueFull).filter_map(|gap| gap.records).sum();
+    let noted: u64 = gaps
+        .iter()
+        .filter(|gap| gap.reason == GapReason::QueueFull)
+        .filter_map(|gap| gap.records)
+        .sum();
     assert!(noted > 0);
     assert_eq!(records.len() as u64 + noted, recorded.len() as u64);
 }
@@ -252,8 +333,12 @@
     let folder = tempfile::tempdir().unwrap();
     let storage = || DirectoryStorage::new(folder.path(), "n/1", false);
     for _ in 0..2 {
-        let mut writer =
-            RotatingWriter::new(storage(), recording(1), SyntheticLoad::default().start, rand::random());
+        let mut writer = RotatingWriter::new(
+            storage(),
+            recording(1),
+            SyntheticLoad::default().start,
+            rand::random(),
+        );
         writer.start();
         writer.record(ms(0), Record::default());
         writer.tick(ms(600));
@@ -262,7 +347,10 @@
     assert!(storage().file_path(1).ends_with("n_1-00000001.tgt"));
     for number in [1, 2] {
         let back = read_all(&std::fs::read(storage().file_path(number)).unwrap()).unwrap();
-        assert_eq!((back.records.len(), &back.losses[..]), (1, &[Loss::MissingEnd][..]));
+        assert_eq!(
+            (back.records.len(), &back.losses[..]),
+            (1, &[Loss::MissingEnd][..])
+        );
     }
 }
 
--- a/crates/trace/tests/files/rewriting.rs
+++ b/crates/trace/tests/files/rewriting.rs
@@ -4,20 +4,34 @@
 
 use tulipgap_trace::{
     BlockConfig, Dictionary, DuplicateFile, HashKey, Header, HiddenNames, KeyError, MergeSource,
-    MergeSummary, Micros, Outcome, Reason, Record, Summary, Writer, anonymise, estimate_clock_offsets, merge,
+    MergeSummary, Micros, Outcome, Reason, Record, Summary, Writer, anonymise,
+    estimate_clock_offsets, merge,
 };
 
-use crate::common::{Contents, file, format_1_record, header, names, open, read_all, records, sorted};
+use crate::common::{
+    Contents, file, format_1_record, header, names, open, read_all, records, sorted,
+};
 
 fn source(name: &str, bytes: &[u8]) -> MergeSource<Cursor<Vec<u8>>> {
-    MergeSource { name: name.into(), reader: open(bytes), offset: 0 }
+    MergeSource {
+        name: name.into(),
+        reader: open(bytes),
+        offset: 0,
+    }
 }
 
 fn merged(sources: Vec<MergeSource<Cursor<Vec<u8>>>>) -> (MergeSummary, Contents) {
     let mut head = Header::new(2, 99, "merged", 0);
     head.names = Dictionary::default();
-    let mut out =
-        Writer::new(Vec::new(), head, BlockConfig { max_records: 128, ..BlockConfig::default() }).unwrap();
+    let mut out = Writer::new(
+        Vec::new(),
+        head,
+        BlockConfig {
+            max_records: 128,
+            ..BlockConfig::default()
+        },
+    )
+    .unwrap();
     let done = merge(sources, &mut out, |_, _| {}).unwrap();
     (done, read_all(&out.finish().unwrap().0).unwrap())
 }
@@ -25,17 +39,31 @@
 #[test]
 fn files_of_both_formats_merge_in_time_order() {
     let (one, two) = (records(3_000_000, 1), records(3_000_000, 2));
-    let sources = || vec![source("a", &file(1, 1, "n1", &one, 50)), source("b", &file(2, 2, "n2", &two, 77))];
+    let sources = || {
+        vec![
+            source("a", &file(1, 1, "n1", &one, 50)),
+            source("b", &file(2, 2, "n2", &two, 77)),
+        ]
+    };
     let (done, back) = merged(sources());
-    assert_eq!((done.records as usize, done.duplicate_records), (one.len() + two.len(), 0));
+    assert_eq!(
+        (done.records as usize, done.duplicate_records),
+        (one.len() + two.len(), 0)
+    );
     assert!(back.records.is_sorted_by_key(|record| record.reached));
     let of = |server: &str| -> Vec<Record> {
         (back.records.iter())
             .filter(|record| back.names.server(record.server) == server)
-            .map(|record| Record { server: 0, ..record.clone() })
+            .map(|record| Record {
+                server: 0,
+                ..record.clone()
+            })
             .collect()
     };
-    assert_eq!(sorted(of("n1")), sorted(one.iter().map(format_1_record).collect()));
+    assert_eq!(
+        sorted(of("n1")),
+        sorted(one.iter().map(format_1_record).collect())
+    );
     assert_eq!(sorted(of("n2")), sorted(two.clone()));
     // The merge is reproducible; equal sort keys go by the order of the files.
     assert_eq!(merged(sources()).1.records, back.records);
@@ -57,11 +85,20 @@
         writer.push(mirrored).unwrap();
     }
     let (bytes, _) = writer.finish().unwrap();
-    let (_, back) = merged(vec![source("a", &file(2, 1, "n1", &recorded, 50)), source("b", &bytes)]);
+    let (_, back) = merged(vec![
+        source("a", &file(2, 1, "n1", &recorded, 50)),
+        source("b", &bytes),
+    ]);
     for record in &back.records {
         let first = recorded.iter().find(|other| other.id == record.id).unwrap();
-        assert_eq!(back.names.handler(record.handler), names().handler(first.handler));
-        assert_eq!(back.names.tenant(record.tenant.unwrap()), names().tenant(first.tenant.unwrap()));
+        assert_eq!(
+            back.names.handler(record.handler),
+            names().handler(first.handler)
+        );
+        assert_eq!(
+            back.names.tenant(record.tenant.unwrap()),
+            names().tenant(first.tenant.unwrap())
+        );
     }
     assert_eq!(back.names.handlers.len(), 3);
 }
@@ -71,18 +108,37 @@
     let recorded = records(1_000_000, 1);
     let bytes = file(2, 1, "n1", &recorded, 50);
     let (done, back) = merged(vec![source("a", &bytes), source("a again", &bytes)]);
-    assert_eq!(done.duplicate_files, [DuplicateFile { name: "a again".to_owned(), first: "a".to_owned() }]);
+    assert_eq!(
+        done.duplicate_files,
+        [DuplicateFile {
+            name: "a again".to_owned(),
+            first: "a".to_owned()
+        }]
+    );
     assert_eq!(back.records.len(), recorded.len());
     // A part of it is another file with some of the same records.
-    let (done, back) =
-        merged(vec![source("a", &bytes), source("cut", &file(2, 8, "n1", &recorded[..40], 50))]);
-    assert_eq!((done.duplicate_records, back.records.len()), (40, recorded.len()));
+    let (done, back) = merged(vec![
+        source("a", &bytes),
+        source("cut", &file(2, 8, "n1", &recorded[..40], 50)),
+    ]);
+    assert_eq!(
+        (done.duplicate_records, back.records.len()),
+        (40, recorded.len())
+    );
 }
 
 #[test]
 fn records_with_equal_ids_of_two_servers_are_both_kept() {
-    let one = Record { id: 7, reached: 1000, answered: Some(5), ..Record::default() };
-    let two = Record { calls: 3, ..one.clone() };
+    let one = Record {
+        id: 7,
+        reached: 1000,
+        answered: Some(5),
+        ..Record::default()
+    };
+    let two = Record {
+        calls: 3,
+        ..one.clone()
+    };
     let sources = || {
         vec![
             source("a", &file(2, 1, "n1", std::slice::from_ref(&one), 50)),
@@ -91,14 +147,25 @@
     };
     let (done, back) = merged(sources());
     assert_eq!((done.records, done.duplicate_records), (2, 0));
-    assert_eq!(back.records.iter().map(|record| record.calls).collect::<Vec<_>>(), [0, 3]);
+    assert_eq!(
+        back.records
+            .iter()
+            .map(|record| record.calls)
+            .collect::<Vec<_>>(),
+        [0, 3]
+    );
 }
 
 #[test]
 fn merge_memory_does_not_grow_with_file_length() {
     let held = |span: Micros| {
         let sources: Vec<_> = (0..4)
-            .map(|at| source("some", &file(2, at.into(), &format!("n{at}"), &records(span, at), 256)))
+            .map(|at| {
+                source(
+                    "some",
+                    &file(2, at.into(), &format!("n{at}"), &records(span, at), 256),
+                )
+            })
             .collect();
         merged(sources).0
     };
@@ -121,7 +188,11 @@
     let (done, back) = merged(vec![source("a", &bytes)]);
     assert_eq!(done.losses.len(), 1);
     assert_eq!(back.records.len(), recorded.len() - 50);
-    assert!(back.gaps.iter().any(|gap| gap.records == Some(50) && gap.from == place.from));
+    assert!(
+        back.gaps
+            .iter()
+            .any(|gap| gap.records == Some(50) && gap.from == place.from)
+    );
 }
 
 /// Three servers of which two have clocks that are off; retries go from each to each.
@@ -151,11 +222,17 @@
     let clocks = estimate_clock_offsets(sorted(all.clone()).into_iter(), &[0, 1, 2]);
     for (clock, truth) in clocks.iter().zip(truth) {
         let off = (clock.offset.unwrap() - truth).abs();
-        assert!(off <= clock.uncertainty && clock.uncertainty < 20_000, "{clock:?}, {truth}");
+        assert!(
+            off <= clock.uncertainty && clock.uncertainty < 20_000,
+            "{clock:?}, {truth}"
+        );
     }
     // Retries in one direction alone bound it on one side, which is no estimate.
     all.retain(|record| record.server != 2 || record.is_retry);
-    assert_eq!(estimate_clock_offsets(all.into_iter(), &[0, 1, 2])[2].offset, None);
+    assert_eq!(
+        estimate_clock_offsets(all.into_iter(), &[0, 1, 2])[2].offset,
+        None
+    );
 }
 
 const KEY: &[u8] = b"0123456789abcdef00112233445566778899aabbccddeeff1032547698badcfe";
@@ -165,12 +242,19 @@
     let key = HashKey::new(KEY).unwrap();
     let recorded: Vec<Record> = records(2_000_000, 6)
         .into_iter()
-        .map(|record| Record { caller: record.caller.map(|caller| 0x5EC2_E700_0000 + caller), ..record })
+        .map(|record| Record {
+            caller: record.caller.map(|caller| 0x5EC2_E700_0000 + caller),
+            ..record
+        })
         .collect();
     let bytes = file(2, 1, "secret-server", &recorded, 64);
     let hidden = |bytes: &[u8]| {
         let mut out = Vec::new();
-        let all = HiddenNames { tenants: true, servers: true, handlers: false };
+        let all = HiddenNames {
+            tenants: true,
+            servers: true,
+            handlers: false,
+        };
         anonymise(open(bytes), &key, all, &mut out).unwrap();
         out
     };
@@ -178,33 +262,61 @@
     let back = read_all(&out).unwrap();
     assert!(back.losses.is_empty() && back.records.len() == recorded.len());
     let old = |value: fn(&Record) -> Option<u64>| {
-        recorded.iter().filter_map(value).collect::<std::collections::HashSet<_>>()
+        recorded
+            .iter()
+            .filter_map(value)
+            .collect::<std::collections::HashSet<_>>()
     };
-    for value in [|r: &Record| Some(r.id), |r: &Record| r.key, |r: &Record| r.subject, |r: &Record| r.caller]
-    {
+    for value in [
+        |r: &Record| Some(r.id),
+        |r: &Record| r.key,
+        |r: &Record| r.subject,
+        |r: &Record| r.caller,
+    ] {
         let old = old(value);
-        assert!(back.records.iter().filter_map(value).all(|value| !old.contains(&value)));
+        assert!(
+            back.records
+                .iter()
+                .filter_map(value)
+                .all(|value| !old.contains(&value))
+        );
     }
     // Nothing is left in the bytes either: names in the dictionary and the index, once unpacked.
-    let index = out.windows(4).rposition(|w| w[..3] == [0xF7, b't', b'g'] && w[3] == b'I').unwrap();
+    let index = out
+        .windows(4)
+        .rposition(|w| w[..3] == [0xF7, b't', b'g'] && w[3] == b'I')
+        .unwrap();
     let unpacked = zstd::stream::decode_all(&out[index + 12 + 2..]).unwrap_or_default();
     for text in ["secret-server", "harbour", &open(&bytes).header().file_id] {
-        assert!(!out.windows(text.len()).any(|w| w == text.as_bytes()), "{text}");
-        assert!(!unpacked.windows(text.len()).any(|w| w == text.as_bytes()), "{text}");
+        assert!(
+            !out.windows(text.len()).any(|w| w == text.as_bytes()),
+            "{text}"
+        );
+        assert!(
+            !unpacked.windows(text.len()).any(|w| w == text.as_bytes()),
+            "{text}"
+        );
     }
     // One key gives one hash, so that files made separately can be correlated.
     let again = read_all(&hidden(&file(2, 2, "secret-server", &recorded, 64))).unwrap();
     assert_eq!(sorted(again.records), sorted(back.records.clone()));
-    let other = HashKey::new(b"fedcba9876543210ffeeddccbbaa99887766554433221100cd1032547698bafe").unwrap();
+    let other =
+        HashKey::new(b"fedcba9876543210ffeeddccbbaa99887766554433221100cd1032547698bafe").unwrap();
     let mut out = Vec::new();
     anonymise(open(&bytes), &other, HiddenNames::default(), &mut out).unwrap();
-    assert_ne!(sorted(read_all(&out).unwrap().records), sorted(back.records));
+    assert_ne!(
+        sorted(read_all(&out).unwrap().records),
+        sorted(back.records)
+    );
 }
 
 #[test]
 fn weak_keys_are_rejected() {
     assert_eq!(HashKey::new(b"secret").err(), Some(KeyError::TooShort(6)));
-    assert_eq!(HashKey::new(&[7; 64]).err(), Some(KeyError::TooFewDistinctBytes(1)));
+    assert_eq!(
+        HashKey::new(&[7; 64]).err(),
+        Some(KeyError::TooFewDistinctBytes(1))
+    );
     assert!(matches!(
         HashKey::new(b"passwordpasswordpasswordpassword").err(),
         Some(KeyError::TooFewDistinctBytes(_))
@@ -234,23 +346,46 @@
     let mut summary = Summary::new(true);
     for record in [
         shed(1, Some(1), 0),
-        Record { is_retry: true, ..done(2, Some(1), 200_000, 300_000) },
+        Record {
+            is_retry: true,
+            ..done(2, Some(1), 200_000, 300_000)
+        },
         // Completed a second time: worth nothing more.
-        Record { is_retry: true, ..done(3, Some(1), 900_000, 100) },
+        Record {
+            is_retry: true,
+            ..done(3, Some(1), 900_000, 100)
+        },
         done(4, Some(2), 1_000_000, 5_000_000),
-        Record { skipped_calls: 1, handler: 0, ..done(5, None, 61_000_000, 1000) },
-        Record { is_retry: true, ..shed(6, None, 62_000_000) },
+        Record {
+            skipped_calls: 1,
+            handler: 0,
+            ..done(5, None, 61_000_000, 1000)
+        },
+        Record {
+            is_retry: true,
+            ..shed(6, None, 62_000_000)
+        },
     ] {
         summary.add(&record, &names);
     }
     let all = summary.total();
     assert_eq!(
-        (all.requests, all.retries, all.orphan_retries, all.completed_in_time, all.completed_late),
+        (
+            all.requests,
+            all.retries,
+            all.orphan_retries,
+            all.completed_in_time,
+            all.completed_late
+        ),
         (3, 2, 1, 3, 1)
     );
     assert_eq!(all.rejected_by_reason["late"], 2);
     // 20 of 20 + 20 + 1, and 0.6 for the degraded preview.
     assert!((all.service_level().unwrap() - 20.6 / 41.0).abs() < 1e-9);
-    let minutes = summary.rows().into_iter().filter(|row| row.group.minute.is_some()).count();
+    let minutes = summary
+        .rows()
+        .into_iter()
+        .filter(|row| row.group.minute.is_some())
+        .count();
     assert_eq!(minutes, 2);
 }
--- a/crates/write-ahead-log/src/disk.rs
+++ b/crates/write-ahead-log/src/disk.rs
@@ -45,10 +45,18 @@
     /// The file system's error, or `WouldBlock` where another process uses it.
     pub fn open(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK_FILE))?;
+        let lock = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(path.join(LOCK_FILE))?;
         rustix::fs::flock(&lock, rustix::fs::FlockOperation::NonBlockingLockExclusive)
             .map_err(|error| io::Error::new(error.kind(), "another process uses this folder"))?;
-        Ok(Directory { path: path.to_owned(), _lock: lock, open_file: None })
+        Ok(Directory {
+            path: path.to_owned(),
+            _lock: lock,
+            open_file: None,
+        })
     }
 
     /// Makes the names of the files durable.
@@ -66,7 +74,10 @@
             }
             self.open_file = Some((name.to_owned(), file));
         }
-        self.open_file.as_mut().map(|(_, file)| file).ok_or_else(|| io::Error::other("no file is open"))
+        self.open_file
+            .as_mut()
+            .map(|(_, file)| file)
+            .ok_or_else(|| io::Error::other("no file is open"))
     }
 }
 
--- a/crates/write-ahead-log/src/error.rs
+++ b/crates/write-ahead-log/src/error.rs
@@ -19,7 +19,9 @@
         source: io::Error,
     },
     /// A record that was acknowledged is not what was written.
-    #[error("{file} is damaged at byte {offset}: {corruption}; it was acknowledged, so it can't be skipped")]
+    #[error(
+        "{file} is damaged at byte {offset}: {corruption}; it was acknowledged, so it can't be skipped"
+    )]
     Corrupt {
         /// The file's name within the directory.
         file: String,
--- a/crates/write-ahead-log/src/fault_injection.rs
+++ b/crates/write-ahead-log/src/fault_injection.rs
@@ -35,7 +35,10 @@
 
 impl File {
     fn synced(bytes: Vec<u8>) -> Self {
-        File { synced_bytes: bytes.len(), bytes }
+        File {
+            synced_bytes: bytes.len(),
+            bytes,
+        }
     }
 }
 
@@ -70,19 +73,27 @@
     pub fn crash(&self, mut surviving_bytes: impl FnMut(usize) -> usize) {
         for file in self.state().files.values_mut() {
             let unsynced = file.bytes.len() - file.synced_bytes;
-            file.bytes.truncate(file.synced_bytes + surviving_bytes(unsynced).min(unsynced));
+            file.bytes
+                .truncate(file.synced_bytes + surviving_bytes(unsynced).min(unsynced));
             file.synced_bytes = file.bytes.len();
         }
     }
 
     /// A copy of all files, by name.
     pub fn copy_files(&self) -> BTreeMap<String, Vec<u8>> {
-        self.state().files.iter().map(|(name, file)| (name.clone(), file.bytes.clone())).collect()
+        self.state()
+            .files
+            .iter()
+            .map(|(name, file)| (name.clone(), file.bytes.clone()))
+            .collect()
     }
 
     /// Replaces all files, as though a backup were restored.
     pub fn restore_files(&self, files: BTreeMap<String, Vec<u8>>) {
-        self.state().files = files.into_iter().map(|(name, bytes)| (name, File::synced(bytes))).collect();
+        self.state().files = files
+            .into_iter()
+            .map(|(name, bytes)| (name, File::synced(bytes)))
+            .collect();
     }
 
     /// Flips one bit of a file, counted from its start. A bit beyond its end is ignored.
@@ -128,7 +139,9 @@
         state.usage.syncs += 1;
         let faults = state.faults;
         state.faults.next_sync_fails = false;
-        let Some(file) = state.files.get_mut(name) else { return Ok(()) };
+        let Some(file) = state.files.get_mut(name) else {
+            return Ok(());
+        };
         if faults.next_sync_fails {
             // The pages count as clean from now on and their content is lost: it reads as zeros after a crash.
             let synced_bytes = file.synced_bytes;
@@ -152,7 +165,9 @@
         if std::mem::take(&mut state.faults.next_sync_fails) {
             return Err(failed_sync());
         }
-        state.files.insert(name.to_owned(), File::synced(bytes.to_vec()));
+        state
+            .files
+            .insert(name.to_owned(), File::synced(bytes.to_vec()));
         Ok(())
     }
 
--- a/crates/write-ahead-log/src/log.rs
+++ b/crates/write-ahead-log/src/log.rs
@@ -77,13 +77,21 @@
         let logs = sequence_numbers(&files, LOG_PREFIX);
         for (position, &sequence) in logs.iter().enumerate() {
             let is_last = position + 1 == logs.len();
-            log.replay(&log_file_name(sequence), is_last, snapshot_sequence, &mut recovered)?;
+            log.replay(
+                &log_file_name(sequence),
+                is_last,
+                snapshot_sequence,
+                &mut recovered,
+            )?;
         }
         if let Some(&latest) = logs.last() {
             log.log_file = log_file_name(latest);
         }
         // A crash may come between a new snapshot and the removal of what it replaces.
-        for outdated in snapshots.iter().filter(|&&sequence| sequence < snapshot_sequence) {
+        for outdated in snapshots
+            .iter()
+            .filter(|&&sequence| sequence < snapshot_sequence)
+        {
             log.remove(&snapshot_file_name(*outdated))?;
         }
         Ok((log, recovered))
@@ -161,7 +169,9 @@
     /// After an error the log is poisoned.
     pub fn write_file(&mut self, name: &str, payload: &[u8]) -> Result<(), LogError> {
         self.ensure_not_poisoned()?;
-        let replaced = self.disk.replace(name, &record::encode(NO_SEQUENCE, payload));
+        let replaced = self
+            .disk
+            .replace(name, &record::encode(NO_SEQUENCE, payload));
         self.poison_on_error(name, replaced)
     }
 
@@ -207,7 +217,9 @@
                 }
                 Decoded::Torn if is_last => {
                     recovered.dropped_bytes = bytes.len() - offset;
-                    self.disk.truncate(file, offset as u64).map_err(LogError::io(file))?;
+                    self.disk
+                        .truncate(file, offset as u64)
+                        .map_err(LogError::io(file))?;
                     break;
                 }
                 Decoded::Torn => return Err(corrupt(file, offset, Corruption::TruncatedFile)),
@@ -232,7 +244,9 @@
 
     fn ensure_not_poisoned(&self) -> Result<(), LogError> {
         match &self.poisoned_by {
-            Some(cause) => Err(LogError::Poisoned { cause: cause.clone() }),
+            Some(cause) => Err(LogError::Poisoned {
+                cause: cause.clone(),
+            }),
             None => Ok(()),
         }
     }
@@ -248,7 +262,11 @@
 }
 
 fn corrupt(file: &str, offset: usize, corruption: Corruption) -> LogError {
-    LogError::Corrupt { file: file.to_owned(), offset, corruption }
+    LogError::Corrupt {
+        file: file.to_owned(),
+        offset,
+        corruption,
+    }
 }
 
 /// The numbers of the files with that prefix, in rising order.
--- a/crates/write-ahead-log/src/record.rs
+++ b/crates/write-ahead-log/src/record.rs
@@ -52,13 +52,23 @@
 }
 
 pub(crate) fn decode(bytes: &[u8]) -> Decoded<'_> {
-    let Some(header) = bytes.first_chunk::<HEADER_BYTES>() else { return Decoded::Torn };
-    if crc32fast::hash(&header[..HEADER_CHECKSUM_OFFSET]) != read_u32(header, HEADER_CHECKSUM_OFFSET) {
-        return if is_unwritten(bytes) { Decoded::Torn } else { Decoded::Corrupt(Corruption::Header) };
+    let Some(header) = bytes.first_chunk::<HEADER_BYTES>() else {
+        return Decoded::Torn;
+    };
+    if crc32fast::hash(&header[..HEADER_CHECKSUM_OFFSET])
+        != read_u32(header, HEADER_CHECKSUM_OFFSET)
+    {
+        return if is_unwritten(bytes) {
+            Decoded::Torn
+        } else {
+            Decoded::Corrupt(Corruption::Header)
+        };
     }
     let length = read_u32(header, 0) as usize;
     let sequence = u64::from(read_u32(header, 4)) | u64::from(read_u32(header, 8)) << 32;
-    let Some(body) = bytes.get(HEADER_BYTES..=HEADER_BYTES + length) else { return Decoded::Torn };
+    let Some(body) = bytes.get(HEADER_BYTES..=HEADER_BYTES + length) else {
+        return Decoded::Torn;
+    };
     let (payload, end) = (&body[..length], body[length]);
     if crc32fast::hash(payload) != read_u32(header, PAYLOAD_CHECKSUM_OFFSET) || end != END_MARKER {
         let tail = &body[body.len().saturating_sub(UNWRITTEN_TAIL_BYTES)..];
@@ -78,5 +88,10 @@
 }
 
 fn read_u32(header: &[u8; HEADER_BYTES], offset: usize) -> u32 {
-    u32::from_le_bytes([header[offset], header[offset + 1], header[offset + 2], header[offset + 3]])
+    u32::from_le_bytes([
+        header[offset],
+        header[offset + 1],
+        header[offset + 2],
+        header[offset + 3],
+    ])
 }
--- a/crates/write-ahead-log/tests/recovery.rs
+++ b/crates/write-ahead-log/tests/recovery.rs
@@ -62,11 +62,17 @@
     let disk = FaultyDisk::default();
     let (mut log, _) = open(&disk);
     log.append(b"first").unwrap();
-    disk.set_faults(DiskFaults { is_full: true, ..DiskFaults::default() });
+    disk.set_faults(DiskFaults {
+        is_full: true,
+        ..DiskFaults::default()
+    });
     assert!(matches!(log.append(b"second"), Err(LogError::Io { .. })));
     disk.set_faults(DiskFaults::default());
     let third = log.append(b"third");
-    assert!(matches!(third, Err(LogError::Poisoned { .. })), "space that is free again does not unpoison it");
+    assert!(
+        matches!(third, Err(LogError::Poisoned { .. })),
+        "space that is free again does not unpoison it"
+    );
     assert_eq!(recovered_records(&disk), [b"first"]);
 }
 
@@ -79,18 +85,26 @@
         log.inject_bug(bug);
         let mut acknowledged = Vec::new();
         for at in 0..4u8 {
-            disk.set_faults(DiskFaults { next_sync_fails: at == 2, ..DiskFaults::default() });
+            disk.set_faults(DiskFaults {
+                next_sync_fails: at == 2,
+                ..DiskFaults::default()
+            });
             // Long enough that lost bytes are detected.
             if log.append(&[at + 1; 40]).is_ok() {
                 acknowledged.push(vec![at + 1; 40]);
             }
         }
         disk.crash(|_| 0);
-        let recovered = WriteAheadLog::open(disk).map(|(_, recovered)| recovered.records).ok();
+        let recovered = WriteAheadLog::open(disk)
+            .map(|(_, recovered)| recovered.records)
+            .ok();
         recovered.as_ref() == Some(&acknowledged)
     };
     assert!(recovers_acknowledged_records(None));
-    assert!(!recovers_acknowledged_records(Some(InjectedBug::RetryFailedSync)), "the bug is detected");
+    assert!(
+        !recovers_acknowledged_records(Some(InjectedBug::RetryFailedSync)),
+        "the bug is detected"
+    );
 }
 
 #[test]
@@ -100,7 +114,11 @@
     log.inject_bug(Some(InjectedBug::SkipSync));
     log.append(b"acknowledged").unwrap();
     disk.crash(|_| 0);
-    assert_eq!(recovered_records(&disk), Vec::<Vec<u8>>::new(), "the bug is detected");
+    assert_eq!(
+        recovered_records(&disk),
+        Vec::<Vec<u8>>::new(),
+        "the bug is detected"
+    );
 }
 
 /// A disk that reports syncs it has not done can't be told from a working one: docs/design-leases.md names this limit.
@@ -109,7 +127,10 @@
     let disk = FaultyDisk::default();
     let (mut log, _) = open(&disk);
     log.append(b"first").unwrap();
-    disk.set_faults(DiskFaults { ignores_syncs: true, ..DiskFaults::default() });
+    disk.set_faults(DiskFaults {
+        ignores_syncs: true,
+        ..DiskFaults::default()
+    });
     log.append(b"second").unwrap();
     disk.crash(|_| 0);
     assert_eq!(recovered_records(&disk), [b"first"]);
@@ -119,9 +140,13 @@
 fn a_directory_is_locked_by_one_process_and_keeps_what_was_written() {
     let directory = tempfile::tempdir().unwrap();
     {
-        let (mut log, recovered) = WriteAheadLog::open(Directory::open(directory.path()).unwrap()).unwrap();
+        let (mut log, recovered) =
+            WriteAheadLog::open(Directory::open(directory.path()).unwrap()).unwrap();
         assert_eq!(recovered, Recovered::default());
-        assert!(Directory::open(directory.path()).is_err(), "a second process is rejected");
+        assert!(
+            Directory::open(directory.path()).is_err(),
+            "a second process is rejected"
+        );
         log.append(b"one").unwrap();
         log.write_snapshot(b"state").unwrap();
         log.append(b"two").unwrap();
@@ -130,6 +155,9 @@
     let (log, recovered) = WriteAheadLog::open(Directory::open(directory.path()).unwrap()).unwrap();
     assert_eq!(recovered.snapshot.as_deref(), Some(&b"state"[..]));
     assert_eq!(recovered.records, [b"two"]);
-    assert_eq!(log.read_file("identity").unwrap().as_deref(), Some(&b"me"[..]));
+    assert_eq!(
+        log.read_file("identity").unwrap().as_deref(),
+        Some(&b"me"[..])
+    );
     assert_eq!(log.read_file("nothing").unwrap(), None);
 }
--- a/example/toy.rs
+++ b/example/toy.rs
@@ -45,10 +45,22 @@
     // One connection carries 32 open requests, so the burst comes over two.
     let mut other = TcpStream::connect(BACKEND)?;
     for sequence in 2..2 + BURST_REQUESTS {
-        send_request(if sequence % 2 == 0 { &mut edge } else { &mut other }, sequence, "page")?;
+        send_request(
+            if sequence % 2 == 0 {
+                &mut edge
+            } else {
+                &mut other
+            },
+            sequence,
+            "page",
+        )?;
     }
     for sequence in 2..2 + BURST_REQUESTS {
-        let answer = read_answer(if sequence % 2 == 0 { &mut edge } else { &mut other })?;
+        let answer = read_answer(if sequence % 2 == 0 {
+            &mut edge
+        } else {
+            &mut other
+        })?;
         *count.entry(answer.0).or_insert(0) += 1;
         last.insert(answer.0, summary(&answer));
     }
@@ -67,7 +79,9 @@
 ) {
     for stream in listener.incoming().flatten() {
         std::thread::spawn(move || {
-            serve(stream).err().map(|error| println!("toy: a connection failed: {error}"))
+            serve(stream)
+                .err()
+                .map(|error| println!("toy: a connection failed: {error}"))
         });
     }
 }
@@ -112,7 +126,10 @@
                 let (reply, replied) = channel();
                 let stop = Arc::new(AtomicBool::new(false));
                 waiting.insert((*id).to_owned(), reply);
-                stops.lock().map_err(|_| "poisoned")?.insert((*id).to_owned(), stop.clone());
+                stops
+                    .lock()
+                    .map_err(|_| "poisoned")?
+                    .insert((*id).to_owned(), stop.clone());
                 let run = Run {
                     id: (*id).to_owned(),
                     calls: *class == "page",
@@ -158,7 +175,11 @@
         let start = Instant::now();
         let mut is_running = self.work();
         if is_running && self.calls {
-            self.notice("IOREQ", &format!("{} ", self.id.clone()), &self.body.clone());
+            self.notice(
+                "IOREQ",
+                &format!("{} ", self.id.clone()),
+                &self.body.clone(),
+            );
             // A run that is cancelled at its call ends there.
             while self.replied.recv_timeout(Duration::from_millis(5)).is_err() {
                 if self.stop.load(Ordering::Acquire) {
@@ -167,9 +188,21 @@
                 }
             }
         }
-        let end = if is_running && self.work() { "success" } else { "interrupted" };
-        let result = if end == "success" { format!("a page for {}", self.id) } else { String::new() };
-        let head = format!("{} {end} {:.1} ", self.id, start.elapsed().as_secs_f64() * 1e3);
+        let end = if is_running && self.work() {
+            "success"
+        } else {
+            "interrupted"
+        };
+        let result = if end == "success" {
+            format!("a page for {}", self.id)
+        } else {
+            String::new()
+        };
+        let head = format!(
+            "{} {end} {:.1} ",
+            self.id,
+            start.elapsed().as_secs_f64() * 1e3
+        );
         self.notice("REAP", &head, result.as_bytes());
     }
 
@@ -179,7 +212,8 @@
         let mut left = WORK_MS as f64 / 2.0;
         while left > 0.0 && !self.stop.load(Ordering::Acquire) {
             std::thread::sleep(Duration::from_millis(2));
-            left -= 2.0 / (f64::from(self.running.load(Ordering::Acquire)) / f64::from(CORES)).max(1.0);
+            left -=
+                2.0 / (f64::from(self.running.load(Ordering::Acquire)) / f64::from(CORES)).max(1.0);
         }
         self.running.fetch_sub(1, Ordering::AcqRel);
         left <= 0.0
@@ -192,7 +226,9 @@
         *number += 1;
         let head = format!("{word} {number} {rest}{}\r\n", body.len());
         // A backend that is gone reads nothing any more.
-        let _ = self.out.write_all(&[head.as_bytes(), body, b"\r\n"].concat());
+        let _ = self
+            .out
+            .write_all(&[head.as_bytes(), body, b"\r\n"].concat());
     }
 }
 
@@ -214,14 +250,36 @@
 fn send_request(edge: &mut TcpStream, sequence: i32, class: &str) -> Result<(), Error> {
     let now = SystemTime::now().duration_since(UNIX_EPOCH)?.as_millis();
     let id = format!("{:08x}{sequence:08x}", now as u32);
-    let fields = [("kind", class), ("req", &id), ("ts", &now.to_string()), ("owner", "acme")];
+    let fields = [
+        ("kind", class),
+        ("req", &id),
+        ("ts", &now.to_string()),
+        ("owner", "acme"),
+    ];
     let rough = WORK_MS.to_string();
-    let fields = [&fields[..], &[("ms", &rough), ("need", "24.5"), ("level", "0.5"), ("via", "1")]].concat();
+    let fields = [
+        &fields[..],
+        &[
+            ("ms", &rough),
+            ("need", "24.5"),
+            ("level", "0.5"),
+            ("via", "1"),
+        ],
+    ]
+    .concat();
     let mut bytes = vec![0; 4];
     let mut output = TBinaryOutputProtocol::new(&mut bytes, true);
-    output.write_message_begin(&TMessageIdentifier::new("process", TMessageType::Call, sequence))?;
+    output.write_message_begin(&TMessageIdentifier::new(
+        "process",
+        TMessageType::Call,
+        sequence,
+    ))?;
     output.write_field_begin(&field(TType::Map, 1))?;
-    output.write_map_begin(&TMapIdentifier::new(TType::String, TType::String, fields.len() as i32))?;
+    output.write_map_begin(&TMapIdentifier::new(
+        TType::String,
+        TType::String,
+        fields.len() as i32,
+    ))?;
     for (name, value) in fields {
         output.write_string(name)?;
         output.write_string(value)?;
--- a/src/config.rs
+++ b/src/config.rs
@@ -172,13 +172,25 @@
             return Err(ConfigError::NoCores);
         }
         for (field, is_valid) in [
-            ("over_quota_weight", (0.0..=1.0).contains(&self.over_quota_weight)),
+            (
+                "over_quota_weight",
+                (0.0..=1.0).contains(&self.over_quota_weight),
+            ),
             ("memory_kb", is_at_least(f64::MIN_POSITIVE, self.memory_kb)),
-            ("running_memory_factor", is_at_least(1.0, self.running_memory_factor)),
+            (
+                "running_memory_factor",
+                is_at_least(1.0, self.running_memory_factor),
+            ),
             ("key_kb", is_at_least(0.0, self.key_kb)),
             ("idle_timeout", self.idle_timeout > Duration::ZERO),
-            ("cold_speed", self.cold_speed > 0.0 && self.cold_speed <= 1.0),
-            ("max_concurrency_per_core", is_at_least(1.0, self.max_concurrency_per_core)),
+            (
+                "cold_speed",
+                self.cold_speed > 0.0 && self.cold_speed <= 1.0,
+            ),
+            (
+                "max_concurrency_per_core",
+                is_at_least(1.0, self.max_concurrency_per_core),
+            ),
         ] {
             if !is_valid {
                 return Err(ConfigError::OutOfRange(field));
@@ -186,9 +198,15 @@
         }
         self.dependency.validate()?;
         for (handler, config) in self.handlers.iter().enumerate() {
-            config.validate().map_err(|field| ConfigError::Handler { handler, field })?;
+            config
+                .validate()
+                .map_err(|field| ConfigError::Handler { handler, field })?;
         }
-        match self.tenants.iter().position(|tenant| !is_at_least(0.0, tenant.rate_quota_per_s)) {
+        match self
+            .tenants
+            .iter()
+            .position(|tenant| !is_at_least(0.0, tenant.rate_quota_per_s))
+        {
             Some(tenant) => Err(ConfigError::Tenant(tenant)),
             None => Ok(()),
         }
@@ -197,10 +215,16 @@
 
 impl Dependency {
     fn validate(&self) -> Result<(), ConfigError> {
-        let Dependency::Shared { share, window, .. } = *self else { return Ok(()) };
+        let Dependency::Shared { share, window, .. } = *self else {
+            return Ok(());
+        };
         let has_share = is_at_least(f64::MIN_POSITIVE, share);
         let has_window = window > Duration::ZERO && window <= MAX_DEPENDENCY_WINDOW;
-        if has_share && has_window { Ok(()) } else { Err(ConfigError::OutOfRange("dependency")) }
+        if has_share && has_window {
+            Ok(())
+        } else {
+            Err(ConfigError::OutOfRange("dependency"))
+        }
     }
 }
 
@@ -209,10 +233,19 @@
     fn validate(&self) -> Result<(), &'static str> {
         let checks = [
             ("latency_objective", self.latency_objective > Duration::ZERO),
-            ("objective_stretch", is_at_least(0.0, self.objective_stretch)),
-            ("client_timeout", self.client_timeout >= self.latency_objective),
+            (
+                "objective_stretch",
+                is_at_least(0.0, self.objective_stretch),
+            ),
+            (
+                "client_timeout",
+                self.client_timeout >= self.latency_objective,
+            ),
             ("priority_weight", is_at_least(0.0, self.priority_weight)),
-            ("degraded_weight", (0.0..=1.0).contains(&self.degraded_weight)),
+            (
+                "degraded_weight",
+                (0.0..=1.0).contains(&self.degraded_weight),
+            ),
         ];
         match checks.into_iter().find(|(_, is_valid)| !is_valid) {
             Some((field, _)) => Err(field),
--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -4,8 +4,8 @@
 
 use super::Controller;
 use super::tuning::{
-    ADMISSION_OBJECTIVE_FRACTION, BUCKET_WIDTH, LONG_LEARNT_WORK_FACTOR, MAX_QUEUED_MEMORY_FRACTION,
-    QUOTA_BURST, QUOTA_WINDOW,
+    ADMISSION_OBJECTIVE_FRACTION, BUCKET_WIDTH, LONG_LEARNT_WORK_FACTOR,
+    MAX_QUEUED_MEMORY_FRACTION, QUOTA_BURST, QUOTA_WINDOW,
 };
 use crate::action::{Action, Reason};
 use crate::config::Idempotency;
@@ -18,7 +18,9 @@
     /// The ordinary path of a request.
     pub(super) fn request_arrived(&mut self, arrival: &Arrival, out: &mut Vec<Action>) {
         let index = arrival.request;
-        let Some(request) = self.describe(arrival) else { return };
+        let Some(request) = self.describe(arrival) else {
+            return;
+        };
         if self.requests.get(index).is_some() {
             return;
         }
@@ -54,7 +56,9 @@
         // Where requests state no work, it is learnt from their handler's runs; otherwise all would look
         // alike.
         let work_is_learnt = arrival.estimated_work.is_none();
-        let work = arrival.estimated_work.map_or(profile.learnt_work, |work| work.as_secs_f64());
+        let work = arrival
+            .estimated_work
+            .map_or(profile.learnt_work, |work| work.as_secs_f64());
         let arrived_at = now.saturating_sub(arrival.age);
         let deadline = match arrival.client_wait {
             Some(wait) => now.saturating_add(wait),
@@ -62,15 +66,29 @@
         };
         let objective = profile.latency_objective;
         let stretch = seconds(profile.objective_stretch * work);
-        let objective_at = arrived_at.saturating_add(objective).saturating_add(stretch).min(deadline);
+        let objective_at = arrived_at
+            .saturating_add(objective)
+            .saturating_add(stretch)
+            .min(deadline);
         // What a tenant sends beyond its quota ranks below everything within one.
-        let bucket = arrival.tenant.and_then(|tenant| self.quotas.buckets.get(tenant));
+        let bucket = arrival
+            .tenant
+            .and_then(|tenant| self.quotas.buckets.get(tenant));
         let is_over_quota = bucket.is_some_and(|bucket| bucket.tokens < self.quota_threshold());
         // A learnt estimate describes a handler, not a request: only one far above the mean counts as long.
-        let long_from = self.mean_work() * if work_is_learnt { LONG_LEARNT_WORK_FACTOR } else { 1.0 };
+        let long_from = self.mean_work()
+            * if work_is_learnt {
+                LONG_LEARNT_WORK_FACTOR
+            } else {
+                1.0
+            };
         Some(Request {
             handler: arrival.handler,
-            level: if is_over_quota { profile.over_quota_level } else { profile.level },
+            level: if is_over_quota {
+                profile.over_quota_level
+            } else {
+                profile.level
+            },
             queued_kb: arrival.queued_kb.max(0.0).min(self.memory.limit_kb * 2.0),
             work,
             work_is_learnt,
@@ -116,7 +134,8 @@
     /// Whether the queue and the memory have room for a request that already counts, and for its key.
     fn has_memory_for(&self, request: RequestIndex) -> bool {
         let memory = &self.memory;
-        let is_keyed = self.handlers[self.requests[request].handler].idempotency == Idempotency::Keyed;
+        let is_keyed =
+            self.handlers[self.requests[request].handler].idempotency == Idempotency::Keyed;
         let key_kb = if is_keyed { memory.key_kb } else { 0.0 };
         let queue_has_room = memory.queued_kb <= memory.limit_kb * MAX_QUEUED_MEMORY_FRACTION;
         queue_has_room && memory.used_kb + key_kb <= memory.limit_kb
@@ -138,7 +157,9 @@
     /// for. Beyond that, as large a part is over quota as there is excess. It does harm where one tenant
     /// floods a fleet that the others leave idle.
     fn quota_threshold(&self) -> f64 {
-        let Some(quota) = self.quotas.rate_per_s else { return 1.0 };
+        let Some(quota) = self.quotas.rate_per_s else {
+            return 1.0;
+        };
         let span = QUOTA_WINDOW.min(self.clock.now).max(Duration::from_secs(1));
         let arrived = self.window.sum(Metric::Arrived, QUOTA_WINDOW);
         let first_attempts = arrived - self.window.sum(Metric::Retries, QUOTA_WINDOW);
@@ -149,7 +170,8 @@
     fn charge_quota(&mut self, sender: Option<TenantIndex>) {
         for (tenant, bucket) in self.quotas.buckets.iter_mut().enumerate() {
             let spent = f64::from(u8::from(sender == Some(tenant)));
-            bucket.tokens = (bucket.tokens + bucket.fraction - spent).clamp(-QUOTA_BURST, QUOTA_BURST);
+            bucket.tokens =
+                (bucket.tokens + bucket.fraction - spent).clamp(-QUOTA_BURST, QUOTA_BURST);
         }
     }
 
@@ -157,9 +179,15 @@
         let now = self.clock.now;
         let entry = &mut self.requests[request];
         let retention = self.handlers[entry.handler].key_retention;
-        let expires_at = entry.arrived_at.saturating_add(retention).saturating_add(BUCKET_WIDTH);
+        let expires_at = entry
+            .arrived_at
+            .saturating_add(retention)
+            .saturating_add(BUCKET_WIDTH);
         entry.key_expires_at = Some(expires_at.max(now));
         self.memory.remember_key(expires_at.max(now));
-        out.push(Action::RememberKey { request, retention: expires_at.saturating_sub(now) });
+        out.push(Action::RememberKey {
+            request,
+            retention: expires_at.saturating_sub(now),
+        });
     }
 }
--- a/src/controller/bookkeeping.rs
+++ b/src/controller/bookkeeping.rs
@@ -14,7 +14,9 @@
     pub(super) fn read_gauges(&mut self, gauges: &Gauges) {
         let running = self.requests.running as f64;
         let runs_fill_cores = running >= self.capacity.cores;
-        self.capacity.busy = gauges.cores_busy.unwrap_or(if runs_fill_cores { 1.0 } else { 0.0 });
+        self.capacity.busy = gauges
+            .cores_busy
+            .unwrap_or(if runs_fill_cores { 1.0 } else { 0.0 });
         self.capacity.reading = gauges.runnable.map_or(0.0, |all| (all - running).max(0.0));
         self.window.add(Metric::ReadingCores, self.capacity.reading);
         self.window.add(Metric::CoresBusy, self.capacity.busy);
@@ -25,25 +27,35 @@
         let unread = arrival.age.as_secs_f64() - self.clock.stalled_since(request.arrived_at);
         self.window.add(Metric::Arrived, 1.0);
         self.window.add(Metric::ArrivedWork, request.work);
-        self.window.add(Metric::Retries, f64::from(u8::from(request.is_retry)));
+        self.window
+            .add(Metric::Retries, f64::from(u8::from(request.is_retry)));
         self.window.add(Metric::ArrivedAtLevel(request.level), 1.0);
         self.window.add(Metric::UnreadTime, unread);
     }
 
     /// Recent arrivals at these priority levels.
     pub(super) fn arrivals_at(&self, levels: Range<usize>) -> f64 {
-        levels.map(|level| self.window.sum(Metric::ArrivedAtLevel(level), MEASUREMENT_WINDOW)).sum()
+        levels
+            .map(|level| {
+                self.window
+                    .sum(Metric::ArrivedAtLevel(level), MEASUREMENT_WINDOW)
+            })
+            .sum()
     }
 
     /// Mean seconds of work of recent arrivals.
     pub(super) fn mean_work(&self) -> f64 {
-        let mean = self.window.ratio(Metric::ArrivedWork, Metric::Arrived, WORK_WINDOW);
+        let mean = self
+            .window
+            .ratio(Metric::ArrivedWork, Metric::Arrived, WORK_WINDOW);
         mean.unwrap_or(DEFAULT_WORK_SECONDS)
     }
 
     /// Mean seconds of recent dependency calls; 0 where there was none.
     pub(super) fn mean_call_time(&self) -> f64 {
-        self.window.ratio(Metric::CallTime, Metric::Calls, MEASUREMENT_WINDOW).unwrap_or(0.0)
+        self.window
+            .ratio(Metric::CallTime, Metric::Calls, MEASUREMENT_WINDOW)
+            .unwrap_or(0.0)
     }
 
     /// The mean over the window of a metric that is added once a tick.
@@ -54,13 +66,17 @@
 
     /// Frees what a request took; the host may reuse its index.
     pub(super) fn release(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
-        let Some(entry) = self.requests.remove(request) else { return };
+        let Some(entry) = self.requests.remove(request) else {
+            return;
+        };
         match entry.stage {
             Stage::Queued | Stage::Coalesced => self.requests.remove_from_queue(request),
             Stage::Running => self.requests.running -= 1,
             Stage::Calling => {
                 self.requests.calling -= 1;
-                self.calls.lingering.push(self.clock.now.saturating_add(self.calls.linger));
+                self.calls
+                    .lingering
+                    .push(self.clock.now.saturating_add(self.calls.linger));
             }
             Stage::AwaitingCall => self.requests.stop_awaiting_call(request),
         }
--- a/src/controller/brownout.rs
+++ b/src/controller/brownout.rs
@@ -3,16 +3,18 @@
 
 use super::Controller;
 use super::tuning::{
-    ADMISSION_INTEGRAL_GAIN, ADMISSION_PROPORTIONAL_GAIN, ADMISSION_RECOVERY_STEP, BROWNOUT_DERIVATIVE_GAIN,
-    BROWNOUT_POLE, BUSY_FRACTION, CEILING_CUT, CEILING_RECOVERY_STEP, DIMMER_NEAR_ZERO, MEASUREMENT_WINDOW,
-    MIN_ADMITTED_FRACTION, MIN_DIMMER_CEILING,
+    ADMISSION_INTEGRAL_GAIN, ADMISSION_PROPORTIONAL_GAIN, ADMISSION_RECOVERY_STEP,
+    BROWNOUT_DERIVATIVE_GAIN, BROWNOUT_POLE, BUSY_FRACTION, CEILING_CUT, CEILING_RECOVERY_STEP,
+    DIMMER_NEAR_ZERO, MEASUREMENT_WINDOW, MIN_ADMITTED_FRACTION, MIN_DIMMER_CEILING,
 };
 use crate::sliding_window::Metric;
 
 impl Controller {
     /// One step of both loops. An empty window does not count as lateness.
     pub(super) fn update_brownout(&mut self) {
-        let mean = self.window.ratio(Metric::ResponseTime, Metric::Completed, MEASUREMENT_WINDOW);
+        let mean = self
+            .window
+            .ratio(Metric::ResponseTime, Metric::Completed, MEASUREMENT_WINDOW);
         let error = self.brownout.setpoint - mean.unwrap_or(0.0);
         self.update_admitted_fraction(error);
         self.update_dimmer(error, mean);
@@ -21,14 +23,15 @@
     fn update_admitted_fraction(&mut self, error: f64) {
         let is_busy = self.capacity.busy >= BUSY_FRACTION;
         let brownout = &mut self.brownout;
-        brownout.admitted_fraction += if brownout.dimmer <= DIMMER_NEAR_ZERO && error < 0.0 && is_busy {
-            let relative = error / brownout.setpoint;
-            let change = (error - brownout.previous_error) / brownout.setpoint;
-            ADMISSION_INTEGRAL_GAIN * relative.max(-1.0)
-                + ADMISSION_PROPORTIONAL_GAIN * change.clamp(-1.0, 1.0)
-        } else {
-            ADMISSION_RECOVERY_STEP
-        };
+        brownout.admitted_fraction +=
+            if brownout.dimmer <= DIMMER_NEAR_ZERO && error < 0.0 && is_busy {
+                let relative = error / brownout.setpoint;
+                let change = (error - brownout.previous_error) / brownout.setpoint;
+                ADMISSION_INTEGRAL_GAIN * relative.max(-1.0)
+                    + ADMISSION_PROPORTIONAL_GAIN * change.clamp(-1.0, 1.0)
+            } else {
+                ADMISSION_RECOVERY_STEP
+            };
         brownout.admitted_fraction = brownout.admitted_fraction.clamp(MIN_ADMITTED_FRACTION, 1.0);
     }
 
@@ -41,7 +44,8 @@
             brownout.slope = (mean / brownout.dimmer).max(0.1 * brownout.setpoint);
         }
         let gain = (1.0 - BROWNOUT_POLE) / brownout.slope.max(1e-3);
-        brownout.dimmer += gain * error + BROWNOUT_DERIVATIVE_GAIN * (error - brownout.previous_error);
+        brownout.dimmer +=
+            gain * error + BROWNOUT_DERIVATIVE_GAIN * (error - brownout.previous_error);
         brownout.dimmer = brownout.dimmer.clamp(0.0, brownout.ceiling);
         brownout.previous_error = error;
         brownout.ceiling = (brownout.ceiling + CEILING_RECOVERY_STEP).min(1.0);
--- a/src/controller/caller_feedback.rs
+++ b/src/controller/caller_feedback.rs
@@ -4,9 +4,10 @@
 
 use super::Controller;
 use super::tuning::{
-    CONTROL_INTERVAL, DEGRADED_PACE_FACTOR, EXTRA_CREDIT_PER_CORE, MAX_REJECTED_FRACTION, MAX_RETRY_FRACTION,
-    MAX_WASTED_FRACTION, MAX_WASTED_FRACTION_BY_WEIGHT, MEASUREMENT_WINDOW, MIN_CREDIT_PER_CORE,
-    MIN_TRAFFIC_FRACTION, TRAFFIC_CUT_ON_WASTE, TRAFFIC_RECOVERY_STEP, UNREAD_SETPOINT_FRACTION,
+    CONTROL_INTERVAL, DEGRADED_PACE_FACTOR, EXTRA_CREDIT_PER_CORE, MAX_REJECTED_FRACTION,
+    MAX_RETRY_FRACTION, MAX_WASTED_FRACTION, MAX_WASTED_FRACTION_BY_WEIGHT, MEASUREMENT_WINDOW,
+    MIN_CREDIT_PER_CORE, MIN_TRAFFIC_FRACTION, TRAFFIC_CUT_ON_WASTE, TRAFFIC_RECOVERY_STEP,
+    UNREAD_SETPOINT_FRACTION,
 };
 use crate::action::Action;
 use crate::config::CallerFeedback;
@@ -27,10 +28,14 @@
     /// What stands unread cannot be rejected here, and reading it takes the cores from what can be in time:
     /// only callers that send less help. Guards against floods, uneven callers and a server grown slow.
     pub(super) fn update_wanted_traffic(&mut self) {
-        let unread = self.window.per_arrival(Metric::UnreadTime, CONTROL_INTERVAL);
+        let unread = self
+            .window
+            .per_arrival(Metric::UnreadTime, CONTROL_INTERVAL);
         let bearable = UNREAD_SETPOINT_FRACTION * self.brownout.setpoint;
         // Reading what is then rejected costs cores too; where that is much, callers should not send it.
-        let rejected = self.window.per_arrival(Metric::Rejected, MEASUREMENT_WINDOW);
+        let rejected = self
+            .window
+            .per_arrival(Metric::Rejected, MEASUREMENT_WINDOW);
         let wasted = rejected * self.mean_per_tick(Metric::ReadingCores) / self.capacity.cores;
         let factor = if unread > bearable {
             (bearable / unread).max(0.5)
@@ -39,7 +44,11 @@
         } else {
             1.0
         };
-        let recovery = if factor < 1.0 { 0.0 } else { TRAFFIC_RECOVERY_STEP };
+        let recovery = if factor < 1.0 {
+            0.0
+        } else {
+            TRAFFIC_RECOVERY_STEP
+        };
         let wanted = self.feedback.wanted_traffic * factor + recovery;
         self.feedback.wanted_traffic = wanted.clamp(MIN_TRAFFIC_FRACTION, 1.0);
     }
@@ -57,7 +66,9 @@
             CallerFeedback::TrafficWeight => willingness,
             CallerFeedback::PriorityThreshold => 1.0 - willingness,
             CallerFeedback::ConcurrencyCredit if is_failing => 0.0,
-            CallerFeedback::ConcurrencyCredit if willingness >= 1.0 => self.capacity.warm_concurrency,
+            CallerFeedback::ConcurrencyCredit if willingness >= 1.0 => {
+                self.capacity.warm_concurrency
+            }
             CallerFeedback::ConcurrencyCredit => {
                 let credit = MIN_CREDIT_PER_CORE + EXTRA_CREDIT_PER_CORE * willingness;
                 self.capacity.cores * credit / self.feedback.callers
@@ -96,7 +107,8 @@
             return false;
         }
         let is_impaired = self.drain.is_some() || self.high_failure_fraction() > 0.0;
-        is_impaired || self.feedback.retries_are_marked && (self.is_degraded() || self.fleet_has_room())
+        is_impaired
+            || self.feedback.retries_are_marked && (self.is_degraded() || self.fleet_has_room())
     }
 
     fn fleet_has_room(&self) -> bool {
@@ -105,6 +117,7 @@
         let is_rare = |metric: Metric, fraction: f64| {
             self.window.sum(metric, MEASUREMENT_WINDOW) <= fraction * arrived + 1.0
         };
-        is_rare(Metric::Retries, MAX_RETRY_FRACTION) && is_rare(Metric::Rejected, MAX_REJECTED_FRACTION)
+        is_rare(Metric::Retries, MAX_RETRY_FRACTION)
+            && is_rare(Metric::Rejected, MAX_REJECTED_FRACTION)
     }
 }
--- a/src/controller/dependency_calls.rs
+++ b/src/controller/dependency_calls.rs
@@ -4,9 +4,9 @@
 
 use super::Controller;
 use super::tuning::{
-    CALL_TIME_GAIN, CALL_TIMEOUT_FACTOR, MAX_CALL_ATTEMPTS, MAX_CALLS_PER_CORE, MAX_LOST_CALL_FRACTION,
-    MEASUREMENT_WINDOW, MIN_CALL_TIMEOUT_FRACTION, MIN_CALLS_FOR_USUAL_TIME, SLOW_CALL_FACTOR,
-    SLOW_CALL_TIME_GAIN,
+    CALL_TIME_GAIN, CALL_TIMEOUT_FACTOR, MAX_CALL_ATTEMPTS, MAX_CALLS_PER_CORE,
+    MAX_LOST_CALL_FRACTION, MEASUREMENT_WINDOW, MIN_CALL_TIMEOUT_FRACTION,
+    MIN_CALLS_FOR_USUAL_TIME, SLOW_CALL_FACTOR, SLOW_CALL_TIME_GAIN,
 };
 use crate::action::{Action, Reason};
 use crate::config::Idempotency;
@@ -18,7 +18,11 @@
 impl Controller {
     /// A run has reached its call.
     pub(super) fn call_reached(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
-        if self.requests.get(request).is_none_or(|entry| entry.stage != Stage::Running) {
+        if self
+            .requests
+            .get(request)
+            .is_none_or(|entry| entry.stage != Stage::Running)
+        {
             return;
         }
         self.requests.leave_core(request, self.clock.awake());
@@ -39,7 +43,9 @@
         let draw = self.rng.f64();
         let now = self.clock.now;
         let dimmer = self.brownout.dimmer;
-        let is_drawn = *self.requests[request].makes_optional_calls.get_or_insert(draw < dimmer);
+        let is_drawn = *self.requests[request]
+            .makes_optional_calls
+            .get_or_insert(draw < dimmer);
         let timeout = self.call_timeout(request);
         let has_budget = self.has_call_budget(request, timeout);
         let entry = &self.requests[request];
@@ -69,7 +75,10 @@
     fn call_timeout(&self, request: RequestIndex) -> Duration {
         let entry = &self.requests[request];
         let profile = &self.handlers[entry.handler];
-        let time_left = entry.objective_at.saturating_sub(self.clock.now).as_secs_f64();
+        let time_left = entry
+            .objective_at
+            .saturating_sub(self.clock.now)
+            .as_secs_f64();
         let mut timeout = if profile.calls_are_optional {
             seconds(time_left * 0.5)
         } else {
@@ -95,7 +104,11 @@
     /// Whether a call with this timeout can be made now.
     fn has_call_budget(&self, request: RequestIndex, timeout: Duration) -> bool {
         let is_optional = self.handlers[self.requests[request].handler].calls_are_optional;
-        let reserved = if is_optional { self.reserved_for_mandatory_calls(timeout) } else { 0.0 };
+        let reserved = if is_optional {
+            self.reserved_for_mandatory_calls(timeout)
+        } else {
+            0.0
+        };
         self.fits_call_budget(timeout.saturating_add(seconds(reserved)))
             && timeout > self.schedule.tick_interval
     }
@@ -103,9 +116,13 @@
     /// Seconds of calls that an optional call leaves for a mandatory one, as far as two of its own fit.
     /// Guards against mandatory calls that wait while the budget is spent, and return all at once.
     fn reserved_for_mandatory_calls(&self, timeout: Duration) -> f64 {
-        let Some(budget) = self.calls.budget.filter(|_| self.calls.has_mandatory) else { return 0.0 };
+        let Some(budget) = self.calls.budget.filter(|_| self.calls.has_mandatory) else {
+            return 0.0;
+        };
         let (linger, own) = (self.calls.linger.as_secs_f64(), timeout.as_secs_f64());
-        (budget / 4.0 + linger).min(budget - 2.0 * (own + linger)).max(0.0)
+        (budget / 4.0 + linger)
+            .min(budget - 2.0 * (own + linger))
+            .max(0.0)
     }
 
     /// Whether one more call keeps this server within its share of what the dependency survives.
@@ -117,22 +134,41 @@
         let now = self.clock.now;
         let past = self.window.sum(Metric::CallsInFlight, calls.window);
         let until_end = |entry: &Request| {
-            entry.call_times_out_at.saturating_add(calls.linger).saturating_sub(now).as_secs_f64()
+            entry
+                .call_times_out_at
+                .saturating_add(calls.linger)
+                .saturating_sub(now)
+                .as_secs_f64()
         };
         let in_flight: f64 = self.requests.in_stage(Stage::Calling).map(until_end).sum();
-        let lingering: f64 = calls.lingering.iter().map(|&end| end.saturating_sub(now).as_secs_f64()).sum();
+        let lingering: f64 = calls
+            .lingering
+            .iter()
+            .map(|&end| end.saturating_sub(now).as_secs_f64())
+            .sum();
         let ahead = in_flight + lingering;
         past + ahead + timeout.saturating_add(calls.linger).as_secs_f64() <= budget
     }
 
-    pub(super) fn call_finished(&mut self, request: RequestIndex, outcome: Outcome, out: &mut Vec<Action>) {
-        let Some(entry) = self.requests.get(request).filter(|entry| entry.stage == Stage::Calling) else {
+    pub(super) fn call_finished(
+        &mut self,
+        request: RequestIndex,
+        outcome: Outcome,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(entry) = self
+            .requests
+            .get(request)
+            .filter(|entry| entry.stage == Stage::Calling)
+        else {
             return;
         };
         let duration = (self.clock.now - entry.call_started_at).as_secs_f64();
         self.requests.calling -= 1;
         if matches!(outcome, Outcome::TimedOut | Outcome::ConnectionLost) {
-            self.calls.lingering.push(self.clock.now.saturating_add(self.calls.linger));
+            self.calls
+                .lingering
+                .push(self.clock.now.saturating_add(self.calls.linger));
         }
         self.record_call(duration, outcome);
         if outcome == Outcome::Succeeded {
@@ -144,14 +180,18 @@
     }
 
     fn record_call(&mut self, duration: f64, outcome: Outcome) {
-        self.window.add(Metric::CallsTimedOut, f64::from(u8::from(outcome == Outcome::TimedOut)));
+        self.window.add(
+            Metric::CallsTimedOut,
+            f64::from(u8::from(outcome == Outcome::TimedOut)),
+        );
         // A call whose connection was lost, or that never left, shows nothing of the dependency's pace.
         let has_duration = !outcome.is_connection_failure();
         let weight = f64::from(u8::from(has_duration));
         self.window.add(Metric::Calls, weight);
         self.window.add(Metric::CallTime, duration * weight);
         let usual_is_known = self.calls.observed >= MIN_CALLS_FOR_USUAL_TIME;
-        let is_slow = has_duration && usual_is_known && duration > SLOW_CALL_FACTOR * self.calls.usual_time;
+        let is_slow =
+            has_duration && usual_is_known && duration > SLOW_CALL_FACTOR * self.calls.usual_time;
         if is_slow {
             self.cut_dimmer_ceiling();
         }
@@ -174,7 +214,8 @@
         entry.stage = Stage::AwaitingCall;
         // An optional call is attempted again only where its connection or reply was lost: a dependency that
         // rejects is full.
-        let was_lost = outcome.is_connection_failure() || outcome == Outcome::TimedOut && lost_calls_are_rare;
+        let was_lost =
+            outcome.is_connection_failure() || outcome == Outcome::TimedOut && lost_calls_are_rare;
         entry.may_retry_call = may_retry && was_lost;
         if entry.is_answered {
             return;
--- a/src/controller/dispatch.rs
+++ b/src/controller/dispatch.rs
@@ -3,8 +3,8 @@
 use super::Controller;
 use super::queueing::queue_order;
 use super::tuning::{
-    BUCKET_WIDTH, BUSY_FRACTION, MEASUREMENT_WINDOW, MIN_RUNNING_CORE_FRACTION, READ_BACKLOG_FRACTION,
-    SAFETY_FRACTION,
+    BUCKET_WIDTH, BUSY_FRACTION, MEASUREMENT_WINDOW, MIN_RUNNING_CORE_FRACTION,
+    READ_BACKLOG_FRACTION, SAFETY_FRACTION,
 };
 use crate::action::{Action, Reason};
 use crate::event::RequestIndex;
@@ -15,13 +15,16 @@
     /// Starts queued requests while concurrency and memory allow.
     pub(super) fn start_queued(&mut self, out: &mut Vec<Action>) {
         while self.has_core_for_next() {
-            let Some(request) = self.next_queued() else { return };
+            let Some(request) = self.next_queued() else {
+                return;
+            };
             if self.requests[request].objective_at < self.clock.now {
                 self.finish_early(request, false, Reason::ObjectiveMissed, out);
                 continue;
             }
             let queued_kb = self.requests[request].queued_kb;
-            if self.memory.used_kb + self.memory.running_extra_kb(queued_kb) > self.memory.limit_kb {
+            if self.memory.used_kb + self.memory.running_extra_kb(queued_kb) > self.memory.limit_kb
+            {
                 return;
             }
             self.requests.remove_from_queue(request);
@@ -34,7 +37,8 @@
     fn has_core_for_next(&self) -> bool {
         let requests = &self.requests;
         let started = requests.running + requests.calling + requests.awaiting_call.len();
-        let survivable = (self.capacity.survivable_concurrency(self.clock.now) * SAFETY_FRACTION).max(1.0);
+        let survivable =
+            (self.capacity.survivable_concurrency(self.clock.now) * SAFETY_FRACTION).max(1.0);
         (requests.running as f64) < self.concurrency_limit() && (started + 1) as f64 <= survivable
     }
 
@@ -48,28 +52,46 @@
         let has_read_backlog = unread > READ_BACKLOG_FRACTION * self.brownout.setpoint
             && self.window.sum(Metric::Completed, MEASUREMENT_WINDOW) > 0.0;
         let floor = self.capacity.cores * MIN_RUNNING_CORE_FRACTION;
-        let limit = if has_read_backlog { spare } else { spare.max(floor) };
+        let limit = if has_read_backlog {
+            spare
+        } else {
+            spare.max(floor)
+        };
         limit.min(self.capacity.running_limit)
     }
 
     /// The better head of the two queues; long requests leave a core to short ones that wait.
     fn next_queued(&self) -> Option<RequestIndex> {
         let requests = &self.requests;
-        let (Some(&short), Some(&long)) = (requests.short_queue.first(), requests.long_queue.first()) else {
+        let (Some(&short), Some(&long)) =
+            (requests.short_queue.first(), requests.long_queue.first())
+        else {
             return requests.queued_indices().next();
         };
-        let long_running = requests.in_stage(Stage::Running).filter(|request| request.is_long).count();
+        let long_running = requests
+            .in_stage(Stage::Running)
+            .filter(|request| request.is_long)
+            .count();
         let long_ones_fill_cores = long_running as f64 >= self.capacity.running_limit - 1.0;
         let short_is_first = queue_order(&requests[short]) <= queue_order(&requests[long]);
-        Some(if long_ones_fill_cores || short_is_first { short } else { long })
+        Some(if long_ones_fill_cores || short_is_first {
+            short
+        } else {
+            long
+        })
     }
 
     /// The running limit grows only while cores idle with work queued.
     pub(super) fn adjust_running_limit(&mut self) {
         let has_queue = !self.requests.queue_is_empty();
-        let step = if has_queue && self.capacity.busy < BUSY_FRACTION { 1.0 } else { -1.0 };
-        let highest_limit =
-            (self.capacity.survivable_concurrency(self.clock.now) * SAFETY_FRACTION).max(self.capacity.cores);
+        let step = if has_queue && self.capacity.busy < BUSY_FRACTION {
+            1.0
+        } else {
+            -1.0
+        };
+        let highest_limit = (self.capacity.survivable_concurrency(self.clock.now)
+            * SAFETY_FRACTION)
+            .max(self.capacity.cores);
         self.capacity.running_limit =
             (self.capacity.running_limit + step).clamp(self.capacity.cores, highest_limit);
     }
--- a/src/controller/drain.rs
+++ b/src/controller/drain.rs
@@ -32,7 +32,11 @@
     /// Safe drain: whether a request came too late after the notice to be run.
     pub(super) fn arrived_too_late_to_run(&self, request: RequestIndex) -> bool {
         let arrived_at = self.requests[request].arrived_at;
-        self.is_terminating() || self.drain.as_ref().is_some_and(|drain| arrived_at > drain.run_until)
+        self.is_terminating()
+            || self
+                .drain
+                .as_ref()
+                .is_some_and(|drain| arrived_at > drain.run_until)
     }
 
     /// Whether the time to answer everything has come.
@@ -42,6 +46,8 @@
 
     /// When everything must be answered because the process is terminated.
     pub(super) fn answer_by(&self) -> Duration {
-        self.drain.as_ref().map_or(Duration::MAX, |drain| drain.answer_by)
+        self.drain
+            .as_ref()
+            .map_or(Duration::MAX, |drain| drain.answer_by)
     }
 }
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -18,13 +18,19 @@
             match event {
                 Event::Started => {
                     out.push(Action::SetHealth { healthy: true });
-                    out.push(Action::SetTimer { at: self.schedule.next_tick });
+                    out.push(Action::SetTimer {
+                        at: self.schedule.next_tick,
+                    });
                 }
                 Event::Arrived(arrival) => self.request_arrived(arrival, &mut out),
-                Event::Finished { request, outcome } => self.run_finished(*request, *outcome, &mut out),
+                Event::Finished { request, outcome } => {
+                    self.run_finished(*request, *outcome, &mut out)
+                }
                 Event::CallerGone { request } => self.caller_gone(*request, &mut out),
                 Event::ReachedCall { request } => self.call_reached(*request, &mut out),
-                Event::CallFinished { request, outcome } => self.call_finished(*request, *outcome, &mut out),
+                Event::CallFinished { request, outcome } => {
+                    self.call_finished(*request, *outcome, &mut out)
+                }
                 Event::TimerFired { gauges } => self.tick(gauges, &mut out),
                 Event::ShutdownNotice { since, left } => self.start_drain(*since, *left, &mut out),
             }
@@ -55,7 +61,9 @@
     fn tick(&mut self, gauges: &Gauges, out: &mut Vec<Action>) {
         let now = self.clock.now;
         self.schedule.next_tick = now + self.schedule.tick_interval;
-        out.push(Action::SetTimer { at: self.schedule.next_tick });
+        out.push(Action::SetTimer {
+            at: self.schedule.next_tick,
+        });
         self.memory.expire_keys(now);
         self.read_gauges(gauges);
         self.expire_requests(out);
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -31,7 +31,11 @@
         // degraded.
         let is_learning = self.capacity.warm_at == 0.0 && self.clock.now < PACE_LEARNING_TIME;
         let is_better = pace.measured < pace.usual;
-        let gain = if is_better || is_learning { PACE_GAIN } else { SLOWER_PACE_GAIN };
+        let gain = if is_better || is_learning {
+            PACE_GAIN
+        } else {
+            SLOWER_PACE_GAIN
+        };
         pace.usual += gain * (pace.measured - pace.usual);
     }
 
@@ -49,6 +53,10 @@
         let failed = self.window.sum(Metric::Failed, MEASUREMENT_WINDOW);
         let completed = self.window.sum(Metric::Completed, MEASUREMENT_WINDOW);
         let fraction = failed / (failed + completed).max(1.0);
-        if failed >= MIN_FAILURES && fraction > HIGH_FAILURE_FRACTION { fraction } else { 0.0 }
+        if failed >= MIN_FAILURES && fraction > HIGH_FAILURE_FRACTION {
+            fraction
+        } else {
+            0.0
+        }
     }
 }
--- a/src/controller/lifecycle.rs
+++ b/src/controller/lifecycle.rs
@@ -9,8 +9,15 @@
 use crate::sliding_window::Metric;
 
 impl Controller {
-    pub(super) fn run_finished(&mut self, request: RequestIndex, outcome: Outcome, out: &mut Vec<Action>) {
-        let Some(entry) = self.requests.get(request) else { return };
+    pub(super) fn run_finished(
+        &mut self,
+        request: RequestIndex,
+        outcome: Outcome,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(entry) = self.requests.get(request) else {
+            return;
+        };
         let (stage, is_answered) = (entry.stage, entry.is_answered);
         if stage == Stage::Queued {
             return;
@@ -23,7 +30,10 @@
             // A coalesced request fails with the run that it waits for: that was no run of this one.
             Outcome::Failed if stage != Stage::Coalesced => self.window.add(Metric::Failed, 1.0),
             Outcome::Cancelled if !is_answered => {
-                out.push(Action::Fail { request, reason: Reason::Cancelled });
+                out.push(Action::Fail {
+                    request,
+                    reason: Reason::Cancelled,
+                });
             }
             _ => {}
         }
@@ -36,7 +46,8 @@
             let stalled = self.clock.stalled - entry.stalled_before;
             let response_time = (self.clock.now - entry.arrived_at).as_secs_f64() - stalled;
             self.window.add(Metric::Completed, 1.0);
-            self.window.add(Metric::ResponseTime, response_time.max(0.0));
+            self.window
+                .add(Metric::ResponseTime, response_time.max(0.0));
         }
         self.window.add(Metric::CoreTime, entry.core_time);
         self.window.add(Metric::Work, entry.work);
@@ -50,7 +61,9 @@
     }
 
     pub(super) fn caller_gone(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
-        let Some(entry) = self.requests.get_mut(request) else { return };
+        let Some(entry) = self.requests.get_mut(request) else {
+            return;
+        };
         entry.is_answered = true;
         self.abandon(request, out);
     }
@@ -61,7 +74,9 @@
         let now = self.clock.now;
         let answer_by = self.answer_by();
         for request in 0..self.requests.len() {
-            let Some(entry) = self.requests.get(request) else { continue };
+            let Some(entry) = self.requests.get(request) else {
+                continue;
+            };
             if entry.is_answered {
                 // A cancellation has no effect while the cores stand still, so it is repeated.
                 if entry.stage == Stage::Running && self.can_cancel {
@@ -81,7 +96,11 @@
                 Stage::Running | Stage::Calling => is_idempotent,
             };
             if is_due {
-                let reason = if is_terminated_first { Reason::Terminating } else { Reason::DeadlineNear };
+                let reason = if is_terminated_first {
+                    Reason::Terminating
+                } else {
+                    Reason::DeadlineNear
+                };
                 self.finish_early(request, false, reason, out);
             } else if may_give_up && entry.objective_at < now {
                 self.finish_early(request, false, Reason::ObjectiveMissed, out);
@@ -108,7 +127,12 @@
         };
         if may_reject {
             let retry_after = self.retry_after();
-            out.push(Action::Reject { request, retry_after, retry_other_server, reason });
+            out.push(Action::Reject {
+                request,
+                retry_after,
+                retry_other_server,
+                reason,
+            });
         } else {
             out.push(Action::Fail { request, reason });
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -22,7 +22,8 @@
 use crate::request_table::RequestTable;
 use crate::sliding_window::SlidingWindow;
 use crate::state::{
-    Brownout, Capacity, Clock, Connections, DependencyCalls, Drain, Feedback, Memory, Pace, Quotas, Schedule,
+    Brownout, Capacity, Clock, Connections, DependencyCalls, Drain, Feedback, Memory, Pace, Quotas,
+    Schedule,
 };
 use caller_feedback::max_wasted_fraction;
 use tuning::{
@@ -61,11 +62,15 @@
     pub fn new(config: &Config, seed: u64) -> Result<Self, ConfigError> {
         config.validate()?;
         let (handlers, priority_levels) = handler_profiles(config, DEFAULT_WORK_SECONDS);
-        let objectives: f64 = handlers.iter().map(|h| h.latency_objective.as_secs_f64()).sum();
+        let objectives: f64 = handlers
+            .iter()
+            .map(|h| h.latency_objective.as_secs_f64())
+            .sum();
         let setpoint = SETPOINT_FRACTION * objectives / handlers.len() as f64;
         let tick_interval = (config.response_slack / 2).clamp(MIN_TICK_INTERVAL, MAX_TICK_INTERVAL);
         let calls = DependencyCalls::new(config, &handlers, SAFETY_FRACTION);
-        let window = SlidingWindow::new(BUCKET_WIDTH, calls.window.max(WORK_WINDOW), priority_levels);
+        let window =
+            SlidingWindow::new(BUCKET_WIDTH, calls.window.max(WORK_WINDOW), priority_levels);
         Ok(Controller {
             priority_levels,
             quotas: Quotas::new(config),
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -23,24 +23,45 @@
     pub(super) fn enqueue(&mut self, index: RequestIndex) {
         let request = &self.requests[index];
         let (order, is_long) = (queue_order(request), request.is_long);
-        let queue = if is_long { &self.requests.long_queue } else { &self.requests.short_queue };
-        let goes_before =
-            |&other: &RequestIndex| self.requests.get(other).is_none_or(|other| queue_order(other) <= order);
+        let queue = if is_long {
+            &self.requests.long_queue
+        } else {
+            &self.requests.short_queue
+        };
+        let goes_before = |&other: &RequestIndex| {
+            self.requests
+                .get(other)
+                .is_none_or(|other| queue_order(other) <= order)
+        };
         let position = queue.partition_point(goes_before);
-        let queue = if is_long { &mut self.requests.long_queue } else { &mut self.requests.short_queue };
+        let queue = if is_long {
+            &mut self.requests.long_queue
+        } else {
+            &mut self.requests.short_queue
+        };
         queue.insert(position, index);
     }
 
     /// The queued work that goes before a request.
     pub(super) fn work_ahead_of(&self, index: RequestIndex) -> f64 {
         let order = queue_order(&self.requests[index]);
-        self.requests.queued().filter(|other| queue_order(other) <= order).map(|other| other.work).sum()
+        self.requests
+            .queued()
+            .filter(|other| queue_order(other) <= order)
+            .map(|other| other.work)
+            .sum()
     }
 
     /// Whether a request behind that much work is likely to be answered within `fraction` of its objective.
-    pub(super) fn meets_objective(&self, index: RequestIndex, work_ahead: f64, fraction: f64) -> bool {
+    pub(super) fn meets_objective(
+        &self,
+        index: RequestIndex,
+        work_ahead: f64,
+        fraction: f64,
+    ) -> bool {
         let request = &self.requests[index];
-        let has_free_core = (self.requests.running as f64) < self.capacity.running_limit && work_ahead == 0.0;
+        let has_free_core =
+            (self.requests.running as f64) < self.capacity.running_limit && work_ahead == 0.0;
         let wait = if has_free_core {
             0.0
         } else {
@@ -50,15 +71,34 @@
         };
         // The dimmer skips only optional calls.
         let profile = &self.handlers[request.handler];
-        let calls = if profile.calls_are_optional { self.brownout.dimmer } else { profile.calls_per_run };
-        let calling = if profile.makes_calls { self.mean_call_time() * calls } else { 0.0 };
+        let calls = if profile.calls_are_optional {
+            self.brownout.dimmer
+        } else {
+            profile.calls_per_run
+        };
+        let calling = if profile.makes_calls {
+            self.mean_call_time() * calls
+        } else {
+            0.0
+        };
         let age = (self.clock.now - request.arrived_at).as_secs_f64();
         let response_time = age + wait + request.work * self.pace.measured + calling;
         // On a free core an attempt delays nobody, so an estimate that may be wrong gets some tolerance.
         let is_degraded = self.is_degraded();
-        let tolerance = if is_degraded { IDLE_CORE_TOLERANCE_DEGRADED } else { IDLE_CORE_TOLERANCE };
-        let fraction = if wait == 0.0 { fraction * tolerance } else { fraction };
-        let objective = request.objective_at.saturating_sub(request.arrived_at).as_secs_f64();
+        let tolerance = if is_degraded {
+            IDLE_CORE_TOLERANCE_DEGRADED
+        } else {
+            IDLE_CORE_TOLERANCE
+        };
+        let fraction = if wait == 0.0 {
+            fraction * tolerance
+        } else {
+            fraction
+        };
+        let objective = request
+            .objective_at
+            .saturating_sub(request.arrived_at)
+            .as_secs_f64();
         response_time <= objective * fraction
     }
 
@@ -66,7 +106,8 @@
     fn overtaking_fraction(&self, level: usize) -> f64 {
         let higher = self.arrivals_at(level + 1..self.priority_levels);
         let work = higher * self.mean_work() / MEASUREMENT_WINDOW.as_secs_f64();
-        let fraction = OVERTAKING_FRACTION * work * self.pace.measured / self.capacity.running_limit;
+        let fraction =
+            OVERTAKING_FRACTION * work * self.pace.measured / self.capacity.running_limit;
         fraction.min(MAX_OVERTAKING_FRACTION)
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -78,7 +78,8 @@
 
 pub use action::{Action, Reason};
 pub use config::{
-    CallerFeedback, Cancellation, Config, ConfigError, Dependency, HandlerConfig, Idempotency, TenantConfig,
+    CallerFeedback, Cancellation, Config, ConfigError, Dependency, HandlerConfig, Idempotency,
+    TenantConfig,
 };
 pub use controller::Controller;
 pub use event::{Arrival, Event, Gauges, HandlerIndex, Outcome, RequestIndex, TenantIndex};
--- a/src/request.rs
+++ b/src/request.rs
@@ -47,8 +47,17 @@
 /// The profiles of all handlers, and the number of priority levels. A level is the rank of a priority weight
 /// among all of them, within and beyond a tenant's quota.
 pub(crate) fn handler_profiles(config: &Config, default_work: f64) -> (Vec<HandlerProfile>, usize) {
-    let mut weights: Vec<f64> = config.handlers.iter().map(|handler| handler.priority_weight).collect();
-    weights.extend(config.handlers.iter().map(|handler| handler.priority_weight * config.over_quota_weight));
+    let mut weights: Vec<f64> = config
+        .handlers
+        .iter()
+        .map(|handler| handler.priority_weight)
+        .collect();
+    weights.extend(
+        config
+            .handlers
+            .iter()
+            .map(|handler| handler.priority_weight * config.over_quota_weight),
+    );
     weights.sort_by(f64::total_cmp);
     weights.dedup();
     let profile = |handler| HandlerProfile::new(handler, config, &weights, default_work);
--- a/src/request_table.rs
+++ b/src/request_table.rs
@@ -62,7 +62,8 @@
 
     /// Queued requests, short ones first.
     pub(crate) fn queued(&self) -> impl Iterator<Item = &Request> {
-        self.queued_indices().filter_map(|request| self.get(request))
+        self.queued_indices()
+            .filter_map(|request| self.get(request))
     }
 
     pub(crate) fn queue_is_empty(&self) -> bool {
@@ -99,12 +100,14 @@
     type Output = Request;
 
     fn index(&self, request: RequestIndex) -> &Request {
-        self.get(request).expect("the caller has looked the request up")
+        self.get(request)
+            .expect("the caller has looked the request up")
     }
 }
 
 impl IndexMut<RequestIndex> for RequestTable {
     fn index_mut(&mut self, request: RequestIndex) -> &mut Request {
-        self.get_mut(request).expect("the caller has looked the request up")
+        self.get_mut(request)
+            .expect("the caller has looked the request up")
     }
 }
--- a/src/sliding_window.rs
+++ b/src/sliding_window.rs
@@ -81,7 +81,11 @@
     pub(crate) fn new(bucket_width: Duration, span: Duration, priority_levels: usize) -> Self {
         let buckets = span.as_millis().div_ceil(bucket_width.as_millis()) as usize + 1;
         let columns = Metric::FIXED + priority_levels;
-        SlidingWindow { bucket_width, current: 0, buckets: vec![vec![0.0; columns]; buckets] }
+        SlidingWindow {
+            bucket_width,
+            current: 0,
+            buckets: vec![vec![0.0; columns]; buckets],
+        }
     }
 
     /// Moves to the bucket of `now` and clears the buckets that are reused.
--- a/src/state.rs
+++ b/src/state.rs
@@ -25,7 +25,10 @@
 
     /// Seconds since `arrived_at` in which the process stood still in its last stall.
     pub(crate) fn stalled_since(&self, arrived_at: Duration) -> f64 {
-        self.stall_end.saturating_sub(arrived_at).as_secs_f64().min(self.stall_length)
+        self.stall_end
+            .saturating_sub(arrived_at)
+            .as_secs_f64()
+            .min(self.stall_length)
     }
 }
 
@@ -38,7 +41,11 @@
 
 impl Schedule {
     pub(crate) fn new(tick_interval: Duration, control_interval: Duration) -> Self {
-        Schedule { tick_interval, next_tick: tick_interval, next_control_step: control_interval }
+        Schedule {
+            tick_interval,
+            next_tick: tick_interval,
+            next_control_step: control_interval,
+        }
     }
 }
 
@@ -61,12 +68,17 @@
 impl Capacity {
     pub(crate) fn new(config: &Config) -> Self {
         let cores = f64::from(config.cores);
-        let concurrency = |speed: f64| cores * (1.0 + (config.max_concurrency_per_core - 1.0) * speed);
+        let concurrency =
+            |speed: f64| cores * (1.0 + (config.max_concurrency_per_core - 1.0) * speed);
         Capacity {
             cores,
             warm_concurrency: concurrency(1.0),
             cold_concurrency: concurrency(config.cold_speed),
-            warm_at: if config.starts_cold { config.warm_up.as_secs_f64() } else { 0.0 },
+            warm_at: if config.starts_cold {
+                config.warm_up.as_secs_f64()
+            } else {
+                0.0
+            },
             running_limit: cores,
             busy: 0.0,
             reading: 0.0,
@@ -137,7 +149,11 @@
     }
 
     pub(crate) fn forget_key(&mut self, expires_at: Duration) {
-        if let Some(at) = self.key_expiries.iter().position(|&other| other == expires_at) {
+        if let Some(at) = self
+            .key_expiries
+            .iter()
+            .position(|&other| other == expires_at)
+        {
             self.key_expiries.swap_remove(at);
             self.used_kb -= self.key_kb;
         }
@@ -159,11 +175,23 @@
 
 impl Quotas {
     pub(crate) fn new(config: &Config) -> Self {
-        let rates: f64 = config.tenants.iter().map(|tenant| tenant.rate_quota_per_s).sum();
-        let bucket = |rate: f64| TokenBucket { fraction: rate / rates.max(f64::MIN_POSITIVE), tokens: 1.0 };
+        let rates: f64 = config
+            .tenants
+            .iter()
+            .map(|tenant| tenant.rate_quota_per_s)
+            .sum();
+        let bucket = |rate: f64| TokenBucket {
+            fraction: rate / rates.max(f64::MIN_POSITIVE),
+            tokens: 1.0,
+        };
         Quotas {
-            buckets: config.tenants.iter().map(|tenant| bucket(tenant.rate_quota_per_s)).collect(),
-            rate_per_s: (config.servers > 0 && rates > 0.0).then(|| rates / f64::from(config.servers)),
+            buckets: config
+                .tenants
+                .iter()
+                .map(|tenant| bucket(tenant.rate_quota_per_s))
+                .collect(),
+            rate_per_s: (config.servers > 0 && rates > 0.0)
+                .then(|| rates / f64::from(config.servers)),
         }
     }
 }
@@ -207,8 +235,15 @@
 impl Pace {
     /// The pace of a server that starts now, warm or cold.
     pub(crate) fn new(config: &Config) -> Self {
-        let measured = if config.starts_cold { 1.0 / config.cold_speed.max(MIN_COLD_SPEED) } else { 1.0 };
-        Pace { measured, usual: 1.0 }
+        let measured = if config.starts_cold {
+            1.0 / config.cold_speed.max(MIN_COLD_SPEED)
+        } else {
+            1.0
+        };
+        Pace {
+            measured,
+            usual: 1.0,
+        }
     }
 }
 
@@ -231,9 +266,15 @@
     /// No calls yet; `usable_fraction` of what the dependency grants is used.
     pub(crate) fn new(config: &Config, handlers: &[HandlerProfile], usable_fraction: f64) -> Self {
         let (budget, window, linger) = match config.dependency {
-            Dependency::Shared { share, window, linger } => {
-                (Some(share * window.as_secs_f64() * usable_fraction), window, linger)
-            }
+            Dependency::Shared {
+                share,
+                window,
+                linger,
+            } => (
+                Some(share * window.as_secs_f64() * usable_fraction),
+                window,
+                linger,
+            ),
             Dependency::None | Dependency::Tier => (None, Duration::ZERO, Duration::ZERO),
         };
         DependencyCalls {
@@ -241,7 +282,9 @@
             window,
             linger,
             lingering: Vec::new(),
-            has_mandatory: handlers.iter().any(|handler| handler.makes_calls && !handler.calls_are_optional),
+            has_mandatory: handlers
+                .iter()
+                .any(|handler| handler.makes_calls && !handler.calls_are_optional),
             usual_time: 0.0,
             observed: 0.0,
         }
@@ -291,7 +334,11 @@
 
 impl Connections {
     pub(crate) fn new(idle_timeout: Duration) -> Self {
-        Connections { idle_timeout, max_idle_timeout: idle_timeout, is_left_to_fill: false }
+        Connections {
+            idle_timeout,
+            max_idle_timeout: idle_timeout,
+            is_left_to_fill: false,
+        }
     }
 }
 
--- a/tests/decisions/common.rs
+++ b/tests/decisions/common.rs
@@ -34,7 +34,14 @@
             handler(Idempotency::Keyed, 0.0),
             handler(Idempotency::NonIdempotent, 0.0),
         ],
-        tenants: vec![TenantConfig { rate_quota_per_s: 5.0 }, TenantConfig { rate_quota_per_s: 5.0 }],
+        tenants: vec![
+            TenantConfig {
+                rate_quota_per_s: 5.0,
+            },
+            TenantConfig {
+                rate_quota_per_s: 5.0,
+            },
+        ],
         over_quota_weight: 0.1,
         cores: 2,
         memory_kb: 2000.0,
@@ -47,7 +54,11 @@
         concurrency_window: ms(2000),
         response_slack: ms(60),
         drain_grace: ms(1000),
-        dependency: Dependency::Shared { share: 2.0, window: ms(5000), linger: ms(200) },
+        dependency: Dependency::Shared {
+            share: 2.0,
+            window: ms(5000),
+            linger: ms(200),
+        },
         cancellation: Cancellation::DiscardsProgress,
         feedback: CallerFeedback::TrafficWeight,
         max_retry_after: Some(ms(1000)),
@@ -145,13 +156,17 @@
         work: u64,
         key: u64,
     ) -> RequestIndex {
-        let request = (0..).find(|request| !self.requests.contains_key(request)).unwrap();
+        let request = (0..)
+            .find(|request| !self.requests.contains_key(request))
+            .unwrap();
         let arrived_at = self.now.saturating_sub(ms(age));
         let is_keyed = self.config.handlers[handler].idempotency == Idempotency::Keyed;
         let live = |&(m, _, until): &(u64, RequestIndex, Duration)| m == key && until >= arrived_at;
         let is_duplicate = is_keyed && self.keys.iter().any(live);
-        let deadline =
-            patience.map_or(arrived_at + self.config.handlers[handler].client_timeout, |p| self.now + ms(p));
+        let deadline = patience.map_or(
+            arrived_at + self.config.handlers[handler].client_timeout,
+            |p| self.now + ms(p),
+        );
         let tracked = TrackedRequest {
             handler,
             key,
@@ -215,8 +230,12 @@
             }
             Action::ForgetKey { request } => {
                 let tracked = self.tracked(request, action).clone();
-                assert!(!tracked.has_run, "duplicate: a key is forgotten after a run");
-                self.keys.retain(|key| (key.0, key.1) != (tracked.key, request));
+                assert!(
+                    !tracked.has_run,
+                    "duplicate: a key is forgotten after a run"
+                );
+                self.keys
+                    .retain(|key| (key.0, key.1) != (tracked.key, request));
             }
             Action::StartCall { request, timeout } => self.start_call(request, timeout, action),
             Action::SkipCall { request } => self.skip_call(request, action),
@@ -234,7 +253,10 @@
             Action::SetTimer { at } => self.timer = Some(at.max(now + ms(1))),
             Action::Release { request } => {
                 let tracked = self.tracked(request, action);
-                assert!(tracked.answered || tracked.gone, "lost: released without an answer: {tracked:?}");
+                assert!(
+                    tracked.answered || tracked.gone,
+                    "lost: released without an answer: {tracked:?}"
+                );
                 self.requests.remove(&request);
             }
         }
@@ -248,20 +270,34 @@
     fn start(&mut self, request: RequestIndex, action: &Action) {
         let idempotency = self.idempotency(request, action);
         let may_run_again = idempotency == Idempotency::Idempotent;
-        let run_until = self.shutdown.map(|(notice, _)| notice + self.config.drain_grace);
+        let run_until = self
+            .shutdown
+            .map(|(notice, _)| notice + self.config.drain_grace);
         let tracked = self.tracked(request, action);
         let is_waiting = tracked.stage == Stage::Queued && !tracked.answered;
         assert!(is_waiting, "{action:?} of what is not queued: {tracked:?}");
-        assert!(!tracked.has_run || may_run_again, "duplicate: run again: {tracked:?}");
-        assert!(!tracked.is_duplicate || may_run_again, "duplicate: a duplicate is run: {tracked:?}");
+        assert!(
+            !tracked.has_run || may_run_again,
+            "duplicate: run again: {tracked:?}"
+        );
+        assert!(
+            !tracked.is_duplicate || may_run_again,
+            "duplicate: a duplicate is run: {tracked:?}"
+        );
         let late = run_until.is_some_and(|until| tracked.arrived_at > until);
         assert!(!late, "drain: run after the grace: {tracked:?}");
         (tracked.stage, tracked.has_run) = (Stage::Running, true);
         let (key, arrived_at, handler) = (tracked.key, tracked.arrived_at, tracked.handler);
         let window = self.config.handlers[handler].key_retention;
         if idempotency == Idempotency::Keyed {
-            let twin = self.runs.iter().find(|run| run.0 == key && run.1.abs_diff(arrived_at) <= window);
-            assert!(twin.is_none(), "duplicate: {key} ran in its window before: {twin:?}");
+            let twin = self
+                .runs
+                .iter()
+                .find(|run| run.0 == key && run.1.abs_diff(arrived_at) <= window);
+            assert!(
+                twin.is_none(),
+                "duplicate: {key} ran in its window before: {twin:?}"
+            );
             self.runs.push((key, arrived_at));
         }
     }
@@ -269,8 +305,14 @@
     fn reject(&mut self, request: RequestIndex, action: &Action) {
         let may_run_again = self.idempotency(request, action) == Idempotency::Idempotent;
         let tracked = self.tracked(request, action);
-        assert!(!tracked.has_run || may_run_again, "duplicate: rejected after a run: {tracked:?}");
-        assert!(!tracked.is_duplicate || may_run_again, "duplicate: a duplicate is rejected: {tracked:?}");
+        assert!(
+            !tracked.has_run || may_run_again,
+            "duplicate: rejected after a run: {tracked:?}"
+        );
+        assert!(
+            !tracked.is_duplicate || may_run_again,
+            "duplicate: a duplicate is rejected: {tracked:?}"
+        );
         self.answer(request, action);
     }
 
@@ -279,8 +321,14 @@
         assert!(can_cancel, "a cancellation where nothing can be cancelled");
         let tracked = self.tracked(request, action);
         if tracked.stage == Stage::Running {
-            assert!(tracked.answered || tracked.gone, "cancelled without an answer: {tracked:?}");
-            self.pending.push(Event::Finished { request, outcome: Outcome::Cancelled });
+            assert!(
+                tracked.answered || tracked.gone,
+                "cancelled without an answer: {tracked:?}"
+            );
+            self.pending.push(Event::Finished {
+                request,
+                outcome: Outcome::Cancelled,
+            });
         }
     }
 
@@ -288,42 +336,76 @@
         let ends_at = self.now + timeout + self.linger();
         let may_repeat = self.idempotency(request, action) == Idempotency::Idempotent;
         let tracked = self.tracked(request, action);
-        assert_eq!(tracked.stage, Stage::AwaitingCall, "a call from elsewhere: {tracked:?}");
+        assert_eq!(
+            tracked.stage,
+            Stage::AwaitingCall,
+            "a call from elsewhere: {tracked:?}"
+        );
         let is_safe = !tracked.call_may_have_run || may_repeat;
-        assert!(is_safe, "duplicate: a call that may have run is repeated: {tracked:?}");
+        assert!(
+            is_safe,
+            "duplicate: a call that may have run is repeated: {tracked:?}"
+        );
         tracked.stage = Stage::Calling;
         tracked.call_ends_at = Some(ends_at);
     }
 
     fn skip_call(&mut self, request: RequestIndex, action: &Action) {
         let tracked = self.tracked(request, action);
-        assert_eq!(tracked.stage, Stage::AwaitingCall, "a skip from elsewhere: {tracked:?}");
+        assert_eq!(
+            tracked.stage,
+            Stage::AwaitingCall,
+            "a skip from elsewhere: {tracked:?}"
+        );
         (tracked.stage, tracked.call_may_have_run) = (Stage::Running, false);
         let handler = tracked.handler;
-        assert!(self.config.handlers[handler].degraded_weight > 0.0, "a mandatory call is skipped");
+        assert!(
+            self.config.handlers[handler].degraded_weight > 0.0,
+            "a mandatory call is skipped"
+        );
     }
 
     fn answer(&mut self, request: RequestIndex, action: &Action) {
         let (now, slack) = (self.now, self.config.response_slack);
         let tracked = self.tracked(request, action);
         assert!(!tracked.answered, "lost: a second answer: {tracked:?}");
-        assert!(tracked.gone || now <= tracked.deadline + slack, "lost: answered at {now:?}: {tracked:?}");
+        assert!(
+            tracked.gone || now <= tracked.deadline + slack,
+            "lost: answered at {now:?}: {tracked:?}"
+        );
         tracked.answered = true;
         if matches!(tracked.stage, Stage::AwaitingCall | Stage::Calling) {
-            self.pending.push(Event::Finished { request, outcome: Outcome::Cancelled });
+            self.pending.push(Event::Finished {
+                request,
+                outcome: Outcome::Cancelled,
+            });
         }
     }
 
     fn check_limits(&mut self) {
         let now = self.now;
         let keys = self.keys.iter().filter(|key| key.2 > now).count() as f64;
-        let running = |tracked: &&TrackedRequest| !matches!(tracked.stage, Stage::Queued | Stage::Coalesced);
-        let held: f64 = self.requests.values().map(|tracked| tracked.queued_kb).sum();
-        let runs: f64 = self.requests.values().filter(running).map(|tracked| tracked.queued_kb).sum();
-        let need = held + runs * (self.config.running_memory_factor - 1.0) + keys * self.config.key_kb;
+        let running =
+            |tracked: &&TrackedRequest| !matches!(tracked.stage, Stage::Queued | Stage::Coalesced);
+        let held: f64 = self
+            .requests
+            .values()
+            .map(|tracked| tracked.queued_kb)
+            .sum();
+        let runs: f64 = self
+            .requests
+            .values()
+            .filter(running)
+            .map(|tracked| tracked.queued_kb)
+            .sum();
+        let need =
+            held + runs * (self.config.running_memory_factor - 1.0) + keys * self.config.key_kb;
         assert!(need <= self.config.memory_kb, "fall-over: {need} kB needed");
-        let runnable =
-            self.requests.values().filter(|tracked| tracked.stage == Stage::Running).count() as f64;
+        let runnable = self
+            .requests
+            .values()
+            .filter(|tracked| tracked.stage == Stage::Running)
+            .count() as f64;
         let warmth = match self.config.starts_cold {
             false => 1.0,
             true => {
@@ -331,15 +413,23 @@
                 (self.config.cold_speed + (1.0 - self.config.cold_speed) * part).min(1.0)
             }
         };
-        let limit =
-            f64::from(self.config.cores) * (1.0 + (self.config.max_concurrency_per_core - 1.0) * warmth);
-        assert!(runnable <= limit, "fall-over: {runnable} on the cores, {limit} survivable");
+        let limit = f64::from(self.config.cores)
+            * (1.0 + (self.config.max_concurrency_per_core - 1.0) * warmth);
+        assert!(
+            runnable <= limit,
+            "fall-over: {runnable} on the cores, {limit} survivable"
+        );
         if let Dependency::Shared { share, window, .. } = self.config.dependency {
             let overlap = |&(from, to, count): &(Duration, Duration, f64)| {
-                count * to.saturating_sub(from.max(now.saturating_sub(window))).as_secs_f64()
+                count
+                    * to.saturating_sub(from.max(now.saturating_sub(window)))
+                        .as_secs_f64()
             };
             let mean = self.calls.iter().map(overlap).sum::<f64>() / window.as_secs_f64();
-            assert!(mean <= share, "fall-over: {mean} calls in hand over the span");
+            assert!(
+                mean <= share,
+                "fall-over: {mean} calls in hand over the span"
+            );
         }
     }
 
@@ -352,7 +442,11 @@
     }
 
     fn calls_in_flight(&self) -> f64 {
-        let calling = self.requests.values().filter(|tracked| tracked.stage == Stage::Calling).count();
+        let calling = self
+            .requests
+            .values()
+            .filter(|tracked| tracked.stage == Stage::Calling)
+            .count();
         (calling + self.lingering.iter().filter(|&&end| end > self.now).count()) as f64
     }
 
@@ -366,33 +460,57 @@
             if let Some((_, stop)) = self.shutdown
                 && self.now >= stop
             {
-                let unanswered = self.requests.values().find(|tracked| !tracked.answered && !tracked.gone);
-                assert!(unanswered.is_none(), "drain: not answered at the stop: {unanswered:?}");
+                let unanswered = self
+                    .requests
+                    .values()
+                    .find(|tracked| !tracked.answered && !tracked.gone);
+                assert!(
+                    unanswered.is_none(),
+                    "drain: not answered at the stop: {unanswered:?}"
+                );
                 return;
             }
             let mut events = std::mem::take(&mut self.pending);
             self.settle(&events);
             for (&request, tracked) in &mut self.requests {
-                if tracked.stage == Stage::Calling && tracked.call_ends_at.is_some_and(|end| end <= next) {
+                if tracked.stage == Stage::Calling
+                    && tracked.call_ends_at.is_some_and(|end| end <= next)
+                {
                     (tracked.stage, tracked.call_may_have_run) = (Stage::AwaitingCall, true);
-                    events.push(Event::CallFinished { request, outcome: Outcome::TimedOut });
+                    events.push(Event::CallFinished {
+                        request,
+                        outcome: Outcome::TimedOut,
+                    });
                 }
             }
             if self.timer.is_some_and(|at| at <= self.now) {
                 self.timer = None;
-                let runs =
-                    self.requests.values().filter(|tracked| tracked.stage == Stage::Running).count() as f64;
+                let runs = self
+                    .requests
+                    .values()
+                    .filter(|tracked| tracked.stage == Stage::Running)
+                    .count() as f64;
                 let runnable = runs + self.reading;
                 let busy = (runnable / f64::from(self.config.cores)).min(1.0);
                 let open_connections = Some(self.open_connections);
-                let gauges = Gauges { cores_busy: Some(busy), runnable: Some(runnable), open_connections };
+                let gauges = Gauges {
+                    cores_busy: Some(busy),
+                    runnable: Some(runnable),
+                    open_connections,
+                };
                 events.push(Event::TimerFired { gauges });
             }
             self.send(events);
             let slack = self.config.response_slack;
-            let late =
-                self.requests.values().find(|s| !s.answered && !s.gone && self.now > s.deadline + slack);
-            assert!(late.is_none(), "lost: no answer at {:?}: {late:?}", self.now);
+            let late = self
+                .requests
+                .values()
+                .find(|s| !s.answered && !s.gone && self.now > s.deadline + slack);
+            assert!(
+                late.is_none(),
+                "lost: no answer at {:?}: {late:?}",
+                self.now
+            );
         }
     }
 
@@ -411,8 +529,12 @@
 
     /// The `nth` request in `stage`, if there is one.
     pub(crate) fn nth(&self, stage: Stage, nth: usize) -> Option<RequestIndex> {
-        let there: Vec<RequestIndex> =
-            self.requests.iter().filter(|(_, s)| s.stage == stage).map(|(&r, _)| r).collect();
+        let there: Vec<RequestIndex> = self
+            .requests
+            .iter()
+            .filter(|(_, s)| s.stage == stage)
+            .map(|(&r, _)| r)
+            .collect();
         (!there.is_empty()).then(|| there[nth % there.len()])
     }
 
@@ -420,8 +542,9 @@
         let tracked = self.requests.get_mut(&request).unwrap();
         self.completed += u32::from(!tracked.answered && outcome == Outcome::Succeeded);
         tracked.answered = true;
-        self.pending
-            .retain(|event| !matches!(event, Event::Finished { request: other, .. } if *other == request));
+        self.pending.retain(
+            |event| !matches!(event, Event::Finished { request: other, .. } if *other == request),
+        );
         self.send(vec![Event::Finished { request, outcome }]);
     }
 
@@ -430,19 +553,29 @@
         tracked.stage = Stage::AwaitingCall;
         (tracked.call_may_have_run, tracked.call_ends_at) = (false, None);
         let over = tracked.answered || tracked.gone;
-        self.pending
-            .retain(|event| !matches!(event, Event::Finished { request: other, .. } if *other == request));
+        self.pending.retain(
+            |event| !matches!(event, Event::Finished { request: other, .. } if *other == request),
+        );
         match over {
-            true => self.send(vec![Event::Finished { request, outcome: Outcome::Cancelled }]),
+            true => self.send(vec![Event::Finished {
+                request,
+                outcome: Outcome::Cancelled,
+            }]),
             false => self.send(vec![Event::ReachedCall { request }]),
         }
     }
 
     pub(crate) fn finish_call(&mut self, request: RequestIndex, outcome: Outcome) {
         let tracked = self.requests.get_mut(&request).unwrap();
-        tracked.stage = if outcome == Outcome::Succeeded { Stage::Running } else { Stage::AwaitingCall };
-        tracked.call_may_have_run =
-            !matches!(outcome, Outcome::Succeeded | Outcome::Rejected | Outcome::Unreachable);
+        tracked.stage = if outcome == Outcome::Succeeded {
+            Stage::Running
+        } else {
+            Stage::AwaitingCall
+        };
+        tracked.call_may_have_run = !matches!(
+            outcome,
+            Outcome::Succeeded | Outcome::Rejected | Outcome::Unreachable
+        );
         self.send(vec![Event::CallFinished { request, outcome }]);
     }
 
@@ -450,7 +583,10 @@
         let tracked = self.requests.get_mut(&request).unwrap();
         tracked.gone = true;
         if matches!(tracked.stage, Stage::AwaitingCall | Stage::Calling) && !tracked.answered {
-            self.pending.push(Event::Finished { request, outcome: Outcome::Cancelled });
+            self.pending.push(Event::Finished {
+                request,
+                outcome: Outcome::Cancelled,
+            });
         }
         self.send(vec![Event::CallerGone { request }]);
     }
--- a/tests/decisions/failures.rs
+++ b/tests/decisions/failures.rs
@@ -4,8 +4,8 @@
 
 use crate::common::{SimulatedHost, Stage, config, ms};
 use tulipgap::{
-    Action, Config, ConfigError, Controller, Dependency, Event, Gauges, HandlerConfig, Idempotency, Outcome,
-    Reason, RequestIndex, TenantConfig,
+    Action, Config, ConfigError, Controller, Dependency, Event, Gauges, HandlerConfig, Idempotency,
+    Outcome, Reason, RequestIndex, TenantConfig,
 };
 
 /// A day whose calls below are free, so that only the cores bind.
@@ -18,7 +18,9 @@
 
 fn rejections(host: &SimulatedHost) -> Vec<bool> {
     let elsewhere = |action: &Action| match action {
-        Action::Reject { retry_other_server, .. } => Some(*retry_other_server),
+        Action::Reject {
+            retry_other_server, ..
+        } => Some(*retry_other_server),
         _ => None,
     };
     host.last.iter().filter_map(elsewhere).collect()
@@ -30,7 +32,11 @@
     let request = host.arrive(0, 0, None, 100, 1);
     for _ in 0..2 {
         host.reach_call(request);
-        assert!(matches!(host.last[..], [Action::StartCall { .. }]), "{:?}", host.last);
+        assert!(
+            matches!(host.last[..], [Action::StartCall { .. }]),
+            "{:?}",
+            host.last
+        );
         host.finish_call(request, Outcome::Succeeded);
     }
     host.finish(request, Outcome::Succeeded);
@@ -47,11 +53,21 @@
 #[test]
 fn runs_leave_cores_to_reading() {
     let mut host = host_without_dependency();
-    let flood = Gauges { cores_busy: Some(1.0), runnable: Some(6.0), open_connections: None };
+    let flood = Gauges {
+        cores_busy: Some(1.0),
+        runnable: Some(6.0),
+        open_connections: None,
+    };
     host.send(vec![Event::TimerFired { gauges: flood }]);
     host.arrive(0, 0, None, 100, 1);
     host.arrive(0, 0, None, 100, 2);
-    assert_eq!(host.requests.values().filter(|tracked| tracked.stage == Stage::Running).count(), 1);
+    assert_eq!(
+        host.requests
+            .values()
+            .filter(|tracked| tracked.stage == Stage::Running)
+            .count(),
+        1
+    );
 }
 
 /// A flood that reading cannot catch up with took every core for reading: for ten seconds nothing has_run at all.
@@ -73,7 +89,11 @@
         host.arrive(0, 900, None, 50, turn);
         host.pass(ms(100));
     }
-    assert!(host.feedback.is_some_and(|weight| weight < 0.5), "{:?}", host.feedback);
+    assert!(
+        host.feedback.is_some_and(|weight| weight < 0.5),
+        "{:?}",
+        host.feedback
+    );
 }
 
 #[test]
@@ -88,7 +108,10 @@
     }
     host.pass(ms(3000));
     let request = host.arrive(0, 0, None, 300, 9);
-    assert_eq!(host.requests.get(&request).map(|tracked| tracked.stage), Some(Stage::Running));
+    assert_eq!(
+        host.requests.get(&request).map(|tracked| tracked.stage),
+        Some(Stage::Running)
+    );
 }
 
 #[test]
@@ -116,8 +139,17 @@
 #[test]
 fn no_tenant_is_over_quota_while_all_send_less_than_their_quotas() {
     let third_sent_on = |servers: u32, flood: u64| {
-        let tenants = [0.1, 9.9].map(|rate_quota_per_s| TenantConfig { rate_quota_per_s }).to_vec();
-        let mut host = SimulatedHost::new(Config { servers, tenants, ..config() }, 1);
+        let tenants = [0.1, 9.9]
+            .map(|rate_quota_per_s| TenantConfig { rate_quota_per_s })
+            .to_vec();
+        let mut host = SimulatedHost::new(
+            Config {
+                servers,
+                tenants,
+                ..config()
+            },
+            1,
+        );
         host.pass(ms(5000));
         for turn in 0..flood {
             let request = host.arrive(0, 2900, Some(2000), 900, turn * 5 + 1);
@@ -128,9 +160,21 @@
         host.arrive(0, 0, None, 900, 3);
         rejections(&host)
     };
-    assert_eq!(third_sent_on(1, 0), [true], "three requests where ten a second are within");
-    assert_eq!(third_sent_on(0, 0), [false], "what all may send is not told");
-    assert_eq!(third_sent_on(1, 197), [false], "forty a second where ten are within");
+    assert_eq!(
+        third_sent_on(1, 0),
+        [true],
+        "three requests where ten a second are within"
+    );
+    assert_eq!(
+        third_sent_on(0, 0),
+        [false],
+        "what all may send is not told"
+    );
+    assert_eq!(
+        third_sent_on(1, 197),
+        [false],
+        "forty a second where ten are within"
+    );
 }
 
 #[test]
@@ -143,7 +187,10 @@
         host.arrive(0, 0, None, 400, turn);
         sent_on.extend(rejections(&host));
     }
-    assert!(sent_on.contains(&true), "fresh ones may try elsewhere: {sent_on:?}");
+    assert!(
+        sent_on.contains(&true),
+        "fresh ones may try elsewhere: {sent_on:?}"
+    );
     host.arrive(0, 700, None, 400, 99);
     assert_eq!(rejections(&host), [false]);
 }
@@ -156,29 +203,64 @@
         Controller::new(&config, 1).err()
     };
     assert_eq!(validation_error(|_| ()), None);
-    assert_eq!(validation_error(|g| g.cores = 0), Some(ConfigError::NoCores));
-    assert_eq!(validation_error(|g| g.handlers.clear()), Some(ConfigError::NoHandlers));
-    assert_eq!(validation_error(|g| g.memory_kb = f64::NAN), Some(ConfigError::OutOfRange("memory_kb")));
+    assert_eq!(
+        validation_error(|g| g.cores = 0),
+        Some(ConfigError::NoCores)
+    );
+    assert_eq!(
+        validation_error(|g| g.handlers.clear()),
+        Some(ConfigError::NoHandlers)
+    );
+    assert_eq!(
+        validation_error(|g| g.memory_kb = f64::NAN),
+        Some(ConfigError::OutOfRange("memory_kb"))
+    );
     assert_eq!(
         validation_error(|g| g.idle_timeout = Duration::ZERO),
         Some(ConfigError::OutOfRange("idle_timeout"))
     );
-    assert_eq!(validation_error(|g| g.cold_speed = 0.0), Some(ConfigError::OutOfRange("cold_speed")));
+    assert_eq!(
+        validation_error(|g| g.cold_speed = 0.0),
+        Some(ConfigError::OutOfRange("cold_speed"))
+    );
     assert_eq!(
         validation_error(|g| g.handlers[1].degraded_weight = 2.0),
-        Some(ConfigError::Handler { handler: 1, field: "degraded_weight" })
+        Some(ConfigError::Handler {
+            handler: 1,
+            field: "degraded_weight"
+        })
     );
-    assert_eq!(validation_error(|g| g.tenants[0].rate_quota_per_s = -1.0), Some(ConfigError::Tenant(0)));
-    let shared = Dependency::Shared { share: 0.0, window: ms(5000), linger: ms(200) };
     assert_eq!(
-        Controller::new(&Config { dependency: shared, ..config() }, 1).err(),
+        validation_error(|g| g.tenants[0].rate_quota_per_s = -1.0),
+        Some(ConfigError::Tenant(0))
+    );
+    let shared = Dependency::Shared {
+        share: 0.0,
+        window: ms(5000),
+        linger: ms(200),
+    };
+    assert_eq!(
+        Controller::new(
+            &Config {
+                dependency: shared,
+                ..config()
+            },
+            1
+        )
+        .err(),
         Some(ConfigError::OutOfRange("dependency"))
     );
 }
 
 #[test]
 fn a_server_whose_runs_fail_rejects_most_and_asks_for_no_traffic() {
-    let mut host = SimulatedHost::new(Config { tenants: Vec::new(), ..config() }, 1);
+    let mut host = SimulatedHost::new(
+        Config {
+            tenants: Vec::new(),
+            ..config()
+        },
+        1,
+    );
     for turn in 0..3 {
         let request = host.arrive(0, 0, None, 50, turn * 5 + 1);
         host.finish(request, Outcome::Failed);
@@ -214,7 +296,10 @@
 fn a_request_overtaken_by_higher_priorities_is_rejected_before_it_is_late() {
     let mut config = config();
     config.tenants.clear();
-    config.handlers.push(HandlerConfig { priority_weight: 5.0, ..config.handlers[0].clone() });
+    config.handlers.push(HandlerConfig {
+        priority_weight: 5.0,
+        ..config.handlers[0].clone()
+    });
     let mut host = SimulatedHost::new(config, 1);
     for turn in 1..3 {
         host.arrive(0, 0, None, 300, turn);
@@ -229,13 +314,25 @@
         host.pass(ms(25));
         sent_on.extend(rejections(&host));
     }
-    assert!(!host.requests.contains_key(&low), "overtaken, it cannot be in time");
-    assert!(sent_on[0], "with half its time left another server may take it");
+    assert!(
+        !host.requests.contains_key(&low),
+        "overtaken, it cannot be in time"
+    );
+    assert!(
+        sent_on[0],
+        "with half its time left another server may take it"
+    );
 }
 
 #[test]
 fn a_saturated_connection_table_is_emptied_and_left_full_in_a_retry_storm() {
-    let mut host = SimulatedHost::new(Config { callers: 400, ..config() }, 1);
+    let mut host = SimulatedHost::new(
+        Config {
+            callers: 400,
+            ..config()
+        },
+        1,
+    );
     host.open_connections = 60.0;
     host.pass(ms(6000));
     assert!(host.idle <= ms(300), "{:?}", host.idle);
@@ -283,7 +380,11 @@
     host.pass(ms(50));
     for turn in 2..5 {
         let request = host.arrive(0, 0, None, 100, turn);
-        assert!(host.requests.contains_key(&request), "shed: {:?}", host.last);
+        assert!(
+            host.requests.contains_key(&request),
+            "shed: {:?}",
+            host.last
+        );
     }
 }
 
@@ -319,7 +420,13 @@
 
 #[test]
 fn an_unbounded_idle_timeout_does_not_overflow() {
-    let mut host = SimulatedHost::new(Config { idle_timeout: Duration::MAX, ..config() }, 1);
+    let mut host = SimulatedHost::new(
+        Config {
+            idle_timeout: Duration::MAX,
+            ..config()
+        },
+        1,
+    );
     host.pass(ms(1000));
     assert_eq!(host.idle, Duration::MAX);
 }
@@ -369,7 +476,11 @@
     }
     let request = host.arrive(0, 0, None, 10, 9);
     host.reach_call(request);
-    assert!(call_timeout(&host) * 2 < first, "{:?} after {first:?}", call_timeout(&host));
+    assert!(
+        call_timeout(&host) * 2 < first,
+        "{:?} after {first:?}",
+        call_timeout(&host)
+    );
     host.finish_call(request, Outcome::TimedOut);
     assert!(starts_call(&host));
     // Where that is no exception, what lies below is slow: it is left alone.
@@ -388,7 +499,11 @@
 fn a_busy_server_keeps_its_traffic_early_in_the_drain() {
     let feedback = |busy: f64| {
         let mut host = host_without_dependency();
-        let gauges = Gauges { cores_busy: Some(busy), runnable: None, open_connections: None };
+        let gauges = Gauges {
+            cores_busy: Some(busy),
+            runnable: None,
+            open_connections: None,
+        };
         host.send(vec![Event::TimerFired { gauges }]);
         host.shutdown_notice(ms(4000));
         host.pass(ms(100));
@@ -397,7 +512,11 @@
         (early, host.feedback)
     };
     assert_eq!(feedback(0.5), (Some(0.0), Some(0.0)));
-    assert_eq!(feedback(0.8), (Some(1.0), Some(0.0)), "the grace is nearly over");
+    assert_eq!(
+        feedback(0.8),
+        (Some(1.0), Some(0.0)),
+        "the grace is nearly over"
+    );
 }
 
 fn reasons(host: &SimulatedHost) -> Vec<Reason> {
@@ -423,7 +542,10 @@
     small.arrive(0, 0, None, 10, 1);
     assert_eq!(reasons(&small), [Reason::MemoryLimit]);
     let mut host = host_without_dependency();
-    host.send(vec![Event::ShutdownNotice { since: ms(0), left: ms(3000) }]);
+    host.send(vec![Event::ShutdownNotice {
+        since: ms(0),
+        left: ms(3000),
+    }]);
     host.pass(ms(1500));
     host.arrive(0, 0, None, 10, 2);
     assert_eq!(reasons(&host), [Reason::Draining]);
@@ -447,7 +569,9 @@
         })
         .collect();
     assert!(!waits.is_empty(), "nothing was shed");
-    let heeded = |wait: &Option<Duration>| wait.is_some_and(|wait| wait > Duration::ZERO && wait <= ms(1000));
+    let heeded = |wait: &Option<Duration>| {
+        wait.is_some_and(|wait| wait > Duration::ZERO && wait <= ms(1000))
+    };
     assert!(waits.iter().all(heeded), "{waits:?}");
 }
 
@@ -458,8 +582,10 @@
     let trained = || {
         let mut config = config();
         config.dependency = Dependency::None;
-        let plain =
-            HandlerConfig { calls_dependency: false, ..crate::common::handler(Idempotency::Idempotent, 0.0) };
+        let plain = HandlerConfig {
+            calls_dependency: false,
+            ..crate::common::handler(Idempotency::Idempotent, 0.0)
+        };
         config.handlers = vec![plain.clone(), plain];
         let mut host = SimulatedHost::new(config, 1);
         for turn in 0..30 {
@@ -475,22 +601,36 @@
     };
     let kept = |handler: usize| {
         let mut host = trained();
-        let burst: Vec<RequestIndex> =
-            (0..12).map(|turn| host.arrive(handler, 0, None, 0, 1000 + turn)).collect();
+        let burst: Vec<RequestIndex> = (0..12)
+            .map(|turn| host.arrive(handler, 0, None, 0, 1000 + turn))
+            .collect();
         burst
             .iter()
-            .filter(|request| host.requests.get(request).is_some_and(|tracked| !tracked.answered))
+            .filter(|request| {
+                host.requests
+                    .get(request)
+                    .is_some_and(|tracked| !tracked.answered)
+            })
             .count()
     };
     let (long, short) = (kept(0), kept(1));
-    assert!(long < short, "kept of the long handler {long}, of the short {short}");
+    assert!(
+        long < short,
+        "kept of the long handler {long}, of the short {short}"
+    );
 }
 
 /// A repeat fails with the run that it waits for. Counted as runs that errored, the repeats of one stopped run
 /// had a well server turn most away.
 #[test]
 fn coalesced_requests_that_fail_do_not_count_as_failed_runs() {
-    let mut host = SimulatedHost::new(Config { tenants: Vec::new(), ..config() }, 1);
+    let mut host = SimulatedHost::new(
+        Config {
+            tenants: Vec::new(),
+            ..config()
+        },
+        1,
+    );
     host.arrive(1, 0, None, 50, 1);
     let duplicates: Vec<RequestIndex> = (0..8).map(|_| host.arrive(1, 0, None, 50, 1)).collect();
     for request in duplicates {
@@ -499,8 +639,16 @@
     }
     for turn in 2..12 {
         let request = host.arrive(0, 0, None, 5, turn);
-        assert!(!reasons(&host).contains(&Reason::HighFailureRate), "{:?}", host.last);
-        if host.requests.get(&request).is_some_and(|tracked| tracked.stage == Stage::Running) {
+        assert!(
+            !reasons(&host).contains(&Reason::HighFailureRate),
+            "{:?}",
+            host.last
+        );
+        if host
+            .requests
+            .get(&request)
+            .is_some_and(|tracked| tracked.stage == Stage::Running)
+        {
             host.finish(request, Outcome::Succeeded);
         }
     }
@@ -509,8 +657,14 @@
 /// What may not be left out takes its time however low the dimmer, and as often as the handler's runs make it.
 #[test]
 fn mandatory_calls_count_in_full_at_admission() {
-    let mut host =
-        SimulatedHost::new(Config { dependency: Dependency::Tier, tenants: Vec::new(), ..config() }, 1);
+    let mut host = SimulatedHost::new(
+        Config {
+            dependency: Dependency::Tier,
+            tenants: Vec::new(),
+            ..config()
+        },
+        1,
+    );
     for turn in 0..40 {
         let request = host.arrive(2, 0, None, 50, turn);
         for _ in 0..2 {
@@ -530,7 +684,13 @@
 /// The ledger of regina-main collapsed at its knee: each server went on calling, as its own responses were fine.
 #[test]
 fn slow_calls_lower_the_dimmer_ceiling_which_recovers_slowly() {
-    let mut host = SimulatedHost::new(Config { tenants: Vec::new(), ..config() }, 1);
+    let mut host = SimulatedHost::new(
+        Config {
+            tenants: Vec::new(),
+            ..config()
+        },
+        1,
+    );
     let mut turn = 0;
     let mut made = |host: &mut SimulatedHost, requests: u64, took: u64| {
         let mut made = 0;
@@ -559,7 +719,14 @@
 #[test]
 fn with_unmarked_retries_only_a_draining_server_forwards_requests() {
     let sheds = |marks_retries: bool, leaves: bool| {
-        let mut host = SimulatedHost::new(Config { marks_retries, tenants: Vec::new(), ..config() }, 1);
+        let mut host = SimulatedHost::new(
+            Config {
+                marks_retries,
+                tenants: Vec::new(),
+                ..config()
+            },
+            1,
+        );
         if leaves {
             host.shutdown_notice(ms(4000));
             host.pass(ms(1500));
@@ -573,44 +740,83 @@
     };
     assert!(sheds(true, false).contains(&true));
     let unmarked = sheds(false, false);
-    assert!(!unmarked.is_empty() && !unmarked.contains(&true), "{unmarked:?}");
+    assert!(
+        !unmarked.is_empty() && !unmarked.contains(&true),
+        "{unmarked:?}"
+    );
     assert!(sheds(false, true).contains(&true));
 }
 
 fn called(host: &SimulatedHost) -> bool {
-    host.last.iter().any(|action| matches!(action, Action::StartCall { .. }))
+    host.last
+        .iter()
+        .any(|action| matches!(action, Action::StartCall { .. }))
 }
 
 /// One slow second spent every server's part of the ledger on calls that may be left out; those that may not
 /// stood until it came back five seconds later, all at once, and pushed the ledger over its knee again.
 #[test]
 fn optional_calls_leave_budget_for_a_mandatory_one() {
-    let dependency = Dependency::Shared { share: 0.6, window: ms(5000), linger: ms(200) };
-    let mut host = SimulatedHost::new(Config { dependency, ..config() }, 1);
+    let dependency = Dependency::Shared {
+        share: 0.6,
+        window: ms(5000),
+        linger: ms(200),
+    };
+    let mut host = SimulatedHost::new(
+        Config {
+            dependency,
+            ..config()
+        },
+        1,
+    );
     let call = |host: &mut SimulatedHost, handler: usize| {
         let request = host.arrive(handler, 0, None, 20, 1);
         host.reach_call(request);
         let made = called(host);
-        if host.requests.get(&request).is_some_and(|tracked| tracked.stage == Stage::Running) {
+        if host
+            .requests
+            .get(&request)
+            .is_some_and(|tracked| tracked.stage == Stage::Running)
+        {
             host.finish(request, Outcome::Succeeded);
         }
         made
     };
     let made = (0..4).filter(|_| call(&mut host, 0)).count();
     assert_eq!(made, 2, "of what may be left out");
-    assert!(call(&mut host, 2), "what may not be left out found no room: {:?}", host.last);
+    assert!(
+        call(&mut host, 2),
+        "what may not be left out found no room: {:?}",
+        host.last
+    );
 }
 
 /// A request that stands at its call past its response target helps nobody by waiting on: its caller hears at once.
 #[test]
 fn a_request_awaiting_its_call_past_its_objective_is_answered_at_once() {
-    let dependency = Dependency::Shared { share: 0.05, window: ms(5000), linger: ms(200) };
-    let mut host = SimulatedHost::new(Config { dependency, ..config() }, 1);
+    let dependency = Dependency::Shared {
+        share: 0.05,
+        window: ms(5000),
+        linger: ms(200),
+    };
+    let mut host = SimulatedHost::new(
+        Config {
+            dependency,
+            ..config()
+        },
+        1,
+    );
     let request = host.arrive(2, 0, None, 20, 1);
     host.reach_call(request);
     assert!(!called(&host), "no call fits");
     host.pass(ms(990));
-    assert!(host.requests.contains_key(&request), "it may still be in time");
+    assert!(
+        host.requests.contains_key(&request),
+        "it may still be in time"
+    );
     host.pass(ms(110));
-    assert!(!host.requests.contains_key(&request), "held on until it is due");
+    assert!(
+        !host.requests.contains_key(&request),
+        "held on until it is due"
+    );
 }
--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -91,12 +91,19 @@
 
     fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
         let day = self.clone();
-        Box::new(self.steps.shrink().map(move |steps| Day { steps, ..day.clone() }))
+        Box::new(self.steps.shrink().map(move |steps| Day {
+            steps,
+            ..day.clone()
+        }))
     }
 }
 
 fn host(day: &Day) -> SimulatedHost {
-    let shared = |share| Dependency::Shared { share, window: ms(5000), linger: ms(200) };
+    let shared = |share| Dependency::Shared {
+        share,
+        window: ms(5000),
+        linger: ms(200),
+    };
     let config = Config {
         starts_cold: day.starts_cold,
         cancellation: [
@@ -104,8 +111,13 @@
             Cancellation::DiscardsProgress,
             Cancellation::KeepsProgress,
         ][day.cancellation as usize],
-        dependency: [Dependency::None, Dependency::Tier, shared(0.4), shared(2.0), shared(0.05)]
-            [day.dependency as usize],
+        dependency: [
+            Dependency::None,
+            Dependency::Tier,
+            shared(0.4),
+            shared(2.0),
+            shared(0.05),
+        ][day.dependency as usize],
         feedback: [
             CallerFeedback::None,
             CallerFeedback::PriorityThreshold,
@@ -132,12 +144,22 @@
 
 fn play_step(host: &mut SimulatedHost, day: &Day, step: &Step) {
     match *step {
-        Step::Arrive { handler, age, patience, work, key } => {
+        Step::Arrive {
+            handler,
+            age,
+            patience,
+            work,
+            key,
+        } => {
             host.arrive(handler, age, patience, work, key);
         }
         Step::Pass(span) => host.pass(ms(span)),
         Step::Finish(nth, errored) => {
-            let outcome = if errored { Outcome::Failed } else { Outcome::Succeeded };
+            let outcome = if errored {
+                Outcome::Failed
+            } else {
+                Outcome::Succeeded
+            };
             let joined = host.nth(Stage::Coalesced, nth).filter(|_| nth == 0);
             if let Some(request) = joined.or(host.nth(Stage::Running, nth)) {
                 host.finish(request, outcome);
@@ -157,7 +179,11 @@
         Step::Unexpected(nth) => send_unexpected_events(host, nth),
         Step::ShutdownNotice(left) => host.shutdown_notice(ms(left)),
         Step::Restart => {
-            let next = Day { starts_cold: true, seed: day.seed.wrapping_add(1), ..day.clone() };
+            let next = Day {
+                starts_cold: true,
+                seed: day.seed.wrapping_add(1),
+                ..day.clone()
+            };
             *host = self::host(&next);
         }
     }
@@ -191,12 +217,23 @@
 
 /// Sends events about requests that do not exist, or that are in another stage.
 fn send_unexpected_events(host: &mut SimulatedHost, nth: usize) {
-    let free = (0..).find(|request| !host.requests.contains_key(request)).unwrap();
-    let mut events = vec![Event::Finished { request: free + 50, outcome: Outcome::Succeeded }];
+    let free = (0..)
+        .find(|request| !host.requests.contains_key(request))
+        .unwrap();
+    let mut events = vec![Event::Finished {
+        request: free + 50,
+        outcome: Outcome::Succeeded,
+    }];
     events.push(Event::CallerGone { request: free });
-    events.push(Event::Finished { request: free, outcome: Outcome::NotStarted });
+    events.push(Event::Finished {
+        request: free,
+        outcome: Outcome::NotStarted,
+    });
     if let Some(request) = host.nth(Stage::Running, nth) {
-        events.push(Event::CallFinished { request, outcome: Outcome::Succeeded });
+        events.push(Event::CallFinished {
+            request,
+            outcome: Outcome::Succeeded,
+        });
     }
     if let Some(request) = host.nth(Stage::Queued, nth) {
         events.push(Event::ReachedCall { request });
@@ -208,5 +245,8 @@
 #[test]
 fn the_four_rules_hold_on_generated_days() {
     let days = Gen::from_size_and_seed(150, 0x7011b);
-    QuickCheck::new().rng(days).tests(1500).quickcheck(play as fn(Day) -> bool);
+    QuickCheck::new()
+        .rng(days)
+        .tests(1500)
+        .quickcheck(play as fn(Day) -> bool);
 }
