--- a/crates/cli/src/args/operator.rs
+++ b/crates/cli/src/args/operator.rs
@@ -26,7 +26,8 @@
         #[command(flatten)]
         target: Target,
     },
-    /// Wait until this process may drain, as only so many of a zone may at a time; send it the shutdown notice after that
+    /// Wait until this process may drain, as only so many of a zone may at a time; send it the
+    /// shutdown notice after that
     Drain {
         /// Give up after this
         #[arg(long = "wait", value_name = "WAIT", default_value = "5m")]
--- a/crates/cli/src/args/rig.rs
+++ b/crates/cli/src/args/rig.rs
@@ -8,13 +8,15 @@
 
 #[derive(Subcommand)]
 pub(crate) enum RigCommand {
-    /// Play a plan in simulated time, once for each seed; exits with 1 where an invariant is violated
+    /// Play a plan in simulated time, once for each seed; exits with 1 where an invariant is
+    /// violated
     Simulate {
         file: PathBuf,
         /// Seeds, such as 0..100 (the last is left out)
         #[arg(long, default_value = "0..100", value_parser = parse_seeds)]
         seeds: Range<u64>,
-        /// Beside the plan's faults, draw some from each seed; faults that violate an invariant are minimized and printed
+        /// Beside the plan's faults, draw some from each seed; faults that violate an invariant are
+        /// minimized and printed
         #[arg(long)]
         chaos: bool,
         #[arg(long)]
@@ -32,7 +34,8 @@
         /// Beside the plan's faults, draw some from the seed
         #[arg(long)]
         chaos: bool,
-        /// The directory of configurations, logs and journals, which is kept; by default a temporary one that is removed unless the run failed
+        /// The directory of configurations, logs and journals, which is kept; by default a
+        /// temporary one that is removed unless the run failed
         #[arg(long)]
         folder: Option<PathBuf>,
         #[arg(long)]
--- a/crates/cli/src/args/trace.rs
+++ b/crates/cli/src/args/trace.rs
@@ -66,7 +66,8 @@
         files: Vec<PathBuf>,
         #[arg(short, long)]
         output: PathBuf,
-        /// What is added to the times of a server: NAME=+1.5s, NAME=-20ms; may be given more than once
+        /// What is added to the times of a server: NAME=+1.5s, NAME=-20ms; may be given more than
+        /// once
         #[arg(long = "offset", value_name = "OFFSET", allow_hyphen_values = true)]
         offsets: Vec<ServerOffset>,
         /// Estimate how far the servers' clocks are apart, from retries at several of them
@@ -94,7 +95,8 @@
         #[arg(long)]
         handlers: bool,
     },
-    /// For each handler and tenant: requests, completed, rejected and why, failed, service level, response times
+    /// For each handler and tenant: requests, completed, rejected and why, failed, service level,
+    /// response times
     Summary {
         /// Files of several servers are taken together, in the order of time
         #[arg(required = true)]
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -113,7 +113,8 @@
 pub(crate) enum Status {
     /// All was there. The exit code is 0.
     Complete,
-    /// Something is missing, damaged or refused; all that could be given was given. The exit code is 1.
+    /// Something is missing, damaged or refused; all that could be given was given. The exit code
+    /// is 1.
     Incomplete,
 }
 
--- a/crates/cli/src/input.rs
+++ b/crates/cli/src/input.rs
@@ -21,8 +21,8 @@
     TraceReader::open(open(path)?).map_err(CliError::trace(path))
 }
 
-/// Opens a file for reading at any place. Standard input, and what cannot be sought in, is copied to a
-/// temporary file first, so that it takes no memory.
+/// Opens a file for reading at any place. Standard input, and what cannot be sought in, is copied
+/// to a temporary file first, so that it takes no memory.
 fn open(path: &Path) -> Result<Input, CliError> {
     if is_standard_stream(path) {
         return spooled(&mut io::stdin().lock()).map_err(CliError::file(path));
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,8 +1,8 @@
-//! `tulipgap`: the command line. It reads, makes and summarises recordings, plays plans of faults, asks a
-//! running process for what it knows of its cluster, and checks configuration files.
+//! `tulipgap`: the command line. It reads, makes and summarises recordings, plays plans of faults,
+//! asks a running process for what it knows of its cluster, and checks configuration files.
 //!
-//! Exit codes: 0; 1 where something is missing, damaged or refused (all that could be given was given); 2
-//! where the command cannot be carried out.
+//! Exit codes: 0; 1 where something is missing, damaged or refused (all that could be given was
+//! given); 2 where the command cannot be carried out.
 
 mod args;
 mod check_config;
--- a/crates/cli/src/operator/mod.rs
+++ b/crates/cli/src/operator/mod.rs
@@ -1,5 +1,5 @@
-//! What operators ask of a running process, over its Unix socket: one JSON object a line in each direction.
-//! The keys and the commands are those of the socket's protocol (docs/leases.md).
+//! What operators ask of a running process, over its Unix socket: one JSON object a line in each
+//! direction. The keys and the commands are those of the socket's protocol (docs/leases.md).
 
 pub(crate) mod cluster;
 pub(crate) mod lease;
@@ -63,8 +63,8 @@
     Ok(print_answer(answer, json, |_| println!("done")))
 }
 
-/// Sends a command that makes the process acquire a lease, and waits until it holds the lease or the time is
-/// over.
+/// Sends a command that makes the process acquire a lease, and waits until it holds the lease or
+/// the time is over.
 fn acquire(target: &Target, command: &Value, timeout: Duration) -> CommandResult {
     let answer = request(&target.socket, command)?;
     let deadline = Instant::now() + timeout;
--- a/crates/cli/src/rig.rs
+++ b/crates/cli/src/rig.rs
@@ -48,7 +48,8 @@
     ))
 }
 
-/// Plays a plan once with real processes. Their directories are kept in `folder`, or where something failed.
+/// Plays a plan once with real processes. Their directories are kept in `folder`, or where
+/// something failed.
 pub(crate) fn run(
     file: &Path,
     program: Option<PathBuf>,
--- a/crates/cli/src/rig/leases.rs
+++ b/crates/cli/src/rig/leases.rs
@@ -21,7 +21,8 @@
     /// The first violation, and the seed that shows it.
     #[serde(rename = "broken")]
     violation: Option<ViolationReport>,
-    /// The longest that a wanted lease had no holder: after the last fault, its bound, and in whole runs.
+    /// The longest that a wanted lease had no holder: after the last fault, its bound, and in whole
+    /// runs.
     #[serde(rename = "free_after")]
     longest_vacancy_after_faults: f64,
     #[serde(rename = "free_bound")]
@@ -78,8 +79,8 @@
     outcome: LeaseOutcome,
 }
 
-/// Hands out seeds to threads, in order, until one has failed. Later seeds may be under way by then; those
-/// before the failed one are all played.
+/// Hands out seeds to threads, in order, until one has failed. Later seeds may be under way by
+/// then; those before the failed one are all played.
 struct SeedQueue {
     next: AtomicU64,
     end: u64,
@@ -114,8 +115,8 @@
     }
 }
 
-/// Plays seeds on all cores, and returns what came of them in their order. Up to the first that failed, that
-/// is the same whatever the number of cores.
+/// Plays seeds on all cores, and returns what came of them in their order. Up to the first that
+/// failed, that is the same whatever the number of cores.
 fn simulate_seeds(plan: &Plan, seeds: Range<u64>, has_random_faults: bool) -> Vec<SeedOutcome> {
     let queue = SeedQueue::new(seeds);
     let simulate = |seed: u64| {
--- a/crates/cli/src/trace/anonymise.rs
+++ b/crates/cli/src/trace/anonymise.rs
@@ -23,8 +23,8 @@
     Ok(Status::of(print_losses(path, &summary.losses)))
 }
 
-/// Reads the key from a file, a descriptor or standard input; never from the command line, where other users
-/// see it.
+/// Reads the key from a file, a descriptor or standard input; never from the command line, where
+/// other users see it.
 pub(super) fn read_key(file: Option<&Path>, descriptor: Option<u32>) -> Result<HashKey, CliError> {
     let path = match (file, descriptor) {
         (Some(path), _) => path.to_owned(),
--- a/crates/cli/src/trace/record_text.rs
+++ b/crates/cli/src/trace/record_text.rs
@@ -1,5 +1,5 @@
-//! A record as text: a JSON line, as the raw log has it, or a CSV line. Keys are the names of the format's
-//! columns.
+//! A record as text: a JSON line, as the raw log has it, or a CSV line. Keys are the names of the
+//! format's columns.
 
 use std::borrow::Cow;
 use std::io::{self, Write};
--- a/crates/cli/src/trace/selection.rs
+++ b/crates/cli/src/trace/selection.rs
@@ -57,7 +57,8 @@
     })
 }
 
-/// The indices of the handlers of that name; a merged file may have several, with different parameters.
+/// The indices of the handlers of that name; a merged file may have several, with different
+/// parameters.
 fn handlers_of_name(name: &str, names: &Dictionary) -> Result<Vec<u32>, ArgumentError> {
     let named = names
         .handlers
--- a/crates/cli/src/trace/summary.rs
+++ b/crates/cli/src/trace/summary.rs
@@ -1,4 +1,5 @@
-//! `tulipgap trace summary`: requests, outcomes, service level and response times by handler and tenant.
+//! `tulipgap trace summary`: requests, outcomes, service level and response times by handler and
+//! tenant.
 
 use std::io::{self, BufWriter, Write};
 use std::path::{Path, PathBuf};
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -302,8 +302,8 @@
     );
 }
 
-/// A file of frame headers that claim the longest payloads and longer ones, with a long hole behind them, is read in
-/// little memory.
+/// A file of frame headers that claim the longest payloads and longer ones, with a long hole behind
+/// them, is read in little memory.
 #[test]
 fn claimed_lengths_of_a_hostile_file_allocate_no_memory() {
     let workspace = Workspace::new();
@@ -389,7 +389,8 @@
     );
 }
 
-/// The recordings and what version 0.1.0 exported of them stand beside the tests of the trace crate.
+/// The recordings and what version 0.1.0 exported of them stand beside the tests of the trace
+/// crate.
 #[test]
 fn recordings_of_version_0_1_0_export_the_same_lines() {
     let workspace = Workspace::new();
--- a/crates/config/src/cluster.rs
+++ b/crates/config/src/cluster.rs
@@ -1,5 +1,5 @@
-//! The block `cluster`: membership of a cluster. Without it a process neither listens for peers nor talks to
-//! any.
+//! The block `cluster`: membership of a cluster. Without it a process neither listens for peers nor
+//! talks to any.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -66,7 +66,8 @@
     pub trial: Option<FaultInjectionConfig>,
 }
 
-/// How many members of a zone may drain at a time. A member with a shutdown notice drains all the same.
+/// How many members of a zone may drain at a time. A member with a shutdown notice drains all the
+/// same.
 #[derive(Clone, Debug, Deserialize, PartialEq, Validate)]
 #[garde(context(()))]
 pub struct DrainConfig {
@@ -77,7 +78,8 @@
 }
 
 impl ClusterConfig {
-    /// The addresses of `seeds`. Each is valid after the file was accepted; an invalid one is left out.
+    /// The addresses of `seeds`. Each is valid after the file was accepted; an invalid one is left
+    /// out.
     pub fn seeds(&self) -> Vec<SocketAddr> {
         self.seeds
             .iter()
--- a/crates/config/src/connection_limits.rs
+++ b/crates/config/src/connection_limits.rs
@@ -12,16 +12,16 @@
 const REJECT: &str = "refuse";
 const WAIT: &str = "wait";
 
-/// Which client connections are accepted. Limits that are left out follow from the descriptors and the number
-/// of callers.
+/// Which client connections are accepted. Limits that are left out follow from the descriptors and
+/// the number of callers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Validate)]
 pub struct ConnectionLimitsConfig {
     /// Whether connections are limited by their addresses.
     #[serde(default = "default_true")]
     #[garde(skip)]
     pub enabled: bool,
-    /// What becomes of new connections when all descriptors are in use: "refuse" rejects them, "wait" leaves
-    /// them in the backlog.
+    /// What becomes of new connections when all descriptors are in use: "refuse" rejects them,
+    /// "wait" leaves them in the backlog.
     #[serde(default = "default_when_full")]
     #[garde(custom(full_policy_word))]
     pub when_full: String,
@@ -37,7 +37,8 @@
     #[serde(default = "default_half_life", with = "humantime_serde")]
     #[garde(custom(duration_between(Duration::from_secs(10), Duration::from_secs(86_400))))]
     pub half_life: Duration,
-    /// The fraction of the descriptors that a cold server uses; it rises to all while the server warms up.
+    /// The fraction of the descriptors that a cold server uses; it rises to all while the server
+    /// warms up.
     #[serde(default = "default_cold_part")]
     #[garde(range(min = 0.05, max = 1.0))]
     pub cold_part: f64,
--- a/crates/config/src/fault_injection.rs
+++ b/crates/config/src/fault_injection.rs
@@ -1,5 +1,5 @@
-//! The block `cluster.trial`, for the rig alone: faults that only the program itself can inject, and leases
-//! that it uses for the rig to watch.
+//! The block `cluster.trial`, for the rig alone: faults that only the program itself can inject,
+//! and leases that it uses for the rig to watch.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -64,7 +64,8 @@
 }
 
 impl FaultInjectionConfig {
-    /// The leases to be used. Each is valid after the file was accepted; an invalid one is left out.
+    /// The leases to be used. Each is valid after the file was accepted; an invalid one is left
+    /// out.
     pub fn leases(&self) -> Vec<TestLease> {
         self.leases
             .iter()
@@ -72,8 +73,8 @@
             .collect()
     }
 
-    /// The routes, as pairs of addresses. Each is valid after the file was accepted; an invalid one is left
-    /// out.
+    /// The routes, as pairs of addresses. Each is valid after the file was accepted; an invalid one
+    /// is left out.
     pub fn routes(&self) -> Vec<(SocketAddr, SocketAddr)> {
         self.routes
             .iter()
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,10 +1,10 @@
-//! The product's own configuration: one HCL file, accepted as a whole or not at all. [`read`] decides whether
-//! a file is accepted. Its input is the path of a file; its output is a [`ProductConfig`], or a
-//! [`ConfigError`] with every problem of the file at once, each with its line and column, and with the
-//! nearest known key in place of an unknown one.
+//! The product's own configuration: one HCL file, accepted as a whole or not at all. [`read`]
+//! decides whether a file is accepted. Its input is the path of a file; its output is a
+//! [`ProductConfig`], or a [`ConfigError`] with every problem of the file at once, each with its
+//! line and column, and with the nearest known key in place of an unknown one.
 //!
-//! The fields of the configuration types have the names of their HCL keys, which the problems name, too. What
-//! a file leaves out has its default, and a block that is left out is off.
+//! The fields of the configuration types have the names of their HCL keys, which the problems name,
+//! too. What a file leaves out has its default, and a block that is left out is off.
 //!
 //! ```
 //! let config = tulipgap_config::parse("trace {\n  folder = \"recordings\"\n}\n").unwrap();
@@ -59,8 +59,8 @@
 /// Reads a file.
 ///
 /// # Errors
-/// [`ConfigError::Read`] or [`ConfigError::TooLong`] where it cannot be read; [`ConfigError::Invalid`] with
-/// all of its problems.
+/// [`ConfigError::Read`] or [`ConfigError::TooLong`] where it cannot be read;
+/// [`ConfigError::Invalid`] with all of its problems.
 pub fn read(path: &Path) -> Result<ProductConfig, ConfigError> {
     let read_error = |source| ConfigError::Read {
         path: path.to_owned(),
@@ -98,8 +98,8 @@
                     })
                 })),
             },
-            // The check of the structure finds all that this does; an error that only this finds has no
-            // place.
+            // The check of the structure finds all that this does; an error that only this finds
+            // has no place.
             Err(error) => {
                 let kind = ProblemKind::Syntax(error.to_string());
                 problems.push(structure::Position::START.problem(kind));
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -151,7 +151,8 @@
     optional("cluster", ValueType::Block(CLUSTER)),
 ];
 
-/// How similar a known key is to an unknown one at least for it to be suggested, of 1 (Jaro-Winkler).
+/// How similar a known key is to an unknown one at least for it to be suggested, of 1
+/// (Jaro-Winkler).
 const MIN_SIMILARITY: f64 = 0.7;
 
 /// The known key that an unknown one is likely to mean.
--- a/crates/config/src/structure.rs
+++ b/crates/config/src/structure.rs
@@ -1,5 +1,5 @@
-//! Checks the structure of a file against the schema: keys, blocks and the types of values. It finds every
-//! problem, and notes where each key stands.
+//! Checks the structure of a file against the schema: keys, blocks and the types of values. It
+//! finds every problem, and notes where each key stands.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -49,7 +49,8 @@
 pub(crate) struct KeyPositions(BTreeMap<String, Position>);
 
 impl KeyPositions {
-    /// The place of a key by its path; that of the nearest block around it where the key itself is left out.
+    /// The place of a key by its path; that of the nearest block around it where the key itself is
+    /// left out.
     pub(crate) fn of(&self, path: &str) -> Position {
         let mut path = path;
         loop {
@@ -112,8 +113,8 @@
         self.found.problems.push(position.problem(kind));
     }
 
-    /// Checks the body of the block of that path (empty for the file), whose name stands at `span`. The
-    /// recursion is as deep as the schema.
+    /// Checks the body of the block of that path (empty for the file), whose name stands at `span`.
+    /// The recursion is as deep as the schema.
     fn check_body(
         &mut self,
         body: &Body,
--- a/crates/connection-limits/benches/structures.rs
+++ b/crates/connection-limits/benches/structures.rs
@@ -1,5 +1,5 @@
-//! The cost of an event in the structures of the limiter and in plain ones, with 512, 10,000 and 1,000,000
-//! entries.
+//! The cost of an event in the structures of the limiter and in plain ones, with 512, 10,000 and
+//! 1,000,000 entries.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::Ipv4Addr;
--- a/crates/connection-limits/src/admission.rs
+++ b/crates/connection-limits/src/admission.rs
@@ -18,7 +18,8 @@
 /// Below this fraction of the warm-up's capacity an address is not held to its equal share.
 const FAIR_SHARE_FRACTION: f64 = 0.5;
 
-/// A limit with the network that it holds for and the reasons for which a connection beyond it is rejected.
+/// A limit with the network that it holds for and the reasons for which a connection beyond it is
+/// rejected.
 struct NetworkCheck {
     network: NetworkPrefix,
     limit: ConnectionLimit,
@@ -52,7 +53,8 @@
         }
         self.open(now, id, address, owner(is_known));
         actions.push(Action::Serve { connection: id });
-        // Before the new connection is in its eviction class: none is evicted for having just been accepted.
+        // Before the new connection is in its eviction class: none is evicted for having just been
+        // accepted.
         if self.open_connections as f64 > self.capacity as f64 * SATURATION_FRACTION {
             self.make_room(now, gradually, None, actions);
         }
@@ -120,7 +122,8 @@
             {
                 return Some(check.connections_reason);
             }
-            // The rate of known clients is not limited: an estimate may contain the openings of others.
+            // The rate of known clients is not limited: an estimate may contain the openings of
+            // others.
             let max_openings = check
                 .limit
                 .max_rate
@@ -129,7 +132,8 @@
                 return Some(check.rate_reason);
             }
         }
-        // A rejected connection does not count: otherwise a client that retries would be rejected for ever.
+        // A rejected connection does not count: otherwise a client that retries would be rejected
+        // for ever.
         if !is_known {
             for network in EnclosingNetworks::of(address).all() {
                 self.open_rates.record(now, network);
@@ -173,8 +177,9 @@
         let cold_start_fraction = self.config.cold_start_fraction;
         let fraction = cold_start_fraction + (1.0 - cold_start_fraction) * progress;
         let capacity = (self.capacity as f64 * fraction).max(1.0);
-        // Each address has an equal share, so that one that connects first does not take all. The number of
-        // addresses is estimated by that of networks, of which each has three at the most.
+        // Each address has an equal share, so that one that connects first does not take all. The
+        // number of addresses is estimated by that of networks, of which each has three at the
+        // most.
         let addresses =
             (self.network_counts.network_count() as f64 / EnclosingNetworks::COUNT as f64).max(1.0);
         let fair_share = (capacity / addresses).max(1.0);
--- a/crates/connection-limits/src/config.rs
+++ b/crates/connection-limits/src/config.rs
@@ -10,8 +10,8 @@
 pub struct ConnectionLimit {
     /// The most connections that are open at a time.
     pub max_connections: u32,
-    /// The most connections that are opened in a second, on average over three seconds: a burst of three
-    /// seconds' worth is accepted at once.
+    /// The most connections that are opened in a second, on average over three seconds: a burst of
+    /// three seconds' worth is accepted at once.
     pub max_rate: u32,
 }
 
@@ -26,7 +26,8 @@
     pub wide_network: ConnectionLimit,
 }
 
-/// What happens to a new connection when all descriptors are taken by connections that may not be closed.
+/// What happens to a new connection when all descriptors are taken by connections that may not be
+/// closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FullPolicy {
     /// It waits in the backlog of the listener.
@@ -59,13 +60,13 @@
     pub trusted_networks: Vec<NetworkPrefix>,
     /// The time in which the reputation of a client halves.
     pub reputation_half_life: Duration,
-    /// The time limit for the first message of a connection, and for a message from its first byte to its
-    /// last.
+    /// The time limit for the first message of a connection, and for a message from its first byte
+    /// to its last.
     pub message_timeout: Duration,
     /// The time without use after which a client is asked to close a connection.
     pub idle_timeout: Duration,
-    /// The fraction of the capacity that a cold server accepts at its start, from 0 to 1. It rises to 1
-    /// during the warm-up.
+    /// The fraction of the capacity that a cold server accepts at its start, from 0 to 1. It rises
+    /// to 1 during the warm-up.
     pub cold_start_fraction: f64,
     /// How long the server warms up; zero for a warm one.
     pub warm_up: Duration,
--- a/crates/connection-limits/src/connection.rs
+++ b/crates/connection-limits/src/connection.rs
@@ -22,7 +22,8 @@
     pub(crate) has_sent_message: bool,
     /// Requests and health checks in flight.
     pub(crate) open_requests: u32,
-    /// A message timed out while a request was in flight: the connection is closed once that has finished.
+    /// A message timed out while a request was in flight: the connection is closed once that has
+    /// finished.
     pub(crate) is_message_overdue: bool,
     /// The host was told to close it.
     pub(crate) is_closing: bool,
--- a/crates/connection-limits/src/descriptor_budget.rs
+++ b/crates/connection-limits/src/descriptor_budget.rs
@@ -5,8 +5,8 @@
 /// Who needs descriptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum DescriptorOwner {
-    /// The process itself: listener, log, runtime, and a spare one to accept and close a connection when no
-    /// other is left.
+    /// The process itself: listener, log, runtime, and a spare one to accept and close a connection
+    /// when no other is left.
     Process,
     /// The connections to the store.
     Store,
@@ -26,8 +26,8 @@
     ];
 }
 
-/// Counts the descriptors of each owner. An owner may take what is reserved for it and what is reserved for
-/// nobody; the sum of what is in use or reserved never exceeds the limit.
+/// Counts the descriptors of each owner. An owner may take what is reserved for it and what is
+/// reserved for nobody; the sum of what is in use or reserved never exceeds the limit.
 #[derive(Clone, Debug)]
 pub struct DescriptorBudget {
     limit: usize,
@@ -40,7 +40,8 @@
     ///
     /// # Errors
     ///
-    /// [`ConfigError::ReservationsExceedLimit`] where the reservations add up to more than the limit.
+    /// [`ConfigError::ReservationsExceedLimit`] where the reservations add up to more than the
+    /// limit.
     pub fn new(limit: usize, reservations: &[Reservation]) -> Result<Self, ConfigError> {
         let mut reserved = [0; DescriptorOwner::ALL.len()];
         for reservation in reservations {
--- a/crates/connection-limits/src/event.rs
+++ b/crates/connection-limits/src/event.rs
@@ -75,7 +75,8 @@
     },
     /// The server drains: clients are asked to close all connections, new ones too.
     Drain,
-    /// The time of the last [`Action::SetTimer`] has come. An event that comes earlier does no harm.
+    /// The time of the last [`Action::SetTimer`] has come. An event that comes earlier does no
+    /// harm.
     TimerExpired,
 }
 
--- a/crates/connection-limits/src/eviction.rs
+++ b/crates/connection-limits/src/eviction.rs
@@ -7,17 +7,17 @@
 
 /// How long a connection may be silent, or in the middle of a message, before it is evicted.
 const SILENCE_GRACE: Duration = Duration::from_millis(500);
-/// How long a client has to close a connection while descriptors are short: a request that was in transit
-/// when it was asked to is sent again on another.
+/// How long a client has to close a connection while descriptors are short: a request that was in
+/// transit when it was asked to is sent again on another.
 const CLOSE_GRACE: Duration = Duration::from_millis(60);
-/// How long a connection stays unused before it is evicted. Without this hysteresis two clients would evict
-/// each other with each message.
+/// How long a connection stays unused before it is evicted. Without this hysteresis two clients
+/// would evict each other with each message.
 const NEW_CLIENT_IDLE_GRACE: Duration = Duration::from_millis(250);
 /// The same of a known client, whose connection is evicted for other known clients only.
 const KNOWN_CLIENT_IDLE_GRACE: Duration = Duration::from_secs(1);
 
-/// The classes of connections without an open request, in the order in which they are evicted. The first
-/// connection of the first class whose grace period is over is evicted.
+/// The classes of connections without an open request, in the order in which they are evicted. The
+/// first connection of the first class whose grace period is over is evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EvictionClass {
     /// It has never sent a message.
@@ -67,14 +67,15 @@
 }
 
 impl Limiter {
-    /// Whether another connection may be accepted now. Under [`FullPolicy::Wait`](crate::FullPolicy::Wait) a
-    /// full server evicts a connection, so that the next one in the backlog finds a descriptor.
+    /// Whether another connection may be accepted now. Under
+    /// [`FullPolicy::Wait`](crate::FullPolicy::Wait) a full server evicts a connection, so that the
+    /// next one in the backlog finds a descriptor.
     pub fn may_accept(&mut self, now: Duration, actions: &mut Vec<Action>) -> bool {
         if self.has_room_to_accept() {
             return true;
         }
-        // Where only one connection is silent and has just been accepted, its first message may be in
-        // transit: it is spared.
+        // Where only one connection is silent and has just been accepted, its first message may be
+        // in transit: it is spared.
         let is_new = |&id: &ConnectionId| {
             self.connection(id)
                 .is_some_and(|connection| now.saturating_sub(connection.accepted_at) <= CLOSE_GRACE)
@@ -87,8 +88,8 @@
         false
     }
 
-    /// Closes one connection, or asks for one to be closed, so that another gets its descriptor. The spared
-    /// one stays.
+    /// Closes one connection, or asks for one to be closed, so that another gets its descriptor.
+    /// The spared one stays.
     pub(crate) fn make_room(
         &mut self,
         now: Duration,
--- a/crates/connection-limits/src/known_clients.rs
+++ b/crates/connection-limits/src/known_clients.rs
@@ -41,9 +41,9 @@
     }
 }
 
-/// The clients with a reputation. An address earns reputation with each request that was answered. Its
-/// reputation halves with time and is lost with a violation of the protocol. The client is known only once it
-/// has earned some over a while: a burst of one second is not enough.
+/// The clients with a reputation. An address earns reputation with each request that was answered.
+/// Its reputation halves with time and is lost with a violation of the protocol. The client is
+/// known only once it has earned some over a while: a burst of one second is not enough.
 pub(crate) struct KnownClients {
     clients: Vec<Client>,
     /// The index of each address in `clients`.
@@ -97,9 +97,9 @@
         }
     }
 
-    /// Replaces the client with the lowest reputation of a few, unless all of them are known. A flood of
-    /// addresses that earn a little each cannot displace known clients; the price is that new clients are not
-    /// remembered beside many known ones.
+    /// Replaces the client with the lowest reputation of a few, unless all of them are known. A
+    /// flood of addresses that earn a little each cannot displace known clients; the price is that
+    /// new clients are not remembered beside many known ones.
     fn replace_unknown_client(&mut self, now: Duration, address: IpAddr) {
         let samples: Vec<usize> = (0..EVICTION_SAMPLES)
             .map(|_| self.rng.usize(..self.clients.len()))
--- a/crates/connection-limits/src/lib.rs
+++ b/crates/connection-limits/src/lib.rs
@@ -1,25 +1,26 @@
-//! Limits on client connections: which are accepted, which are rejected at once, and which are closed when
-//! descriptors are short.
+//! Limits on client connections: which are accepted, which are rejected at once, and which are
+//! closed when descriptors are short.
 //!
-//! The crate is a state machine without I/O and without a clock. The host tells a [`Limiter`] what happens to
-//! its connections as [`Event`]s, together with the time since its start, and carries out the [`Action`]s
-//! that come back. The same events, in the same order and with the same seed, give the same actions. The cost
-//! of an event does not grow with the number of open connections.
+//! The crate is a state machine without I/O and without a clock. The host tells a [`Limiter`] what
+//! happens to its connections as [`Event`]s, together with the time since its start, and carries
+//! out the [`Action`]s that come back. The same events, in the same order and with the same seed,
+//! give the same actions. The cost of an event does not grow with the number of open connections.
 //!
 //! What it decides:
 //!
-//! - **Admission** of a new connection: limits on the connections and the connection rate of an address and
-//!   the networks around it, the slow start of a cold server, and descriptors reserved for clients that are
-//!   known to behave well.
+//! - **Admission** of a new connection: limits on the connections and the connection rate of an
+//!   address and the networks around it, the slow start of a cold server, and descriptors reserved
+//!   for clients that are known to behave well.
 //! - **Eviction**: which connection is closed to make room. Never one with an open request.
-//! - **Timeouts**: connections that are idle, that do not complete a message, or that do not close when they
-//!   are asked to.
+//! - **Timeouts**: connections that are idle, that do not complete a message, or that do not close
+//!   when they are asked to.
 //!
 //! `docs/design-admission.md` has the alternatives and the measurements.
 //!
 //! ```
 //! use std::time::Duration;
-//! use tulipgap_connection_limits::{Action, Config, ConnectionId, Event, FullPolicy, Limiter, RejectReason};
+//! use tulipgap_connection_limits::{Action, Config, ConnectionId, Event, FullPolicy, Limiter};
+//! use tulipgap_connection_limits::RejectReason;
 //!
 //! let config = Config {
 //!     max_descriptors: 1,
@@ -36,7 +37,8 @@
 //! let mut limiter = Limiter::new(config, 42)?;
 //! let mut actions = Vec::new();
 //! for index in 0..2 {
-//!     let event = Event::Accepted { connection: ConnectionId(index), address: [10, 0, 0, 1].into() };
+//!     let address = [10, 0, 0, 1].into();
+//!     let event = Event::Accepted { connection: ConnectionId(index), address };
 //!     limiter.handle_event(Duration::ZERO, event, &mut actions);
 //! }
 //! assert!(actions.contains(&Action::Serve { connection: ConnectionId(0) }));
--- a/crates/connection-limits/src/limiter.rs
+++ b/crates/connection-limits/src/limiter.rs
@@ -33,8 +33,8 @@
 
 /// Decides on the connections of one listener.
 ///
-/// It owns the record of each connection, the budget of descriptors and the reputation of clients; the host
-/// owns the connections themselves.
+/// It owns the record of each connection, the budget of descriptors and the reputation of clients;
+/// the host owns the connections themselves.
 pub struct Limiter {
     pub(crate) config: Config,
     pub(crate) descriptors: DescriptorBudget,
@@ -98,9 +98,9 @@
         &self.descriptors
     }
 
-    /// Handles an event, and the deadlines that have come by `now`, the time since a start that the host
-    /// chooses. Appends the actions in the order in which the host is to carry them out; the caller may reuse
-    /// the buffer.
+    /// Handles an event, and the deadlines that have come by `now`, the time since a start that the
+    /// host chooses. Appends the actions in the order in which the host is to carry them out; the
+    /// caller may reuse the buffer.
     pub fn handle_event(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Accepted {
--- a/crates/connection-limits/src/linked_queues.rs
+++ b/crates/connection-limits/src/linked_queues.rs
@@ -17,8 +17,8 @@
     length: usize,
 }
 
-/// Several queues, of which an index is in one at most. Every operation takes constant time, and nothing is
-/// allocated once the array has grown to the greatest index.
+/// Several queues, of which an index is in one at most. Every operation takes constant time, and
+/// nothing is allocated once the array has grown to the greatest index.
 pub struct LinkedQueues {
     queues: Vec<Queue>,
     entries: Vec<Entry>,
--- a/crates/connection-limits/src/network_counts.rs
+++ b/crates/connection-limits/src/network_counts.rs
@@ -8,10 +8,10 @@
     count: u32,
 }
 
-/// How many connections each network has. A hash table with open addressing and linear probing in one array;
-/// a removal moves later entries up in place of leaving a tombstone (Knuth, "The Art of Computer
-/// Programming", volume 3, section 6.4, algorithm R), so that the table does not degrade under churn. Its
-/// capacity is fixed.
+/// How many connections each network has. A hash table with open addressing and linear probing in
+/// one array; a removal moves later entries up in place of leaving a tombstone (Knuth, "The Art of
+/// Computer Programming", volume 3, section 6.4, algorithm R), so that the table does not degrade
+/// under churn. Its capacity is fixed.
 pub struct NetworkCounts {
     /// A power of two, and at least twice as many as networks.
     slots: Vec<Option<Slot>>,
@@ -57,8 +57,8 @@
         self.slots[self.find(network)].map_or(0, |slot| slot.count)
     }
 
-    /// Increments the count of a network. Returns false, and does nothing, where the network is new and there
-    /// are as many as there may be.
+    /// Increments the count of a network. Returns false, and does nothing, where the network is new
+    /// and there are as many as there may be.
     pub fn increment(&mut self, network: NetworkPrefix) -> bool {
         let index = self.find(network);
         match &mut self.slots[index] {
--- a/crates/connection-limits/src/network_prefix.rs
+++ b/crates/connection-limits/src/network_prefix.rs
@@ -8,8 +8,8 @@
 const IPV4_BITS: u8 = 32;
 const IPV6_BITS: u8 = 128;
 
-/// A network: the first bits of an address. IPv4 is represented in its IPv6-mapped form, so that an address
-/// that arrives in both forms is one.
+/// A network: the first bits of an address. IPv4 is represented in its IPv6-mapped form, so that an
+/// address that arrives in both forms is one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct NetworkPrefix {
     /// The address; the bits behind the prefix are zero.
@@ -57,8 +57,8 @@
 }
 
 impl NetworkPrefix {
-    /// The network of this length around an address; a length beyond that of the address gives the address
-    /// itself.
+    /// The network of this length around an address; a length beyond that of the address gives the
+    /// address itself.
     pub fn new(address: IpAddr, length: u8) -> Self {
         let (bits, length) = match address {
             IpAddr::V4(v4) => (
--- a/crates/connection-limits/src/rate_sketch.rs
+++ b/crates/connection-limits/src/rate_sketch.rs
@@ -7,12 +7,13 @@
 const ROWS: usize = 4;
 const BUCKETS: usize = 4;
 
-/// A count-min sketch (Cormode, Muthukrishnan, 2005) with conservative update (Estan, Varghese, 2002) over a
-/// sliding window in buckets of time.
+/// A count-min sketch (Cormode, Muthukrishnan, 2005) with conservative update (Estan, Varghese,
+/// 2002) over a sliding window in buckets of time.
 ///
-/// An estimate is never too low. It may be too high where other networks share all counters of a network:
-/// with n openings in the window, by more than 2.72 n / columns with a probability of e^-4, as there are four
-/// rows. That affects new clients alone, since the rate of known clients is not limited.
+/// An estimate is never too low. It may be too high where other networks share all counters of a
+/// network: with n openings in the window, by more than 2.72 n / columns with a probability of
+/// e^-4, as there are four rows. That affects new clients alone, since the rate of known clients is
+/// not limited.
 pub struct RateSketch {
     bucket_width: Duration,
     columns: usize,
@@ -24,7 +25,8 @@
 }
 
 impl RateSketch {
-    /// A sketch over a window of this length. The number of columns is rounded up to a power of two.
+    /// A sketch over a window of this length. The number of columns is rounded up to a power of
+    /// two.
     pub fn new(window: Duration, columns: usize, seed: u64) -> Self {
         let columns = columns.next_power_of_two();
         let bucket_width = (window / (BUCKETS as u32 - 1)).max(Duration::from_millis(1));
--- a/crates/connection-limits/src/timeouts.rs
+++ b/crates/connection-limits/src/timeouts.rs
@@ -1,4 +1,5 @@
-//! Timeouts of connections: messages that do not complete, idle connections, and clients that do not close.
+//! Timeouts of connections: messages that do not complete, idle connections, and clients that do
+//! not close.
 
 use std::time::Duration;
 
@@ -30,8 +31,8 @@
         }
     }
 
-    /// Asks for idle connections to be closed. Their deadlines are too late where the idle timeout has become
-    /// shorter.
+    /// Asks for idle connections to be closed. Their deadlines are too late where the idle timeout
+    /// has become shorter.
     fn close_idle_connections(&mut self, now: Duration, actions: &mut Vec<Action>) {
         for class in EvictionClass::IDLE {
             while let Some(id) = self.first_in(class)
--- a/crates/connection-limits/src/timer_wheel.rs
+++ b/crates/connection-limits/src/timer_wheel.rs
@@ -1,5 +1,5 @@
-//! A hierarchical timing wheel (Varghese, Lauck, "Hashed and Hierarchical Timing Wheels", 1987) for one
-//! deadline of each small index.
+//! A hierarchical timing wheel (Varghese, Lauck, "Hashed and Hierarchical Timing Wheels", 1987) for
+//! one deadline of each small index.
 
 use std::time::Duration;
 
@@ -19,10 +19,10 @@
     next: u32,
 }
 
-/// Deadlines of indices, one each. Setting, moving and cancelling a deadline takes constant time, and the
-/// passing of time costs one step for each deadline that expires and for each level that it descends. The
-/// lists of the slots are linked through an array, so nothing is allocated once that has grown to the
-/// greatest index.
+/// Deadlines of indices, one each. Setting, moving and cancelling a deadline takes constant time,
+/// and the passing of time costs one step for each deadline that expires and for each level that it
+/// descends. The lists of the slots are linked through an array, so nothing is allocated once that
+/// has grown to the greatest index.
 pub struct TimerWheel {
     tick: Duration,
     /// The current tick.
@@ -58,8 +58,8 @@
         u64::try_from(at.as_nanos().div_ceil(self.tick.as_nanos())).unwrap_or(u64::MAX)
     }
 
-    /// Sets the deadline of an index, in place of the one that it had. A deadline in the past expires with
-    /// the next tick.
+    /// Sets the deadline of an index, in place of the one that it had. A deadline in the past
+    /// expires with the next tick.
     pub fn set(&mut self, index: usize, deadline: Duration) {
         self.cancel(index);
         if self.entries.len() <= index {
@@ -96,7 +96,8 @@
         let highest_difference = 63 - (deadline ^ self.now).leading_zeros();
         let level = ((highest_difference / LEVEL_BITS) as usize).min(LEVELS - 1);
         let shift = LEVEL_BITS * level as u32;
-        // A deadline beyond the wheel waits in the slot that comes last, and is put in its place then.
+        // A deadline beyond the wheel waits in the slot that comes last, and is put in its place
+        // then.
         let slots_ahead = ((deadline >> shift) - (self.now >> shift)).min(SLOTS as u64 - 1);
         let slot_in_level = ((self.now >> shift) + slots_ahead) as usize % SLOTS;
         let slot = level * SLOTS + slot_in_level;
@@ -131,7 +132,8 @@
         self.entries[index as usize].slot = NONE;
     }
 
-    /// Lets time pass. Appends the indices whose deadline has come to `expired`; they have none any more.
+    /// Lets time pass. Appends the indices whose deadline has come to `expired`; they have none any
+    /// more.
     pub fn advance(&mut self, now: Duration, expired: &mut Vec<usize>) {
         let target = u64::try_from(now.as_nanos() / self.tick.as_nanos()).unwrap_or(u64::MAX);
         while self.now < target {
@@ -148,8 +150,8 @@
         }
     }
 
-    /// Expires the entries of the slot of a level that begins with the current tick, or moves them to a lower
-    /// level.
+    /// Expires the entries of the slot of a level that begins with the current tick, or moves them
+    /// to a lower level.
     fn empty_current_slot(&mut self, level: usize, expired: &mut Vec<usize>) {
         let shift = LEVEL_BITS * level as u32;
         let lower_bits = (1u64 << shift) - 1;
@@ -176,7 +178,8 @@
             .map(|level| {
                 let shift = LEVEL_BITS * level as u32;
                 let current_slot = (self.now >> shift) as u32 % SLOTS as u32;
-                // Slots behind the current one come in this turn of the wheel, the others in the next.
+                // Slots behind the current one come in this turn of the wheel, the others in the
+                // next.
                 let from_next_slot =
                     self.occupied[level].rotate_right((current_slot + 1) % SLOTS as u32);
                 let slots_ahead = u64::from(from_next_slot.trailing_zeros()) + 1;
--- a/crates/connection-limits/tests/limiter.rs
+++ b/crates/connection-limits/tests/limiter.rs
@@ -1,6 +1,6 @@
-//! The limiter against a plain model: whatever the events and their order, the budget of descriptors and its
-//! reservations hold, no connection with an open request is closed, and each connection is open or was
-//! rejected or closed for a reason.
+//! The limiter against a plain model: whatever the events and their order, the budget of
+//! descriptors and its reservations hold, no connection with an open request is closed, and each
+//! connection is open or was rejected or closed for a reason.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
@@ -655,8 +655,9 @@
     assert_eq!(server.limiter.open_connections(), 0);
 }
 
-/// Where new connections wait in the backlog, the one that filled the capacity was closed at once, as the
-/// only silent one: its first message was in transit, and its client saw the connection close.
+/// Where new connections wait in the backlog, the one that filled the capacity was closed at once,
+/// as the only silent one: its first message was in transit, and its client saw the connection
+/// close.
 #[test]
 fn new_connection_that_fills_the_capacity_is_spared_while_its_first_message_is_in_transit() {
     let mut config = config();
--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -1,6 +1,7 @@
-//! Bootstrap: how the initial voters find each other. Each is known by an id that was drawn when its directory was created,
-//! not by its name: a directory that was emptied draws another id, and whoever has it is no voter. Once a voter knows the
-//! ids of all, it promises them, once and for all; when all have promised the same ids, those are the voters.
+//! Bootstrap: how the initial voters find each other. Each is known by an id that was drawn when
+//! its directory was created, not by its name: a directory that was emptied draws another id, and
+//! whoever has it is no voter. Once a voter knows the ids of all, it promises them, once and for
+//! all; when all have promised the same ids, those are the voters.
 
 use std::collections::BTreeMap;
 
--- a/crates/consensus/src/bootstrap/tests.rs
+++ b/crates/consensus/src/bootstrap/tests.rs
@@ -5,8 +5,8 @@
 
 use tulipgap_leases::Name;
 
-/// Three voters bootstrap while the third is started anew with an empty directory, at any point: whatever order their
-/// messages come in, no two bootstrap with other ids.
+/// Three voters bootstrap while the third is started anew with an empty directory, at any point:
+/// whatever order their messages come in, no two bootstrap with other ids.
 #[test]
 fn a_directory_emptied_during_bootstrap_never_makes_two_voter_sets() {
     let names: Vec<Name> = ["a", "b", "c"].map(Name::from).to_vec();
--- a/crates/consensus/src/durable_voter.rs
+++ b/crates/consensus/src/durable_voter.rs
@@ -15,19 +15,21 @@
 /// The file beside the log that names the voter whose directory it is.
 const IDENTITY_FILE: &str = "identity";
 
-/// A voter whose writes are durable before anything that follows them is returned. It owns both the voter and its log. A
-/// failed write ends it for good: what was sent and what is on the disk may differ from then on.
+/// A voter whose writes are durable before anything that follows them is returned. It owns both the
+/// voter and its log. A failed write ends it for good: what was sent and what is on the disk may
+/// differ from then on.
 pub struct DurableVoter<D: Disk> {
     voter: Voter,
     log: WriteAheadLog<D>,
 }
 
 impl<D: Disk> DurableVoter<D> {
-    /// Continues what is on the disk, or makes a new voter of an empty one. `initial_voters` are configured, this voter
-    /// among them or not.
+    /// Continues what is on the disk, or makes a new voter of an empty one. `initial_voters` are
+    /// configured, this voter among them or not.
     ///
     /// # Errors
-    /// [`VoterError::Log`] where the log is damaged, [`VoterError::Load`] where its content is not this voter's.
+    /// [`VoterError::Log`] where the log is damaged, [`VoterError::Load`] where its content is not
+    /// this voter's.
     pub fn open(
         config: Config,
         name: &Name,
@@ -75,17 +77,19 @@
         &self.voter
     }
 
-    /// Handles events and returns the actions that are left to perform, in order; all writes are done and durable.
+    /// Handles events and returns the actions that are left to perform, in order; all writes are
+    /// done and durable.
     ///
     /// # Errors
-    /// With an error the voter has ended, and only the returned actions may still be performed: they came before the
-    /// failed write.
+    /// With an error the voter has ended, and only the returned actions may still be performed:
+    /// they came before the failed write.
     pub fn handle_events(
         &mut self,
         now: Duration,
         events: Vec<Event>,
     ) -> (Vec<Action>, Result<(), VoterError>) {
-        // The consensus panics where its log contradicts itself; that must end this voter and nothing else.
+        // The consensus panics where its log contradicts itself; that must end this voter and
+        // nothing else.
         let Ok(actions) = catch_unwind(AssertUnwindSafe(|| self.voter.handle_events(now, events)))
         else {
             return (Vec::new(), Err(VoterError::ConsensusPanicked));
--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -82,7 +82,8 @@
 /// Output actions of a voter. Its host performs them in this order.
 #[derive(Debug)]
 pub enum Action {
-    /// Append a record to the log, durably before any later action. Where that fails, the voter must do nothing more.
+    /// Append a record to the log, durably before any later action. Where that fails, the voter
+    /// must do nothing more.
     AppendRecord(Vec<u8>),
     /// Write a snapshot that replaces all records, under the same condition.
     WriteSnapshot(Vec<u8>),
@@ -140,7 +141,8 @@
     Notice(Notice),
 }
 
-/// A change that operators should know of. Its text continues a sentence whose subject is the voter.
+/// A change that operators should know of. Its text continues a sentence whose subject is the
+/// voter.
 #[derive(Debug, thiserror::Error)]
 pub enum Notice {
     /// The initial voters are agreed on.
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,14 +1,17 @@
-//! Consensus on leases: three or five voters agree, command by command, on who holds which lease, and on who leads them.
+//! Consensus on leases: three or five voters agree, command by command, on who holds which lease,
+//! and on who leads them.
 //!
-//! The algorithm is Raft (Ongaro and Ousterhout, "In search of an understandable consensus algorithm", 2014) with pre-vote
-//! and the leader's check of its quorum, as implemented by the crate `raft`. A [`Voter`] drives it without a clock and with
-//! everything random drawn from a seed, so that a simulation repeats to the last message.
+//! The algorithm is Raft (Ongaro and Ousterhout, "In search of an understandable consensus
+//! algorithm", 2014) with pre-vote and the leader's check of its quorum, as implemented by the
+//! crate `raft`. A [`Voter`] drives it without a clock and with everything random drawn from a
+//! seed, so that a simulation repeats to the last message.
 //!
-//! Input: an [`Event`] and the time. Output: [`Action`]s, to be performed in their order, since what is to be written must
-//! be durable before what follows it is sent. A [`DurableVoter`] holds a voter and its write-ahead log together and does
-//! the writing. What is decided here beyond Raft:
+//! Input: an [`Event`] and the time. Output: [`Action`]s, to be performed in their order, since
+//! what is to be written must be durable before what follows it is sent. A [`DurableVoter`] holds a
+//! voter and its write-ahead log together and does the writing. What is decided here beyond Raft:
 //!
-//! - how the initial voters find each other (bootstrap), each known by an id drawn when its directory was created;
+//! - how the initial voters find each other (bootstrap), each known by an id drawn when its
+//!   directory was created;
 //! - that a voter whose directory was rolled back to an older state must not vote again;
 //! - the steps by which one voter replaces another;
 //! - reads that are as new as their request (Raft's read index).
--- a/crates/consensus/src/log_store.rs
+++ b/crates/consensus/src/log_store.rs
@@ -1,5 +1,5 @@
-//! The consensus log and hard state. All of it is in memory, so that `raft` reads it without I/O; what changes is encoded
-//! here for the write-ahead log.
+//! The consensus log and hard state. All of it is in memory, so that `raft` reads it without I/O;
+//! what changes is encoded here for the write-ahead log.
 
 use std::collections::BTreeMap;
 
@@ -241,7 +241,8 @@
         self.snapshot = snapshot;
     }
 
-    /// Takes a snapshot as of that entry. The last `keep` entries before it stay for voters that are a little behind.
+    /// Takes a snapshot as of that entry. The last `keep` entries before it stay for voters that
+    /// are a little behind.
     pub(crate) fn compact(
         &mut self,
         index: u64,
--- a/crates/consensus/src/peer_message.rs
+++ b/crates/consensus/src/peer_message.rs
@@ -5,8 +5,8 @@
 use serde::{Deserialize, Serialize};
 use tulipgap_leases::Name;
 
-/// Identifies a voter's directory: drawn at random when the directory is created, never zero. A directory that was
-/// emptied gets another id, so the process that uses it is no voter any more.
+/// Identifies a voter's directory: drawn at random when the directory is created, never zero. A
+/// directory that was emptied gets another id, so the process that uses it is no voter any more.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -45,7 +45,8 @@
         initial_voters: BTreeMap<Name, VoterId>,
         /// How far the sender has come in agreeing on them.
         stage: BootstrapStage,
-        /// The furthest the sender has seen the receiver. Where the receiver's own log is behind, it was rolled back.
+        /// The furthest the sender has seen the receiver. Where the receiver's own log is behind,
+        /// it was rolled back.
         observed: LogPosition,
     },
     /// A message of the consensus algorithm, encoded by the crate `raft`.
--- a/crates/consensus/src/replicated_state.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -1,5 +1,5 @@
-//! What the voters agree on. It is serialized by position, in snapshots and in the entries of the log: fields keep their
-//! order.
+//! What the voters agree on. It is serialized by position, in snapshots and in the entries of the
+//! log: fields keep their order.
 
 use std::collections::BTreeMap;
 
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -57,11 +57,11 @@
     }
 }
 
-/// A voter. It owns the consensus log, the replicated state and, while it leads, the expiry of leases; its host owns the
-/// disk and the network and performs its [`Action`]s.
+/// A voter. It owns the consensus log, the replicated state and, while it leads, the expiry of
+/// leases; its host owns the disk and the network and performs its [`Action`]s.
 ///
-/// Invariants: it sends nothing that depends on a write before the action of that write; it applies entries once and in
-/// order; once rolled back it sends nothing any more.
+/// Invariants: it sends nothing that depends on a write before the action of that write; it applies
+/// entries once and in order; once rolled back it sends nothing any more.
 pub struct Voter {
     config: Config,
     identity: Identity,
@@ -95,7 +95,8 @@
 }
 
 impl Voter {
-    /// A voter from what its directory holds. `initial_voter_names` are configured, this voter among them or not.
+    /// A voter from what its directory holds. `initial_voter_names` are configured, this voter
+    /// among them or not.
     pub(crate) fn load(
         config: Config,
         name: &str,
@@ -188,8 +189,9 @@
         self.state.voters.get(&leader_id).cloned()
     }
 
-    /// Handles events, all proposals among them as one entry, and returns the actions to perform, in order. Once rolled back
-    /// it returns none; events of the same batch that follow a rollback drop the actions before it as well.
+    /// Handles events, all proposals among them as one entry, and returns the actions to perform,
+    /// in order. Once rolled back it returns none; events of the same batch that follow a rollback
+    /// drop the actions before it as well.
     pub fn handle_events(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.now = now.max(self.now);
@@ -335,8 +337,8 @@
         Ok(())
     }
 
-    /// Ends the consensus for good, after a rollback or where its state is invalid: nothing sound could follow. Operators see
-    /// the same phase for both.
+    /// Ends the consensus for good, after a rollback or where its state is invalid: nothing sound
+    /// could follow. Operators see the same phase for both.
     fn stop_node(&mut self) {
         self.phase = Phase::RolledBack;
         self.node = None;
--- a/crates/consensus/src/voter/handshake.rs
+++ b/crates/consensus/src/voter/handshake.rs
@@ -1,4 +1,5 @@
-//! Handshakes: the ids of the voters, their bootstrap, and the detection of a directory that was rolled back.
+//! Handshakes: the ids of the voters, their bootstrap, and the detection of a directory that was
+//! rolled back.
 
 use std::collections::BTreeMap;
 
@@ -71,7 +72,8 @@
         }
     }
 
-    /// Whether others have seen more of this voter's log than it has itself: its directory is an older copy.
+    /// Whether others have seen more of this voter's log than it has itself: its directory is an
+    /// older copy.
     pub(super) fn is_behind(&self, observed: LogPosition) -> bool {
         self.node.as_ref().is_some_and(|node| {
             let log = &node.raft.raft_log;
@@ -128,7 +130,8 @@
     ) {
         let store = LogStore::bootstrapped(&initial_voters);
         let voters = initial_voters.keys().map(Name::to_string).collect();
-        // The log first: an identity alone would name voters and start without the log that they begin with.
+        // The log first: an identity alone would name voters and start without the log that they
+        // begin with.
         actions.push(Action::WriteSnapshot(store.encode()));
         (self.identity.promised, self.identity.is_bootstrapped) = (Some(initial_voters), true);
         actions.push(Action::WriteIdentity(self.identity.encode()));
--- a/crates/consensus/src/voter/leadership.rs
+++ b/crates/consensus/src/voter/leadership.rs
@@ -14,8 +14,8 @@
 }
 
 impl Voter {
-    /// The consensus draws its election timeouts from a random source of its own; each is replaced by one that is drawn
-    /// from the seed.
+    /// The consensus draws its election timeouts from a random source of its own; each is replaced
+    /// by one that is drawn from the seed.
     pub(super) fn redraw_election_timeout(&mut self) {
         let Some(node) = &mut self.node else { return };
         let current = (node.raft.term, node.raft.state);
@@ -28,8 +28,8 @@
         node.raft.set_randomized_election_timeout(timeout.ticks);
     }
 
-    /// Begins or ends the expiry of leases. It begins with the first entry of the leader's own term that is applied: then
-    /// everything that was committed before is known.
+    /// Begins or ends the expiry of leases. It begins with the first entry of the leader's own term
+    /// that is applied: then everything that was committed before is known.
     pub(super) fn follow_role(&mut self, actions: &mut Vec<Action>) {
         let Some(node) = &self.node else { return };
         let term = node.raft.term;
--- a/crates/consensus/src/voter/linearizable_reads.rs
+++ b/crates/consensus/src/voter/linearizable_reads.rs
@@ -1,5 +1,5 @@
-//! Linearizable reads by Raft's read index: a read is answered once a quorum has confirmed that the leader still leads, and
-//! everything that was committed when it came is applied.
+//! Linearizable reads by Raft's read index: a read is answered once a quorum has confirmed that the
+//! leader still leads, and everything that was committed when it came is applied.
 
 use raft::StateRole;
 use serde::{Deserialize, Serialize};
--- a/crates/consensus/src/voter/membership_change.rs
+++ b/crates/consensus/src/voter/membership_change.rs
@@ -1,5 +1,5 @@
-//! Changes of who votes. One voter replaces another by three entries, each committed before the next: the new one learns,
-//! the new one votes, the old one is removed.
+//! Changes of who votes. One voter replaces another by three entries, each committed before the
+//! next: the new one learns, the new one votes, the old one is removed.
 
 use raft::prelude::{ConfChange, ConfChangeType};
 use tulipgap_leases::Name;
@@ -84,7 +84,8 @@
     /// Applies a committed step of a change.
     pub(super) fn apply_change(&mut self, conf_change: &ConfChange) {
         let Some(node) = &mut self.node else { return };
-        // The consensus refuses what would leave no voter; then nothing of it is applied here either.
+        // The consensus refuses what would leave no voter; then nothing of it is applied here
+        // either.
         if node.apply_conf_change(conf_change).is_err() {
             return;
         }
--- a/crates/consensus/src/voter/raft_messages.rs
+++ b/crates/consensus/src/voter/raft_messages.rs
@@ -23,7 +23,8 @@
             return;
         }
         let Some(node) = &self.node else { return };
-        // Others know of entries that this voter had and has no more. The consensus would panic if it stepped this.
+        // Others know of entries that this voter had and has no more. The consensus would panic if
+        // it stepped this.
         let confirmed = confirmed_index(&message);
         if confirmed > node.raft.raft_log.last_index() && message.term >= node.raft.term {
             return self.roll_back(
@@ -42,7 +43,8 @@
         self.redraw_election_timeout();
     }
 
-    /// Remembers how far the sender's log has come. A pre-vote's term is not one that anybody has reached.
+    /// Remembers how far the sender's log has come. A pre-vote's term is not one that anybody has
+    /// reached.
     fn observe(&mut self, message: &Message) {
         let kind = message.get_msg_type();
         if matches!(
--- a/crates/consensus/src/voter/snapshot.rs
+++ b/crates/consensus/src/voter/snapshot.rs
@@ -1,4 +1,5 @@
-//! Snapshots of the replicated state: taken at an interval of entries, and restored from the leader's.
+//! Snapshots of the replicated state: taken at an interval of entries, and restored from the
+//! leader's.
 
 use raft::prelude::Snapshot;
 
@@ -11,7 +12,8 @@
 const KEPT_ENTRIES: u64 = 200;
 
 impl Voter {
-    /// Replaces the replicated state by the leader's. A voter that was outside votes where the snapshot names it.
+    /// Replaces the replicated state by the leader's. A voter that was outside votes where the
+    /// snapshot names it.
     pub(super) fn restore_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), LoadError> {
         let state = ReplicatedState::decode(snapshot.get_data())?;
         self.applied_index = snapshot.get_metadata().index;
--- a/crates/consensus/tests/stored_format.rs
+++ b/crates/consensus/tests/stored_format.rs
@@ -1,9 +1,10 @@
-//! What a voter keeps on disk is readable by later versions: folders written by an earlier version are opened, and the
-//! same run writes the same bytes. `tests/golden/journal` holds one folder for each state a folder can be in, and in
-//! `*-final` every kind of record: identity, snapshot, hard state, commands of each kind, changes of voters.
+//! What a voter keeps on disk is readable by later versions: folders written by an earlier version
+//! are opened, and the same run writes the same bytes. `tests/golden/journal` holds one folder for
+//! each state a folder can be in, and in `*-final` every kind of record: identity, snapshot, hard
+//! state, commands of each kind, changes of voters.
 //!
-//! The files were written when this test was (GOLDEN_WRITE=1 writes them anew). A change of the format needs files of its
-//! own beside these, which stay readable.
+//! The files were written when this test was (GOLDEN_WRITE=1 writes them anew). A change of the
+//! format needs files of its own beside these, which stay readable.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write;
@@ -20,7 +21,8 @@
 const BOOTSTRAP_VOTERS: [&str; 3] = ["a", "b", "c"];
 
 fn config() -> Config {
-    // More than the 200 entries that stay behind a snapshot, so that older ones are removed from the log.
+    // More than the 200 entries that stay behind a snapshot, so that older ones are removed from
+    // the log.
     Config {
         snapshot_interval_entries: 250,
         ..Config::default()
@@ -165,8 +167,8 @@
     }
 }
 
-/// Bootstrap, a command of each kind, more entries than a snapshot covers, and one voter replaced by a newcomer that
-/// begins with a snapshot.
+/// Bootstrap, a command of each kind, more entries than a snapshot covers, and one voter replaced
+/// by a newcomer that begins with a snapshot.
 fn written_folders() -> BTreeMap<&'static str, Files> {
     let hour = Duration::from_secs(3600);
     let mut group = Group::new(
@@ -208,8 +210,8 @@
             new: "d".into(),
         },
     );
-    // The consensus restores no snapshot that was taken before the newcomer was added as a learner, and its leader waits
-    // for that one: the next leader sends one that it took later.
+    // The consensus restores no snapshot that was taken before the newcomer was added as a learner,
+    // and its leader waits for that one: the next leader sends one that it took later.
     fill_log(&mut group);
     group.deliver(&leader, Event::TransferLeadership);
     group.tick_until("another leader", |group| {
@@ -381,7 +383,8 @@
     }
 }
 
-/// The folders of the last voters, opened again, agree on all that was agreed on when they were written.
+/// The folders of the last voters, opened again, agree on all that was agreed on when they were
+/// written.
 #[test]
 fn folders_written_by_an_earlier_version_are_read_with_the_same_values() {
     let mut text = String::new();
--- a/crates/fault-injection/benches/leases.rs
+++ b/crates/fault-injection/benches/leases.rs
@@ -1,6 +1,6 @@
-//! Grants and renewals per second with real disks: each voter runs on a thread of its own with a directory,
-//! messages go through channels, and each client waits for its response before it requests again. `cargo
-//! bench -p tulipgap-fault-injection`.
+//! Grants and renewals per second with real disks: each voter runs on a thread of its own with a
+//! directory, messages go through channels, and each client waits for its response before it
+//! requests again. `cargo bench -p tulipgap-fault-injection`.
 
 use std::collections::HashMap;
 use std::path::Path;
--- a/crates/fault-injection/src/history_checker.rs
+++ b/crates/fault-injection/src/history_checker.rs
@@ -1,6 +1,6 @@
-//! Checks the history of operations under leases: it sees each begin and end with its fencing token, and
-//! rejects a token that is older than one it has seen. It is the same in simulated time and between real
-//! processes.
+//! Checks the history of operations under leases: it sees each begin and end with its fencing
+//! token, and rejects a token that is older than one it has seen. It is the same in simulated time
+//! and between real processes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +14,8 @@
     /// A newer token was seen, or no operation with this token is under way.
     #[error("its token is stale")]
     StaleToken,
-    /// More operations are under way than the lease has capacity for. This violates what leases guarantee.
+    /// More operations are under way than the lease has capacity for. This violates what leases
+    /// guarantee.
     #[error("operations with tokens {} are under way at a time", joined(tokens))]
     Overlap {
         /// The tokens of the operations that are under way.
@@ -63,13 +64,13 @@
         HistoryChecker { leases }
     }
 
-    /// An operation begins. Of those that have not ended, the ones with `paused` tokens belong to processes
-    /// that are paused: a newer token fences them off.
+    /// An operation begins. Of those that have not ended, the ones with `paused` tokens belong to
+    /// processes that are paused: a newer token fences them off.
     ///
     /// # Errors
-    /// [`OperationError::StaleToken`] where a newer token of a lease of capacity 1 was seen or there is no
-    /// such lease, and [`OperationError::Overlap`] where operations of more owners than may hold the lease
-    /// are under way.
+    /// [`OperationError::StaleToken`] where a newer token of a lease of capacity 1 was seen or
+    /// there is no such lease, and [`OperationError::Overlap`] where operations of more owners than
+    /// may hold the lease are under way.
     pub fn begin(
         &mut self,
         lease: &str,
--- a/crates/fault-injection/src/invariants.rs
+++ b/crates/fault-injection/src/invariants.rs
@@ -1,5 +1,5 @@
-//! The invariants of the membership: how long views may differ from the truth. Each bound is asserted during
-//! a run, and the worst duration that was seen is kept beside it.
+//! The invariants of the membership: how long views may differ from the truth. Each bound is
+//! asserted during a run, and the worst duration that was seen is kept beside it.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
@@ -120,8 +120,8 @@
     pub(crate) is_dead: bool,
 }
 
-/// Checks observations against the bounds. Owns since when each view is wrong, the worst durations, and the
-/// first violation.
+/// Checks observations against the bounds. Owns since when each view is wrong, the worst durations,
+/// and the first violation.
 pub(crate) struct MembershipChecker {
     bounds: Bounds,
     faults_end: Duration,
@@ -192,7 +192,8 @@
         }
     }
 
-    /// Forgets the observations of a member that was paused or is new: its view is as old as its pause.
+    /// Forgets the observations of a member that was paused or is new: its view is as old as its
+    /// pause.
     pub(crate) fn reset_observer(&mut self, observer: MemberIndex) {
         self.false_death_since.retain(|pair, _| pair.0 != observer);
         self.undetected_since.retain(|pair, _| pair.0 != observer);
--- a/crates/fault-injection/src/lease_simulation/clients.rs
+++ b/crates/fault-injection/src/lease_simulation/clients.rs
@@ -1,4 +1,5 @@
-//! The lease clients' state machines, and the operations that their processes carry out under leases.
+//! The lease clients' state machines, and the operations that their processes carry out under
+//! leases.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -151,8 +152,8 @@
         self.schedule_operation(duration, member, lease);
     }
 
-    /// The tokens of operations of paused processes: nothing but the token keeps those from doing harm when
-    /// they resume.
+    /// The tokens of operations of paused processes: nothing but the token keeps those from doing
+    /// harm when they resume.
     fn paused_operations(&self, lease: &Name) -> BTreeSet<FencingToken> {
         let paused = self.processes.iter().filter(|process| process.is_paused);
         paused
--- a/crates/fault-injection/src/lease_simulation/injected_bugs.rs
+++ b/crates/fault-injection/src/lease_simulation/injected_bugs.rs
@@ -1,5 +1,5 @@
-//! Bugs that are injected to show that the checks can fail. Without the feature `injected-bugs` there are
-//! none.
+//! Bugs that are injected to show that the checks can fail. Without the feature `injected-bugs`
+//! there are none.
 
 use tulipgap_consensus::DurableVoter;
 use tulipgap_leases::LeaseClient;
--- a/crates/fault-injection/src/lease_simulation/invariants.rs
+++ b/crates/fault-injection/src/lease_simulation/invariants.rs
@@ -91,7 +91,8 @@
         state.newest_grants.insert(lease.clone(), grant);
     }
 
-    /// How many owners may act now, by true time and whatever each of them believes; paused ones count too.
+    /// How many owners may act now, by true time and whatever each of them believes; paused ones
+    /// count too.
     fn count_holders(&self, lease: &str) -> usize {
         let may_act = |process: &&Process| {
             let client = process.client.clone();
--- a/crates/fault-injection/src/lease_simulation/mod.rs
+++ b/crates/fault-injection/src/lease_simulation/mod.rs
@@ -1,6 +1,6 @@
-//! Leases in simulated time: voters, lease clients and their disks as they are in production, a network,
-//! clocks and processes that do what the plan says, and a history checker that sees each operation. The same
-//! plan and seed give the same run to the last message.
+//! Leases in simulated time: voters, lease clients and their disks as they are in production, a
+//! network, clocks and processes that do what the plan says, and a history checker that sees each
+//! operation. The same plan and seed give the same run to the last message.
 
 mod clients;
 mod injected_bugs;
@@ -67,7 +67,8 @@
     },
 }
 
-/// A run. Owns the processes; what the invariants need to know of the past is in its [`InvariantState`].
+/// A run. Owns the processes; what the invariants need to know of the past is in its
+/// [`InvariantState`].
 struct LeaseSimulation<'a> {
     plan: &'a Plan,
     bugs: InjectedBugs,
@@ -169,7 +170,8 @@
         }
     }
 
-    /// Schedules both ends of a fault of members. Faults of links and clocks are looked up when they matter.
+    /// Schedules both ends of a fault of members. Faults of links and clocks are looked up when
+    /// they matter.
     fn schedule_fault(&mut self, fault: &Fault) {
         match fault {
             Fault::Crash {
--- a/crates/fault-injection/src/lease_simulation/network.rs
+++ b/crates/fault-injection/src/lease_simulation/network.rs
@@ -123,8 +123,8 @@
         }
     }
 
-    /// A random member asks every voter who holds the first lease of the plan, if its capacity is 1. Only a
-    /// voter that has confirmed that it leads may answer.
+    /// A random member asks every voter who holds the first lease of the plan, if its capacity is
+    /// 1. Only a voter that has confirmed that it leads may answer.
     pub(super) fn read_leases(&mut self) {
         self.scheduler
             .schedule_in(READ_INTERVAL, 0, SimulationEvent::ReadLeases);
--- a/crates/fault-injection/src/lease_simulation/outcome.rs
+++ b/crates/fault-injection/src/lease_simulation/outcome.rs
@@ -20,8 +20,8 @@
     OperationsDoNotOverlap,
     /// A read shows every grant that an owner was notified of before the read began.
     ReadsAreLinearizable,
-    /// After the last fault, a lease that is wanted has a holder within a bound, while a majority of voters
-    /// votes.
+    /// After the last fault, a lease that is wanted has a holder within a bound, while a majority
+    /// of voters votes.
     VacancyBounded,
 }
 
--- a/crates/fault-injection/src/lease_simulation/processes.rs
+++ b/crates/fault-injection/src/lease_simulation/processes.rs
@@ -19,7 +19,8 @@
 const JITTER_PERMILLE: u32 = 250;
 /// Events that wait for a paused process, as in a socket's buffer.
 const MAX_PENDING_EVENTS: usize = 2000;
-/// Timers are set by clocks of another rate; this covers the rounding, so that none expires before its time.
+/// Timers are set by clocks of another rate; this covers the rounding, so that none expires before
+/// its time.
 const TIMER_ROUNDING: Duration = Duration::from_nanos(10);
 
 /// A lease under which a client has a guard; the lease itself may have ended meanwhile.
@@ -29,7 +30,8 @@
     pub(super) operation: Option<FencingToken>,
 }
 
-/// One process and its machine. Owns its state machines, its disk, and what waits while it is paused.
+/// One process and its machine. Owns its state machines, its disk, and what waits while it is
+/// paused.
 pub(super) struct Process {
     pub(super) name: Name,
     clock_rate: f64,
--- a/crates/fault-injection/src/membership_simulation/mod.rs
+++ b/crates/fault-injection/src/membership_simulation/mod.rs
@@ -1,5 +1,6 @@
-//! The membership in simulated time: the members' own state machines, a network that does what the plan says,
-//! and a checker of the invariants. The same plan and seed give the same run to the last message.
+//! The membership in simulated time: the members' own state machines, a network that does what the
+//! plan says, and a checker of the invariants. The same plan and seed give the same run to the last
+//! message.
 
 mod network;
 mod outcome;
--- a/crates/fault-injection/src/membership_simulation/processes.rs
+++ b/crates/fault-injection/src/membership_simulation/processes.rs
@@ -1,5 +1,5 @@
-//! The processes of a run: how each starts, crashes, is paused and resumes, and what its state machine is
-//! given.
+//! The processes of a run: how each starts, crashes, is paused and resumes, and what its state
+//! machine is given.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
--- a/crates/fault-injection/src/plan/fault.rs
+++ b/crates/fault-injection/src/plan/fault.rs
@@ -4,8 +4,8 @@
 
 use serde::Deserialize;
 
-/// When each directory is backed up, since the start of the run: what [`DirectoryAfterCrash::RolledBack`]
-/// restores.
+/// When each directory is backed up, since the start of the run: what
+/// [`DirectoryAfterCrash::RolledBack`] restores.
 pub(crate) const BACKUP_AT: Duration = Duration::from_millis(500);
 
 /// A span of time, in seconds since the start of the run; its end is not part of it.
@@ -70,8 +70,8 @@
     }
 }
 
-/// A fault. A target is the name of a member or of a zone, or empty for all members; times are seconds since
-/// the start.
+/// A fault. A target is the name of a member or of a zone, or empty for all members; times are
+/// seconds since the start.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// Nothing gets through between two targets.
@@ -150,8 +150,8 @@
 }
 
 impl Fault {
-    /// The place of this kind in [`super::Plan::faults`]: plan files are read kind by kind, in this order,
-    /// whatever the order of their blocks.
+    /// The place of this kind in [`super::Plan::faults`]: plan files are read kind by kind, in this
+    /// order, whatever the order of their blocks.
     pub(crate) fn kind_order(&self) -> u32 {
         match self {
             Fault::Partition { .. } => 0,
--- a/crates/fault-injection/src/plan/hcl_output.rs
+++ b/crates/fault-injection/src/plan/hcl_output.rs
@@ -1,4 +1,5 @@
-//! Writes the faults of a plan as blocks of a plan file, so that a run that failed can be played again.
+//! Writes the faults of a plan as blocks of a plan file, so that a run that failed can be played
+//! again.
 
 use std::fmt::Write;
 
--- a/crates/fault-injection/src/plan/mod.rs
+++ b/crates/fault-injection/src/plan/mod.rs
@@ -1,4 +1,5 @@
-//! A plan: the members of a cluster, the faults that are injected into it, and the bounds that are checked.
+//! A plan: the members of a cluster, the faults that are injected into it, and the bounds that are
+//! checked.
 
 mod fault;
 mod file;
@@ -59,7 +60,8 @@
 }
 
 impl Member {
-    /// Whether a target means this member: its name, its zone, or the empty string, which means all.
+    /// Whether a target means this member: its name, its zone, or the empty string, which means
+    /// all.
     pub(crate) fn matches(&self, target: &str) -> bool {
         target.is_empty() || self.name == target || self.zone == target
     }
@@ -110,8 +112,8 @@
     /// The longest after the last fault that a view may differ from the truth.
     #[serde(rename = "agree")]
     pub convergence: f64,
-    /// The longest after the last fault that a wanted lease may have no holder, while a majority of voters
-    /// votes.
+    /// The longest after the last fault that a wanted lease may have no holder, while a majority of
+    /// voters votes.
     #[serde(rename = "free", default = "default_vacancy")]
     pub vacancy: f64,
 }
@@ -154,8 +156,8 @@
     /// Parses and validates a plan file.
     ///
     /// # Errors
-    /// [`PlanError::Syntax`] where the text is no plan file, and [`PlanError::InvalidValue`] where it cannot
-    /// be played.
+    /// [`PlanError::Syntax`] where the text is no plan file, and [`PlanError::InvalidValue`] where
+    /// it cannot be played.
     pub fn parse(text: &str) -> Result<Self, PlanError> {
         let plan = Plan::try_from(file::PlanFile::parse(text)?)?;
         plan.validate()?;
@@ -189,7 +191,8 @@
             .unwrap_or(zone)
     }
 
-    /// When the last fault is over, since the start. Clocks of another rate do not count: they never end.
+    /// When the last fault is over, since the start. Clocks of another rate do not count: they
+    /// never end.
     pub fn faults_end(&self) -> Duration {
         Duration::from_secs_f64(self.faults.iter().map(Fault::end).fold(0.0, f64::max))
     }
@@ -211,7 +214,8 @@
         .collect()
 }
 
-/// The first member of each zone, by which new members join: a zone that is cut off still finds its own.
+/// The first member of each zone, by which new members join: a zone that is cut off still finds its
+/// own.
 pub(crate) fn seed_members(members: &[Member]) -> impl Iterator<Item = MemberIndex> {
     (0..members.len()).filter(|&index| index == 0 || members[index].zone != members[index - 1].zone)
 }
--- a/crates/fault-injection/src/plan/network.rs
+++ b/crates/fault-injection/src/plan/network.rs
@@ -35,8 +35,8 @@
         rng.f64() < self.loss
     }
 
-    /// Draws for one copy in simulated time how long it takes, or `None` where it is lost. Each copy takes
-    /// its own time, so messages overtake each other.
+    /// Draws for one copy in simulated time how long it takes, or `None` where it is lost. Each
+    /// copy takes its own time, so messages overtake each other.
     fn draw_transit(&self, rng: &mut fastrand::Rng) -> Option<Duration> {
         let latency = MIN_LATENCY_SECONDS + (MAX_LATENCY_SECONDS - MIN_LATENCY_SECONDS) * rng.f64();
         let transit = latency + self.draw_delay(rng);
@@ -46,7 +46,8 @@
 }
 
 impl Plan {
-    /// Whether partitions let through at that time what one member sends to another. `now` is in seconds.
+    /// Whether partitions let through at that time what one member sends to another. `now` is in
+    /// seconds.
     pub(crate) fn is_link_open(&self, now: f64, from: &Member, to: &Member) -> bool {
         !self.faults.iter().any(|fault| match fault {
             Fault::Partition {
@@ -74,8 +75,8 @@
             .any(|fault| matches!(fault, Fault::Partition { window, .. } if window.contains(now)))
     }
 
-    /// The quality of the links from one member to another: the worst of each that a fault asks for at that
-    /// time. `now` is in seconds.
+    /// The quality of the links from one member to another: the worst of each that a fault asks for
+    /// at that time. `now` is in seconds.
     pub(crate) fn link_quality(&self, now: f64, from: &Member, to: &Member) -> LinkQuality {
         let mut quality = LinkQuality::default();
         for fault in &self.faults {
@@ -97,8 +98,8 @@
         quality
     }
 
-    /// Draws for each copy of a message in simulated time that arrives how long it takes. Nothing arrives
-    /// over a link that is cut at that time. `now` is in seconds.
+    /// Draws for each copy of a message in simulated time that arrives how long it takes. Nothing
+    /// arrives over a link that is cut at that time. `now` is in seconds.
     pub(crate) fn draw_transits(
         &self,
         now: f64,
--- a/crates/fault-injection/src/processes/addresses.rs
+++ b/crates/fault-injection/src/processes/addresses.rs
@@ -11,8 +11,8 @@
 const HISTORY_PORT: u16 = 7000;
 /// Bound for as long as a run owns its network.
 const CLAIM_PORT: u16 = 7099;
-/// The proxy from one member to another listens on the first one's address, on this port plus the other's
-/// index.
+/// The proxy from one member to another listens on the first one's address, on this port plus the
+/// other's index.
 const FIRST_PROXY_PORT: u16 = 8000;
 /// Hosts of a run's network: 1 claims it, members have 10 and on.
 const CLAIM_HOST: u8 = 1;
@@ -21,8 +21,8 @@
 const DELAYED_SENDER_HOST: usize = 211;
 const CLAIM_ATTEMPTS: u32 = 200;
 
-/// A network of 256 loopback addresses that no other run on this machine uses. Dropping it gives the network
-/// back.
+/// A network of 256 loopback addresses that no other run on this machine uses. Dropping it gives
+/// the network back.
 pub(super) struct AddressBlock {
     network: [u8; 3],
     _claim: UdpSocket,
@@ -77,8 +77,8 @@
         self.address(DELAYED_SENDER_HOST, 0)
     }
 
-    /// A run of more members than the network has addresses for falls back to one that is in use, which fails
-    /// to bind.
+    /// A run of more members than the network has addresses for falls back to one that is in use,
+    /// which fails to bind.
     fn address(&self, host: usize, port: u16) -> SocketAddr {
         let [a, b, c] = self.network;
         let address = match u8::try_from(host) {
--- a/crates/fault-injection/src/processes/history.rs
+++ b/crates/fault-injection/src/processes/history.rs
@@ -1,5 +1,5 @@
-//! The history of operations under leases: each process reports over a stream when an operation begins and
-//! ends, and learns whether its token was accepted.
+//! The history of operations under leases: each process reports over a stream when an operation
+//! begins and ends, and learns whether its token was accepted.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, BufRead, BufReader, Write};
@@ -17,7 +17,8 @@
 use crate::plan::{Plan, PlannedLease};
 
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(1);
-/// The words of the protocol: a report is `PHASE LEASE TOKEN MEMBER` in one line, and so is its response.
+/// The words of the protocol: a report is `PHASE LEASE TOKEN MEMBER` in one line, and so is its
+/// response.
 const BEGIN: &str = "begin";
 const END: &str = "end";
 const ACCEPTED: &[u8] = b"taken\n";
@@ -73,8 +74,8 @@
     lease: String,
 }
 
-/// Records the history of a run. Owns the history checker, the outcome as it grows, and who is under way with
-/// what.
+/// Records the history of a run. Owns the history checker, the outcome as it grows, and who is
+/// under way with what.
 pub(super) struct HistoryRecorder {
     checker: HistoryChecker,
     start: Instant,
@@ -182,7 +183,8 @@
         self.checker.end(&key.lease, key.token)
     }
 
-    /// The tokens of operations under way whose members have been silent since they were paused or killed.
+    /// The tokens of operations under way whose members have been silent since they were paused or
+    /// killed.
     fn paused_operations(&self, lease: &str) -> BTreeSet<FencingToken> {
         let is_silent = |member: &String| {
             self.silent.contains(&MemberLease {
--- a/crates/fault-injection/src/processes/mod.rs
+++ b/crates/fault-injection/src/processes/mod.rs
@@ -1,6 +1,6 @@
-//! Plays a plan with real processes of the program, on loopback addresses: each link between them leads
-//! through a proxy, faults are injected into proxies and processes, and a history checker sees each operation
-//! under a lease.
+//! Plays a plan with real processes of the program, on loopback addresses: each link between them
+//! leads through a proxy, faults are injected into proxies and processes, and a history checker
+//! sees each operation under a lease.
 
 mod addresses;
 mod configuration;
@@ -136,7 +136,8 @@
     pub executor: SocketAddr,
 }
 
-/// What runs on this machine for one run. Owns the processes; dropping it ends proxies and processes.
+/// What runs on this machine for one run. Owns the processes; dropping it ends proxies and
+/// processes.
 struct RunningCluster {
     network: Arc<Network>,
     addresses: AddressBlock,
@@ -153,12 +154,12 @@
 /// Plays a plan once with processes of `program`, whose directories, journals and logs are kept in
 /// `run_directory`.
 ///
-/// Before the first process is started, `on_start` learns where each will serve. After the last fault,
-/// `is_done` is asked with the outcome so far; it may end the run before its length.
+/// Before the first process is started, `on_start` learns where each will serve. After the last
+/// fault, `is_done` is asked with the outcome so far; it may end the run before its length.
 ///
 /// # Errors
-/// [`RunError::ProcessEnded`] where a process ends by itself, and [`RunError::Io`] where the machine refuses
-/// something. A violation of an invariant is no error; it stands in the outcome.
+/// [`RunError::ProcessEnded`] where a process ends by itself, and [`RunError::Io`] where the
+/// machine refuses something. A violation of an invariant is no error; it stands in the outcome.
 pub fn run(
     plan: &Plan,
     program: &Path,
--- a/crates/fault-injection/src/processes/process.rs
+++ b/crates/fault-injection/src/processes/process.rs
@@ -12,8 +12,8 @@
 use super::schedule::FaultAction;
 use crate::plan::{DirectoryAfterCrash, DiskFault, Member, PlannedLease};
 
-/// Names in a process's directory. While the file of a disk fault is there, the process's disk fails that
-/// way.
+/// Names in a process's directory. While the file of a disk fault is there, the process's disk
+/// fails that way.
 const JOURNAL: &str = "journal";
 const JOURNAL_BACKUP: &str = "older";
 const CONTROL_SOCKET: &str = "control";
--- a/crates/fault-injection/src/processes/proxy.rs
+++ b/crates/fault-injection/src/processes/proxy.rs
@@ -1,4 +1,5 @@
-//! Proxies of the links between processes: each delays, loses, duplicates and holds back what the plan says.
+//! Proxies of the links between processes: each delays, loses, duplicates and holds back what the
+//! plan says.
 
 use std::cmp::{Ordering as CmpOrdering, Reverse};
 use std::collections::BinaryHeap;
@@ -21,8 +22,8 @@
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 const STREAM_BUFFER_BYTES: usize = 16_384;
 
-/// The network between the processes of a run, which all proxies share: the plan, and whether the run is
-/// over.
+/// The network between the processes of a run, which all proxies share: the plan, and whether the
+/// run is over.
 pub(super) struct Network {
     pub(super) plan: Plan,
     pub(super) members: Vec<Member>,
--- a/crates/fault-injection/src/processes/schedule.rs
+++ b/crates/fault-injection/src/processes/schedule.rs
@@ -4,8 +4,8 @@
     BACKUP_AT, DirectoryAfterCrash, DiskFault, Fault, Member, MemberIndex, Plan, matching,
 };
 
-/// What is done to a process. Faults of links and clocks are no actions: proxies look them up, and a clock's
-/// rate is configured at the start.
+/// What is done to a process. Faults of links and clocks are no actions: proxies look them up, and
+/// a clock's rate is configured at the start.
 pub(super) enum FaultAction {
     Kill,
     Restart(DirectoryAfterCrash),
--- a/crates/fault-injection/src/processes/views.rs
+++ b/crates/fault-injection/src/processes/views.rs
@@ -1,5 +1,5 @@
-//! Asks each process at intervals what it considers the others to be, and checks the membership's invariants
-//! on that.
+//! Asks each process at intervals what it considers the others to be, and checks the membership's
+//! invariants on that.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Write};
--- a/crates/fault-injection/src/random_faults.rs
+++ b/crates/fault-injection/src/random_faults.rs
@@ -10,8 +10,8 @@
 /// How long a process stays dead when it is restarted after a disk fault.
 const RESTART_SECONDS: f64 = 0.1;
 
-/// The same plan with up to six random faults beside its own, over by two thirds of its length. The same seed
-/// draws the same faults.
+/// The same plan with up to six random faults beside its own, over by two thirds of its length. The
+/// same seed draws the same faults.
 pub fn with_random_faults(plan: &Plan, seed: u64) -> Plan {
     let mut rng = fastrand::Rng::with_seed(seed ^ SEED_MASK);
     let members = plan.members();
@@ -37,7 +37,8 @@
         }
         plan.faults.push(fault);
     }
-    // In the order of a plan file, so that a file that is written of this plan plays the very same run.
+    // In the order of a plan file, so that a file that is written of this plan plays the very same
+    // run.
     plan.faults.sort_by_key(Fault::kind_order);
     plan
 }
@@ -52,8 +53,8 @@
     TimeWindow { from, to }
 }
 
-/// Draws one fault. At most one directory is emptied in a run: a second one would leave no majority that
-/// knows all that was committed.
+/// Draws one fault. At most one directory is emptied in a run: a second one would leave no majority
+/// that knows all that was committed.
 fn draw_fault(
     rng: &mut fastrand::Rng,
     members: &[Member],
--- a/crates/fault-injection/src/scheduler.rs
+++ b/crates/fault-injection/src/scheduler.rs
@@ -1,5 +1,5 @@
-//! Simulated time: a queue of events that moves the time on, and a fingerprint by which two runs are
-//! compared.
+//! Simulated time: a queue of events that moves the time on, and a fingerprint by which two runs
+//! are compared.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,8 +16,8 @@
     }
 }
 
-/// The time of a run and the events that are to happen, each to one member. Events of the same time happen in
-/// the order in which they were scheduled. The scheduler alone moves the time.
+/// The time of a run and the events that are to happen, each to one member. Events of the same time
+/// happen in the order in which they were scheduled. The scheduler alone moves the time.
 pub(crate) struct Scheduler<E> {
     now: Duration,
     sequence: u64,
--- a/crates/fault-injection/tests/history_checker.rs
+++ b/crates/fault-injection/tests/history_checker.rs
@@ -1,5 +1,5 @@
-//! The history checker sees operations that overlap and tokens that are stale, and excuses paused processes
-//! alone.
+//! The history checker sees operations that overlap and tokens that are stale, and excuses paused
+//! processes alone.
 
 use std::collections::BTreeSet;
 
--- a/crates/fault-injection/tests/lease_simulation.rs
+++ b/crates/fault-injection/tests/lease_simulation.rs
@@ -1,5 +1,5 @@
-//! Leases in simulated time over many seeds: each hard case, random faults, and injected bugs that the checks
-//! have to catch.
+//! Leases in simulated time over many seeds: each hard case, random faults, and injected bugs that
+//! the checks have to catch.
 
 use tulipgap_fault_injection::{
     InjectedBugs, LeaseOutcome, Plan, simulate_leases, with_random_faults,
@@ -182,7 +182,8 @@
     );
 }
 
-/// A voter whose directory is rolled back notices it by what the others know of it, and stops voting.
+/// A voter whose directory is rolled back notices it by what the others know of it, and stops
+/// voting.
 #[test]
 fn rolled_back_directory_is_noticed() {
     let outcomes = assert_invariants_hold(
@@ -219,8 +220,9 @@
     assert_ne!(run(7).fingerprint, run(8).fingerprint);
 }
 
-/// The injected bugs that show in whole runs, each with the seeds that are played for it; the others are
-/// found by the tests of the write-ahead log and among all states at small sizes (docs/design-leases.md).
+/// The injected bugs that show in whole runs, each with the seeds that are played for it; the
+/// others are found by the tests of the write-ahead log and among all states at small sizes
+/// (docs/design-leases.md).
 #[test]
 fn injected_bugs_are_found() {
     let stops: String = ["north-1", "north-2", "west-1", "west-2", "south-1"]
@@ -233,7 +235,8 @@
             )
         })
         .collect();
-    // A leader that was paused, has heard of no other voter since, and is asked by members that reach it.
+    // A leader that was paused, has heard of no other voter since, and is asked by members that
+    // reach it.
     let (mut paused_leader, voters) = (String::new(), ["north-1", "west-1", "south-1"]);
     for (of, at) in voters.iter().zip([5, 15, 25]) {
         paused_leader += &format!(
--- a/crates/fault-injection/tests/membership_simulation.rs
+++ b/crates/fault-injection/tests/membership_simulation.rs
@@ -1,4 +1,5 @@
-//! The membership in simulated time over many seeds: each hard case, and an injected bug for each invariant.
+//! The membership in simulated time over many seeds: each hard case, and an injected bug for each
+//! invariant.
 
 use tulipgap_fault_injection::{
     MembershipBug, MembershipInvariant, Plan, WorstDurations, simulate_membership,
--- a/crates/fault-injection/tests/plan_file.rs
+++ b/crates/fault-injection/tests/plan_file.rs
@@ -1,4 +1,5 @@
-//! Plan files: those that cannot be played are rejected with the place, and faults are written as they are read.
+//! Plan files: those that cannot be played are rejected with the place, and faults are written as
+//! they are read.
 
 use tulipgap_fault_injection::{
     DirectoryAfterCrash, DiskFault, Fault, Plan, PlanError, TimeWindow,
--- a/crates/leases/src/client.rs
+++ b/crates/leases/src/client.rs
@@ -1,7 +1,8 @@
-//! The client of one process: it requests leases from the voters, renews them in time, and issues guards.
+//! The client of one process: it requests leases from the voters, renews them in time, and issues
+//! guards.
 //!
-//! A TTL is counted from before its request was sent, by this process's own clock, and shorter by as much as that clock may
-//! be slow. So a lease ends here before anybody else is granted its slot.
+//! A TTL is counted from before its request was sent, by this process's own clock, and shorter by
+//! as much as that clock may be slow. So a lease ends here before anybody else is granted its slot.
 
 mod event;
 mod guard;
@@ -29,13 +30,16 @@
 
 /// Delay before a request is sent to the voter that a hint named as leader.
 const FOLLOW_HINT_DELAY: Duration = Duration::from_millis(10);
-/// Hints in a row that are followed at once. Two voters that name each other would be asked in turn without a pause.
+/// Hints in a row that are followed at once. Two voters that name each other would be asked in turn
+/// without a pause.
 const MAX_FOLLOWED_HINTS: u32 = 2;
 
-/// The leases that one process requests or holds. It owns their state: hosts learn of changes by its actions.
+/// The leases that one process requests or holds. It owns their state: hosts learn of changes by
+/// its actions.
 ///
-/// Invariants: a guard is valid only between the request that was granted and the end of its TTL, both by this process's
-/// clock; a token that was released is never accepted again; a lease is released only once no guard is out.
+/// Invariants: a guard is valid only between the request that was granted and the end of its TTL,
+/// both by this process's clock; a token that was released is never accepted again; a lease is
+/// released only once no guard is out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseClient {
     owner: Owner,
@@ -51,7 +55,8 @@
 }
 
 impl LeaseClient {
-    /// The client of `owner`, which asks `voters` in turn until one knows the leader. Pauses are drawn from `seed`.
+    /// The client of `owner`, which asks `voters` in turn until one knows the leader. Pauses are
+    /// drawn from `seed`.
     pub fn new(owner: Owner, voters: Vec<Name>, config: Config, seed: u64) -> Self {
         LeaseClient {
             owner,
@@ -80,7 +85,8 @@
             .map(|(name, wanted)| (name, wanted.status))
     }
 
-    /// Handles an event. `now` is this process's clock; where it goes backwards, every lease is lost.
+    /// Handles an event. `now` is this process's clock; where it goes backwards, every lease is
+    /// lost.
     pub fn handle_event(&mut self, now: Duration, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.read_clock(now, &mut actions);
@@ -104,7 +110,8 @@
                 request,
                 response,
             } => {
-                // A later leader may apply what an earlier run of this process requested, under an id of this run.
+                // A later leader may apply what an earlier run of this process requested, under an
+                // id of this run.
                 if incarnation == self.owner.incarnation {
                     self.handle_response(request, response, &mut actions);
                 }
@@ -195,7 +202,8 @@
         response: Response,
         actions: &mut Vec<Action>,
     ) {
-        // A response to a request that is no longer known is ignored: when it was sent isn't known either.
+        // A response to a request that is no longer known is ignored: when it was sent isn't known
+        // either.
         let Some((lease, sent_at)) = self.pending_request(request) else {
             return;
         };
@@ -271,7 +279,8 @@
             LeaseStatus::Active { token: current, .. } if *current > token => return,
             LeaseStatus::Releasing { .. } => return,
             status => {
-                // Its release may still be on the way, and would free the slot of whoever accepted the token again.
+                // Its release may still be on the way, and would free the slot of whoever accepted
+                // the token again.
                 let was_released = token <= self.released.latest(lease);
                 if was_released && !self.bug.is_on(InjectedBug::ReusedReleasedToken) {
                     return self.release(lease, token, actions);
@@ -411,7 +420,8 @@
         self.set_timer(actions);
     }
 
-    /// A lease that was not renewed in time ends. The voters are asked whether it is still held there.
+    /// A lease that was not renewed in time ends. The voters are asked whether it is still held
+    /// there.
     fn expire_if_due(&mut self, lease: &Name, actions: &mut Vec<Action>) {
         let Some(wanted) = self.leases.get_mut(lease) else {
             return;
@@ -436,7 +446,8 @@
         }
     }
 
-    /// Releases the slot. A lease that was revoked and is still wanted goes to the end of the queue.
+    /// Releases the slot. A lease that was revoked and is still wanted goes to the end of the
+    /// queue.
     fn finish_release(&mut self, lease: &Name, token: FencingToken, actions: &mut Vec<Action>) {
         let Some(wanted) = self.leases.remove(lease) else {
             return;
--- a/crates/leases/src/client/guard.rs
+++ b/crates/leases/src/client/guard.rs
@@ -6,9 +6,9 @@
 use crate::injected_bug::InjectedBug;
 use crate::protocol::{FencingToken, Name};
 
-/// The permission to act under a lease, for as long as [`LeaseClient::check_guard`] confirms it. It can't be made or copied
-/// outside this crate. Give it to [`LeaseClient::release_guard`] when nothing is done under it any more: the slot is
-/// released only then.
+/// The permission to act under a lease, for as long as [`LeaseClient::check_guard`] confirms it. It
+/// can't be made or copied outside this crate. Give it to [`LeaseClient::release_guard`] when
+/// nothing is done under it any more: the slot is released only then.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "a lease is not released while a guard is out"]
 pub struct LeaseGuard {
@@ -39,8 +39,8 @@
         Ok(LeaseGuard { lease: name, token })
     }
 
-    /// The token to act with in one step that begins now. A process that was paused since its last step learns here that
-    /// its lease has ended.
+    /// The token to act with in one step that begins now. A process that was paused since its last
+    /// step learns here that its lease has ended.
     ///
     /// # Errors
     /// [`StaleGuard`] where the lease has ended or was granted anew since the guard was acquired.
--- a/crates/leases/src/client/leader_hint.rs
+++ b/crates/leases/src/client/leader_hint.rs
@@ -27,8 +27,8 @@
         self.target = (self.target + 1) % self.voters.len().max(1);
     }
 
-    /// A voter does not lead and names who does, where it knows. Returns whether the hint named another voter than the
-    /// present target.
+    /// A voter does not lead and names who does, where it knows. Returns whether the hint named
+    /// another voter than the present target.
     pub(super) fn redirect(&mut self, leader: Option<&str>) -> bool {
         let Some(leader) = leader else {
             self.try_next();
--- a/crates/leases/src/client/released_tokens.rs
+++ b/crates/leases/src/client/released_tokens.rs
@@ -7,8 +7,8 @@
 /// Leases whose released tokens are kept apart.
 const MAX_RELEASED_LEASES: usize = 4096;
 
-/// The latest released token of each lease. Beyond [`MAX_RELEASED_LEASES`] one bound stands for all, which is safe: tokens
-/// grow over all leases, so it only rejects more.
+/// The latest released token of each lease. Beyond [`MAX_RELEASED_LEASES`] one bound stands for
+/// all, which is safe: tokens grow over all leases, so it only rejects more.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct ReleasedTokens {
     by_lease: BTreeMap<Name, FencingToken>,
--- a/crates/leases/src/client/renewal.rs
+++ b/crates/leases/src/client/renewal.rs
@@ -5,7 +5,8 @@
 use super::Config;
 use crate::injected_bug::{BugSwitch, InjectedBug};
 
-/// A lease is renewed after a third of its TTL and retried after each sixth, so three requests may fail.
+/// A lease is renewed after a third of its TTL and retried after each sixth, so three requests may
+/// fail.
 const RENEWALS_PER_TTL: u32 = 3;
 const RETRIES_PER_TTL: u32 = 6;
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(500);
@@ -34,7 +35,8 @@
         self.bug = BugSwitch::new(bug);
     }
 
-    /// The part of a TTL that has certainly not passed on any other clock before it has on this one.
+    /// The part of a TTL that has certainly not passed on any other clock before it has on this
+    /// one.
     pub(super) fn usable_ttl(&self, ttl: Duration) -> Duration {
         if self.bug.is_on(InjectedBug::NoClockMargin) {
             return ttl;
@@ -42,7 +44,8 @@
         ttl * (1000 - self.config.max_clock_drift_permille) / 1000
     }
 
-    /// Whether a step may take as long as `max_step`: a renewal must come before the guard is stale.
+    /// Whether a step may take as long as `max_step`: a renewal must come before the guard is
+    /// stale.
     pub(super) fn allows_step(&self, ttl: Duration, max_step: Duration) -> bool {
         max_step <= self.usable_ttl(ttl) / RENEWALS_PER_TTL
     }
--- a/crates/leases/src/expiry.rs
+++ b/crates/leases/src/expiry.rs
@@ -1,5 +1,5 @@
-//! Expiry of TTLs by the consensus leader. Nothing of it is replicated or stored: a new leader counts every TTL anew and in
-//! full, which can only make it wait longer.
+//! Expiry of TTLs by the consensus leader. Nothing of it is replicated or stored: a new leader
+//! counts every TTL anew and in full, which can only make it wait longer.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,8 +8,8 @@
 use crate::protocol::{Command, Incarnation, Name, Owner, RenewalNumber};
 use crate::state_machine::LeaseStateMachine;
 
-/// The most time that is counted between two readings of the clock: a clock that jumps ahead must not expire anybody,
-/// and time for which the leader was paused is not counted.
+/// The most time that is counted between two readings of the clock: a clock that jumps ahead must
+/// not expire anybody, and time for which the leader was paused is not counted.
 const MAX_COUNTED_STEP: Duration = Duration::from_millis(500);
 /// An expiry that was not applied is proposed again after this.
 const EXPIRE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
@@ -27,8 +27,8 @@
     at: Duration,
 }
 
-/// Counts the TTLs of all owners while its voter leads, and proposes to expire those that did not renew. It owns all
-/// deadlines; the state machine is only read.
+/// Counts the TTLs of all owners while its voter leads, and proposes to expire those that did not
+/// renew. It owns all deadlines; the state machine is only read.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ExpiryTracker {
     max_clock_drift_permille: u32,
@@ -44,8 +44,8 @@
 }
 
 impl ExpiryTracker {
-    /// The tracker of a voter that does not lead yet. Clocks may be off in rate by `max_clock_drift_permille`
-    /// thousandths.
+    /// The tracker of a voter that does not lead yet. Clocks may be off in rate by
+    /// `max_clock_drift_permille` thousandths.
     pub fn new(max_clock_drift_permille: u32) -> Self {
         ExpiryTracker {
             max_clock_drift_permille,
@@ -64,7 +64,8 @@
         self.bug = BugSwitch::new(bug);
     }
 
-    /// Its voter leads from now on: any owner may have renewed just before, so every TTL begins now.
+    /// Its voter leads from now on: any owner may have renewed just before, so every TTL begins
+    /// now.
     pub fn start_leading(&mut self, now: Duration, state: &LeaseStateMachine) {
         self.stop_leading();
         self.clock = now;
@@ -89,7 +90,8 @@
         }
     }
 
-    /// The owners whose TTL is over, each as a command to propose. One that is not applied is returned again later.
+    /// The owners whose TTL is over, each as a command to propose. One that is not applied is
+    /// returned again later.
     pub fn due_expirations(&mut self, now: Duration) -> Vec<Command> {
         if !self.is_leading {
             return Vec::new();
@@ -118,8 +120,8 @@
         commands
     }
 
-    /// When [`due_expirations`](Self::due_expirations) should be called next, by the voter's clock. It is read at least
-    /// twice in each step that counts.
+    /// When [`due_expirations`](Self::due_expirations) should be called next, by the voter's clock.
+    /// It is read at least twice in each step that counts.
     pub fn next_check_at(&self) -> Option<Duration> {
         let (deadline, _) = self.by_time.first()?;
         Some(
@@ -130,7 +132,8 @@
         )
     }
 
-    /// How long a TTL lasts on this clock at least by any other: the owner's clock may be slow and this one fast.
+    /// How long a TTL lasts on this clock at least by any other: the owner's clock may be slow and
+    /// this one fast.
     fn longest_ttl(&self, ttl: Duration) -> Duration {
         if self.bug.is_on(InjectedBug::NoClockMargin) {
             return ttl;
--- a/crates/leases/src/injected_bug.rs
+++ b/crates/leases/src/injected_bug.rs
@@ -1,5 +1,5 @@
-//! Bugs that proofs inject to show that their checkers find them. They can be injected only with the feature
-//! `injected-bugs`.
+//! Bugs that proofs inject to show that their checkers find them. They can be injected only with
+//! the feature `injected-bugs`.
 
 /// A mistake that is easily made, and that a checker must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -2,25 +2,27 @@
 //!
 //! Three state machines decide, none of which does I/O or reads a clock:
 //!
-//! - [`LeaseStateMachine`] is replicated by consensus. Input: a [`Command`]; output: a [`Response`]. It grants slots, queues
-//!   owners and hands out fencing tokens, and knows no time.
-//! - [`ExpiryTracker`] runs on the consensus leader. Input: the time and which commands were applied; output:
-//!   [`Command::Expire`] for each owner whose TTL is over by any clock.
-//! - [`LeaseClient`] runs in each process that wants leases. Input: an [`Event`]; output: [`Action`]s. It requests and
-//!   renews, and issues a [`LeaseGuard`] only while a lease is certainly valid.
+//! - [`LeaseStateMachine`] is replicated by consensus. Input: a [`Command`]; output: a
+//!   [`Response`]. It grants slots, queues owners and hands out fencing tokens, and knows no time.
+//! - [`ExpiryTracker`] runs on the consensus leader. Input: the time and which commands were
+//!   applied; output: [`Command::Expire`] for each owner whose TTL is over by any clock.
+//! - [`LeaseClient`] runs in each process that wants leases. Input: an [`Event`]; output:
+//!   [`Action`]s. It requests and renews, and issues a [`LeaseGuard`] only while a lease is
+//!   certainly valid.
 //!
-//! Times are durations since a start that each process chooses, by a clock that goes on while the machine sleeps. Clocks
-//! may differ in rate by [`Config::max_clock_drift_permille`]. Everything random is drawn from the seed that the client was
-//! made with, so runs can be repeated.
+//! Times are durations since a start that each process chooses, by a clock that goes on while the
+//! machine sleeps. Clocks may differ in rate by [`Config::max_clock_drift_permille`]. Everything
+//! random is drawn from the seed that the client was made with, so runs can be repeated.
 //!
-//! The scheme is that of Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed file cache
-//! consistency" (SOSP 1989), with fencing tokens for owners that are paused while they act. `docs/design-leases.md` argues
-//! why two owners of one slot never act at once.
+//! The scheme is that of Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism for
+//! distributed file cache consistency" (SOSP 1989), with fencing tokens for owners that are paused
+//! while they act. `docs/design-leases.md` argues why two owners of one slot never act at once.
 //!
 //! ```
 //! use std::time::Duration;
 //! use tulipgap_leases::{
-//!     Action, Config, Event, FencingToken, Incarnation, LeaseClient, LeaseSpec, LeaseStateMachine, Owner,
+//!     Action, Config, Event, FencingToken, Incarnation, LeaseClient, LeaseSpec, LeaseStateMachine,
+//!     Owner,
 //! };
 //!
 //! # fn main() -> Result<(), tulipgap_leases::StaleGuard> {
@@ -36,7 +38,8 @@
 //! for action in client.handle_event(now, acquire) {
 //!     if let Action::Send { request, command, .. } = action {
 //!         let response = state_machine.apply(&command);
-//!         client.handle_event(now, Event::Response { incarnation: Incarnation(1), request, response });
+//!         let incarnation = Incarnation(1);
+//!         client.handle_event(now, Event::Response { incarnation, request, response });
 //!     }
 //! }
 //! let guard = client.acquire_guard(now, "prober")?;
--- a/crates/leases/src/protocol.rs
+++ b/crates/leases/src/protocol.rs
@@ -1,5 +1,5 @@
-//! What clients and the replicated state machine exchange. All of it is serialized by position, on the wire and in the
-//! consensus log: variants and fields keep their order.
+//! What clients and the replicated state machine exchange. All of it is serialized by position, on
+//! the wire and in the consensus log: variants and fields keep their order.
 
 use std::fmt;
 use std::sync::Arc;
@@ -25,8 +25,8 @@
 /// The longest TTL.
 pub const MAX_LEASE_TTL: Duration = Duration::from_secs(3600);
 
-/// A number that grows with each grant, over all leases, and is never reused. What is acted on under a lease can reject
-/// a token that is older than one it has seen.
+/// A number that grows with each grant, over all leases, and is never reused. What is acted on
+/// under a lease can reject a token that is older than one it has seen.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -38,7 +38,8 @@
     }
 }
 
-/// The number of a request that was applied. An expiry names the one whose TTL is over, and a later renewal voids it.
+/// The number of a request that was applied. An expiry names the one whose TTL is over, and a later
+/// renewal voids it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -56,8 +57,8 @@
 )]
 pub struct RequestId(pub u64);
 
-/// A process and its incarnation. A process that was restarted is another owner, as nothing proves that the earlier run
-/// has ended.
+/// A process and its incarnation. A process that was restarted is another owner, as nothing proves
+/// that the earlier run has ended.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Owner {
     /// The process.
@@ -113,7 +114,8 @@
         /// The grant that ends.
         token: Option<FencingToken>,
     },
-    /// Ends a grant or a place in the queue. The leader proposes it once the TTL is over by any clock.
+    /// Ends a grant or a place in the queue. The leader proposes it once the TTL is over by any
+    /// clock.
     Expire {
         /// The lease.
         lease: Name,
@@ -141,7 +143,8 @@
 }
 
 impl Command {
-    /// The incarnation of the owner that sent the command; zero where an operator or the leader did.
+    /// The incarnation of the owner that sent the command; zero where an operator or the leader
+    /// did.
     pub fn incarnation(&self) -> Incarnation {
         match self {
             Command::Acquire { owner, .. } | Command::Release { owner, .. } => owner.incarnation,
--- a/crates/leases/src/state_machine.rs
+++ b/crates/leases/src/state_machine.rs
@@ -1,5 +1,5 @@
-//! The replicated state: each lease, who holds it and who waits. A command changes it in the same way on every voter, so it
-//! reads no clock and draws nothing at random.
+//! The replicated state: each lease, who holds it and who waits. A command changes it in the same
+//! way on every voter, so it reads no clock and draws nothing at random.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -57,8 +57,8 @@
 
 /// All leases. Each voter owns a copy and changes it by [`apply`](LeaseStateMachine::apply) alone.
 ///
-/// Invariants: a lease has at most as many holders as its capacity; tokens only grow; a lease that nobody holds or waits for
-/// is removed.
+/// Invariants: a lease has at most as many holders as its capacity; tokens only grow; a lease that
+/// nobody holds or waits for is removed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseStateMachine {
     leases: BTreeMap<Name, Lease>,
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Applies a command. It never fails: a command that can't be applied is rejected in the same way everywhere.
+    /// Applies a command. It never fails: a command that can't be applied is rejected in the same
+    /// way everywhere.
     pub fn apply(&mut self, command: &Command) -> Response {
         let result = match command {
             Command::Acquire {
--- a/crates/leases/tests/client.rs
+++ b/crates/leases/tests/client.rs
@@ -52,8 +52,9 @@
     }
 }
 
-/// Requests are numbered from the start in each run, and a leader may apply only now what an earlier run requested: its
-/// response, taken for that to a request of this run, gave a lease that the state had for nobody of this name.
+/// Requests are numbered from the start in each run, and a leader may apply only now what an
+/// earlier run requested: its response, taken for that to a request of this run, gave a lease that
+/// the state had for nobody of this name.
 #[test]
 fn a_response_to_an_earlier_incarnation_is_ignored() {
     let mut client = client(2);
@@ -64,7 +65,8 @@
     assert!(client.acquire_guard(Duration::from_millis(8), "x").is_ok());
 }
 
-/// Requests that were lost in a partition stayed pending for ever and made a client ignore every hint who leads.
+/// Requests that were lost in a partition stayed pending for ever and made a client ignore every
+/// hint who leads.
 #[test]
 fn a_leader_hint_is_followed_after_lost_requests() {
     let mut client = client(1);
@@ -171,7 +173,8 @@
     );
 }
 
-/// A thousand leases and three hundred owners: each lease has its holders, all others wait in the order they came.
+/// A thousand leases and three hundred owners: each lease has its holders, all others wait in the
+/// order they came.
 #[test]
 fn a_thousand_leases_are_granted_in_queue_order_to_three_hundred_owners() {
     let mut state = LeaseStateMachine::default();
--- a/crates/leases/tests/exhaustive.rs
+++ b/crates/leases/tests/exhaustive.rs
@@ -1,6 +1,7 @@
-//! Model checking: every state that clients, an expiry tracker and the replicated state can reach within a depth, with
-//! messages lost, delayed, duplicated and reordered, leader changes that keep or drop what was not committed, timers that
-//! come late (a paused process), and clocks at their bounds. The state machines are the real ones, over an abstract log.
+//! Model checking: every state that clients, an expiry tracker and the replicated state can reach
+//! within a depth, with messages lost, delayed, duplicated and reordered, leader changes that keep
+//! or drop what was not committed, timers that come late (a paused process), and clocks at their
+//! bounds. The state machines are the real ones, over an abstract log.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,8 +13,8 @@
     LeaseClient, LeaseSpec, LeaseStateMachine, Owner, RequestId, Response,
 };
 
-/// Clocks are off by a quarter at most here: 100 ms pass as 75 on a slow one and as 125 on a fast one.
-/// A TTL is over by true time after two ticks, on any clock.
+/// Clocks are off by a quarter at most here: 100 ms pass as 75 on a slow one and as 125 on a fast
+/// one. A TTL is over by true time after two ticks, on any clock.
 const MAX_CLOCK_DRIFT_PERMILLE: u32 = 250;
 const TTL: Duration = Duration::from_millis(200);
 const SPEC: LeaseSpec = LeaseSpec {
@@ -360,8 +361,8 @@
     }
 }
 
-/// Explores all states within the depth. Returns the names of the properties with an example: a counterexample of an
-/// `always` property, and [`CHANGES_OWNER`] where it was reached.
+/// Explores all states within the depth. Returns the names of the properties with an example: a
+/// counterexample of an `always` property, and [`CHANGES_OWNER`] where it was reached.
 fn explore(model: LeaseModel, depth: usize) -> Vec<&'static str> {
     // One at a time: each takes up to 3 GB.
     static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,6 +1,6 @@
-//! Anti-entropy: at intervals two members exchange their complete state (memberlist's push-pull), which
-//! repairs what the dissemination of single updates has missed and joins the halves of a cluster again after
-//! a partition.
+//! Anti-entropy: at intervals two members exchange their complete state (memberlist's push-pull),
+//! which repairs what the dissemination of single updates has missed and joins the halves of a
+//! cluster again after a partition.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,9 +10,9 @@
 use crate::message::{MemberState, MessageBody};
 
 impl Membership {
-    /// Exchanges the complete state with one live member, and tries one member that is dead or a seed that is
-    /// no member, so that the halves of a cluster find each other after a partition. A node that has not
-    /// joined yet tries all of those: one that answers is enough.
+    /// Exchanges the complete state with one live member, and tries one member that is dead or a
+    /// seed that is no member, so that the halves of a cluster find each other after a partition. A
+    /// node that has not joined yet tries all of those: one that answers is enough.
     pub(crate) fn exchange_state(&mut self) {
         let live: Vec<Recipient> = self
             .members
@@ -35,7 +35,8 @@
         };
         for contact in contacts {
             self.broadcasts.push(self.local.clone());
-            // A member that was declared dead learns that from the state, and refutes it if it lives.
+            // A member that was declared dead learns that from the state, and refutes it if it
+            // lives.
             let body = match contact.name {
                 Some(_) => MessageBody::PushPull {
                     reply_requested: true,
--- a/crates/membership/src/broadcast_queue.rs
+++ b/crates/membership/src/broadcast_queue.rs
@@ -1,5 +1,5 @@
-//! The broadcast queue: updates that are to be disseminated on the messages of the failure detector, each a
-//! bounded number of times.
+//! The broadcast queue: updates that are to be disseminated on the messages of the failure
+//! detector, each a bounded number of times.
 
 use std::collections::BTreeMap;
 
@@ -30,8 +30,8 @@
         );
     }
 
-    /// Takes up to `max_updates` updates for one message: first the one about `recipient`, then those sent
-    /// least often. An update that was sent `max_transmissions` times leaves the queue.
+    /// Takes up to `max_updates` updates for one message: first the one about `recipient`, then
+    /// those sent least often. An update that was sent `max_transmissions` times leaves the queue.
     pub(crate) fn take(
         &mut self,
         max_updates: usize,
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -17,22 +17,22 @@
 pub struct Config {
     /// The protocol period: the time between two probes. Over zero, under an hour.
     pub probe_interval: Duration,
-    /// How long a direct probe waits for its answer before others are asked; less than half of the probe
-    /// interval.
+    /// How long a direct probe waits for its answer before others are asked; less than half of the
+    /// probe interval.
     pub probe_timeout: Duration,
     /// The number of members that are asked to probe a member that did not answer (SWIM's `k`).
     pub indirect_checks: usize,
-    /// The shortest time that a suspicion stands, in probe intervals times the decimal logarithm of the
-    /// number of members (at least 1). From 1 to 100.
+    /// The shortest time that a suspicion stands, in probe intervals times the decimal logarithm of
+    /// the number of members (at least 1). From 1 to 100.
     pub suspicion_mult: f64,
-    /// The longest time that a suspicion stands, where nobody else confirms it, in multiples of the shortest.
-    /// From 1 to 100.
+    /// The longest time that a suspicion stands, where nobody else confirms it, in multiples of the
+    /// shortest. From 1 to 100.
     pub suspicion_max_timeout_mult: f64,
-    /// The worst score of the local health: a node with this score stretches its intervals and time limits by
-    /// a factor of one more. With 0 the protocol is plain SWIM.
+    /// The worst score of the local health: a node with this score stretches its intervals and time
+    /// limits by a factor of one more. With 0 the protocol is plain SWIM.
     pub max_awareness: u32,
-    /// How often an update is sent, in multiples of the binary logarithm of the number of members. From 1 to
-    /// 100.
+    /// How often an update is sent, in multiples of the binary logarithm of the number of members.
+    /// From 1 to 100.
     pub retransmit_mult: f64,
     /// The most updates that a message of the failure detector carries. From 1 to 1,000.
     pub max_updates_per_message: usize,
--- a/crates/membership/src/dependency_probe.rs
+++ b/crates/membership/src/dependency_probe.rs
@@ -1,11 +1,11 @@
-//! Probing of a dependency that all processes of a zone share, such as a store: one process finds out that it
-//! is down and tells the others.
+//! Probing of a dependency that all processes of a zone share, such as a store: one process finds
+//! out that it is down and tells the others.
 //!
-//! A process whose calls are refused wants the lease on probing. The lease holder alone probes, and publishes
-//! a verdict while the dependency does not answer; the others fail their calls at once instead of making
-//! them. The holder renews its verdict, and one that is not renewed expires after [`VERDICT_TTL`]: a prober
-//! that died blocks no calls for longer. Like the membership, this is a state machine without I/O and without
-//! a clock.
+//! A process whose calls are refused wants the lease on probing. The lease holder alone probes, and
+//! publishes a verdict while the dependency does not answer; the others fail their calls at once
+//! instead of making them. The holder renews its verdict, and one that is not renewed expires after
+//! [`VERDICT_TTL`]: a prober that died blocks no calls for longer. Like the membership, this is a
+//! state machine without I/O and without a clock.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -83,8 +83,8 @@
     since: Duration,
 }
 
-/// The state of one process for one dependency. It owns the process's own verdict and its memory of those of
-/// others.
+/// The state of one process for one dependency. It owns the process's own verdict and its memory of
+/// those of others.
 #[derive(Debug, Default)]
 pub struct DependencyProber {
     consecutive_failures: u32,
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,5 +1,5 @@
-//! Dissemination: updates that arrive are applied and sent on, and those about this node are refuted where
-//! they are wrong.
+//! Dissemination: updates that arrive are applied and sent on, and those about this node are
+//! refuted where they are wrong.
 
 use std::cmp::Reverse;
 
@@ -29,8 +29,8 @@
         && b.state == MemberState::Alive
 }
 
-/// Whether an update replaces the one that is recorded. Of two processes under one name all members keep the
-/// same one.
+/// Whether an update replaces the one that is recorded. Of two processes under one name all members
+/// keep the same one.
 fn overrides(new: &MemberUpdate, recorded: &MemberUpdate) -> bool {
     let has_lower_address = new.node.address < recorded.node.address;
     are_duplicates(new, recorded) && has_lower_address || new.precedence() > recorded.precedence()
@@ -41,8 +41,8 @@
     pub(crate) fn apply_updates(&mut self, message: &Message) {
         let is_complete_state = matches!(message.body, MessageBody::PushPull { .. });
         for update in &message.updates {
-            // Where the halves of a cluster meet again, each has declared the other dead. A member that is
-            // live here is suspected first, so that it can refute that.
+            // Where the halves of a cluster meet again, each has declared the other dead. A member
+            // that is live here is suspected first, so that it can refute that.
             let is_live_here = self.members.get_live(&update.node.name).is_some();
             if is_complete_state && update.state == MemberState::Dead && is_live_here {
                 let reported_by = Some(message.from.clone());
@@ -77,7 +77,8 @@
                 self.anomalies += 1;
                 return;
             }
-            // An unknown member that is dead is recorded too: otherwise an older update would bring it back.
+            // An unknown member that is dead is recorded too: otherwise an older update would bring
+            // it back.
             return self.record_update(update);
         };
         if overrides(update, &member.update) {
@@ -132,8 +133,8 @@
         }
     }
 
-    /// Applies an update about this node: wrong ones are refuted. The address tells another process of the
-    /// same name from an update about an earlier incarnation of this one.
+    /// Applies an update about this node: wrong ones are refuted. The address tells another process
+    /// of the same name from an update about an earlier incarnation of this one.
     pub(crate) fn apply_update_about_self(&mut self, update: &MemberUpdate) {
         let is_other_process = update.node.address != self.local.node.address;
         if is_other_process && update.state.is_live() {
@@ -148,8 +149,8 @@
         }
     }
 
-    /// Of two processes under one name, the one that has not joined yet stops, or else the one with the lower
-    /// incarnation, or else the one with the higher address.
+    /// Of two processes under one name, the one that has not joined yet stops, or else the one with
+    /// the lower incarnation, or else the one with the higher address.
     fn resolve_name_conflict(&mut self, other: &MemberUpdate) {
         let rank = |update: &MemberUpdate| (update.incarnation, Reverse(update.node.address));
         if !self.has_joined || rank(other) > rank(&self.local) {
@@ -157,15 +158,16 @@
         }
     }
 
-    /// Announces the current state of this node under an incarnation above one that others have heard of.
+    /// Announces the current state of this node under an incarnation above one that others have
+    /// heard of.
     pub(crate) fn announce_local_update(&mut self, above: Incarnation) {
         self.local.incarnation = above.next().max(self.local.incarnation);
         self.broadcasts.push(self.local.clone());
     }
 
-    /// Sends the current state of this node at once to the member that reported it suspect or dead, and to
-    /// some others. A node in bad health probes seldom: a refutation that only rode on its probes came too
-    /// late over slow links.
+    /// Sends the current state of this node at once to the member that reported it suspect or dead,
+    /// and to some others. A node in bad health probes seldom: a refutation that only rode on its
+    /// probes came too late over slow links.
     fn send_refutation(&mut self, reporter: Option<&NodeName>) {
         let mut recipients: Vec<Recipient> = self
             .members
@@ -217,8 +219,8 @@
         std::iter::once(self.local.clone()).chain(members).collect()
     }
 
-    /// The updates for one message. A suspect is told first that it is one, so that it can refute that
-    /// (Lifeguard's Buddy System).
+    /// The updates for one message. A suspect is told first that it is one, so that it can refute
+    /// that (Lifeguard's Buddy System).
     fn take_broadcasts(&mut self, recipient: Option<&NodeName>) -> Vec<MemberUpdate> {
         let cluster_size = self.members.live_count() + 2;
         let max_transmissions =
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -7,7 +7,8 @@
 use crate::metadata::MetadataError;
 use crate::node::NodeName;
 
-/// What has happened to the host. Handed to [`Membership::handle_events`](crate::Membership::handle_events).
+/// What has happened to the host. Handed to
+/// [`Membership::handle_events`](crate::Membership::handle_events).
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The process has started; the first event.
@@ -32,7 +33,8 @@
     },
 }
 
-/// What the host is to do. Returned by [`Membership::handle_events`](crate::Membership::handle_events).
+/// What the host is to do. Returned by
+/// [`Membership::handle_events`](crate::Membership::handle_events).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a message. It may get lost.
@@ -42,8 +44,8 @@
         /// The message.
         message: Message,
     },
-    /// Hand in [`Event::TimerExpired`] at this time, on the clock of the events. An earlier timer takes the
-    /// place of a later one; an event for a timer that was replaced is ignored.
+    /// Hand in [`Event::TimerExpired`] at this time, on the clock of the events. An earlier timer
+    /// takes the place of a later one; an event for a timer that was replaced is ignored.
     SetTimer {
         /// The time.
         at: Duration,
@@ -57,8 +59,8 @@
         /// The node that declared it suspect or dead.
         reported_by: Option<NodeName>,
     },
-    /// Another live process has this node's name. This node sends nothing more, and later events have no
-    /// effect.
+    /// Another live process has this node's name. This node sends nothing more, and later events
+    /// have no effect.
     NameConflict {
         /// The address of the other process, or of the member that reported it.
         address: SocketAddr,
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,4 +1,5 @@
-//! SWIM's failure detector: in each protocol period one member is probed, directly and then through others.
+//! SWIM's failure detector: in each protocol period one member is probed, directly and then through
+//! others.
 
 use std::time::Duration;
 
@@ -67,8 +68,8 @@
         Some(self.relayed_probes.swap_remove(index))
     }
 
-    /// Takes the probe that this message answers. Another node that has the address of the target now is no
-    /// answer.
+    /// Takes the probe that this message answers. Another node that has the address of the target
+    /// now is no answer.
     fn take_probe(&mut self, from: &NodeName, sequence_number: SequenceNumber) -> Option<Probe> {
         self.probe
             .take_if(|probe| probe.sequence_number == sequence_number && probe.target == *from)
@@ -86,8 +87,9 @@
 }
 
 impl Membership {
-    /// Pings the next member of the round. A new round is drawn when the old one is through: every member is
-    /// probed once in each, so that the time until a crash is noticed has a bound (SWIM, section 4.3).
+    /// Pings the next member of the round. A new round is drawn when the old one is through: every
+    /// member is probed once in each, so that the time until a crash is noticed has a bound (SWIM,
+    /// section 4.3).
     pub(crate) fn start_probe(&mut self) {
         let Some(target) = self.next_probe_target() else {
             return;
@@ -96,8 +98,8 @@
             return;
         };
         let recipient = member.recipient();
-        // The ping carries the suspicion, so that the suspect can refute it, even where the update has left
-        // the queue.
+        // The ping carries the suspicion, so that the suspect can refute it, even where the update
+        // has left the queue.
         if member.update.state == MemberState::Suspect {
             self.broadcasts.push(member.update.clone());
         }
@@ -184,8 +186,8 @@
         }
     }
 
-    /// Ends the probe of the last period, where it got no direct answer. The reports of the relays tell a cut
-    /// link from a crash.
+    /// Ends the probe of the last period, where it got no direct answer. The reports of the relays
+    /// tell a cut link from a crash.
     pub(crate) fn finish_probe(&mut self) {
         let Some(probe) = self.detector.probe.take() else {
             return;
@@ -200,7 +202,8 @@
             }
             ProbePhase::Indirect { pending_relays, .. } => pending_relays as u32,
         };
-        // Where relays did not report at all, the fault is more likely this node's than the target's.
+        // Where relays did not report at all, the fault is more likely this node's than the
+        // target's.
         self.health.degrade(1 + missing_reports);
         let Some(member) = self.members.get_live(&probe.target) else {
             return;
@@ -212,8 +215,8 @@
         };
         let recipient = member.recipient();
         self.apply_update(&suspect);
-        // The target is notified of the suspicion at once: over a slow link the next probe would leave too
-        // little time to refute it.
+        // The target is notified of the suspicion at once: over a slow link the next probe would
+        // leave too little time to refute it.
         self.send_update(&recipient, suspect);
     }
 
@@ -252,8 +255,8 @@
         target: Recipient,
     ) {
         let sequence_number = self.detector.next_sequence_number();
-        // A requester has one probe in each period, so there are about as many of these as members at the
-        // most.
+        // A requester has one probe in each period, so there are about as many of these as members
+        // at the most.
         if self.detector.relayed_probes.len() > self.config.max_members {
             return;
         }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,31 +1,32 @@
-//! Cluster membership: which processes belong to a cluster, which of them are alive, and which of them can
-//! reach which.
+//! Cluster membership: which processes belong to a cluster, which of them are alive, and which of
+//! them can reach which.
 //!
-//! The crate is a state machine without I/O and without a clock. The host hands in [`Event`]s together with
-//! the time that has passed since it started, and carries out the [`Action`]s that come back: send a message,
-//! set a timer, note that the state of a member has changed. All random choices come from the seed, so that a
-//! run can be repeated.
+//! The crate is a state machine without I/O and without a clock. The host hands in [`Event`]s
+//! together with the time that has passed since it started, and carries out the [`Action`]s that
+//! come back: send a message, set a timer, note that the state of a member has changed. All random
+//! choices come from the seed, so that a run can be repeated.
 //!
 //! What it decides:
 //!
-//! - **Failure detection**: [`Membership`] probes one member in each protocol period, directly and then
-//!   through others, and declares a member dead when nobody gets an answer from it and it does not refute the
-//!   suspicion in time.
-//! - **Dissemination**: updates about members ride on the messages of the failure detector, and the complete
-//!   state is exchanged with a random member at a longer interval (push-pull).
-//! - **Reachability**: the answers of other members tell a crashed member from a cut link between two live
-//!   ones ([`Reachability`]).
-//! - **Dependency probing**: [`dependency_probe`] decides which process of a zone probes a dependency that is
-//!   down.
+//! - **Failure detection**: [`Membership`] probes one member in each protocol period, directly and
+//!   then through others, and declares a member dead when nobody gets an answer from it and it does
+//!   not refute the suspicion in time.
+//! - **Dissemination**: updates about members ride on the messages of the failure detector, and the
+//!   complete state is exchanged with a random member at a longer interval (push-pull).
+//! - **Reachability**: the answers of other members tell a crashed member from a cut link between
+//!   two live ones ([`Reachability`]).
+//! - **Dependency probing**: [`dependency_probe`] decides which process of a zone probes a
+//!   dependency that is down.
 //!
-//! The protocol is SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process
-//! Group Membership Protocol", 2002) with the three extensions of Lifeguard (Dadgar, Phillips, Currey:
-//! "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2017). `docs/design-cluster.md`
-//! has the alternatives and the measurements.
+//! The protocol is SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style
+//! Process Group Membership Protocol", 2002) with the three extensions of Lifeguard (Dadgar,
+//! Phillips, Currey: "Lifeguard: Local Health Awareness for More Accurate Failure Detection",
+//! 2017). `docs/design-cluster.md` has the alternatives and the measurements.
 //!
 //! ```
 //! use std::time::Duration;
-//! use tulipgap_membership::{Action, Config, Event, Incarnation, Membership, Node, SUPPORTED_VERSIONS};
+//! use tulipgap_membership::{Action, Config, Event, Incarnation, Membership, Node};
+//! use tulipgap_membership::SUPPORTED_VERSIONS;
 //!
 //! let node = Node {
 //!     name: "north-1".into(),
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,11 +1,12 @@
-//! Local health awareness (Lifeguard's LHA-Probe): a node in bad health itself gives others more time.
+//! Local health awareness (Lifeguard's LHA-Probe): a node in bad health itself gives others more
+//! time.
 
 use std::time::Duration;
 
 /// The health score of this node. Owned by the membership.
 ///
-/// A node that is short of CPU or behind a slow link must not declare others dead because it reads their
-/// answers late. The price is that it notices a crash later.
+/// A node that is short of CPU or behind a slow link must not declare others dead because it reads
+/// their answers late. The price is that it notices a crash later.
 pub(crate) struct LocalHealth {
     /// 0 is healthy.
     score: u32,
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -45,11 +45,13 @@
 }
 
 impl Membership {
-    /// Creates the membership of a node that knows no other yet. `seed` determines all its random choices.
+    /// Creates the membership of a node that knows no other yet. `seed` determines all its random
+    /// choices.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] where a parameter is out of range or a name of the node is empty or too long.
+    /// [`ConfigError`] where a parameter is out of range or a name of the node is empty or too
+    /// long.
     pub fn new(
         config: Config,
         node: Node,
@@ -85,8 +87,9 @@
         })
     }
 
-    /// Handles events in order and returns the actions in the order in which the host is to carry them out.
-    /// `now` is the time since a start that the host chooses; where it goes back, the latest time holds.
+    /// Handles events in order and returns the actions in the order in which the host is to carry
+    /// them out. `now` is the time since a start that the host chooses; where it goes back, the
+    /// latest time holds.
     pub fn handle_events(&mut self, now: Duration, events: &[Event]) -> Vec<Action> {
         self.now = now.max(self.now);
         for event in events {
@@ -127,14 +130,14 @@
         &self.local
     }
 
-    /// The score of the local health: 0 is healthy, [`Config::max_awareness`] the worst. All intervals and
-    /// time limits of this node are stretched by a factor of one more.
+    /// The score of the local health: 0 is healthy, [`Config::max_awareness`] the worst. All
+    /// intervals and time limits of this node are stretched by a factor of one more.
     pub fn awareness(&self) -> u32 {
         self.health.score()
     }
 
-    /// The number of updates that were ignored: of an unknown protocol version, with a name or a list out of
-    /// bounds, or about a new member where [`Config::max_members`] are recorded.
+    /// The number of updates that were ignored: of an unknown protocol version, with a name or a
+    /// list out of bounds, or about a new member where [`Config::max_members`] are recorded.
     pub fn anomalies(&self) -> u64 {
         self.anomalies
     }
@@ -187,8 +190,8 @@
         self.handle_body(from, message);
     }
 
-    /// A message under this node's name is its own that came back, or that of another process: the address in
-    /// the update tells.
+    /// A message under this node's name is its own that came back, or that of another process: the
+    /// address in the update tells.
     fn handle_message_under_own_name(&mut self, message: &Message) {
         for update in &message.updates {
             let is_about_self = update.node.name == self.local.node.name;
@@ -306,8 +309,8 @@
         }
     }
 
-    /// Sets a timer, unless one is due by then. Every timer that expires sets the next one, so a second one
-    /// beside it would go on for ever.
+    /// Sets a timer, unless one is due by then. Every timer that expires sets the next one, so a
+    /// second one beside it would go on for ever.
     pub(crate) fn schedule_timer(&mut self, at: Duration) {
         if self.timer_at.is_none_or(|due| at < due) {
             self.timer_at = Some(at);
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,5 +1,6 @@
-//! The messages of the membership protocol. They are serialized by position: the order of variants and fields
-//! is part of the wire format and stays as it is (`tests/wire_format.rs` pins the bytes).
+//! The messages of the membership protocol. They are serialized by position: the order of variants
+//! and fields is part of the wire format and stays as it is (`tests/wire_format.rs` pins the
+//! bytes).
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,8 +11,9 @@
 use crate::metadata::Metadata;
 use crate::node::{Node, NodeName};
 
-/// The incarnation number of a member (SWIM, section 4.2). Only the member itself raises it, to refute what
-/// others say of it or to announce a change; of two updates the one with the higher incarnation holds.
+/// The incarnation number of a member (SWIM, section 4.2). Only the member itself raises it, to
+/// refute what others say of it or to announce a change; of two updates the one with the higher
+/// incarnation holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
@@ -23,8 +25,8 @@
     }
 }
 
-/// Matches the answer to a probe with the probe; drawn by the sender of the probe, unique for the life of its
-/// process.
+/// Matches the answer to a probe with the probe; drawn by the sender of the probe, unique for the
+/// life of its process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct SequenceNumber(pub u64);
@@ -34,8 +36,8 @@
     pub(crate) const NO_PROBE: Self = SequenceNumber(0);
 }
 
-/// The state of a member. The variants stand in the order in which one overrides another at the same
-/// incarnation.
+/// The state of a member. The variants stand in the order in which one overrides another at the
+/// same incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
     /// The member answers probes.
@@ -49,7 +51,8 @@
 }
 
 impl MemberState {
-    /// Whether the member still takes part in the protocol, as far as is known: it is alive or suspect.
+    /// Whether the member still takes part in the protocol, as far as is known: it is alive or
+    /// suspect.
     pub(crate) fn is_live(self) -> bool {
         self <= MemberState::Suspect
     }
@@ -74,16 +77,16 @@
 }
 
 impl MemberUpdate {
-    /// The greater one overrides the other: the higher incarnation, and at the same incarnation the worse
-    /// state.
+    /// The greater one overrides the other: the higher incarnation, and at the same incarnation the
+    /// worse state.
     pub(crate) fn precedence(&self) -> (Incarnation, MemberState) {
         (self.incarnation, self.state)
     }
 }
 
 /// What a relay reports of a probe that it sent on behalf of another node. The negative answer is
-/// Lifeguard's: a relay that reports it is reachable itself, so the failed probe speaks against the target
-/// and not against the prober.
+/// Lifeguard's: a relay that reports it is reachable itself, so the failed probe speaks against the
+/// target and not against the prober.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RelayedProbeOutcome {
     /// The target did not answer the relay in time.
@@ -114,8 +117,8 @@
         /// The address of the target.
         address: SocketAddr,
     },
-    /// The answer of a relay to an indirect ping. With the number 0 it answers nothing and only carries
-    /// updates.
+    /// The answer of a relay to an indirect ping. With the number 0 it answers nothing and only
+    /// carries updates.
     IndirectPingResult {
         /// The number that the indirect ping had.
         sequence_number: SequenceNumber,
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -15,8 +15,8 @@
 /// The versions of the membership protocol that this build understands.
 pub const SUPPORTED_VERSIONS: RangeInclusive<u16> = 1..=1;
 
-/// The identity of a node, as the node announces it. Serialized by position: the order of the fields is part
-/// of the wire format.
+/// The identity of a node, as the node announces it. Serialized by position: the order of the
+/// fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Node {
     /// The unique name.
--- a/crates/membership/src/reachability.rs
+++ b/crates/membership/src/reachability.rs
@@ -1,5 +1,5 @@
-//! Reachability: the outcome of direct and relayed probes tells a crashed member from a cut between two live
-//! ones.
+//! Reachability: the outcome of direct and relayed probes tells a crashed member from a cut between
+//! two live ones.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,11 +9,12 @@
 use crate::membership::Membership;
 use crate::node::NodeName;
 
-/// The most members that a node publishes as unreachable: it bounds the matrix of which node reaches which.
+/// The most members that a node publishes as unreachable: it bounds the matrix of which node
+/// reaches which.
 pub const MAX_UNREACHABLE_PEERS: usize = 16;
 
-/// How long an answer or a message counts as recent, in rounds; a round is one protocol period for each
-/// member.
+/// How long an answer or a message counts as recent, in rounds; a round is one protocol period for
+/// each member.
 const RECENT_ROUNDS: u32 = 2;
 
 /// How this node reaches another.
@@ -21,7 +22,8 @@
 pub enum Reachability {
     /// The member answers the probes of this node.
     Reachable,
-    /// Messages of the member arrive, but it answers no probe of this node: what is sent to it is lost.
+    /// Messages of the member arrive, but it answers no probe of this node: what is sent to it is
+    /// lost.
     AsymmetricPartition,
     /// No message of the member arrives, but it answers others: the link between the two is cut.
     IndirectOnly,
@@ -30,7 +32,8 @@
 }
 
 impl Member {
-    /// How this node reaches the member. What happened within `recent_window` before `now` is recent.
+    /// How this node reaches the member. What happened within `recent_window` before `now` is
+    /// recent.
     pub(crate) fn reachability(&self, now: Duration, recent_window: Duration) -> Reachability {
         let is_recent =
             |at: Option<Duration>| at.is_some_and(|at| now.saturating_sub(at) <= recent_window);
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,7 +1,8 @@
-//! Suspicion: a member that failed a probe is suspect, and dead when the suspicion ends without a refutation.
+//! Suspicion: a member that failed a probe is suspect, and dead when the suspicion ends without a
+//! refutation.
 //!
-//! The time limit shrinks with each member that confirms the suspicion (Lifeguard's LHA-Suspicion): a
-//! suspicion that one member alone raises may be that member's own fault.
+//! The time limit shrinks with each member that confirms the suspicion (Lifeguard's LHA-Suspicion):
+//! a suspicion that one member alone raises may be that member's own fault.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -31,8 +32,8 @@
         self.reporters.iter()
     }
 
-    /// Adds a member that confirms the suspicion. Returns whether that shortens the time limit: it does not
-    /// where the member is known to suspect, or where enough others do.
+    /// Adds a member that confirms the suspicion. Returns whether that shortens the time limit: it
+    /// does not where the member is known to suspect, or where enough others do.
     pub(crate) fn confirm(&mut self, reporter: &NodeName, max_confirmations: usize) -> bool {
         self.reporters.len() <= max_confirmations && self.reporters.insert(reporter.clone())
     }
--- a/crates/membership/tests/dependency_probe.rs
+++ b/crates/membership/tests/dependency_probe.rs
@@ -1,5 +1,5 @@
-//! Probing of a shared dependency: one process of a zone probes it, and a verdict reaches all and never
-//! outlives its prober for longer than its time to live.
+//! Probing of a shared dependency: one process of a zone probes it, and a verdict reaches all and
+//! never outlives its prober for longer than its time to live.
 
 use std::time::Duration;
 
@@ -83,8 +83,8 @@
     };
     for at in (0..20_000).step_by(100) {
         let output = prober.update(ms(at), &input);
-        // The prober died and nobody has noticed: after the time to live each process looks for itself and
-        // wants the lease.
+        // The prober died and nobody has noticed: after the time to live each process looks for
+        // itself and wants the lease.
         let is_fresh = ms(at) <= VERDICT_TTL;
         assert_eq!(
             (output.is_down, output.should_have_lease),
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Single cases of the membership, message by message; whole clusters are simulated by `tulipgap-fault-injection`.
+//! Single cases of the membership, message by message; whole clusters are simulated by
+//! `tulipgap-fault-injection`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -390,8 +391,9 @@
     assert_eq!(membership.local().metadata.len(), MAX_METADATA_ENTRIES);
 }
 
-/// Every timer that expires sets the next one. When each suspicion and each relayed probe set one more, those
-/// went on for ever beside it, and a simulation of 100 members with slow links did not end.
+/// Every timer that expires sets the next one. When each suspicion and each relayed probe set one
+/// more, those went on for ever beside it, and a simulation of 100 members with slow links did not
+/// end.
 #[test]
 fn timers_do_not_multiply() {
     let updates = (2..6)
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of a membership message. Enums are serialized by the position of their variants and structs by
-//! that of their fields, so a change of an order shows here.
+//! The bytes of a membership message. Enums are serialized by the position of their variants and
+//! structs by that of their fields, so a change of an order shows here.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/crates/peer-protocol/src/frame.rs
+++ b/crates/peer-protocol/src/frame.rs
@@ -145,7 +145,8 @@
         if header[CHECKSUM_OFFSET..HASH_OFFSET] != checksum(&header[..CHECKSUM_OFFSET], body) {
             return Err(FrameError::ChecksumMismatch);
         }
-        // All bytes are compared whichever differ, so that the time it takes does not tell how many match.
+        // All bytes are compared whichever differ, so that the time it takes does not tell how many
+        // match.
         let hash = self.hash(&header[..HASH_OFFSET], body);
         let differences = header[HASH_OFFSET..]
             .iter()
--- a/crates/peer-protocol/src/message.rs
+++ b/crates/peer-protocol/src/message.rs
@@ -1,4 +1,5 @@
-//! Messages and their envelope. They are serialized by position: variants and fields keep their order.
+//! Messages and their envelope. They are serialized by position: variants and fields keep their
+//! order.
 
 use std::net::SocketAddr;
 
--- a/crates/peer-protocol/tests/common/mod.rs
+++ b/crates/peer-protocol/tests/common/mod.rs
@@ -10,8 +10,8 @@
     FrameCodec::new("penhoat", KEY).unwrap()
 }
 
-/// The file holds exactly the frames of these envelopes, and is decoded to them. GOLDEN_WRITE=1 writes it anew, which only
-/// another version of the protocol may need.
+/// The file holds exactly the frames of these envelopes, and is decoded to them. GOLDEN_WRITE=1
+/// writes it anew, which only another version of the protocol may need.
 pub(crate) fn assert_golden(file: &str, envelopes: Vec<Envelope>) {
     let file = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
--- a/crates/peer-protocol/tests/every_kind.rs
+++ b/crates/peer-protocol/tests/every_kind.rs
@@ -1,4 +1,5 @@
-//! One frame of every kind of message, with every variant of what it carries, as an earlier version wrote them.
+//! One frame of every kind of message, with every variant of what it carries, as an earlier version
+//! wrote them.
 
 mod common;
 
--- a/crates/server/src/clock.rs
+++ b/crates/server/src/clock.rs
@@ -1,6 +1,7 @@
-//! Deadlines of coroutines. A thread of its own keeps them and wakes whoever waits. may's own timers are not used: once
-//! there were waits of over 1024 different spans, it frees lists of them that are still referred to. Then an assertion of
-//! its queue fails, its thread is gone, and no wait ever ends.
+//! Deadlines of coroutines. A thread of its own keeps them and wakes whoever waits. may's own
+//! timers are not used: once there were waits of over 1024 different spans, it frees lists of them
+//! that are still referred to. Then an assertion of its queue fails, its thread is gone, and no
+//! wait ever ends.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, LazyLock, Weak};
--- a/crates/server/src/clock_tests.rs
+++ b/crates/server/src/clock_tests.rs
@@ -9,7 +9,8 @@
 
 use super::{park, sleep};
 
-/// Waits of many different spans, some ended by the clock and some before: each ends, and the clock goes on.
+/// Waits of many different spans, some ended by the clock and some before: each ends, and the clock
+/// goes on.
 #[test]
 fn waits_of_many_spans_end() {
     const EACH: u64 = 400;
--- a/crates/server/src/cluster/admin.rs
+++ b/crates/server/src/cluster/admin.rs
@@ -126,8 +126,8 @@
             .complete(request, Ok(AdminResponse::leases(leases)));
     }
 
-    /// A voter that does not lead has rejected a command. Where it knows no leader the next attempt comes in
-    /// its time.
+    /// A voter that does not lead has rejected a command. Where it knows no leader the next attempt
+    /// comes in its time.
     pub(crate) fn handle_not_leader(
         &mut self,
         node: &LocalNode,
--- a/crates/server/src/cluster/clock.rs
+++ b/crates/server/src/cluster/clock.rs
@@ -9,12 +9,13 @@
 /// The longest wait of a thread that has no timer before that.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// Time since the process joined, including the time that the machine was suspended: a lease's TTL goes on
-/// meanwhile.
+/// Time since the process joined, including the time that the machine was suspended: a lease's TTL
+/// goes on meanwhile.
 #[derive(Clone, Copy)]
 pub(crate) struct ClusterClock {
     start: Duration,
-    /// Seconds of this clock in one of the machine's; other than one only where a fault is injected.
+    /// Seconds of this clock in one of the machine's; other than one only where a fault is
+    /// injected.
     rate: f64,
 }
 
--- a/crates/server/src/cluster/control_protocol.rs
+++ b/crates/server/src/cluster/control_protocol.rs
@@ -1,5 +1,5 @@
-//! The requests and responses of the control socket. The words of its JSON are those that operators' programs
-//! know; this module alone relates them to the names in the code.
+//! The requests and responses of the control socket. The words of its JSON are those that
+//! operators' programs know; this module alone relates them to the names in the code.
 
 use std::time::Duration;
 
--- a/crates/server/src/cluster/control_socket.rs
+++ b/crates/server/src/cluster/control_socket.rs
@@ -1,4 +1,5 @@
-//! The control socket: operators' commands over a Unix socket, one line of JSON each, answered by one line.
+//! The control socket: operators' commands over a Unix socket, one line of JSON each, answered by
+//! one line.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::os::unix::fs::PermissionsExt;
@@ -25,8 +26,8 @@
 /// # Errors
 /// `AddrInUse` where another process listens there, or the system's error.
 pub(crate) fn listen(path: &Path, inputs: SyncSender<Input>) -> io::Result<()> {
-    // An earlier run of this process may have left its socket; a process that still runs accepts the
-    // connection.
+    // An earlier run of this process may have left its socket; a process that still runs accepts
+    // the connection.
     if UnixStream::connect(path).is_ok() {
         return Err(io::Error::new(
             io::ErrorKind::AddrInUse,
--- a/crates/server/src/cluster/error.rs
+++ b/crates/server/src/cluster/error.rs
@@ -8,7 +8,8 @@
 use tulipgap_membership::ConfigError;
 use tulipgap_peer_protocol::KeyTooShort;
 
-/// Why a process cannot join its cluster. Each text names the setting or the file that is to be mended.
+/// Why a process cannot join its cluster. Each text names the setting or the file that is to be
+/// mended.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ClusterError {
     /// The setting `listen` is no address and port.
--- a/crates/server/src/cluster/event_loop.rs
+++ b/crates/server/src/cluster/event_loop.rs
@@ -1,4 +1,5 @@
-//! The event loop of the cluster: it takes what other threads hand to it, and hands it to the state machines.
+//! The event loop of the cluster: it takes what other threads hand to it, and hands it to the state
+//! machines.
 
 use std::ops::ControlFlow;
 use std::sync::mpsc::{Receiver, SyncSender};
@@ -171,8 +172,8 @@
         }
     }
 
-    /// Releases all leases, hands the leadership on and leaves the cluster. No task acts under a lease any
-    /// more, as the process is about to end.
+    /// Releases all leases, hands the leadership on and leaves the cluster. No task acts under a
+    /// lease any more, as the process is about to end.
     fn shut_down(&mut self, done: &SyncSender<()>) {
         for (lease, _) in self.node.leases() {
             self.node.handle_lease_event(LeaseEvent::Release { lease });
@@ -184,8 +185,8 @@
     }
 }
 
-/// Whether a process may send a command: an owner sends its own, an operator's may come from any, and
-/// expiries are the leader's own.
+/// Whether a process may send a command: an owner sends its own, an operator's may come from any,
+/// and expiries are the leader's own.
 fn may_send(from: &Name, command: &Command) -> bool {
     match command {
         Command::Acquire { owner, .. } | Command::Release { owner, .. } => owner.name == *from,
--- a/crates/server/src/cluster/fault_injection/faulty_disk.rs
+++ b/crates/server/src/cluster/fault_injection/faulty_disk.rs
@@ -10,8 +10,8 @@
 /// Where a file of this name is in the fault folder, the next sync removes it and fails.
 const FAILED_SYNC_FILE: &str = "fails";
 
-/// A disk that passes everything on to another, except while the fault folder has a file that asks for a
-/// fault.
+/// A disk that passes everything on to another, except while the fault folder has a file that asks
+/// for a fault.
 pub(crate) struct FaultyDisk<D> {
     disk: D,
     fault_folder: Option<PathBuf>,
--- a/crates/server/src/cluster/fault_injection/mod.rs
+++ b/crates/server/src/cluster/fault_injection/mod.rs
@@ -1,4 +1,5 @@
-//! Fault injection, for the rig alone: off unless the block `trial` of the configuration asks for it.
+//! Fault injection, for the rig alone: off unless the block `trial` of the configuration asks for
+//! it.
 
 mod faulty_disk;
 mod lease_worker;
--- a/crates/server/src/cluster/lease_handle.rs
+++ b/crates/server/src/cluster/lease_handle.rs
@@ -12,8 +12,9 @@
 use super::clock::ClusterClock;
 use super::input::Input;
 
-/// The only way for a task to act under a lease. The lease client is shared with the event loop, which hands
-/// it responses and timers; what follows from a task's call is carried out by the event loop, too.
+/// The only way for a task to act under a lease. The lease client is shared with the event loop,
+/// which hands it responses and timers; what follows from a task's call is carried out by the event
+/// loop, too.
 #[derive(Clone)]
 pub(crate) struct LeaseHandle {
     client: Arc<Mutex<LeaseClient>>,
@@ -40,8 +41,8 @@
         self.clock
     }
 
-    /// Acquires a lease and keeps it until it is released, queueing where no slot is free. No step of the
-    /// task takes longer than `max_step`.
+    /// Acquires a lease and keeps it until it is released, queueing where no slot is free. No step
+    /// of the task takes longer than `max_step`.
     pub(crate) fn acquire(&self, lease: &str, spec: LeaseSpec, max_step: Duration) {
         self.handle_event(Event::Acquire {
             lease: lease.into(),
--- a/crates/server/src/cluster/local_node.rs
+++ b/crates/server/src/cluster/local_node.rs
@@ -1,5 +1,5 @@
-//! This process's part in the cluster: its membership, its leases and its voter. Their actions are carried
-//! out here.
+//! This process's part in the cluster: its membership, its leases and its voter. Their actions are
+//! carried out here.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,9 +22,9 @@
 use super::message_router::MessageRouter;
 use super::voter_thread::VoterHandle;
 
-/// The state machines of this process and what they need. The event loop's thread owns it. The lease client
-/// is shared with the tasks' [`LeaseHandle`](super::lease_handle::LeaseHandle)s, the voter is its own
-/// thread's.
+/// The state machines of this process and what they need. The event loop's thread owns it. The
+/// lease client is shared with the tasks' [`LeaseHandle`](super::lease_handle::LeaseHandle)s, the
+/// voter is its own thread's.
 pub(crate) struct LocalNode {
     clock: ClusterClock,
     router: MessageRouter,
--- a/crates/server/src/cluster/message_router.rs
+++ b/crates/server/src/cluster/message_router.rs
@@ -51,7 +51,8 @@
         self.links.dropped_frames()
     }
 
-    /// Sends a message to a member. It may get lost; a message to a member that is not known yet is.
+    /// Sends a message to a member. It may get lost; a message to a member that is not known yet
+    /// is.
     pub(crate) fn send(&self, to: &Name, message: Message) {
         let known_address = self.known_addresses.lock().get(to).copied();
         let Some(address) = known_address else { return };
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -1,16 +1,17 @@
-//! This process as a member of a cluster: membership, leases and, where it is one of the voters, consensus.
-//! Nothing here is started unless the block `cluster` of the configuration enables it, and all of it runs on
-//! threads of its own.
+//! This process as a member of a cluster: membership, leases and, where it is one of the voters,
+//! consensus. Nothing here is started unless the block `cluster` of the configuration enables it,
+//! and all of it runs on threads of its own.
 //!
-//! Decisions are made by the packages `membership`, `leases` and `consensus`. This module hands them their
-//! input events and carries out their output actions:
+//! Decisions are made by the packages `membership`, `leases` and `consensus`. This module hands
+//! them their input events and carries out their output actions:
 //!
 //! - [`Cluster`] is the handle that the server has.
-//! - [`event_loop`] owns the state of the cluster and takes all inputs; [`local_node`] holds the state
-//!   machines, [`admin`] carries out operators' commands, which [`control_socket`] accepts.
+//! - [`event_loop`] owns the state of the cluster and takes all inputs; [`local_node`] holds the
+//!   state machines, [`admin`] carries out operators' commands, which [`control_socket`] accepts.
 //! - [`voter_thread`] runs the voter, whose writes wait for the disk.
 //! - [`peer_links`] sends and receives frames; [`message_router`] finds the address of a member.
-//! - [`lease_handle`] is what tasks use: [`drain`], [`store_probe`] and, for the rig, [`fault_injection`].
+//! - [`lease_handle`] is what tasks use: [`drain`], [`store_probe`] and, for the rig,
+//!   [`fault_injection`].
 
 mod admin;
 mod clock;
@@ -71,8 +72,8 @@
 /// How long the end of the process waits for the event loop to leave the cluster.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// This process as a member of a cluster. The event loop and the other threads own the state; this has the
-/// way to them.
+/// This process as a member of a cluster. The event loop and the other threads own the state; this
+/// has the way to them.
 pub(crate) struct Cluster {
     inputs: SyncSender<Input>,
     leases: LeaseHandle,
@@ -85,8 +86,8 @@
 /// Joins the cluster. `default_name` is the name of this process where the configuration has none.
 ///
 /// # Errors
-/// [`ClusterError`] where the configuration makes no sense, an address is taken, or the voter's folder can't
-/// be used.
+/// [`ClusterError`] where the configuration makes no sense, an address is taken, or the voter's
+/// folder can't be used.
 pub(crate) fn start(
     config: &tulipgap_config::ClusterConfig,
     default_name: &str,
@@ -96,11 +97,11 @@
 }
 
 impl Cluster {
-    /// Begins to drain after a shutdown notice, whether or not others of the zone drain. It acquires a slot
-    /// of the drain lease where it can, so that those that wait for a slot see it.
+    /// Begins to drain after a shutdown notice, whether or not others of the zone drain. It
+    /// acquires a slot of the drain lease where it can, so that those that wait for a slot see it.
     pub(crate) fn start_drain(&self) {
-        // Another voter should lead before this process is busy draining; otherwise this one leads until its
-        // end.
+        // Another voter should lead before this process is busy draining; otherwise this one leads
+        // until its end.
         let _ = self.inputs.try_send(Input::TransferLeadership);
         let Some(drain) = self.drain.clone() else {
             return;
@@ -267,8 +268,8 @@
         LeaseClient::new(owner, self.voters.clone(), config, self.seed)
     }
 
-    /// The voter of this process. A member with a folder has one even where it does not vote yet: an operator
-    /// may let it replace another.
+    /// The voter of this process. A member with a folder has one even where it does not vote yet:
+    /// an operator may let it replace another.
     fn start_voter(&self, router: &MessageRouter) -> Result<Option<VoterHandle>, ClusterError> {
         let Some(folder) = self
             .config
@@ -318,8 +319,8 @@
         })
     }
 
-    /// For the rig: tasks that act under leases and report to a history recorder. None where no recorder is
-    /// configured.
+    /// For the rig: tasks that act under leases and report to a history recorder. None where no
+    /// recorder is configured.
     fn start_lease_workers(&self, leases: &LeaseHandle) -> Result<(), ClusterError> {
         let recorder = self
             .faults
--- a/crates/server/src/cluster/peer_links.rs
+++ b/crates/server/src/cluster/peer_links.rs
@@ -1,7 +1,7 @@
-//! Links to the other processes of a cluster: datagrams for messages that may be lost, streams for those that
-//! must arrive or are long. Each link is used one way, by the process that opened it. Links have threads of
-//! their own, and none of them runs on the worker of the requests; a slow peer fills its own queue and nobody
-//! else's.
+//! Links to the other processes of a cluster: datagrams for messages that may be lost, streams for
+//! those that must arrive or are long. Each link is used one way, by the process that opened it.
+//! Links have threads of their own, and none of them runs on the worker of the requests; a slow
+//! peer fills its own queue and nobody else's.
 
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -29,7 +29,8 @@
 const MAX_INCOMING_STREAMS: usize = 32;
 /// Streams that are open at a time, in both directions.
 pub(crate) const MAX_STREAMS: usize = MAX_OUTGOING_STREAMS + MAX_INCOMING_STREAMS;
-/// A stream without a frame for so long is closed. Those of voters never are; others are opened now and then.
+/// A stream without a frame for so long is closed. Those of voters never are; others are opened now
+/// and then.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// A peer that sends or reads nothing in the middle of a frame for so long has stalled.
 const STALL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -123,8 +124,8 @@
         Ok(links)
     }
 
-    /// The number of frames that were dropped because their peer reads too slowly or too many streams are
-    /// open.
+    /// The number of frames that were dropped because their peer reads too slowly or too many
+    /// streams are open.
     pub(crate) fn dropped_frames(&self) -> usize {
         self.dropped_frames.load(Ordering::Relaxed)
     }
@@ -177,8 +178,8 @@
                     Ok(envelope) => _ = received.try_send(envelope),
                     Err(error) => log_rejected_frame(from, &error),
                 },
-                // An earlier datagram of this process met no listener; no error that ends the socket comes
-                // here.
+                // An earlier datagram of this process met no listener; no error that ends the
+                // socket comes here.
                 Err(_) => std::thread::sleep(DATAGRAM_ERROR_PAUSE),
             }
             if turn.is_multiple_of(DATAGRAMS_PER_YIELD) {
@@ -222,7 +223,8 @@
             }
             match self.config.codec.decode(&header, &body) {
                 Ok(envelope) => {
-                    // A peer that sends more than the event loop takes waits here, on its own thread.
+                    // A peer that sends more than the event loop takes waits here, on its own
+                    // thread.
                     if received.send(envelope).is_err() {
                         return;
                     }
@@ -233,8 +235,8 @@
     }
 }
 
-/// Waits for the next frame, which may take as long as the idle timeout. Once it has begun its bytes must
-/// follow.
+/// Waits for the next frame, which may take as long as the idle timeout. Once it has begun its
+/// bytes must follow.
 fn read_header(stream: &mut TcpStream) -> io::Result<[u8; HEADER_BYTES]> {
     let mut header = [0; HEADER_BYTES];
     stream.set_read_timeout(Some(IDLE_TIMEOUT))?;
@@ -244,8 +246,8 @@
     Ok(header)
 }
 
-/// Writes what is queued for one peer. It ends where nothing was queued for the idle timeout, or the process
-/// ends.
+/// Writes what is queued for one peer. It ends where nothing was queued for the idle timeout, or
+/// the process ends.
 fn write_frames(links: &Weak<PeerLinks>, to: SocketAddr, queue: &Receiver<Vec<u8>>) {
     let mut open_stream: Option<TcpStream> = None;
     let mut backoff = MIN_RECONNECT_BACKOFF;
--- a/crates/server/src/cluster/store_probe.rs
+++ b/crates/server/src/cluster/store_probe.rs
@@ -1,5 +1,5 @@
-//! The health check of the store. Where it refuses connections, one process of a zone probes it, and all
-//! others go by the verdict that it publishes.
+//! The health check of the store. Where it refuses connections, one process of a zone probes it,
+//! and all others go by the verdict that it publishes.
 
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -19,8 +19,8 @@
 const VERDICT_KEY: &str = "store";
 /// The time between two looks at the store's connections.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
-/// How long the event loop may take to read the verdicts of others. Without them the probe goes by what it
-/// sees itself.
+/// How long the event loop may take to read the verdicts of others. Without them the probe goes by
+/// what it sees itself.
 const VERDICT_READ_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a probe may take. It is the longest step under the lease on probing.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
@@ -113,8 +113,8 @@
         Ok(())
     }
 
-    /// The verdicts of the other live members of the zone; none where the event loop does not respond in
-    /// time.
+    /// The verdicts of the other live members of the zone; none where the event loop does not
+    /// respond in time.
     fn read_verdicts(&self) -> Result<Vec<Verdict>, EventLoopEnded> {
         let (reply, replied) = sync_channel(1);
         let read = Input::ReadMetadata {
@@ -160,8 +160,8 @@
         });
     }
 
-    /// Acquires or releases the lease on probing. A process that held it and needs it no more has found the
-    /// store healthy.
+    /// Acquires or releases the lease on probing. A process that held it and needs it no more has
+    /// found the store healthy.
     fn want_lease(&mut self, should_have_lease: bool, has_lease: bool) {
         if should_have_lease && !self.wants_lease {
             self.leases.acquire(&self.lease, PROBE_LEASE, PROBE_TIMEOUT);
--- a/crates/server/src/cluster/threads.rs
+++ b/crates/server/src/cluster/threads.rs
@@ -22,8 +22,8 @@
 }
 
 /// Waits up to `timeout` for one item, and yields it with those that are queued behind it, up to
-/// [`MAX_BATCH`] of them. The batch is empty where none came in time; there is none once all senders are
-/// gone.
+/// [`MAX_BATCH`] of them. The batch is empty where none came in time; there is none once all
+/// senders are gone.
 pub(crate) fn receive_batch<T>(
     receiver: &Receiver<T>,
     timeout: Duration,
--- a/crates/server/src/cluster/voter_thread.rs
+++ b/crates/server/src/cluster/voter_thread.rs
@@ -1,4 +1,5 @@
-//! The thread of this process's voter. Its writes wait for the disk; nothing else of the cluster does.
+//! The thread of this process's voter. Its writes wait for the disk; nothing else of the cluster
+//! does.
 
 use std::io;
 use std::sync::Arc;
@@ -45,8 +46,8 @@
         Ok(VoterHandle { events, status })
     }
 
-    /// Hands the voter an event. A voter whose disk hangs holds nobody up: the event is dropped where its
-    /// queue is full, and whoever sent it retries.
+    /// Hands the voter an event. A voter whose disk hangs holds nobody up: the event is dropped
+    /// where its queue is full, and whoever sent it retries.
     pub(crate) fn send(&self, event: Event) {
         let _ = self.events.try_send(event);
     }
@@ -57,7 +58,8 @@
     }
 }
 
-/// The state of the thread. It owns the voter; the status is shared with the handle, and written here alone.
+/// The state of the thread. It owns the voter; the status is shared with the handle, and written
+/// here alone.
 struct VoterThread<D: Disk> {
     voter: DurableVoter<D>,
     clock: ClusterClock,
--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -1,5 +1,5 @@
-//! The file that `LB_CONFIG` names: who this backend is, where its peers are, its limits and its settings; and what
-//! of it may change while the backend runs.
+//! The file that `LB_CONFIG` names: who this backend is, where its peers are, its limits and its
+//! settings; and what of it may change while the backend runs.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -204,8 +204,8 @@
         })
     }
 
-    /// Reads the file again. A file that is invalid as a whole, or that is of another backend, changes nothing: that
-    /// backend's executor would be taken for this one's.
+    /// Reads the file again. A file that is invalid as a whole, or that is of another backend,
+    /// changes nothing: that backend's executor would be taken for this one's.
     pub(crate) fn reload(&self, path: Option<&Path>) -> Result<Reloaded, ConfigError> {
         let new = Self::read(path)?;
         if (&new.name, new.listen) != (&self.name, self.listen) {
@@ -235,8 +235,8 @@
     }
 }
 
-/// Parses the file. An error names the key at fault as well as its line: "at line 12" alone leaves the reader to count
-/// braces.
+/// Parses the file. An error names the key at fault as well as its line: "at line 12" alone leaves
+/// the reader to count braces.
 fn parse_file(text: &str) -> Result<ConfigFile, InvalidConfig> {
     let parsed = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(text));
     parsed.map_err(|error| match error.path().to_string() {
--- a/crates/server/src/connection_limits.rs
+++ b/crates/server/src/connection_limits.rs
@@ -19,8 +19,9 @@
 /// The connections that an address may open at once at least, where that is not configured.
 const MIN_CONNECTION_RATE: u32 = 8;
 
-/// The limits of this server. Without the block `admission`, new connections wait in the backlog for a place and none
-/// is limited by its address. What the block leaves out follows from the places and the number of callers.
+/// The limits of this server. Without the block `admission`, new connections wait in the backlog
+/// for a place and none is limited by its address. What the block leaves out follows from the
+/// places and the number of callers.
 pub(crate) fn limiter_config(
     config: &ServerConfig,
     store_connections: usize,
--- a/crates/server/src/log.rs
+++ b/crates/server/src/log.rs
@@ -1,5 +1,6 @@
-//! The logger behind the `log` crate: a line on standard error for each record, with the time since the start. A thread
-//! of its own writes, so that a log which nobody reads stops no server: lines are dropped then.
+//! The logger behind the `log` crate: a line on standard error for each record, with the time since
+//! the start. A thread of its own writes, so that a log which nobody reads stops no server: lines
+//! are dropped then.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -75,7 +76,8 @@
     }
 }
 
-/// Limits the log lines of one kind to the first 20 and then every thousandth, so that a peer cannot flood the log.
+/// Limits the log lines of one kind to the first 20 and then every thousandth, so that a peer
+/// cannot flood the log.
 pub(crate) struct LogLimit(AtomicU64);
 
 impl LogLimit {
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,6 +1,6 @@
-//! `tulipgapd`: one backend. It reads the file that `LB_CONFIG` names, serves until SIGTERM, answers everything that it
-//! has read, and exits with 0. What it cannot start with is one line on standard error and exit code 2. SIGHUP has it
-//! read again where its peers are.
+//! `tulipgapd`: one backend. It reads the file that `LB_CONFIG` names, serves until SIGTERM,
+//! answers everything that it has read, and exits with 0. What it cannot start with is one line on
+//! standard error and exit code 2. SIGHUP has it read again where its peers are.
 
 mod clock;
 mod cluster;
@@ -33,8 +33,8 @@
 /// Stacks that are kept for reuse.
 const MAX_POOLED_STACKS: usize = 256;
 
-/// One backend. LB_CONFIG names the JSON file that tells it who it is, where its peers are, its limits and the
-/// settings; LB_LOG sets the level of the log (error, warn, info, debug).
+/// One backend. LB_CONFIG names the JSON file that tells it who it is, where its peers are, its
+/// limits and the settings; LB_LOG sets the level of the log (error, warn, info, debug).
 #[derive(Parser)]
 #[command(name = "tulipgapd", version)]
 struct Args {
@@ -129,8 +129,9 @@
     Ok(Some(Arc::new(tracer.map_err(StartError::Trace)?)))
 }
 
-/// Joins the cluster, where the block `cluster` enables it. Nothing listens, talks to peers or writes a folder without
-/// that block. The descriptors of a cluster member are taken from those of the server.
+/// Joins the cluster, where the block `cluster` enables it. Nothing listens, talks to peers or
+/// writes a folder without that block. The descriptors of a cluster member are taken from those of
+/// the server.
 fn start_cluster(
     block: Option<&tulipgap_config::ClusterConfig>,
     config: &mut ServerConfig,
--- a/crates/server/src/net/executor/gauges.rs
+++ b/crates/server/src/net/executor/gauges.rs
@@ -20,7 +20,8 @@
         self.at(Instant::now())
     }
 
-    /// The reading that counts at `now`: none where the last one is old. Cores are not idle because a link broke.
+    /// The reading that counts at `now`: none where the last one is old. Cores are not idle because
+    /// a link broke.
     pub(super) fn at(&self, now: Instant) -> Gauges {
         let recent = self
             .0
--- a/crates/server/src/net/executor/link.rs
+++ b/crates/server/src/net/executor/link.rs
@@ -1,4 +1,5 @@
-//! One link to the executor after the other: opening, reading, and leaving one when the executor moves.
+//! One link to the executor after the other: opening, reading, and leaving one when the executor
+//! moves.
 
 use std::io;
 use std::net::SocketAddr;
@@ -51,7 +52,8 @@
                     if let Some(count) = LINK_FAILURES.pass() {
                         log::warn!("kernel link: {error} ({count} so far)");
                     }
-                    // One that was up can be had again at once; so can one where the executor has moved to.
+                    // One that was up can be had again at once; so can one where the executor has
+                    // moved to.
                     if !was_up && self.address.get() == address {
                         clock::sleep(RECONNECT_PAUSE);
                     }
@@ -60,13 +62,15 @@
         }
     }
 
-    /// Serves a link from its opening to its end; ends without an error where the executor has moved.
+    /// Serves a link from its opening to its end; ends without an error where the executor has
+    /// moved.
     fn serve(self: &Arc<Self>, link: &mut BufferedStream, address: SocketAddr) -> io::Result<()> {
         let output = link.output.clone();
         let (last_notice, barrier) = {
             let mut state = self.state.lock();
             state.link = Some(output.clone());
-            // Commands on the link before may have been lost with it: this reply shows nothing of them.
+            // Commands on the link before may have been lost with it: this reply shows nothing of
+            // them.
             (
                 state.last_notice,
                 state.queries.open(Arc::new(Blocker::new(true)), 0),
@@ -76,8 +80,8 @@
         let mut farewell = None;
         loop {
             link.read_lines(has_body, |line| self.handle_line(line, barrier, &output))?;
-            // Once its farewell is said, it is left even where the executor has moved back meanwhile: nothing is sent
-            // over it any more.
+            // Once its farewell is said, it is left even where the executor has moved back
+            // meanwhile: nothing is sent over it any more.
             if farewell.is_some() || self.address.get() != address {
                 let tag = *farewell.get_or_insert_with(|| self.say_farewell(&output));
                 if tag.is_none_or(|tag| self.state.lock().queries.is_over(tag)) {
@@ -88,9 +92,10 @@
         }
     }
 
-    /// Nothing more is sent over this link: commands wait for the next one. Asks once more for the gauges, because the
-    /// reply shows that everything before has arrived and nothing counts as lost; where it does not come soon, the
-    /// link is left all the same. Returns the tag of that question.
+    /// Nothing more is sent over this link: commands wait for the next one. Asks once more for the
+    /// gauges, because the reply shows that everything before has arrived and nothing counts as
+    /// lost; where it does not come soon, the link is left all the same. Returns the tag of that
+    /// question.
     fn say_farewell(self: &Arc<Self>, output: &Arc<Output>) -> Option<u64> {
         let mut state = self.state.lock();
         state.output.take()?;
--- a/crates/server/src/net/executor/mod.rs
+++ b/crates/server/src/net/executor/mod.rs
@@ -1,6 +1,6 @@
-//! The executor, the peer which runs requests (the protocol page calls it the kernel): one link, kept open. A link
-//! that breaks is opened again from the last notice that was read; commands that may have been lost on the way are
-//! then sent once more, where that is safe.
+//! The executor, the peer which runs requests (the protocol page calls it the kernel): one link,
+//! kept open. A link that breaks is opened again from the last notice that was read; commands that
+//! may have been lost on the way are then sent once more, where that is safe.
 
 mod gauges;
 mod link;
@@ -28,11 +28,13 @@
 use crate::config::CurrentAddress;
 use crate::requests::{Bytes, ClassName, Gauges, RequestId, RequestRegistry};
 
-/// The longest that a timer waits for its gauges. While the machine stands still none come, and the controller learns
-/// that from a timer that is late; longer than this, what is due could be answered too late.
+/// The longest that a timer waits for its gauges. While the machine stands still none come, and the
+/// controller learns that from a timer that is late; longer than this, what is due could be
+/// answered too late.
 const GAUGES_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// The client side of the link to the executor. It owns what was sent to the executor about each run.
+/// The client side of the link to the executor. It owns what was sent to the executor about each
+/// run.
 pub(crate) struct ExecutorClient {
     address: CurrentAddress<SocketAddr>,
     registry: Arc<RequestRegistry>,
@@ -105,7 +107,8 @@
         });
     }
 
-    /// Cancels a run. The controller repeats it until the run has ended, so a lost cancellation does no harm.
+    /// Cancels a run. The controller repeats it until the run has ended, so a lost cancellation
+    /// does no harm.
     pub(crate) fn cancel(&self, id: &RequestId) {
         self.send(id, &Command::Cancel, |_, _| ());
     }
@@ -132,7 +135,8 @@
         });
     }
 
-    /// The gauges now; where the executor does not answer soon, its last reading unless that is old.
+    /// The gauges now; where the executor does not answer soon, its last reading unless that is
+    /// old.
     pub(crate) fn gauges(&self) -> Gauges {
         match self.query("SYSINFO", GAUGES_TIMEOUT) {
             Some(Reply::Gauges(gauges)) => {
@@ -148,8 +152,8 @@
         matches!(self.query("POST", within), Some(Reply::Worked(true)))
     }
 
-    /// Sends a command and has `record` note how: where there is no link it is not sent, and is sent once there is
-    /// one if it still matters.
+    /// Sends a command and has `record` note how: where there is no link it is not sent, and is
+    /// sent once there is one if it still matters.
     fn send(&self, id: &str, command: &Command, record: impl FnOnce(&mut LinkState, Delivery)) {
         let bytes = command.encode(id);
         loop {
--- a/crates/server/src/net/executor/protocol.rs
+++ b/crates/server/src/net/executor/protocol.rs
@@ -1,5 +1,5 @@
-//! The executor's protocol: commands as they are written, notices as they are read. The words of the protocol page
-//! appear here alone. A codec, no I/O.
+//! The executor's protocol: commands as they are written, notices as they are read. The words of
+//! the protocol page appear here alone. A codec, no I/O.
 
 use std::time::Duration;
 
--- a/crates/server/src/net/executor/queries.rs
+++ b/crates/server/src/net/executor/queries.rs
@@ -1,5 +1,5 @@
-//! Questions to the executor that it answers by their tag. A reply also shows that every command sent before its
-//! question has arrived.
+//! Questions to the executor that it answers by their tag. A reply also shows that every command
+//! sent before its question has arrived.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -49,7 +49,8 @@
         self.open.remove(&tag).and_then(|query| query.reply)
     }
 
-    /// Stores a reply. Returns how many commands it shows to have arrived, unless its question is closed.
+    /// Stores a reply. Returns how many commands it shows to have arrived, unless its question is
+    /// closed.
     pub(super) fn answer(&mut self, tag: u64, reply: Reply) -> Option<u64> {
         let query = self.open.get_mut(&tag)?;
         query.reply = Some(reply);
