--- a/crates/server/src/net/executor/resync.rs
+++ b/crates/server/src/net/executor/resync.rs
@@ -66,14 +66,16 @@
 }
 
 impl ExecutorClient {
-    /// Takes up a link of which all missed notices were read. What is not known to have arrived is sent again. To start
-    /// a run that runs already has no effect, and a skip names its call. A reply may not be sent again, because it could
-    /// meet the next call of its run: the call is skipped instead, which has no effect where the reply has arrived.
-    /// Where notices are missing, because the executor keeps only so many, a run of which nothing was heard may have
-    /// ended, and nothing of it is sent again.
+    /// Takes up a link of which all missed notices were read. What is not known to have arrived is
+    /// sent again. To start a run that runs already has no effect, and a skip names its call. A
+    /// reply may not be sent again, because it could meet the next call of its run: the call is
+    /// skipped instead, which has no effect where the reply has arrived. Where notices are missing,
+    /// because the executor keeps only so many, a run of which nothing was heard may have ended,
+    /// and nothing of it is sent again.
     ///
-    /// A run may also end just now, behind the notices that were read and before the command arrives: started again, it
-    /// would run a second time. One that may not counts as lost instead, where its start was sent.
+    /// A run may also end just now, behind the notices that were read and before the command
+    /// arrives: started again, it would run a second time. One that may not counts as lost instead,
+    /// where its start was sent.
     pub(super) fn resync(&self, output: &Arc<Output>) {
         let Some((lost, resend)) = self.state.lock().take_up(output) else {
             return;
@@ -102,11 +104,13 @@
         }
     }
 
-    /// Sends the last command for a run again, unless that was done meanwhile; false where the link has ended.
+    /// Sends the last command for a run again, unless that was done meanwhile; false where the link
+    /// has ended.
     fn resend(&self, id: &RequestId, output: &Output) -> bool {
         loop {
-            // Under the lock, so that commands arrive in the order of their positions: one that waits for room has none
-            // yet, or the reply to a question that overtook it would show it as arrived.
+            // Under the lock, so that commands arrive in the order of their positions: one that
+            // waits for room has none yet, or the reply to a question that overtook it would show
+            // it as arrived.
             let mut state = self.state.lock();
             let position = state.commands_sent + 1;
             let unsent = state
@@ -144,8 +148,9 @@
 }
 
 impl LinkState {
-    /// Lets commands go over this link. Returns the runs that are lost and those whose command is sent again, each in
-    /// the order of their ids; `None` where the link has broken meanwhile: what is sent goes over the next one.
+    /// Lets commands go over this link. Returns the runs that are lost and those whose command is
+    /// sent again, each in the order of their ids; `None` where the link has broken meanwhile: what
+    /// is sent goes over the next one.
     fn take_up(&mut self, output: &Arc<Output>) -> Option<(Vec<RequestId>, Vec<RequestId>)> {
         if !self
             .link
@@ -162,7 +167,8 @@
             |id, run| match run.fate(commands_arrived, notices_are_missing) {
                 Fate::Unchanged => true,
                 Fate::Resend => {
-                    // Not sent over this link: no reply that comes over it shows that it has arrived.
+                    // Not sent over this link: no reply that comes over it shows that it has
+                    // arrived.
                     run.delivery = Delivery::NotSent;
                     resend.push(id.clone());
                     true
--- a/crates/server/src/net/executor/tests.rs
+++ b/crates/server/src/net/executor/tests.rs
@@ -39,8 +39,8 @@
     )
 }
 
-/// The reply that shows a link to be caught up may be handled after that link has ended. Taken up then, the dead link
-/// would swallow all commands until the next one broke.
+/// The reply that shows a link to be caught up may be handled after that link has ended. Taken up
+/// then, the dead link would swallow all commands until the next one broke.
 #[test]
 fn a_link_that_has_ended_is_not_taken_up() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -73,9 +73,10 @@
     assert!(client.state.lock().output.is_none());
 }
 
-/// Commands that waited for room as a link was taken up had their positions already: the reply to a query that overtook
-/// them showed them as arrived, and they were never sent again. A start that may have arrived is sent again where it may
-/// run again, and its run counts as lost where it may not.
+/// Commands that waited for room as a link was taken up had their positions already: the reply to a
+/// query that overtook them showed them as arrived, and they were never sent again. A start that
+/// may have arrived is sent again where it may run again, and its run counts as lost where it may
+/// not.
 #[test]
 fn a_command_that_waits_for_room_has_no_position_and_an_at_most_once_start_is_not_resent() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/server/src/net/frontend/codec.rs
+++ b/crates/server/src/net/frontend/codec.rs
@@ -1,5 +1,5 @@
-//! Messages of edge nodes and the replies to them, in framed strict binary Thrift. A codec, no I/O. The method names and
-//! words of the wire appear here alone.
+//! Messages of edge nodes and the replies to them, in framed strict binary Thrift. A codec, no I/O.
+//! The method names and words of the wire appear here alone.
 
 use std::borrow::Cow;
 use std::sync::LazyLock;
--- a/crates/server/src/net/frontend/connection.rs
+++ b/crates/server/src/net/frontend/connection.rs
@@ -20,13 +20,14 @@
 
 /// Open requests that one connection carries by the protocol.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// Bytes of answers that a slow reader may leave unread before nothing more is read from it. What is open then comes on
-/// top, so the buffer holds all that can become due.
+/// Bytes of answers that a slow reader may leave unread before nothing more is read from it. What
+/// is open then comes on top, so the buffer holds all that can become due.
 const MAX_UNREAD_BYTES: usize = 4 * 1024;
 const MAX_ANSWER_BYTES: usize = 4608;
 const MAX_OUTPUT_BYTES: usize = MAX_UNREAD_BYTES + (MAX_OPEN_REQUESTS + 1) * MAX_ANSWER_BYTES;
 const MAX_INPUT_BYTES: usize = codec::MAX_FRAME_BYTES + codec::FRAME_HEADER_BYTES;
-/// What is read from one connection before others have their turn: messages, and reads of a buffer's room.
+/// What is read from one connection before others have their turn: messages, and reads of a
+/// buffer's room.
 const MAX_STEPS_PER_TURN: usize = 64;
 const TURN_PAUSE: Duration = Duration::from_millis(1);
 /// Malformed messages after which a connection closes.
@@ -107,9 +108,9 @@
             .send(&[&codec::encode_reply(method, sequence, reply)]);
     }
 
-    /// Replies to what was open and removes it, in one step for whoever asks whether something is open: between the two
-    /// a connection that is to close, or that its edge node closed behind its request, would look done and close without
-    /// the reply.
+    /// Replies to what was open and removes it, in one step for whoever asks whether something is
+    /// open: between the two a connection that is to close, or that its edge node closed behind its
+    /// request, would look done and close without the reply.
     pub(super) fn conclude(
         &self,
         method: &str,
@@ -122,7 +123,8 @@
         let outcome = self.output.try_send(&[&frame]);
         remove(&mut open_requests);
         drop(open_requests);
-        // The buffer holds all that can become due; if it should not, what is due waits for its room.
+        // The buffer holds all that can become due; if it should not, what is due waits for its
+        // room.
         if outcome == SendOutcome::Full {
             self.output.send(&[&frame]);
         }
@@ -201,7 +203,8 @@
 }
 
 impl Session<'_> {
-    /// Moves bytes until the edge node has closed and everything is answered, or the connection breaks.
+    /// Moves bytes until the edge node has closed and everything is answered, or the connection
+    /// breaks.
     fn run(&mut self) -> io::Result<()> {
         loop {
             self.send_drain_notification();
@@ -219,7 +222,8 @@
         }
     }
 
-    /// Asks the edge node to leave, where that is wanted; where the buffer is full, the next turn asks.
+    /// Asks the edge node to leave, where that is wanted; where the buffer is full, the next turn
+    /// asks.
     fn send_drain_notification(&mut self) {
         if !self.drain_notification_is_sent
             && self.connection.close_is_requested.load(Ordering::Acquire)
@@ -283,8 +287,8 @@
         }
     }
 
-    /// Ends the reading where a message takes too long, and tells the limiter of one that has begun. Returns whether the
-    /// connection is to close.
+    /// Ends the reading where a message takes too long, and tells the limiter of one that has
+    /// begun. Returns whether the connection is to close.
     fn check_input(&mut self, turn: &Turn) -> bool {
         let has_partial_message = self.is_readable
             && !turn.is_used_up()
@@ -312,7 +316,8 @@
         is_closing
     }
 
-    /// Whether the connection can close now; then it is left so that nothing on its way to the edge node is lost.
+    /// Whether the connection can close now; then it is left so that nothing on its way to the edge
+    /// node is lost.
     fn finish(&mut self, is_closing: bool) -> bool {
         if !self.connection.is_done() {
             return false;
@@ -328,7 +333,8 @@
         if !is_closing || self.stream.input.len() > 0 {
             return false;
         }
-        // What still crosses the close would reset the connection, and answers on their way with it.
+        // What still crosses the close would reset the connection, and answers on their way with
+        // it.
         if self.stream.has_unacknowledged_output() {
             self.stream.drain_before_close();
         }
--- a/crates/server/src/net/frontend/listener.rs
+++ b/crates/server/src/net/frontend/listener.rs
@@ -20,7 +20,8 @@
 
 /// The pause before the limiter is asked again whether another connection may be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// The same where a connection is about to close, and between two looks at the backlog of a listener that closes.
+/// The same where a connection is about to close, and between two looks at the backlog of a
+/// listener that closes.
 const TURN_PAUSE: Duration = Duration::from_millis(1);
 /// How long handshakes under way get to complete once the listener refuses new connections.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(20);
@@ -59,7 +60,8 @@
         }
     }
 
-    /// Closes the listener: the accepting coroutine hands over its reference, the only one beside the one here.
+    /// Closes the listener: the accepting coroutine hands over its reference, the only one beside
+    /// the one here.
     fn finish(&mut self, listener: Arc<TcpListener>) {
         self.listener = None;
         drop(listener);
@@ -73,8 +75,9 @@
 }
 
 impl Frontend {
-    /// Accepts connections until the listener is to be closed, and every one in the backlog then: the system has completed
-    /// their handshakes, so they may hold a whole request, which closing the listener would lose.
+    /// Accepts connections until the listener is to be closed, and every one in the backlog then:
+    /// the system has completed their handshakes, so they may hold a whole request, which closing
+    /// the listener would lose.
     pub(crate) fn accept(self: Arc<Self>, listener: TcpListener) {
         let listener = Arc::new(listener);
         self.listener.lock().open(&listener);
@@ -128,15 +131,16 @@
         clock::sleep(paused_until.saturating_sub(self.started_at.elapsed()));
     }
 
-    /// With no descriptor left, the spare one serves to accept and close a connection, so that its owner can go
-    /// elsewhere at once.
+    /// With no descriptor left, the spare one serves to accept and close a connection, so that its
+    /// owner can go elsewhere at once.
     fn reject_one_with_spare_descriptor(&self, listener: &TcpListener) {
         let Some(file) = self.spare_descriptor.lock().take() else {
             *self.spare_descriptor.lock() = open_spare_descriptor();
             return;
         };
         drop(file);
-        // A connection stands in the backlog: the accept before failed for want of a descriptor, not of a connection.
+        // A connection stands in the backlog: the accept before failed for want of a descriptor,
+        // not of a connection.
         drop(listener.inner().accept());
         *self.spare_descriptor.lock() = open_spare_descriptor();
         if let Some(count) = REJECTED_CONNECTIONS.pass() {
@@ -185,13 +189,13 @@
     }
 }
 
-/// Has the system refuse new connections while those in the backlog and handshakes under way stay with the listener;
-/// returns until when these handshakes may complete.
+/// Has the system refuse new connections while those in the backlog and handshakes under way stay
+/// with the listener; returns until when these handshakes may complete.
 ///
-/// The listener is bound to a network interface that does not exist, so no new handshake finds it, and the system answers
-/// as for a port without a listener. A filter would drop the first packet instead, and its caller would hang until it
-/// is sent again. Where the system does not know the option, connections that come between the last accept and the
-/// close are reset.
+/// The listener is bound to a network interface that does not exist, so no new handshake finds it,
+/// and the system answers as for a port without a listener. A filter would drop the first packet
+/// instead, and its caller would hang until it is sent again. Where the system does not know the
+/// option, connections that come between the last accept and the close are reset.
 fn refuse_new_connections(listener: &TcpListener) -> Instant {
     let socket = SockRef::from(listener.inner());
     match socket.bind_device_by_index_v4(NO_INTERFACE) {
--- a/crates/server/src/net/frontend/mod.rs
+++ b/crates/server/src/net/frontend/mod.rs
@@ -1,4 +1,5 @@
-//! The frontend: connections from edge nodes, and the requests and health checks that come over them.
+//! The frontend: connections from edge nodes, and the requests and health checks that come over
+//! them.
 //!
 //! | file | job |
 //! | --- | --- |
@@ -42,20 +43,24 @@
 
 /// Descriptors that are reserved for the executor, the log and the runtime.
 pub(crate) const RESERVED_DESCRIPTORS: usize = 16;
-/// How long a connection may take to its first message, and a message from its first byte to its last.
+/// How long a connection may take to its first message, and a message from its first byte to its
+/// last.
 pub(crate) const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How much longer than an edge node this server keeps an unused connection.
 pub(crate) const IDLE_MARGIN: Duration = Duration::from_secs(2);
-/// What one open request takes at most: its coroutine's stack as far as it is touched, body and result.
+/// What one open request takes at most: its coroutine's stack as far as it is touched, body and
+/// result.
 const OPEN_REQUEST_KB: f64 = 24.0;
-/// The fraction of this process's memory that open requests may take; what comes beyond is rejected unregistered.
+/// The fraction of this process's memory that open requests may take; what comes beyond is rejected
+/// unregistered.
 const OPEN_REQUESTS_MEMORY_FRACTION: f64 = 0.45;
 
 static MALFORMED_MESSAGES: LogLimit = LogLimit::new();
 static REJECTED_WITHOUT_MEMORY: LogLimit = LogLimit::new();
 static EVICTIONS: LogLimit = LogLimit::new();
 
-/// All connections from edge nodes. It owns the connection table and the limiter that decides on it.
+/// All connections from edge nodes. It owns the connection table and the limiter that decides on
+/// it.
 pub(crate) struct Frontend {
     registry: Arc<RequestRegistry>,
     executor: Arc<ExecutorClient>,
@@ -112,8 +117,8 @@
         })
     }
 
-    /// Lets the limiter decide, and carries its actions out under the same lock, so that no action meets another
-    /// connection of the same index.
+    /// Lets the limiter decide, and carries its actions out under the same lock, so that no action
+    /// meets another connection of the same index.
     fn decide<T>(&self, decide: impl FnOnce(&mut Limiter, Duration, &mut Vec<Action>) -> T) -> T {
         let mut limiter = self.limiter.lock();
         let mut actions = Vec::new();
@@ -149,13 +154,15 @@
                     }
                 }
                 Action::PauseAccepting { until } => *self.accepting_paused_until.lock() = until,
-                // A new connection is served or rejected where it is accepted; timers fire with the sweep.
+                // A new connection is served or rejected where it is accepted; timers fire with the
+                // sweep.
                 Action::Serve { .. } | Action::Reject { .. } | Action::SetTimer { .. } => {}
             }
         }
     }
 
-    /// Lets time pass for connections: idle ones are asked to close, those that take too long are closed.
+    /// Lets time pass for connections: idle ones are asked to close, those that take too long are
+    /// closed.
     pub(crate) fn sweep(&self) {
         let timeout = self.registry.idle_timeout().saturating_add(IDLE_MARGIN);
         if std::mem::replace(&mut *self.idle_timeout.lock(), timeout) != timeout {
@@ -164,10 +171,10 @@
         self.notify(Event::TimerExpired);
     }
 
-    /// Closes the listener once every connection in its backlog is accepted, and asks all edge nodes to leave. New
-    /// connections are refused first: an edge node that is asked to leave connects anew at once. While the accepting
-    /// coroutine waits for its turn these connections would fill the backlog, and the system would drop the first packets
-    /// of others.
+    /// Closes the listener once every connection in its backlog is accepted, and asks all edge
+    /// nodes to leave. New connections are refused first: an edge node that is asked to leave
+    /// connects anew at once. While the accepting coroutine waits for its turn these connections
+    /// would fill the backlog, and the system would drop the first packets of others.
     pub(crate) fn close(&self) {
         self.listener.lock().close();
         self.notify(Event::Drain);
@@ -175,7 +182,8 @@
 
     /// Whether no connection is open, and none can come any more.
     pub(crate) fn is_over(&self) -> bool {
-        // In this order: what is accepted stands among the connections before the listener counts as closed.
+        // In this order: what is accepted stands among the connections before the listener counts
+        // as closed.
         self.listener.lock().is_closed() && self.connections.lock().is_empty()
     }
 
--- a/crates/server/src/net/frontend/parse.rs
+++ b/crates/server/src/net/frontend/parse.rs
@@ -9,7 +9,8 @@
 use crate::requests::{ClassName, IdempotencyKey, IncomingRequest};
 use crate::trace::TraceContext;
 
-/// By how much the timestamp of a request may lie before the opening of its connection, or after now.
+/// By how much the timestamp of a request may lie before the opening of its connection, or after
+/// now.
 const TIMESTAMP_SLACK: Duration = Duration::from_secs(1);
 /// The memory that a request may ask for, in kilobytes, is below this.
 const MEMORY_LIMIT_KB: f64 = 2000.0;
@@ -84,8 +85,9 @@
         .filter(|_| id.len() == 16 && !id.starts_with('+'))
 }
 
-/// The timestamp of a request that came over a connection accepted at `accepted_at`. Impossible ones are refused: they
-/// would steer what others get, because the mean time unread is measured by them.
+/// The timestamp of a request that came over a connection accepted at `accepted_at`. Impossible
+/// ones are refused: they would steer what others get, because the mean time unread is measured by
+/// them.
 fn parse_timestamp(fields: &FieldReader, accepted_at: Instant) -> Result<Duration, CallError> {
     let arrived = fields
         .required("ts")?
@@ -130,7 +132,8 @@
         let queued_kb = fields
             .number("need")?
             .filter(|&kb| kb > 0.0 && kb < MEMORY_LIMIT_KB);
-        // An estimate is rough, and at times far more than anybody waits for: rejected for it, but not as malformed.
+        // An estimate is rough, and at times far more than anybody waits for: rejected for it, but
+        // not as malformed.
         let client_timeout = self.registry.client_timeout(handler);
         let max_work = client_timeout.mul_f64(MAX_WORK_FACTOR);
         let estimated_work = fields.milliseconds("ms")?.map(|work| work.min(max_work));
@@ -147,7 +150,8 @@
             handler,
             tenant,
             age: Duration::ZERO,
-            // None waits longer than its handler's clients do: taken at its word, it would be owed an answer for ever.
+            // None waits longer than its handler's clients do: taken at its word, it would be owed
+            // an answer for ever.
             client_wait: fields
                 .milliseconds("timeout")?
                 .map(|wait| wait.min(client_timeout)),
--- a/crates/server/src/net/frontend/recent_ids.rs
+++ b/crates/server/src/net/frontend/recent_ids.rs
@@ -5,8 +5,9 @@
 /// The number of ids that are remembered.
 const MAX_RECENT_IDS: usize = 8192;
 
-/// The last ids. Each is new with every attempt, so one that comes again is no request: otherwise whoever sends the same
-/// thing again as it is rejected would steer what is measured and waste what is done for it.
+/// The last ids. Each is new with every attempt, so one that comes again is no request: otherwise
+/// whoever sends the same thing again as it is rejected would steer what is measured and waste what
+/// is done for it.
 #[derive(Default)]
 pub(super) struct RecentIds {
     known: HashSet<u64>,
--- a/crates/server/src/net/frontend/request.rs
+++ b/crates/server/src/net/frontend/request.rs
@@ -1,5 +1,5 @@
-//! The life of a request: from its reading and registration, through the commands for it, to its response and the end
-//! of its run.
+//! The life of a request: from its reading and registration, through the commands for it, to its
+//! response and the end of its run.
 
 use std::cell::Cell;
 use std::hash::BuildHasher;
@@ -22,8 +22,8 @@
 /// The longest body of a request.
 const MAX_BODY_BYTES: usize = 2048;
 
-/// A request's place on its connection. It is removed once the request is answered, or when this is dropped because
-/// nobody is there to answer.
+/// A request's place on its connection. It is removed once the request is answered, or when this is
+/// dropped because nobody is there to answer.
 pub(super) struct PendingReply<'a> {
     frontend: &'a Frontend,
     connection: &'a Connection,
@@ -148,7 +148,8 @@
         incoming.client_wait = incoming
             .client_wait
             .map(|wait| wait.saturating_sub(incoming.age));
-        // Cancelled in the very read that brought it, as where much stands unread: it would be run for nobody.
+        // Cancelled in the very read that brought it, as where much stands unread: it would be run
+        // for nobody.
         if connection
             .open_requests
             .lock()
@@ -242,7 +243,8 @@
         let mut call_deadline = None;
         loop {
             let Some(command) = ticket.next_command(call_deadline) else {
-                // The call had its time; it may still have had its effect, unless it never left this process.
+                // The call had its time; it may still have had its effect, unless it never left
+                // this process.
                 call_deadline = None;
                 let outcome = store.give_up(self.id, calls);
                 registry.report(
--- a/crates/server/src/net/frontend/tests.rs
+++ b/crates/server/src/net/frontend/tests.rs
@@ -14,8 +14,8 @@
 use super::{ExecutorClient, Frontend, IDLE_MARGIN, MESSAGE_TIMEOUT, StoreClient};
 use crate::requests::RequestRegistry;
 
-/// A bug makes the coroutine of one request panic while it holds locks: its caller is answered all the same, the locks
-/// are free again, and the connection goes on.
+/// A bug makes the coroutine of one request panic while it holds locks: its caller is answered all
+/// the same, the locks are free again, and the connection goes on.
 #[test]
 fn a_request_whose_coroutine_panics_is_answered() {
     let (controller_config, names) = crate::net::test_config();
@@ -70,8 +70,9 @@
     }
 }
 
-/// A request was removed before its answer was queued; a connection that was to close looked done in between and closed
-/// without the answer, once in six runs of a suite. At any time the request is open or its answer is queued.
+/// A request was removed before its answer was queued; a connection that was to close looked done
+/// in between and closed without the answer, once in six runs of a suite. At any time the request
+/// is open or its answer is queued.
 #[test]
 fn a_connection_is_never_done_between_a_request_and_its_answer() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/server/src/net/lines.rs
+++ b/crates/server/src/net/lines.rs
@@ -28,8 +28,8 @@
     pub(crate) used: usize,
 }
 
-/// The first line of the input, once it is there as a whole. `has_body` tells from the words whether a body
-/// follows, of the length that the last word gives.
+/// The first line of the input, once it is there as a whole. `has_body` tells from the words
+/// whether a body follows, of the length that the last word gives.
 pub(crate) fn next(
     input: &[u8],
     has_body: impl Fn(&[&str]) -> bool,
--- a/crates/server/src/net/mod.rs
+++ b/crates/server/src/net/mod.rs
@@ -13,8 +13,9 @@
 
 /// Starts a coroutine.
 pub(crate) fn spawn(body: impl FnOnce() + Send + 'static) {
-    // Safe where the body uses no thread-local storage across a switch and keeps to its stack, as all of
-    // ours do: buffers are on the heap, and nothing recurses but the bounded skipping of unknown fields.
+    // Safe where the body uses no thread-local storage across a switch and keeps to its stack, as
+    // all of ours do: buffers are on the heap, and nothing recurses but the bounded skipping of
+    // unknown fields.
     drop(unsafe { coroutine::spawn(body) });
 }
 
--- a/crates/server/src/net/registration.rs
+++ b/crates/server/src/net/registration.rs
@@ -10,9 +10,9 @@
 use crate::config::CurrentAddress;
 use crate::log::LogLimit;
 
-/// The interval of heartbeats. A backend is taken off the list 3 s after its last one. Where a quarter of the datagrams
-/// are lost, all of the 19 in such a span are with a probability of one in 10^11; at an interval of 700 ms it would be
-/// one in 256.
+/// The interval of heartbeats. A backend is taken off the list 3 s after its last one. Where a
+/// quarter of the datagrams are lost, all of the 19 in such a span are with a probability of one in
+/// 10^11; at an interval of 700 ms it would be one in 256.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 /// How often the deregistration is sent, because nothing is sent again afterwards.
 const DEREGISTRATION_ATTEMPTS: usize = 3;
@@ -29,7 +29,8 @@
     Deregister,
 }
 
-/// Sends heartbeats while `registration` yields that this backend serves; deregisters once it leaves, and returns.
+/// Sends heartbeats while `registration` yields that this backend serves; deregisters once it
+/// leaves, and returns.
 pub(crate) fn run(
     address: &CurrentAddress<Option<SocketAddr>>,
     name: &str,
--- a/crates/server/src/net/ring_buffer.rs
+++ b/crates/server/src/net/ring_buffer.rs
@@ -1,5 +1,5 @@
-//! The buffer of one direction of a connection. It grows as needed up to its bound, and frees its memory once it is
-//! empty.
+//! The buffer of one direction of a connection. It grows as needed up to its bound, and frees its
+//! memory once it is empty.
 
 use std::io::{self, IoSlice, Read, Write};
 
--- a/crates/server/src/net/store/mod.rs
+++ b/crates/server/src/net/store/mod.rs
@@ -1,6 +1,6 @@
-//! The store, the dependency that runs call: a bounded pool of connections, each with one open call at a time, so
-//! that a spoilt reply costs its own call only. The connection used last is taken first, and idle ones are closed
-//! before the store closes them.
+//! The store, the dependency that runs call: a bounded pool of connections, each with one open call
+//! at a time, so that a spoilt reply costs its own call only. The connection used last is taken
+//! first, and idle ones are closed before the store closes them.
 
 mod connection;
 mod pool;
@@ -21,7 +21,8 @@
 
 static CALL_TIMEOUTS: LogLimit = LogLimit::new();
 
-/// The client side of the store. It owns the connection pool; the end of each call is reported to the registry.
+/// The client side of the store. It owns the connection pool; the end of each call is reported to
+/// the registry.
 pub(crate) struct StoreClient {
     address: CurrentAddress<Option<SocketAddr>>,
     registry: Arc<RequestRegistry>,
@@ -79,7 +80,8 @@
         }
     }
 
-    /// The store listens there from now on: open calls get their replies where they were made, new ones go there.
+    /// The store listens there from now on: open calls get their replies where they were made, new
+    /// ones go there.
     pub(crate) fn move_to(&self, address: Option<SocketAddr>) {
         if self.address.set(address) {
             self.sweep();
@@ -130,8 +132,9 @@
         spawn(move || client.run(address, connection));
     }
 
-    /// Gives up the call of this number of a request, and returns what is known of it then. Its connection is closed:
-    /// that gives the call up at the store, and nothing that still comes can be taken for the reply to another.
+    /// Gives up the call of this number of a request, and returns what is known of it then. Its
+    /// connection is closed: that gives the call up at the store, and nothing that still comes can
+    /// be taken for the reply to another.
     pub(crate) fn give_up(&self, id: &RequestId, number: usize) -> Outcome {
         let outcome = self.pool.lock().give_up(id, number);
         if outcome == pool::AbandonedCall::Unanswered
--- a/crates/server/src/net/store/pool.rs
+++ b/crates/server/src/net/store/pool.rs
@@ -1,4 +1,5 @@
-//! The pool's bookkeeping: which connections are open, idle or busy with which call, and which calls wait.
+//! The pool's bookkeeping: which connections are open, idle or busy with which call, and which
+//! calls wait.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -8,7 +9,8 @@
 use crate::net::stream::{Output, SendOutcome};
 use crate::requests::{Outcome, RequestId};
 
-/// The store closes connections that are idle for 10 s, or sooner; they are closed before, so that few calls meet that.
+/// The store closes connections that are idle for 10 s, or sooner; they are closed before, so that
+/// few calls meet that.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The number of a connection; numbers are not reused.
@@ -80,7 +82,8 @@
     idle: Vec<ConnectionId>,
     /// The connection on which a request's call is open.
     open_calls: HashMap<RequestId, ConnectionId>,
-    /// Calls for which no connection was free. Its bound is that of open requests: each has one call at a time.
+    /// Calls for which no connection was free. Its bound is that of open requests: each has one
+    /// call at a time.
     waiting: VecDeque<Call>,
     last_id: ConnectionId,
 }
@@ -205,8 +208,8 @@
         true
     }
 
-    /// The link of a connection has failed: nothing is given to it any more. Returns whether it was idle; an idle one
-    /// may be closed by the store at any time.
+    /// The link of a connection has failed: nothing is given to it any more. Returns whether it was
+    /// idle; an idle one may be closed by the store at any time.
     pub(super) fn failed(&mut self, id: ConnectionId) -> bool {
         self.idle.retain(|&other| other != id);
         self.connections
@@ -214,8 +217,8 @@
             .is_none_or(|connection| connection.call.is_none())
     }
 
-    /// Takes a reply for a request on a connection, and gives the connection its next call. `current` is where the
-    /// store is now.
+    /// Takes a reply for a request on a connection, and gives the connection its next call.
+    /// `current` is where the store is now.
     pub(super) fn received(
         &mut self,
         id: ConnectionId,
@@ -249,7 +252,8 @@
         Received::Reply(call.request)
     }
 
-    /// Removes a connection that has ended. Returns the request whose call is lost with it, and its outcome.
+    /// Removes a connection that has ended. Returns the request whose call is lost with it, and its
+    /// outcome.
     pub(super) fn remove(&mut self, id: ConnectionId) -> Option<(RequestId, Outcome)> {
         let connection = self.connections.remove(&id)?;
         let call = connection.call?;
--- a/crates/server/src/net/stream.rs
+++ b/crates/server/src/net/stream.rs
@@ -19,14 +19,15 @@
 pub(crate) const MAX_LINE_BUFFER_BYTES: usize = 256 * 1024;
 /// How long a coroutine that finds a full buffer leaves it to drain.
 pub(crate) const BUFFER_FULL_PAUSE: Duration = Duration::from_millis(5);
-/// How often it is polled whether a peer has closed before this side does, and the pause in between: 1 s in all.
+/// How often it is polled whether a peer has closed before this side does, and the pause in
+/// between: 1 s in all.
 const MAX_DRAIN_POLLS: usize = 200;
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Reads of up to 4 KB that are dropped meanwhile.
 const MAX_DRAIN_READS: usize = 256;
 
-/// The output of a connection. Any coroutine may add to it; the connection's own one moves the bytes, so what is added
-/// at one time goes out in one call.
+/// The output of a connection. Any coroutine may add to it; the connection's own one moves the
+/// bytes, so what is added at one time goes out in one call.
 pub(crate) struct Output {
     pub(super) buffer: Mutex<RingBuffer>,
     waker: WaitIoWaker,
@@ -159,17 +160,18 @@
         }
     }
 
-    /// Whether the peer's system has not acknowledged all that was written: a reset would drop the rest. False where the
-    /// system does not tell.
+    /// Whether the peer's system has not acknowledged all that was written: a reset would drop the
+    /// rest. False where the system does not tell.
     pub(crate) fn has_unacknowledged_output(&self) -> bool {
         let mut bytes: libc::c_int = 0;
-        // Safe: the descriptor is open as long as the stream is, and the call writes that one integer.
+        // Safe: the descriptor is open as long as the stream is, and the call writes that one
+        // integer.
         let result = unsafe { libc::ioctl(self.stream.as_raw_fd(), libc::TIOCOUTQ, &mut bytes) };
         result == 0 && bytes > 0
     }
 
-    /// Lets the peer read all that was written before this closes: what it still sends is read and dropped, for
-    /// a socket closed with bytes unread would cut off the answers on their way.
+    /// Lets the peer read all that was written before this closes: what it still sends is read and
+    /// dropped, for a socket closed with bytes unread would cut off the answers on their way.
     pub(crate) fn drain_before_close(&mut self) {
         let _ = self.stream.shutdown(Shutdown::Write);
         let mut reads = 0;
--- a/crates/server/src/requests/idempotency.rs
+++ b/crates/server/src/requests/idempotency.rs
@@ -22,14 +22,15 @@
 }
 
 impl KeyEntry {
-    /// Whether a request that reached the machine at that time is a duplicate. While a request of this key is open,
-    /// every further one is.
+    /// Whether a request that reached the machine at that time is a duplicate. While a request of
+    /// this key is open, every further one is.
     fn covers(&self, arrived_at: Duration) -> bool {
         arrived_at < self.window_ends_at || self.owner.is_some() || !self.coalesced.is_empty()
     }
 }
 
-/// The keys that are remembered. Its bound is what the controller admits within a window; every entry has an expiry.
+/// The keys that are remembered. Its bound is what the controller admits within a window; every
+/// entry has an expiry.
 pub(super) struct IdempotencyKeys {
     entries: HashMap<IdempotencyKey, KeyEntry>,
     /// Expiries in their order, so that not every entry is looked at each time.
@@ -108,8 +109,8 @@
         }
     }
 
-    /// The request that holds the key has not run and will not. Duplicates that wait already are answered before the
-    /// key goes.
+    /// The request that holds the key has not run and will not. Duplicates that wait already are
+    /// answered before the key goes.
     pub(super) fn forget(&mut self, key: &IdempotencyKey, owner: usize) {
         if let Some(entry) = self.owned_by(key, owner) {
             (entry.window_ends_at, entry.expires_at) = (Duration::ZERO, Duration::ZERO);
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Removes the keys whose time is over; one with waiting duplicates is removed once they are answered.
+    /// Removes the keys whose time is over; one with waiting duplicates is removed once they are
+    /// answered.
     pub(super) fn expire(&mut self, now: Duration) {
         while self
             .expiries
--- a/crates/server/src/requests/messages.rs
+++ b/crates/server/src/requests/messages.rs
@@ -13,7 +13,8 @@
 /// The name of a handler, as callers and the executor know it.
 pub(crate) type ClassName = Arc<str>;
 
-/// An idempotency key: as its caller chose it, or [within its tenant and handler](IncomingRequest::scoped_key).
+/// An idempotency key: as its caller chose it, or [within its tenant and
+/// handler](IncomingRequest::scoped_key).
 pub(crate) type IdempotencyKey = Arc<str>;
 
 /// A body, a result or a reply, shared without a copy.
@@ -42,8 +43,8 @@
 }
 
 impl IncomingRequest {
-    /// The idempotency key within its tenant and handler. Callers choose keys, so two tenants may choose the same,
-    /// and neither may get the other's result.
+    /// The idempotency key within its tenant and handler. Callers choose keys, so two tenants may
+    /// choose the same, and neither may get the other's result.
     pub(super) fn scoped_key(&self) -> Option<IdempotencyKey> {
         let key = self.idempotency_key.as_ref()?;
         Some(match self.tenant {
--- a/crates/server/src/requests/mod.rs
+++ b/crates/server/src/requests/mod.rs
@@ -1,9 +1,10 @@
-//! The requests that are open on this server. [`RequestRegistry`] hosts the overload controller: it is the only
-//! place that sees the controller's events and actions. It takes no decision itself and knows no protocol.
+//! The requests that are open on this server. [`RequestRegistry`] hosts the overload controller: it
+//! is the only place that sees the controller's events and actions. It takes no decision itself and
+//! knows no protocol.
 //!
-//! A request is [registered](RequestRegistry::register) when it is read. Its coroutine then takes one
-//! [`Command`] after another from its [`Ticket`] and carries it out, while the links to the executor and to the
-//! store report what became of runs and calls as [`RequestEvent`]s.
+//! A request is [registered](RequestRegistry::register) when it is read. Its coroutine then takes
+//! one [`Command`] after another from its [`Ticket`] and carries it out, while the links to the
+//! executor and to the store report what became of runs and calls as [`RequestEvent`]s.
 
 mod idempotency;
 mod messages;
--- a/crates/server/src/requests/open_request.rs
+++ b/crates/server/src/requests/open_request.rs
@@ -1,4 +1,5 @@
-//! One open request: how far it has come, the commands for its coroutine and what is recorded of it.
+//! One open request: how far it has come, the commands for its coroutine and what is recorded of
+//! it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
--- a/crates/server/src/requests/registry.rs
+++ b/crates/server/src/requests/registry.rs
@@ -38,9 +38,10 @@
         }
     }
 
-    /// The executor is up, cold or not, since `uptime`. Only the first call has an effect, and returns true. The
-    /// controller's clock starts with a cold executor, to know how warm it is; with a warm one it starts now, because
-    /// the controller then learns in its first seconds how fast the machine is.
+    /// The executor is up, cold or not, since `uptime`. Only the first call has an effect, and
+    /// returns true. The controller's clock starts with a cold executor, to know how warm it is;
+    /// with a warm one it starts now, because the controller then learns in its first seconds how
+    /// fast the machine is.
     pub(crate) fn start(&self, starts_cold: bool, uptime: Duration) -> bool {
         let mut state = self.state.lock();
         if state.is_started() {
@@ -65,7 +66,8 @@
         true
     }
 
-    /// Registers a request that was read. Its ticket yields its commands, the final response among them.
+    /// Registers a request that was read. Its ticket yields its commands, the final response among
+    /// them.
     pub(crate) fn register(
         self: &Arc<Self>,
         incoming: IncomingRequest,
@@ -81,7 +83,8 @@
         let key = incoming.scoped_key();
         state.expire_keys();
         let duplicated_body = state.duplicated_body(key.as_ref(), incoming.age);
-        // A key with another body is copied or made up: whoever sends it gets no other caller's result.
+        // A key with another body is copied or made up: whoever sends it gets no other caller's
+        // result.
         if duplicated_body.is_some_and(|body_hash| body_hash != incoming.body_hash) {
             return Err(RegisterError::KeyReused);
         }
@@ -107,7 +110,8 @@
         })
     }
 
-    /// Whether an attempt of the same keyed request is open or has run: then this one may not be rejected.
+    /// Whether an attempt of the same keyed request is open or has run: then this one may not be
+    /// rejected.
     pub(crate) fn is_duplicate(&self, incoming: &IncomingRequest) -> bool {
         self.state
             .lock()
@@ -115,7 +119,8 @@
             .is_some()
     }
 
-    /// Reports what became of a request's run or call. Events for a request that is not open are ignored.
+    /// Reports what became of a request's run or call. Events for a request that is not open are
+    /// ignored.
     pub(crate) fn report(&self, id: &str, event: RequestEvent) {
         let mut state = self.state.lock();
         if let Some(index) = state.index_of(id) {
@@ -141,7 +146,8 @@
         self.state.lock().fire_timers(gauges);
     }
 
-    /// Passes on the shutdown notice that came at `notice`; the process is terminated `termination` after it.
+    /// Passes on the shutdown notice that came at `notice`; the process is terminated `termination`
+    /// after it.
     pub(crate) fn shutdown_notice(&self, notice: Instant, termination: Duration) {
         self.state.lock().shutdown_notice(notice, termination);
     }
--- a/crates/server/src/requests/state.rs
+++ b/crates/server/src/requests/state.rs
@@ -1,4 +1,5 @@
-//! The state behind the registry's lock: open requests, and the controller whose actions are applied to them.
+//! The state behind the registry's lock: open requests, and the controller whose actions are
+//! applied to them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -69,7 +70,8 @@
             started_at,
         });
         self.decide(Event::Started);
-        // The notice may come before the executor is up: dropped, what arrives long after it would be run.
+        // The notice may come before the executor is up: dropped, what arrives long after it would
+        // be run.
         self.pass_on_shutdown_notice();
     }
 
@@ -145,7 +147,8 @@
         self.keys.expire(self.now());
     }
 
-    /// The body hash of the remembered request that a request of this key and age duplicates, if it does.
+    /// The body hash of the remembered request that a request of this key and age duplicates, if it
+    /// does.
     pub(super) fn duplicated_body(
         &self,
         key: Option<&IdempotencyKey>,
@@ -428,7 +431,8 @@
         }
     }
 
-    /// Answers coalesced requests whose first attempt has ended, and returns the events of their ends.
+    /// Answers coalesced requests whose first attempt has ended, and returns the events of their
+    /// ends.
     fn answer_coalesced(&mut self) -> Vec<Event> {
         let now = self.now();
         let mut events = Vec::new();
--- a/crates/server/src/requests/tests.rs
+++ b/crates/server/src/requests/tests.rs
@@ -1,5 +1,5 @@
-//! The registry and the controller behind it, against a plain model of the rules: whatever peers report, and in
-//! whatever order, each request gets one response, and no effect happens twice.
+//! The registry and the controller behind it, against a plain model of the rules: whatever peers
+//! report, and in whatever order, each request gets one response, and no effect happens twice.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -185,7 +185,8 @@
                 }
             }
         };
-        // The executor has not started it: where the registry still listens, that takes the run back.
+        // The executor has not started it: where the registry still listens, that takes the run
+        // back.
         let state = registry.state.lock();
         let open = state.request(&request.id);
         let never_ran = matches!(
@@ -216,7 +217,8 @@
             Command::Start => {
                 request.runs += 1;
                 assert_eq!(request.runs, 1, "run once");
-                // Its start was commanded, but by now it is proven never to have run: that is no run.
+                // Its start was commanded, but by now it is proven never to have run: that is no
+                // run.
                 let proven =
                     |key: &String| self.never_ran.contains(&(key.clone(), request.id.clone()));
                 if let Some(key) = request.key.as_ref().filter(|key| !proven(key)) {
@@ -243,8 +245,9 @@
                 // No other attempt of what ran within the window is rejected either.
                 if let Some(key) = request.key.as_ref().filter(|_| is_rejected) {
                     let proven = |id: &String| self.never_ran.contains(&(key.clone(), id.clone()));
-                    // One that arrived before the one that ran was rejected before it, or the other would have been
-                    // coalesced with it: its command is only taken late, and it is no duplicate.
+                    // One that arrived before the one that ran was rejected before it, or the other
+                    // would have been coalesced with it: its command is only taken late, and it is
+                    // no duplicate.
                     let came = |id: &str| id[1..].parse::<usize>().unwrap();
                     let ran = self
                         .ran
@@ -277,8 +280,9 @@
     }
 }
 
-/// A case that CI once drew: the executor has not started the first request, so its key is free, a second one runs, and
-/// only then does the first one's coroutine take its command to start. The model took that for a run within the window.
+/// A case that CI once drew: the executor has not started the first request, so its key is free, a
+/// second one runs, and only then does the first one's coroutine take its command to start. The
+/// model took that for a run within the window.
 #[test]
 fn a_command_that_is_taken_late_is_no_second_run() {
     let (registry, mut model) = (registry(), Model::default());
@@ -426,7 +430,8 @@
         next_command(&second),
         Some(Command::Respond(Response::Completed(bytes("page"))))
     );
-    // A duplicate that arrives after the first has finished gets its result too, until the window has passed.
+    // A duplicate that arrives after the first has finished gets its result too, until the window
+    // has passed.
     registry.pass_time(ms(WINDOW - 100));
     let third = registry.register(incoming("c", 1, Some("k"))).unwrap();
     assert_eq!(
@@ -469,8 +474,8 @@
     assert_eq!(registry.open(), 0);
 }
 
-/// A coroutine whose deadline had passed by less than a millisecond once waited for ever: calls were never given up,
-/// and timers stopped for good when the executor's link broke during a query.
+/// A coroutine whose deadline had passed by less than a millisecond once waited for ever: calls
+/// were never given up, and timers stopped for good when the executor's link broke during a query.
 #[test]
 fn a_ticket_waits_no_longer_than_its_deadline() {
     let (commands, received) = std::sync::mpsc::channel();
@@ -536,8 +541,8 @@
     assert_eq!(registry.state.lock().key_sizes(), (0, 0, 0));
 }
 
-/// Callers choose their keys. The map went by the key alone: another tenant's request, or one for another handler,
-/// got a result that was not its own, and never ran.
+/// Callers choose their keys. The map went by the key alone: another tenant's request, or one for
+/// another handler, got a result that was not its own, and never ran.
 #[test]
 fn a_key_is_scoped_to_its_tenant_and_handler() {
     let mut config = config();
@@ -583,8 +588,9 @@
     }
 }
 
-/// The window counts by the arrival of an attempt at the machine. One that arrived within it and was read after its end,
-/// as after a pause of the process, was taken for a new request and ran a second time.
+/// The window counts by the arrival of an attempt at the machine. One that arrived within it and
+/// was read after its end, as after a pause of the process, was taken for a new request and ran a
+/// second time.
 #[test]
 fn a_duplicate_that_arrived_in_its_window_and_is_read_later_is_not_run() {
     let registry = registry();
@@ -633,8 +639,8 @@
     (registry, running)
 }
 
-/// A queued request was dropped with its broken connection, but its key stayed: all further attempts failed for the whole
-/// window, though nothing had run.
+/// A queued request was dropped with its broken connection, but its key stayed: all further
+/// attempts failed for the whole window, though nothing had run.
 #[test]
 fn a_key_is_forgotten_with_its_request_that_never_ran() {
     let (registry, running) = registry_at_capacity();
@@ -657,8 +663,8 @@
     assert_eq!(next_command(&again), Some(Command::Start));
 }
 
-/// A shutdown notice that came before the executor was up was dropped: once it was up, requests were admitted and run
-/// until the termination.
+/// A shutdown notice that came before the executor was up was dropped: once it was up, requests
+/// were admitted and run until the termination.
 #[test]
 fn a_shutdown_notice_before_the_start_takes_effect_after_it() {
     let registry = Arc::new(RequestRegistry::new(config(), 7, None));
@@ -682,8 +688,8 @@
     );
 }
 
-/// The grace counted from when the controller learned of the notice: where it learned late, requests ran that had
-/// arrived after the grace.
+/// The grace counted from when the controller learned of the notice: where it learned late,
+/// requests ran that had arrived after the grace.
 #[test]
 fn the_drain_grace_counts_from_the_notice_however_late_it_is_passed_on() {
     let registry = registry();
@@ -718,7 +724,8 @@
     );
 }
 
-/// Plays one of the events around a key: an attempt, an end or a cancellation of the oldest run, a caller gone, time.
+/// Plays one of the events around a key: an attempt, an end or a cancellation of the oldest run, a
+/// caller gone, time.
 fn play_event(
     registry: &Arc<RequestRegistry>,
     model: &mut Model,
@@ -758,8 +765,9 @@
     }
 }
 
-/// Every order of a few events around one key: attempts, the end of a run, its cancellation, callers that are gone, and
-/// the end of the window. Each attempt gets one response, one runs within the window, and none is rejected after that.
+/// Every order of a few events around one key: attempts, the end of a run, its cancellation,
+/// callers that are gone, and the end of the window. Each attempt gets one response, one runs
+/// within the window, and none is rejected after that.
 #[test]
 fn every_order_of_attempts_ends_and_losses_around_a_key() {
     const EVENTS: usize = 7;
@@ -815,8 +823,8 @@
     );
 }
 
-/// Malicious clients sent a known key with a body of their own, under an id that the executor did not know: they got the
-/// first request's result.
+/// Malicious clients sent a known key with a body of their own, under an id that the executor did
+/// not know: they got the first request's result.
 #[test]
 fn a_known_key_with_another_body_gets_no_result() {
     let registry = registry();
@@ -851,8 +859,8 @@
     );
 }
 
-/// A made-up request that comes first with somebody else's key runs nothing, as the executor does not know it: the owner
-/// of that key is served all the same.
+/// A made-up request that comes first with somebody else's key runs nothing, as the executor does
+/// not know it: the owner of that key is served all the same.
 #[test]
 fn a_key_of_a_run_that_never_started_is_free() {
     let registry = registry();
--- a/crates/server/src/requests/ticket.rs
+++ b/crates/server/src/requests/ticket.rs
@@ -9,8 +9,8 @@
 use super::registry::RequestRegistry;
 use crate::clock;
 
-/// The handle of one registered request. A coroutine that drops it before the request is finished counts as a
-/// caller that is gone.
+/// The handle of one registered request. A coroutine that drops it before the request is finished
+/// counts as a caller that is gone.
 pub(crate) struct Ticket {
     pub(super) registry: Arc<RequestRegistry>,
     pub(super) index: usize,
--- a/crates/server/src/requests/timers.rs
+++ b/crates/server/src/requests/timers.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Times, on the controller's clock, at which it wants an event. Timers for the same time count once.
+/// Times, on the controller's clock, at which it wants an event. Timers for the same time count
+/// once.
 #[derive(Default)]
 pub(super) struct Timers {
     due: BTreeSet<Duration>,
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -35,7 +35,8 @@
 /// The pause between two looks whether everything is over.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The parts of a running server. Each owns its own state; this owns them, and whether the server drains.
+/// The parts of a running server. Each owns its own state; this owns them, and whether the server
+/// drains.
 pub(crate) struct Server {
     registry: Arc<RequestRegistry>,
     executor: Arc<ExecutorClient>,
@@ -151,8 +152,8 @@
         self.service_registry.set(peers.registry);
     }
 
-    /// Drains after the notice that came at `notice`, and returns once everything is answered and closed, or shortly
-    /// before the termination.
+    /// Drains after the notice that came at `notice`, and returns once everything is answered and
+    /// closed, or shortly before the termination.
     pub(crate) fn drain(&self, notice: Instant, cluster: Option<Cluster>) {
         let counts = self.registry.counts();
         ::log::info!(
@@ -164,8 +165,8 @@
         }
         self.is_draining.store(true, Ordering::Release);
         self.registry.shutdown_notice(notice, self.termination);
-        // The controller goes on admitting for a while. Once nothing that arrives may be run any more, a refused
-        // connection sends a caller elsewhere sooner than an answer could.
+        // The controller goes on admitting for a while. Once nothing that arrives may be run any
+        // more, a refused connection sends a caller elsewhere sooner than an answer could.
         let open_until = self
             .drain_grace
             .min(self.termination.saturating_sub(MIN_CLOSE_TIME));
--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -18,8 +18,8 @@
         signal_hook::iterator::Signals::new([SIGHUP, SIGTERM, SIGINT]).map(Signals)
     }
 
-    /// Blocks until the shutdown notice, and returns when it came. Reloads the configuration meanwhile, and during the
-    /// drain too, because peers may move while this server leaves.
+    /// Blocks until the shutdown notice, and returns when it came. Reloads the configuration
+    /// meanwhile, and during the drain too, because peers may move while this server leaves.
     pub(crate) fn wait_for_shutdown(
         mut self,
         config: ServerConfig,
@@ -39,8 +39,8 @@
                 }
             }
         });
-        // Reading the file takes a while, for ever where it is a pipe that gives nothing: no shutdown notice waits for
-        // that.
+        // Reading the file takes a while, for ever where it is a pipe that gives nothing: no
+        // shutdown notice waits for that.
         let (path, server) = (path.map(Path::to_owned), server.clone());
         std::thread::spawn(move || reload_on_request(&requested, &config, path, &server));
         first_notice.recv().unwrap_or_else(|_| Instant::now())
--- a/crates/server/src/trace.rs
+++ b/crates/server/src/trace.rs
@@ -1,5 +1,6 @@
-//! The recording of what happens to each request, where one is configured: from what the registry saw of a request
-//! to a record. What the recorder cannot write is dropped and counted; serving never waits for it.
+//! The recording of what happens to each request, where one is configured: from what the registry
+//! saw of a request to a record. What the recorder cannot write is dropped and counted; serving
+//! never waits for it.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
--- a/crates/server/tests/program/admitting.rs
+++ b/crates/server/tests/program/admitting.rs
@@ -1,5 +1,5 @@
-//! The program with bounds on connections: floods, known clients, descriptors that run out. Source addresses from
-//! 127.0.0.0/8 play the clients.
+//! The program with bounds on connections: floods, known clients, descriptors that run out. Source
+//! addresses from 127.0.0.0/8 play the clients.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -157,8 +157,8 @@
     });
 }
 
-/// The system's own limit lies below what the server was told, so that it runs out in earnest; requests that were read are
-/// answered, also while it leaves.
+/// The system's own limit lies below what the server was told, so that it runs out in earnest;
+/// requests that were read are answered, also while it leaves.
 #[test]
 fn running_out_of_descriptors_loses_no_request_that_was_read() {
     let (_folder, file) =
@@ -173,7 +173,8 @@
     wait_until("they run", || {
         backend.kernel.lock().unwrap().runs.len() == 3
     });
-    // Far more than there are descriptors; each is let in, refused or waits, and none stops the server.
+    // Far more than there are descriptors; each is let in, refused or waits, and none stops the
+    // server.
     let many: Vec<EdgeConnection> = (0..120)
         .filter_map(|at| from(&backend, [127, 96, 1, at % 4]))
         .collect();
--- a/crates/server/tests/program/cost.rs
+++ b/crates/server/tests/program/cost.rs
@@ -1,6 +1,7 @@
-//! What a recording or a cluster costs, pair by pair: CPU of the process for a request and response times, with it and without. Run by
-//! hand, in a release build with the cores free:
-//! `TULIPGAP_CORE=0 cargo test --release -p tulipgap-server --test program cost -- --ignored --nocapture`
+//! What a recording or a cluster costs, pair by pair: CPU of the process for a request and response
+//! times, with it and without. Run by hand, in a release build with the cores free:
+//! `TULIPGAP_CORE=0 cargo test --release -p tulipgap-server --test program cost -- --ignored
+//! --nocapture`
 
 use std::time::{Duration, Instant};
 
@@ -30,7 +31,8 @@
     all
 }
 
-/// CPU microseconds a request, those of the writer's thread among them, and the median and 99th percentile of response times in microseconds.
+/// CPU microseconds a request, those of the writer's thread among them, and the median and 99th
+/// percentile of response times in microseconds.
 fn measured(settings: Option<&std::path::Path>) -> [f64; 4] {
     let mut backend = start_backend_with(1024, settings);
     let before = cpu(backend.child.id());
@@ -143,7 +145,8 @@
     pairs(&settings(0), 5);
 }
 
-/// As many requests as an hour at 190 a second has, as fast as they go, recorded on loopback: each is in the file.
+/// As many requests as an hour at 190 a second has, as fast as they go, recorded on loopback: each
+/// is in the file.
 #[test]
 #[ignore = "a measurement"]
 fn an_hour_of_reqs() {
--- a/crates/server/tests/program/crossings.rs
+++ b/crates/server/tests/program/crossings.rs
@@ -1,5 +1,5 @@
-//! Rare moments: what comes just between two steps of the program, each forced by what a stub does and has seen.
-//! docs/crossings.md has the whole list.
+//! Rare moments: what comes just between two steps of the program, each forced by what a stub does
+//! and has seen. docs/crossings.md has the whole list.
 
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
@@ -30,7 +30,8 @@
         self.signal("HUP");
     }
 
-    /// The same, and the announce service with them: its first report there shows that the others were told before.
+    /// The same, and the announce service with them: its first report there shows that the others
+    /// were told before.
     fn has_moved(&self, there: &str, ports: &[u16]) {
         let announce = std::net::UdpSocket::bind((there, 7946)).unwrap();
         announce.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
@@ -84,8 +85,8 @@
     }
 }
 
-/// Connections that the machine took while the program stood still, each with a whole request on it, as the grace ended
-/// meanwhile: the program saw no connection open, ended, and lost them all.
+/// Connections that the machine took while the program stood still, each with a whole request on
+/// it, as the grace ended meanwhile: the program saw no connection open, ended, and lost them all.
 #[test]
 fn requests_in_the_backlog_when_the_grace_ends_are_answered() {
     for round in 0..5u32 {
@@ -102,7 +103,8 @@
         for (at, edge) in (0..).zip(&mut edges) {
             edge.request(1, &format!("00000000bac{round:01x}{at:04x}"), b"run");
         }
-        // The grace is over in any case when it goes on: what is forced is the order, and not the time.
+        // The grace is over in any case when it goes on: what is forced is the order, and not the
+        // time.
         std::thread::sleep(std::time::Duration::from_millis(1100));
         backend.signal("CONT");
         for edge in &mut edges {
@@ -119,8 +121,9 @@
     }
 }
 
-/// Callers that connect as fast as they can until the program stands still over the end of its grace, with a long
-/// backlog behind it: the closing of the listener meets all of it, and each is answered.
+/// Callers that connect as fast as they can until the program stands still over the end of its
+/// grace, with a long backlog behind it: the closing of the listener meets all of it, and each is
+/// answered.
 #[test]
 fn a_connection_before_the_listener_closes_is_answered() {
     for round in 0..4 {
@@ -180,7 +183,8 @@
     }
 }
 
-/// Drains backends with an open request; every connection, once it is asked to leave, does `then` with the address.
+/// Drains backends with an open request; every connection, once it is asked to leave, does `then`
+/// with the address.
 fn at_drain_notifications(id_prefix: &str, connections: usize, then: impl Fn(SocketAddr) + Sync) {
     for round in 0..3u32 {
         let mut backend = start_backend();
@@ -210,7 +214,8 @@
     }
 }
 
-/// Whether a connect gets in; one that does not must be refused, within the time in which the system sends no second packet.
+/// Whether a connect gets in; one that does not must be refused, within the time in which the
+/// system sends no second packet.
 fn gets_in(address: SocketAddr) -> bool {
     match TcpStream::connect_timeout(&address, std::time::Duration::from_millis(800)) {
         Ok(_) => true,
@@ -225,9 +230,10 @@
     }
 }
 
-/// An edge node that is asked to leave connects again and again, just as the listener closes: it gets in or is refused. With
-/// new connections shut out by a filter their first packet was dropped, and they hung until the system sent another after
-/// a second. What a connect meets is the system alone, however slow the program is.
+/// An edge node that is asked to leave connects again and again, just as the listener closes: it
+/// gets in or is refused. With new connections shut out by a filter their first packet was dropped,
+/// and they hung until the system sent another after a second. What a connect meets is the system
+/// alone, however slow the program is.
 #[test]
 fn a_connect_as_the_listener_closes_does_not_hang() {
     at_drain_notifications("0000000000ed", 6, |address| {
@@ -235,9 +241,10 @@
     });
 }
 
-/// Edge nodes that are asked to leave connect anew at once. Where the accepting was late, such connections filled the
-/// backlog, and the system dropped the first packets of others, which hung for a second. New connections are refused before
-/// anybody is asked to leave, so none of them gets in.
+/// Edge nodes that are asked to leave connect anew at once. Where the accepting was late, such
+/// connections filled the backlog, and the system dropped the first packets of others, which hung
+/// for a second. New connections are refused before anybody is asked to leave, so none of them gets
+/// in.
 #[test]
 fn an_edge_node_that_is_asked_to_leave_is_refused_at_once() {
     at_drain_notifications("0000000000ef", 16, |address| {
@@ -245,7 +252,8 @@
     });
 }
 
-/// The notice comes before the executor is up: it was forgotten, and what came behind the grace was run.
+/// The notice comes before the executor is up: it was forgotten, and what came behind the grace was
+/// run.
 #[test]
 fn a_shutdown_notice_before_the_executor_is_up_takes_effect_once_it_is() {
     let host = unique_address();
@@ -295,7 +303,8 @@
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// One thread read the file and took the signals: a file that gives nothing kept the notice from being seen.
+/// One thread read the file and took the signals: a file that gives nothing kept the notice from
+/// being seen.
 #[test]
 fn a_shutdown_notice_takes_effect_while_the_configuration_is_being_read() {
     let mut backend = start_backend();
@@ -303,7 +312,8 @@
     let path = std::ffi::CString::new(backend.file.as_os_str().as_bytes()).unwrap();
     assert_eq!(unsafe { libc::mkfifo(path.as_ptr(), 0o600) }, 0);
     backend.signal("HUP");
-    // It is opened for writing once the program has opened it for reading: from then on it waits for what never comes.
+    // It is opened for writing once the program has opened it for reading: from then on it waits
+    // for what never comes.
     let writer = std::fs::OpenOptions::new()
         .write(true)
         .open(&backend.file)
@@ -315,8 +325,8 @@
     drop(writer);
 }
 
-/// The executor moves, to where a connect hangs, and on from there while it does: connects had no limit of their own, so
-/// nothing ran for two minutes.
+/// The executor moves, to where a connect hangs, and on from there while it does: connects had no
+/// limit of their own, so nothing ran for two minutes.
 #[test]
 fn an_executor_that_moves_while_a_connect_hangs_is_found() {
     let backend = start_backend();
@@ -354,8 +364,8 @@
     );
 }
 
-/// The executor moves and moves back before the farewell to its link is answered: the link stayed, and nothing was said on
-/// it any more.
+/// The executor moves and moves back before the farewell to its link is answered: the link stayed,
+/// and nothing was said on it any more.
 #[test]
 fn an_executor_that_moves_back_during_the_farewell_is_connected_again() {
     let backend = start_backend();
@@ -396,8 +406,9 @@
     );
 }
 
-/// A link breaks as a run starts that may not run twice, and the run ends as the next link is taken up: behind the
-/// notices that were read there, and before anything said over it arrives. Its start was said again, and it ran twice.
+/// A link breaks as a run starts that may not run twice, and the run ends as the next link is taken
+/// up: behind the notices that were read there, and before anything said over it arrives. Its start
+/// was said again, and it ran twice.
 #[test]
 fn a_run_that_ends_as_its_link_is_resynchronised_is_not_run_again() {
     for effect in [
@@ -453,8 +464,8 @@
     }
 }
 
-/// The announce service is down at the start, and heard of it once it listens; of its leaving too, whether or not the
-/// executor is up by then.
+/// The announce service is down at the start, and heard of it once it listens; of its leaving too,
+/// whether or not the executor is up by then.
 #[test]
 fn a_backend_is_registered_whenever_the_service_registry_listens() {
     let mut backend = start_backend();
@@ -488,7 +499,8 @@
     );
 }
 
-/// Likewise the store: connects that hung where it was kept all places for two minutes, so no call was made where it is.
+/// Likewise the store: connects that hung where it was kept all places for two minutes, so no call
+/// was made where it is.
 #[test]
 fn a_store_that_moves_while_connects_hang_is_called() {
     let backend = start_backend_with_sockets(32);
@@ -524,8 +536,8 @@
     0x1000 + backend.kernel.lock().unwrap().ends.len() as u32
 }
 
-/// A reply comes over a connection to where the store was, with another call waiting for a place: that one was given
-/// to the old connection.
+/// A reply comes over a connection to where the store was, with another call waiting for a place:
+/// that one was given to the old connection.
 #[test]
 fn a_connection_to_the_stores_old_address_gets_no_further_call() {
     let backend = start_backend_with_sockets(32);
@@ -567,7 +579,8 @@
     drop(store);
 }
 
-/// The store is taken away with a call waiting for a place: the call was dropped, and its request stood until it was due.
+/// The store is taken away with a call waiting for a place: the call was dropped, and its request
+/// stood until it was due.
 #[test]
 fn a_call_that_waits_as_the_store_goes_is_skipped_at_once() {
     let backend = start_backend_with_sockets(32);
@@ -645,8 +658,8 @@
     assert_eq!(backend.kernel.lock().unwrap().link_count, 1);
 }
 
-/// Killed with requests read, run, and answered but not sent; back under the same name and address while what its former
-/// life has started still ends.
+/// Killed with requests read, run, and answered but not sent; back under the same name and address
+/// while what its former life has started still ends.
 #[test]
 fn a_restart_ignores_events_of_the_previous_process() {
     let mut backend = start_backend();
@@ -719,7 +732,8 @@
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// A slow reader at the stop: all that it has been owed lies in the rings and in the sockets, with half a request behind.
+/// A slow reader at the stop: all that it has been owed lies in the rings and in the sockets, with
+/// half a request behind.
 #[test]
 fn a_slow_reader_gets_all_its_answers_at_shutdown() {
     let mut backend = start_backend();
@@ -744,7 +758,8 @@
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// Reqs that cross the wish to send nothing more: each is answered, and behind the grace none is run.
+/// Reqs that cross the wish to send nothing more: each is answered, and behind the grace none is
+/// run.
 #[test]
 fn a_request_that_crosses_the_drain_notification_is_answered_and_not_run() {
     let mut backend = start_backend();
@@ -795,7 +810,8 @@
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// A store that closes each connection with its reply, just as the next call is given to it. 150 calls.
+/// A store that closes each connection with its reply, just as the next call is given to it. 150
+/// calls.
 #[test]
 fn a_pooled_connection_that_closes_as_it_is_assigned_costs_one_call_at_most() {
     let host = unique_address();
@@ -847,7 +863,8 @@
     assert!(kernel.ends.values().all(|&ends| ends == 1));
 }
 
-/// The answer meets a caller that is just cutting off: it is lost with its connection, and harms nobody else.
+/// The answer meets a caller that is just cutting off: it is lost with its connection, and harms
+/// nobody else.
 #[test]
 fn an_answer_that_meets_a_reset_is_the_only_one_lost() {
     let backend = start_backend();
@@ -963,7 +980,8 @@
     }
 }
 
-/// Ends the runs that are left, stops the backend and starts it with settings that tell nothing of cancellations.
+/// Ends the runs that are left, stops the backend and starts it with settings that tell nothing of
+/// cancellations.
 fn restart_without_cancellations(backend: &mut TestBackend) {
     backend.signal("TERM");
     let left: Vec<String> = backend
@@ -983,8 +1001,8 @@
     backend.wait_until_serving();
 }
 
-/// Callers say that they give up, where the settings tell so. It was taken for garbage: the connection was left, and the
-/// requests that came over it meanwhile were lost with it.
+/// Callers say that they give up, where the settings tell so. It was taken for garbage: the
+/// connection was left, and the requests that came over it meanwhile were lost with it.
 #[test]
 fn a_cancellation_affects_its_own_request_alone() {
     let mut backend = start_backend_that_sees_cancellations();
@@ -1051,8 +1069,8 @@
     assert!(edge.read_answer().is_none(), "closed");
 }
 
-/// Without memory for another request, a new one is turned away and told when to come back; a repeat of one that was run
-/// is errored, as nobody may be told that it was not.
+/// Without memory for another request, a new one is turned away and told when to come back; a
+/// repeat of one that was run is errored, as nobody may be told that it was not.
 #[test]
 fn a_duplicate_of_a_run_is_not_rejected_for_memory() {
     let host = unique_address();
@@ -1085,7 +1103,8 @@
     edge.process(1, &of("0000000000e10001", "first"), b"run");
     let first = edge.expect_answer(1, AnswerKind::Answer);
     assert!(first.contains(b"page \0 0000000000e10001"));
-    // A repeat with the same body has its result; one with another body, or for nobody's tenant, has not.
+    // A repeat with the same body has its result; one with another body, or for nobody's tenant,
+    // has not.
     edge.process(2, &of("0000000000e10002", "first"), b"run");
     assert!(
         edge.expect_answer(2, AnswerKind::Answer)
--- a/crates/server/tests/program/docs.rs
+++ b/crates/server/tests/program/docs.rs
@@ -22,7 +22,8 @@
     }
 }
 
-/// The log lines that a page quotes: code in the first column of a table whose first header is `line`.
+/// The log lines that a page quotes: code in the first column of a table whose first header is
+/// `line`.
 fn quoted_lines(page: &str) -> Vec<String> {
     let mut lines = Vec::new();
     let mut is_log_table = false;
@@ -51,8 +52,8 @@
     lines
 }
 
-/// The longest literal part of a quoted line. Words in capitals, single capital letters and `...` stand for values, and
-/// so does what follows a `=`.
+/// The longest literal part of a quoted line. Words in capitals, single capital letters and `...`
+/// stand for values, and so does what follows a `=`.
 fn longest_literal(line: &str) -> String {
     let is_placeholder = |word: &str| {
         let letters: String = word.chars().filter(|c| c.is_alphabetic()).collect();
@@ -79,7 +80,8 @@
         .expect("there is one")
 }
 
-/// Source text with line continuations in string literals joined, so that a message is found as it is printed.
+/// Source text with line continuations in string literals joined, so that a message is found as it
+/// is printed.
 fn joined(text: &str) -> String {
     let mut joined = String::with_capacity(text.len());
     let mut rest = text;
--- a/crates/server/tests/program/fleet.rs
+++ b/crates/server/tests/program/fleet.rs
@@ -75,8 +75,8 @@
     }
 }
 
-/// `run` is one program, by exec, with nothing on top: recordings, which want a lasting disk, and whatever a
-/// configuration of the product's own turns on stay off there.
+/// `run` is one program, by exec, with nothing on top: recordings, which want a lasting disk, and
+/// whatever a configuration of the product's own turns on stay off there.
 #[test]
 fn the_run_command_is_one_process_by_exec_with_nothing_enabled() {
     assert_eq!(deployed("run"), "exec target/release/tulipgapd");
@@ -110,7 +110,8 @@
     }
 }
 
-/// The shell has made way for it, which is linked dynamically and has no further process and no file.
+/// The shell has made way for it, which is linked dynamically and has no further process and no
+/// file.
 fn assert_single_process(backend: &TestBackend) {
     let of = |what: &str| format!("/proc/{}/{what}", backend.child.id());
     let maps = std::fs::read_to_string(of("maps")).unwrap();
@@ -150,8 +151,8 @@
     assert!(others.iter().all(|other| *other == ours), "{others:?}");
 }
 
-/// It listens where it was told to and nowhere else, and nothing of a cluster is there: no thread, no datagrams but its
-/// reports.
+/// It listens where it was told to and nowhere else, and nothing of a cluster is there: no thread,
+/// no datagrams but its reports.
 fn assert_nothing_else_listens(backend: &TestBackend) {
     let of = |what: &str| format!("/proc/{}/{what}", backend.child.id());
     let inodes: BTreeSet<String> = std::fs::read_dir(of("fd"))
--- a/crates/server/tests/program/harness/backend.rs
+++ b/crates/server/tests/program/harness/backend.rs
@@ -25,7 +25,8 @@
     path
 }
 
-/// Starts the program with a configuration that it refuses; returns its exit status and what it wrote.
+/// Starts the program with a configuration that it refuses; returns its exit status and what it
+/// wrote.
 pub(crate) fn run_to_refusal(file: &std::path::Path) -> (ExitStatus, String) {
     let mut child = spawn_backend(file);
     let start = Instant::now();
@@ -166,8 +167,8 @@
         self.wait_until_healthy(|answer| answer.contains(b"signal"));
     }
 
-    /// Waits for a health check that succeeds: a connection alone shows nothing, because requests are rejected until the
-    /// executor is up.
+    /// Waits for a health check that succeeds: a connection alone shows nothing, because requests
+    /// are rejected until the executor is up.
     pub(crate) fn wait_until_healthy(&self, is_expected: impl Fn(&ReceivedAnswer) -> bool) {
         wait_until("it serves", || {
             let Ok(stream) = TcpStream::connect((&self.host[..], 6565)) else {
--- a/crates/server/tests/program/harness/executor.rs
+++ b/crates/server/tests/program/harness/executor.rs
@@ -5,8 +5,9 @@
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 
-/// A stub of the executor. It does what a request's body says: `run` ends at once, `large` too with a result of almost
-/// 4 KiB, `hang` when it is cancelled or the test ends it, `call` once its call is over.
+/// A stub of the executor. It does what a request's body says: `run` ends at once, `large` too with
+/// a result of almost 4 KiB, `hang` when it is cancelled or the test ends it, `call` once its call
+/// is over.
 #[derive(Default)]
 pub(crate) struct ExecutorStub {
     /// All notices so far; the first has number 1.
@@ -19,8 +20,8 @@
     pub(crate) link_count: u32,
     /// The next reply to a call is lost with the link that carried it.
     pub(crate) loses_link_at_reply: bool,
-    /// The link breaks as the next run starts. The run ends behind the first gauges over the next link, and its notice is
-    /// delayed until more is received there.
+    /// The link breaks as the next run starts. The run ends behind the first gauges over the next
+    /// link, and its notice is delayed until more is received there.
     pub(crate) cuts_link_at_start: bool,
     pub(crate) ending_run: Option<String>,
     pub(crate) delayed_notice: Vec<u8>,
@@ -154,8 +155,8 @@
         } else if kernel.link_count == number {
             kernel.handle_command(&words, body);
         } else {
-            // A new link replaces the one before: what is left in its buffers was sent again over the new one, and would run
-            // twice.
+            // A new link replaces the one before: what is left in its buffers was sent again over
+            // the new one, and would run twice.
             return;
         }
     }
--- a/crates/server/tests/program/harness/mod.rs
+++ b/crates/server/tests/program/harness/mod.rs
@@ -1,5 +1,5 @@
-//! What program tests share: a process of the program between stubs of its executor and its store, and the messages of an
-//! edge node, written by hand.
+//! What program tests share: a process of the program between stubs of its executor and its store,
+//! and the messages of an edge node, written by hand.
 
 pub(crate) mod backend;
 pub(crate) mod edge_node;
@@ -14,8 +14,8 @@
 /// Far longer than anything takes, on a busy machine too.
 pub(crate) const LONG_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A loopback address that no other test uses, nor a suite that runs at the same time: a socket that is kept until the
-/// process ends claims it.
+/// A loopback address that no other test uses, nor a suite that runs at the same time: a socket
+/// that is kept until the process ends claims it.
 pub(crate) fn unique_address() -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     static CLAIMED: Mutex<Vec<UdpSocket>> = Mutex::new(Vec::new());
--- a/crates/server/tests/program/harness/store.rs
+++ b/crates/server/tests/program/harness/store.rs
@@ -6,7 +6,8 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// A stub of the store. It answers every call with its body, unless it is down or another reply is planned.
+/// A stub of the store. It answers every call with its body, unless it is down or another reply is
+/// planned.
 #[derive(Clone, Default)]
 pub(crate) struct StoreStub {
     pub(crate) down: Arc<AtomicBool>,
--- a/crates/server/tests/program/leases.rs
+++ b/crates/server/tests/program/leases.rs
@@ -1,5 +1,6 @@
-//! Leases between real processes: each link led through a relay, faults on links, processes, clocks and disks, and a witness
-//! that sees each act. Safety is looked at all the time; progress is waited for.
+//! Leases between real processes: each link led through a relay, faults on links, processes, clocks
+//! and disks, and a witness that sees each act. Safety is looked at all the time; progress is
+//! waited for.
 
 use std::cell::{Cell, RefCell};
 use std::io::{BufRead, BufReader, Write};
@@ -53,7 +54,8 @@
     Path::new(env!("CARGO_BIN_EXE_tulipgapd"))
 }
 
-/// Plays it until, after the last fault, both leases have seen acts again; no promise may break on the way.
+/// Plays it until, after the last fault, both leases have seen acts again; no promise may break on
+/// the way.
 fn holds(what: &str, faults: &str) -> RunOutcome {
     let (plan, folder) = (plan(faults), tempfile::tempdir().unwrap());
     let (from, met) = (Cell::new(None), Cell::new(false));
@@ -196,8 +198,8 @@
     serde_json::from_str(&line).unwrap()
 }
 
-/// Revokes with a stale token, which is refused, then moves the lease. Returns the new owner and the token before,
-/// or nothing where no voter leads just now.
+/// Revokes with a stale token, which is refused, then moves the lease. Returns the new owner and
+/// the token before, or nothing where no voter leads just now.
 fn move_lease(socket: &Path, held: &Value) -> Option<(&'static str, Value)> {
     let stale = r#"{"do":"revoke","lease":"one","token":999}"#;
     let refused = asked(socket, stale);
@@ -280,7 +282,8 @@
                     step.set(4);
                 }
             }
-            // One of a zone drains at a time, another zone's do not wait for it, and who waits is next.
+            // One of a zone drains at a time, another zone's do not wait for it, and who waits is
+            // next.
             4 if drains("a-1") => {
                 asked(&at("a-2"), r#"{"do":"drain"}"#);
                 asked(&at("c-1"), r#"{"do":"drain"}"#);
@@ -328,8 +331,8 @@
     }
 }
 
-/// Garbage, frames of another cluster and a stream that stops in the middle keep nobody out, and a voter without a folder or a
-/// key that is too short is told so at the start.
+/// Garbage, frames of another cluster and a stream that stops in the middle keep nobody out, and a
+/// voter without a folder or a key that is too short is told so at the start.
 #[test]
 fn garbage_at_the_peer_port_stops_nothing() {
     let host = unique_address();
@@ -393,8 +396,9 @@
     let _ = std::fs::remove_file(&file);
 }
 
-/// Three backends of a zone whose store refuses: one probes, all go by its verdict, requests are answered throughout; when the store
-/// is back all make their calls again, and nothing of the verdict is left.
+/// Three backends of a zone whose store refuses: one probes, all go by its verdict, requests are
+/// answered throughout; when the store is back all make their calls again, and nothing of the
+/// verdict is left.
 #[test]
 fn one_of_a_zone_probes_a_store_that_is_down() {
     let (hosts, away) = (
--- a/crates/server/tests/program/load.rs
+++ b/crates/server/tests/program/load.rs
@@ -1,4 +1,5 @@
-//! Reqs served by five real processes while what lies between them breaks: the rules hold for every request throughout.
+//! Reqs served by five real processes while what lies between them breaks: the rules hold for every
+//! request throughout.
 
 use std::cell::Cell;
 use std::collections::HashMap;
--- a/crates/server/tests/program/members.rs
+++ b/crates/server/tests/program/members.rs
@@ -1,5 +1,6 @@
-//! Membership between nine real processes, each link led through a relay. What is promised is looked at all the time, with long
-//! bounds; that all views are right again after the last fault is waited for.
+//! Membership between nine real processes, each link led through a relay. What is promised is
+//! looked at all the time, with long bounds; that all views are right again after the last fault is
+//! waited for.
 
 use std::cell::Cell;
 use std::path::Path;
--- a/crates/server/tests/program/serving.rs
+++ b/crates/server/tests/program/serving.rs
@@ -1,4 +1,5 @@
-//! The program on loopback. Nothing here hangs on how fast the machine is: whatever is awaited has long to come.
+//! The program on loopback. Nothing here hangs on how fast the machine is: whatever is awaited has
+//! long to come.
 
 use std::io::Write;
 use std::net::Shutdown;
@@ -35,7 +36,8 @@
         b"run",
     );
     edge.expect_answer(4, AnswerKind::Rejected);
-    // A hint beyond all reason may be an honest one: such requests are turned away, and the connection goes on.
+    // A hint beyond all reason may be an honest one: such requests are turned away, and the
+    // connection goes on.
     for sequence in 5..20 {
         edge.process(
             sequence,
@@ -343,7 +345,8 @@
     }
     for sequence in 20..30 {
         edge.request(sequence, &format!("0000000000adb{sequence:03x}"), b"run");
-        // Where runs error no traffic is wanted; how much less is, while the machine is busy, is not told here.
+        // Where runs error no traffic is wanted; how much less is, while the machine is busy, is
+        // not told here.
         let answer = edge.expect_answer(sequence, AnswerKind::Answer);
         assert!(
             answer.contains(b"signal") && !answer.contains(b"0.0000"),
@@ -489,8 +492,8 @@
     edge.expect_answer(10, AnswerKind::Answer);
 }
 
-/// The id of a request that is open, and of one that is over; then the sequence of one that is open. With too
-/// much of that it is cut short.
+/// The id of a request that is open, and of one that is over; then the sequence of one that is
+/// open. With too much of that it is cut short.
 fn reuse_ids_and_sequences(backend: &TestBackend) {
     let mut other = backend.connect();
     for (sequence, id) in [(1, "00000000000000d1"), (2, "00000000000000d4")] {
@@ -724,9 +727,9 @@
     })
 }
 
-/// The shape of regina-main and nairobi-calc: the list follows health, callers get no value, a handler
-/// writes. One build serves it from the settings alone; a write that may run again is refused at start, by the
-/// key at fault.
+/// The shape of regina-main and nairobi-calc: the list follows health, callers get no value, a
+/// handler writes. One build serves it from the settings alone; a write that may run again is
+/// refused at start, by the key at fault.
 #[test]
 fn settings_with_writes_are_served_and_an_idempotent_write_is_refused() {
     let new_shape = |host: &str| {
@@ -768,7 +771,8 @@
     assert!(!tells_a_value(&mut edge), "a value where callers take none");
 }
 
-/// recife-matching gives callers a value and has the list follow health; such settings were refused at start.
+/// recife-matching gives callers a value and has the list follow health; such settings were refused
+/// at start.
 #[test]
 fn feedback_values_beside_a_list_that_follows_health_are_served() {
     let host = unique_address();
@@ -793,8 +797,8 @@
     assert!(tells_a_value(&mut edge), "no value where callers take one");
 }
 
-/// An effect of a word the backend does not know, such as the site file's "keyed" for the wire's "token",
-/// was told by its line and column alone.
+/// An effect of a word the backend does not know, such as the site file's "keyed" for the wire's
+/// "token", was told by its line and column alone.
 #[test]
 fn an_invalid_word_in_the_settings_is_reported_with_key_and_line() {
     let host = unique_address();
--- a/crates/server/tests/program/standing.rs
+++ b/crates/server/tests/program/standing.rs
@@ -1,6 +1,7 @@
-//! The terms of the standing test, each forced over loopback: connections that close while bytes arrive, store replies that
-//! break off, slow and hostile callers, the window of idempotency keys, and the time to the first answer.
-//! docs/crossings.md lists the terms with the lines that answer them.
+//! The terms of the standing test, each forced over loopback: connections that close while bytes
+//! arrive, store replies that break off, slow and hostile callers, the window of idempotency keys,
+//! and the time to the first answer. docs/crossings.md lists the terms with the lines that answer
+//! them.
 
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
@@ -21,7 +22,8 @@
 use crate::harness::store::{StoreStub, start_store};
 use crate::harness::{LONG_TIMEOUT, unique_address, wait_until};
 
-/// Far longer than an answer takes on a busy machine, far shorter than a caller that is held up by another would wait.
+/// Far longer than an answer takes on a busy machine, far shorter than a caller that is held up by
+/// another would wait.
 const PROMPT: Duration = Duration::from_secs(5);
 /// The rule allows 30 s from the start of the process to the first answer.
 const MAX_TIME_TO_FIRST_ANSWER: Duration = Duration::from_secs(5);
@@ -51,7 +53,8 @@
     backend
 }
 
-/// A connection whose receive buffer holds very little, so that answers wait in the backend's send buffer.
+/// A connection whose receive buffer holds very little, so that answers wait in the backend's send
+/// buffer.
 fn slow_reader(backend: &TestBackend) -> EdgeConnection {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
@@ -68,7 +71,8 @@
     kernel.runs.contains_key(id) || kernel.ends.contains_key(id)
 }
 
-/// The answers up to the end of the connection, counted by sequence; drain notifications are left out.
+/// The answers up to the end of the connection, counted by sequence; drain notifications are left
+/// out.
 fn answers_until_close(edge: &mut EdgeConnection) -> HashMap<u32, u32> {
     let mut counts = HashMap::new();
     while let Some(answer) = edge.read_answer() {
@@ -101,8 +105,8 @@
     slowest
 }
 
-/// Requests on resting connections at moments around the close of each: every one is answered once, or its connection
-/// closes and the request was never run.
+/// Requests on resting connections at moments around the close of each: every one is answered once,
+/// or its connection closes and the request was never run.
 fn assert_answered_or_never_run(
     backend: &TestBackend,
     edges: Vec<EdgeConnection>,
@@ -159,8 +163,9 @@
     assert_answered_or_never_run(&backend, edges, "000000000a04", first, step);
 }
 
-/// Requests that backend unread in the socket when their idle connections fall due to close: the backend is stopped over that
-/// moment. Whole ones are read and answered, half ones end with their connection.
+/// Requests that backend unread in the socket when their idle connections fall due to close: the
+/// backend is stopped over that moment. Whole ones are read and answered, half ones end with their
+/// connection.
 #[test]
 fn a_request_that_stands_unread_as_its_connection_falls_due_is_answered() {
     let backend = stand_with_changes(&[(r#""idle":9000.0"#, r#""idle":100.0"#)]);
@@ -200,8 +205,8 @@
     }
 }
 
-/// Half a request in the instant of the shutdown notice: with its second half it is answered, without it the connection
-/// ends and costs nobody an answer.
+/// Half a request in the instant of the shutdown notice: with its second half it is answered,
+/// without it the connection ends and costs nobody an answer.
 #[test]
 fn half_a_request_in_the_instant_of_shutdown_costs_no_answer() {
     let mut backend = stand_with_changes(&[(r#""drain_grace":1000.0"#, r#""drain_grace":300.0"#)]);
@@ -242,7 +247,8 @@
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// Half a request in the instant of an idle close: the request is read as a whole once its rest has come.
+/// Half a request in the instant of an idle close: the request is read as a whole once its rest has
+/// come.
 #[test]
 fn half_a_request_in_the_instant_of_an_idle_close_costs_no_answer() {
     let backend = stand_with_changes(&[(r#""idle":9000.0"#, r#""idle":100.0"#)]);
@@ -278,8 +284,9 @@
     });
 }
 
-/// The answers to a slow reader wait in the send buffer as the backend closes the connection, and a request crosses the
-/// close: its bytes arrive behind the close, so the system reset the connection and dropped all answers.
+/// The answers to a slow reader wait in the send buffer as the backend closes the connection, and a
+/// request crosses the close: its bytes arrive behind the close, so the system reset the connection
+/// and dropped all answers.
 #[test]
 fn a_request_that_crosses_the_close_does_not_reset_answers_on_their_way() {
     const REQUESTS: u32 = 16;
@@ -312,7 +319,8 @@
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// A connection that is established as the listener closes is answered: none is reset before a byte was read from it.
+/// A connection that is established as the listener closes is answered: none is reset before a byte
+/// was read from it.
 #[test]
 fn no_established_connection_is_reset_as_the_listener_closes() {
     const THREADS: usize = 6;
@@ -337,7 +345,8 @@
     assert_eq!(lost.into_inner().unwrap(), Vec::<String>::new(), "reset");
 }
 
-/// Ends the backend while so many callers connect, and yields what became of connections that were reset.
+/// Ends the backend while so many callers connect, and yields what became of connections that were
+/// reset.
 fn resets_at_shutdown(backend: &mut TestBackend, callers: usize) -> Vec<String> {
     let address: SocketAddr = format!("{}:6565", backend.host).parse().unwrap();
     backend.signal("TERM");
@@ -354,8 +363,8 @@
     resets
 }
 
-/// Connects again and again with a health check on each connection; yields what became of those that were reset before
-/// anything came from the backend.
+/// Connects again and again with a health check on each connection; yields what became of those
+/// that were reset before anything came from the backend.
 fn connect_until_refused(address: SocketAddr) -> Vec<String> {
     let mut resets = Vec::new();
     loop {
@@ -377,7 +386,8 @@
     }
 }
 
-/// A call's reply and the reset behind it backend in the buffer before the backend reads either: the reply counts.
+/// A call's reply and the reset behind it backend in the buffer before the backend reads either:
+/// the reply counts.
 #[test]
 fn a_store_reply_that_stands_before_a_reset_is_used() {
     let (backend, calls) = stand_with_own_store();
@@ -415,7 +425,8 @@
     );
 }
 
-/// A result and the end of the executor's link backend in the buffer, by turns with the shutdown notice beside them.
+/// A result and the end of the executor's link backend in the buffer, by turns with the shutdown
+/// notice beside them.
 #[test]
 fn a_result_that_stands_before_the_end_of_the_link_is_answered_once() {
     let mut backend = start_backend();
@@ -511,8 +522,8 @@
     (backend, calls)
 }
 
-/// A store reply breaks off behind each of its bytes, by turns with a plain end and a reset: its request is answered
-/// once, and no run is handed anything but a whole reply.
+/// A store reply breaks off behind each of its bytes, by turns with a plain end and a reset: its
+/// request is answered once, and no run is handed anything but a whole reply.
 #[test]
 fn a_store_reply_that_breaks_off_anywhere_is_no_reply() {
     const BODY: &str = "a reply";
@@ -561,7 +572,8 @@
     assert!(kernel.ends.values().all(|&ends| ends == 1));
 }
 
-/// Every TCP connection of the backend that it writes to has TCP_NODELAY: callers', the executor's and the store's.
+/// Every TCP connection of the backend that it writes to has TCP_NODELAY: callers', the executor's
+/// and the store's.
 #[test]
 fn every_connection_has_nodelay() {
     let backend = start_backend();
@@ -665,8 +677,8 @@
     assert!((0u32..100).all(|at| !was_run(&backend, &format!("000000000b01{at:04x}"))));
 }
 
-/// A hundred connections that read nothing for a while, and then slowly, get each of their answers once and whole, and
-/// hold up nobody else.
+/// A hundred connections that read nothing for a while, and then slowly, get each of their answers
+/// once and whole, and hold up nobody else.
 #[test]
 fn a_hundred_slow_readers_get_their_answers_and_hold_up_nobody_else() {
     const REQUESTS: u32 = 12;
@@ -711,7 +723,8 @@
     }
 }
 
-/// A flood of connections beyond the limit: whoever is connected is served meanwhile, a newcomer afterwards.
+/// A flood of connections beyond the limit: whoever is connected is served meanwhile, a newcomer
+/// afterwards.
 #[test]
 fn a_flood_of_connections_holds_up_nobody_who_is_connected() {
     let backend = start_backend_with_sockets(64);
@@ -745,8 +758,8 @@
     assert!(begin.elapsed() < PROMPT, "{:?}", begin.elapsed());
 }
 
-/// A flood of requests on one connection, far more at a time than it may have open: each is answered once, and others
-/// are served meanwhile.
+/// A flood of requests on one connection, far more at a time than it may have open: each is
+/// answered once, and others are served meanwhile.
 #[test]
 fn a_flood_of_requests_on_one_connection_holds_up_nobody_else() {
     const REQUESTS: u32 = 3000;
@@ -779,8 +792,8 @@
     );
 }
 
-/// Duplicates of a keyed request inside, at the edge of and past a window of 1.5 s, which counts by arrival at the
-/// machine.
+/// Duplicates of a keyed request inside, at the edge of and past a window of 1.5 s, which counts by
+/// arrival at the machine.
 #[test]
 fn a_keyed_duplicate_is_known_by_its_arrival_inside_the_window() {
     const WINDOW_MS: u64 = 1500;
@@ -795,7 +808,8 @@
         fields.push(("opkey", key.to_owned()));
         fields
     };
-    // The offset of the duplicate's arrival from the end of the window, and whether it must, may or must not be known.
+    // The offset of the duplicate's arrival from the end of the window, and whether it must, may or
+    // must not be known.
     let cases: [(i64, Option<bool>); 6] = [
         (-1000, Some(true)),
         (-50, Some(true)),
@@ -863,7 +877,8 @@
     Registry,
 }
 
-/// From the start of the process to the first answer of any kind, and to the first request that was served.
+/// From the start of the process to the first answer of any kind, and to the first request that was
+/// served.
 struct StartupTimes {
     first_answer: Duration,
     first_served: Option<Duration>,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,10 +1,10 @@
-//! The settings that a server receives at its start, as JSON, and the controller's configuration that follows from
-//! them. Both hosts of the controller read their settings here.
+//! The settings that a server receives at its start, as JSON, and the controller's configuration
+//! that follows from them. Both hosts of the controller read their settings here.
 //!
 //! ```
-//! let text = r#"{"classes":[{"name":"page","objective":1e3,"deadline":2e3,"worth":1.0,"effect":"pure"}],
-//!     "family_info":{"below":"silent","blowup":4.0,"cores":2,"halt":"drop","idle":9e3,"mem_limit_kb":9e3,
-//!     "say":"weight"},"limits":{},"rules":{"cold_from":0.3,"drain_grace":1e3,"fall":2e3,
+//! let text = r#"{"classes":[{"name":"page","objective":1e3,"deadline":2e3,"worth":1.0,
+//!     "effect":"pure"}],"family_info":{"below":"silent","blowup":4.0,"cores":2,"halt":"drop",
+//!     "idle":9e3,"mem_limit_kb":9e3,"say":"weight"},"limits":{},"rules":{"cold_from":0.3,"drain_grace":1e3,"fall":2e3,
 //!     "fall_multiple":4.0,"grace_to_answer":60.0,"warm_up":9e3}}"#;
 //! let settings: tulipgap_settings::Settings = text.parse()?;
 //! assert_eq!(settings.controller_config()?.cores, 2);
@@ -94,7 +94,8 @@
     EndpointList,
     /// By either, as at recife-matching.
     Both,
-    /// By neither: only the retry-after of rejections is left, as at verhaegen-remote and zh-pipeline-fleet.
+    /// By neither: only the retry-after of rejections is left, as at verhaegen-remote and
+    /// zh-pipeline-fleet.
     RetryAfterOnly,
 }
 
@@ -141,8 +142,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`SettingsError::PureWrite`] for a write that may run again, so that half a migration to settings with
-    /// writes is not taken for a whole one.
+    /// Returns [`SettingsError::PureWrite`] for a write that may run again, so that half a
+    /// migration to settings with writes is not taken for a whole one.
     pub fn steering(&self) -> Result<Steering, SettingsError> {
         let is_pure_write = |class: &Class| class.write && class.effect == Effect::None;
         if let Some(class) = self.classes.iter().position(is_pure_write) {
@@ -182,8 +183,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the first key whose value is out of range. The ranges of the controller itself are checked by
-    /// [`Config::validate`].
+    /// Returns the first key whose value is out of range. The ranges of the controller itself are
+    /// checked by [`Config::validate`].
     pub fn controller_config(&self) -> Result<Config, SettingsError> {
         let info = &self.family_info;
         self.check_length("class_calls", info.class_calls.len())?;
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,4 +1,5 @@
-//! The settings as they are written. The keys are the operators'; they are spelled here and nowhere else.
+//! The settings as they are written. The keys are the operators'; they are spelled here and nowhere
+//! else.
 
 use serde::Deserialize;
 
@@ -104,7 +105,8 @@
     }
 }
 
-/// Settings without the key are those of a deployment that marks retries, as all were before the key was read.
+/// Settings without the key are those of a deployment that marks retries, as all were before the
+/// key was read.
 fn retries_are_marked() -> bool {
     true
 }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -58,7 +58,8 @@
     assert_eq!(unmarked.controller_config().unwrap().servers, 350);
 }
 
-/// A value beside a list that follows health was refused at start as half a move, and recife-matching has both.
+/// A value beside a list that follows health was refused at start as half a move, and
+/// recife-matching has both.
 #[test]
 fn the_ways_of_steering_are_distinguished_and_an_idempotent_write_is_refused() {
     let both = settings(
--- a/crates/simhost/src/backend.rs
+++ b/crates/simhost/src/backend.rs
@@ -1,4 +1,5 @@
-//! One simulated backend: its controller, and the wire's words for the controller's events and actions.
+//! One simulated backend: its controller, and the wire's words for the controller's events and
+//! actions.
 
 use std::collections::HashMap;
 use std::fmt::Write;
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,7 +1,7 @@
 //! `tulipgap-simhost`: hosts one controller for each backend on the simulator's wire.
 //!
-//! Reads batches on standard input, answers on standard output. Input it cannot read ends it with one line on
-//! standard error and exit code 2; end of input ends it with 0.
+//! Reads batches on standard input, answers on standard output. Input it cannot read ends it with
+//! one line on standard error and exit code 2; end of input ends it with 0.
 
 mod backend;
 mod fields;
--- a/crates/simhost/src/tests.rs
+++ b/crates/simhost/src/tests.rs
@@ -159,8 +159,8 @@
     format!("CLOCK t={}", 5000 + step * 3)
 }
 
-/// One line a step for the backend of `deployment`: arrivals of drawn work, more than it can do. What runs ends some
-/// steps later, as a host of its own shows.
+/// One line a step for the backend of `deployment`: arrivals of drawn work, more than it can do.
+/// What runs ends some steps later, as a host of its own shows.
 fn generate_day(deployment: usize, spawn: String, rng: &mut fastrand::Rng) -> Vec<String> {
     let id = deployment + 3;
     let mut host = Host::default();
@@ -238,8 +238,8 @@
         .collect()
 }
 
-/// Two customers in one process, the events of one between those of the other. Each acts exactly as it does alone:
-/// nothing static or remembered holds a figure of one of them.
+/// Two customers in one process, the events of one between those of the other. Each acts exactly as
+/// it does alone: nothing static or remembered holds a figure of one of them.
 #[test]
 fn two_deployments_in_one_process_act_as_each_does_alone() {
     let mut rng = fastrand::Rng::with_seed(7);
--- a/crates/trace/benches/trace.rs
+++ b/crates/trace/benches/trace.rs
@@ -1,5 +1,5 @@
-//! What a record costs on its way into a file, and what finding a minute costs: by the index and by a plain
-//! scan.
+//! What a record costs on its way into a file, and what finding a minute costs: by the index and by
+//! a plain scan.
 
 use std::io;
 use std::time::Duration;
@@ -105,8 +105,8 @@
     group.finish();
 }
 
-/// Blocks of five seconds of some servers, as their files come one after another; handlers and outcomes of
-/// which one is rare.
+/// Blocks of five seconds of some servers, as their files come one after another; handlers and
+/// outcomes of which one is rare.
 fn index_of(servers: usize, hours: usize) -> Index {
     let mut index = Index::default();
     for server in 0..servers {
--- a/crates/trace/src/anonymise.rs
+++ b/crates/trace/src/anonymise.rs
@@ -1,5 +1,6 @@
-//! Copies of a file in which ids, idempotency keys, subjects and callers are replaced by keyed hashes. Files
-//! made with one key can still be correlated, and nothing of what stood there is left.
+//! Copies of a file in which ids, idempotency keys, subjects and callers are replaced by keyed
+//! hashes. Files made with one key can still be correlated, and nothing of what stood there is
+//! left.
 
 use std::io::{Read, Seek, Write};
 
@@ -14,8 +15,8 @@
 
 /// The shortest key.
 const MIN_KEY_BYTES: usize = 32;
-/// The fewest distinct bytes of a key. Of 32 random bytes fewer than 20 are distinct in less than one key of
-/// a billion.
+/// The fewest distinct bytes of a key. Of 32 random bytes fewer than 20 are distinct in less than
+/// one key of a billion.
 const MIN_DISTINCT_BYTES: usize = 20;
 /// The context of the key derivation of BLAKE3.
 const CONTEXT: &str = "tulipgap trace anonymise 2026 v1";
@@ -135,8 +136,8 @@
     };
     let mut header = Header::new(NEWEST_VERSION, 0, &server, original.start);
     header.names = names.clone();
-    // The id of the source would connect the copy with it; a hash of it still shows a file that is given
-    // twice.
+    // The id of the source would connect the copy with it; a hash of it still shows a file that is
+    // given twice.
     header.file_id = key.hash_name("file", &original.file_id);
     let mut writer = Writer::new(out, header, BlockConfig::default())?;
     let mut source = source.rewind().map_err(RewriteError::read("input"))?;
--- a/crates/trace/src/block/decode.rs
+++ b/crates/trace/src/block/decode.rs
@@ -1,5 +1,5 @@
-//! From the payload of a block to records. Whatever the payload claims, memory is bounded by the number of
-//! records and the limits of the format.
+//! From the payload of a block to records. Whatever the payload claims, memory is bounded by the
+//! number of records and the limits of the format.
 
 use std::borrow::Cow;
 use std::collections::BTreeSet;
--- a/crates/trace/src/block/encode.rs
+++ b/crates/trace/src/block/encode.rs
@@ -75,8 +75,8 @@
     }
 }
 
-/// The payload of a block. The compressor is reused from block to block, as setting one up costs as much as
-/// compressing a part.
+/// The payload of a block. The compressor is reused from block to block, as setting one up costs as
+/// much as compressing a part.
 pub(crate) fn encode(
     header: &BlockHeader,
     columns: &[ColumnValues],
@@ -206,8 +206,8 @@
             parts: table_parts(values, &table),
         };
     }
-    // Times of one order of magnitude compress best as planes, of which the upper ones are nearly constant.
-    // Small numbers with a few long ones among them do so as varints.
+    // Times of one order of magnitude compress best as planes, of which the upper ones are nearly
+    // constant. Small numbers with a few long ones among them do so as varints.
     let width = values
         .iter()
         .max()
--- a/crates/trace/src/block/mod.rs
+++ b/crates/trace/src/block/mod.rs
@@ -1,6 +1,6 @@
-//! A block: up to [`MAX_RECORDS`] records, column by column. Each column states its kind, how its values are
-//! predicted and laid out, and how long it is, so that a reader can skip a column that it does not know or
-//! does not need.
+//! A block: up to [`MAX_RECORDS`] records, column by column. Each column states its kind, how its
+//! values are predicted and laid out, and how long it is, so that a reader can skip a column that
+//! it does not know or does not need.
 
 mod decode;
 mod encode;
--- a/crates/trace/src/check.rs
+++ b/crates/trace/src/check.rs
@@ -1,5 +1,5 @@
-//! Whether a file is sound: intact, with an index that agrees with its blocks, and without contradictions in
-//! its records.
+//! Whether a file is sound: intact, with an index that agrees with its blocks, and without
+//! contradictions in its records.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{Read, Seek};
--- a/crates/trace/src/clock_offsets.rs
+++ b/crates/trace/src/clock_offsets.rs
@@ -1,7 +1,8 @@
-//! How far the clocks of servers are apart, from attempts of one request at several of them. A retry reaches
-//! its server after the earlier attempt was answered by another one, which bounds the difference of their
-//! clocks from one side; retries in the other direction bound it from the other, as an exchange of time
-//! stamps does in NTP. Of all pairs of servers, those with the closest bounds are used.
+//! How far the clocks of servers are apart, from attempts of one request at several of them. A
+//! retry reaches its server after the earlier attempt was answered by another one, which bounds the
+//! difference of their clocks from one side; retries in the other direction bound it from the
+//! other, as an exchange of time stamps does in NTP. Of all pairs of servers, those with the
+//! closest bounds are used.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -36,11 +37,12 @@
     is_retry: bool,
 }
 
-/// For each ordered pair of servers: the least time from an answer by the one to a retry at the other.
+/// For each ordered pair of servers: the least time from an answer by the one to a retry at the
+/// other.
 type MinDelays = BTreeMap<(u32, u32), Micros>;
 
-/// Estimates the clocks of `servers` against that of the first. Records may come in any order in which
-/// attempts of one request are not too far apart.
+/// Estimates the clocks of `servers` against that of the first. Records may come in any order in
+/// which attempts of one request are not too far apart.
 pub fn estimate_clock_offsets(
     records: impl Iterator<Item = Record>,
     servers: &[u32],
@@ -109,8 +111,8 @@
     middle: Micros,
 }
 
-/// From delays between pairs to the offset of each server: a tree of the pairs with the closest bounds, from
-/// the first server on.
+/// From delays between pairs to the offset of each server: a tree of the pairs with the closest
+/// bounds, from the first server on.
 fn offsets_from(min_delays: &MinDelays, servers: &[u32]) -> Vec<ClockOffset> {
     let pairs = bounded_pairs(min_delays);
     let unknown = |&server: &u32| ClockOffset {
@@ -132,12 +134,13 @@
 fn bounded_pairs(min_delays: &MinDelays) -> Vec<BoundedPair> {
     let mut pairs = Vec::new();
     for (&(a, b), &high) in min_delays.iter().filter(|((a, b), _)| a < b) {
-        // offset(a) - offset(b) is at most the least delay from a to b, and at least minus that from b to a.
+        // offset(a) - offset(b) is at most the least delay from a to b, and at least minus that
+        // from b to a.
         let Some(low) = min_delays.get(&(b, a)).map(|&delay| -delay) else {
             continue;
         };
-        // Bounds that contradict each other (answers recorded late, or attempts correlated wrongly) say
-        // nothing.
+        // Bounds that contradict each other (answers recorded late, or attempts correlated wrongly)
+        // say nothing.
         if low <= high {
             pairs.push(BoundedPair {
                 width: high - low,
@@ -151,7 +154,8 @@
     pairs
 }
 
-/// Position, offset and uncertainty of the clock that a pair adds to the known ones, if it adds one.
+/// Position, offset and uncertainty of the clock that a pair adds to the known ones, if it adds
+/// one.
 fn extend(pair: &BoundedPair, clocks: &[ClockOffset]) -> Option<(usize, Micros, Micros)> {
     let position = |server: u32| clocks.iter().position(|clock| clock.server == server);
     let (a, b) = (position(pair.a)?, position(pair.b)?);
--- a/crates/trace/src/columns.rs
+++ b/crates/trace/src/columns.rs
@@ -1,10 +1,11 @@
-//! The columns of a record: one table for writer, reader and documentation. It says how each column is named,
-//! what it holds, since which format version, and from what its values are predicted.
+//! The columns of a record: one table for writer, reader and documentation. It says how each column
+//! is named, what it holds, since which format version, and from what its values are predicted.
 
 use crate::record::{Outcome, Reason, Record};
 use crate::varint::{zigzag_decode, zigzag_encode};
 
-/// What the values of a column are. Stored by position: the order of the variants is part of the format.
+/// What the values of a column are. Stored by position: the order of the variants is part of the
+/// format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ColumnKind {
     /// A number without sign.
@@ -134,7 +135,8 @@
     };
 }
 
-/// How a column reads its value from a record, and sets it; setting returns false for an invalid value.
+/// How a column reads its value from a record, and sets it; setting returns false for an invalid
+/// value.
 type Access = (fn(&Record) -> Option<u64>, fn(&mut Record, u64) -> bool);
 
 const fn column(
--- a/crates/trace/src/copy.rs
+++ b/crates/trace/src/copy.rs
@@ -84,8 +84,9 @@
     }
 }
 
-/// Copies the records that a filter matches, each as `change` leaves it. Where the source has an index, only
-/// the blocks that are needed are read; a source that was cut off is read as far as it is intact.
+/// Copies the records that a filter matches, each as `change` leaves it. Where the source has an
+/// index, only the blocks that are needed are read; a source that was cut off is read as far as it
+/// is intact.
 ///
 /// # Errors
 /// [`RewriteError::Read`] or [`RewriteError::Write`]. Damage is no error but a [`Loss`].
@@ -145,8 +146,8 @@
     Ok(copy.summary)
 }
 
-/// The same as [`copy()`], from the first byte of the source to the last, for one that cannot be sought in or
-/// has no index.
+/// The same as [`copy()`], from the first byte of the source to the last, for one that cannot be
+/// sought in or has no index.
 ///
 /// # Errors
 /// As [`copy()`].
--- a/crates/trace/src/correlate.rs
+++ b/crates/trace/src/correlate.rs
@@ -1,5 +1,5 @@
-//! Which attempts belong to one request. Each attempt has an id of its own; what stays the same is the
-//! idempotency key, or else what a read is about and the edge node that sends it.
+//! Which attempts belong to one request. Each attempt has an id of its own; what stays the same is
+//! the idempotency key, or else what a read is about and the edge node that sends it.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -63,7 +63,8 @@
     is_completed: bool,
 }
 
-/// Correlates attempts as their records come in the order of time. It owns what is remembered of requests.
+/// Correlates attempts as their records come in the order of time. It owns what is remembered of
+/// requests.
 #[derive(Default)]
 pub(crate) struct AttemptCorrelator {
     requests: HashMap<CorrelationKey, Request>,
@@ -83,8 +84,8 @@
                 Attempt::First
             };
         };
-        // An idempotency key shows a retry even where its mark was lost; a read without the mark is a new
-        // one.
+        // An idempotency key shows a retry even where its mark was lost; a read without the mark is
+        // a new one.
         let may_be_retry = record.is_retry || matches!(key, CorrelationKey::Idempotency { .. });
         match self.requests.get_mut(&key) {
             Some(request) if may_be_retry => {
--- a/crates/trace/src/dictionary.rs
+++ b/crates/trace/src/dictionary.rs
@@ -7,7 +7,8 @@
 /// The most entries of each kind that a dictionary may have.
 pub(crate) const MAX_NAMES: usize = 100_000;
 
-/// Servers, handlers and tenants of a file. Records refer to them by their positions in these lists.
+/// Servers, handlers and tenants of a file. Records refer to them by their positions in these
+/// lists.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Dictionary {
     /// Names of servers.
@@ -75,7 +76,8 @@
     /// An answer within this time counts with the full priority weight.
     #[serde(default, rename = "response_target")]
     pub latency_objective: Micros,
-    /// The latency objective grows by this multiple of a request's estimated work, up to the client timeout.
+    /// The latency objective grows by this multiple of a request's estimated work, up to the client
+    /// timeout.
     #[serde(default, rename = "target_stretch")]
     pub objective_stretch: f64,
     /// How long clients wait.
--- a/crates/trace/src/framing.rs
+++ b/crates/trace/src/framing.rs
@@ -60,7 +60,8 @@
         read_u64_at(payload, 0)
     }
 
-    /// How many records the file has, as a payload states it; `None` where the payload is too short.
+    /// How many records the file has, as a payload states it; `None` where the payload is too
+    /// short.
     pub(crate) fn read_records(payload: &[u8]) -> Option<u64> {
         read_u64_at(payload, 16)
     }
@@ -163,8 +164,8 @@
     },
 }
 
-/// Reads frame after frame, and skips what is not an intact frame. It buffers one frame at a time, so memory
-/// is bounded by [`MAX_FRAME_BYTES`] whatever lengths a file claims.
+/// Reads frame after frame, and skips what is not an intact frame. It buffers one frame at a time,
+/// so memory is bounded by [`MAX_FRAME_BYTES`] whatever lengths a file claims.
 pub(crate) struct FrameReader<R> {
     input: R,
     buffer: Vec<u8>,
@@ -212,7 +213,8 @@
     /// Puts a frame back in front of what is buffered, so that it is read once more.
     pub(crate) fn put_back(&mut self, offset: u64, kind: u8, payload: &[u8]) {
         let mut bytes = Vec::with_capacity(FRAME_HEADER_BYTES + payload.len() + CHECKSUM_BYTES);
-        // Writing to memory does not fail, and the payload was no longer than allowed when it was read.
+        // Writing to memory does not fail, and the payload was no longer than allowed when it was
+        // read.
         let _ = write_frame(&mut bytes, kind, payload);
         bytes.extend_from_slice(&self.buffer[self.consumed..]);
         (self.buffer, self.consumed, self.buffer_offset) = (bytes, 0, offset);
--- a/crates/trace/src/index.rs
+++ b/crates/trace/src/index.rs
@@ -1,7 +1,8 @@
-//! The index of a file: where which blocks stand, and a structure that finds those a question needs, by time,
-//! handler and outcome. Blocks are sorted by their earliest record, with a tree over their latest ones (a
-//! max-augmented interval tree in an array), so that finding blocks that overlap costs a logarithm of their
-//! number, even where one spans hours because a clock was set. Handlers and outcomes are bitmaps of blocks.
+//! The index of a file: where which blocks stand, and a structure that finds those a question
+//! needs, by time, handler and outcome. Blocks are sorted by their earliest record, with a tree
+//! over their latest ones (a max-augmented interval tree in an array), so that finding blocks that
+//! overlap costs a logarithm of their number, even where one spans hours because a clock was set.
+//! Handlers and outcomes are bitmaps of blocks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read};
@@ -120,8 +121,8 @@
     pub(crate) gaps: Vec<Gap>,
 }
 
-/// The blocks of one or more files, in the order in which they were added. It owns the entries, and the
-/// lookup structure over them, which is built when it is first needed.
+/// The blocks of one or more files, in the order in which they were added. It owns the entries, and
+/// the lookup structure over them, which is built when it is first needed.
 #[derive(Clone, Debug, Default)]
 pub struct Index {
     blocks: Vec<BlockEntry>,
@@ -227,7 +228,8 @@
         Ok(out)
     }
 
-    /// Reads the payload of an index frame that begins at `index_offset`; all blocks stand before it.
+    /// Reads the payload of an index frame that begins at `index_offset`; all blocks stand before
+    /// it.
     pub(crate) fn decode(
         payload: &[u8],
         index_offset: u64,
@@ -422,9 +424,9 @@
         }
     }
 
-    /// Collects the ranks below `end` whose latest record is at `from` or later, within a node of the tree
-    /// that covers `ranks`. The depth of the tree is a logarithm of the number of blocks, so the recursion is
-    /// shallow.
+    /// Collects the ranks below `end` whose latest record is at `from` or later, within a node of
+    /// the tree that covers `ranks`. The depth of the tree is a logarithm of the number of blocks,
+    /// so the recursion is shallow.
     fn collect_overlapping(
         &self,
         node: usize,
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,13 +1,17 @@
-//! Recordings of what happened to each request of a server, in a compact, versioned, indexed file. This crate
-//! writes them, reads them (also torn or damaged ones), and copies, merges, anonymises and summarises them.
-//! Nothing here opens a socket. The format is described byte by byte in docs/trace-format.md.
+//! Recordings of what happened to each request of a server, in a compact, versioned, indexed file.
+//! This crate writes them, reads them (also torn or damaged ones), and copies, merges, anonymises
+//! and summarises them. Nothing here opens a socket. The format is described byte by byte in
+//! docs/trace-format.md.
 //!
-//! - [`Writer`] and [`TraceReader`] are the two ends of a file. The writer takes [`Record`]s and [`Gap`]s;
-//!   the reader yields them as [`Item`]s, together with every [`Loss`]: what of the file could not be read.
-//! - [`Recorder`] feeds a writer from a server without ever blocking it. Its input is one [`Record`] for each
-//!   attempt; its output is a directory of files, bounded in size by a [`RetentionConfig`]. It decides when a
-//!   block is sealed, when a file is rotated, which old files are removed and which records are dropped.
-//! - [`copy()`], [`merge()`], [`anonymise()`], [`check()`] and [`Summary`] make files or figures from files.
+//! - [`Writer`] and [`TraceReader`] are the two ends of a file. The writer takes [`Record`]s and
+//!   [`Gap`]s; the reader yields them as [`Item`]s, together with every [`Loss`]: what of the file
+//!   could not be read.
+//! - [`Recorder`] feeds a writer from a server without ever blocking it. Its input is one
+//!   [`Record`] for each attempt; its output is a directory of files, bounded in size by a
+//!   [`RetentionConfig`]. It decides when a block is sealed, when a file is rotated, which old
+//!   files are removed and which records are dropped.
+//! - [`copy()`], [`merge()`], [`anonymise()`], [`check()`] and [`Summary`] make files or figures
+//!   from files.
 //!
 //! ```
 //! use tulipgap_trace::{BlockConfig, Header, Item, NEWEST_VERSION, Record, TraceReader, Writer};
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -1,5 +1,6 @@
-//! Many files merged to one, in the order of time. Each file yields its blocks by their earliest record, so
-//! only blocks that overlap are in memory; memory does not grow with the length of the files.
+//! Many files merged to one, in the order of time. Each file yields its blocks by their earliest
+//! record, so only blocks that overlap are in memory; memory does not grow with the length of the
+//! files.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -113,8 +114,8 @@
 }
 
 impl<R: Read + Seek> SortedSource<R> {
-    /// Reads blocks until the first buffered record comes before all that are not read. Returns its key;
-    /// `None` where the source is exhausted.
+    /// Reads blocks until the first buffered record comes before all that are not read. Returns its
+    /// key; `None` where the source is exhausted.
     fn fill<W: Write>(
         &mut self,
         out: &mut Writer<W>,
@@ -169,8 +170,8 @@
     }
 }
 
-/// Merges files into one. `progress` is called now and then with the records written so far, and how many
-/// there are.
+/// Merges files into one. `progress` is called now and then with the records written so far, and
+/// how many there are.
 ///
 /// # Errors
 /// [`RewriteError::UnsupportedVersion`] where `out` is not of the newest format version;
@@ -225,8 +226,8 @@
     Ok(summary)
 }
 
-/// The name of the earlier source that is the same file, by the id in the header. A file without its header
-/// has none.
+/// The name of the earlier source that is the same file, by the id in the header. A file without
+/// its header has none.
 fn same_file<R>(source: &MergeSource<R>, earlier: &[SortedSource<R>]) -> Option<String>
 where
     R: Read,
--- a/crates/trace/src/metadata.rs
+++ b/crates/trace/src/metadata.rs
@@ -36,7 +36,8 @@
 pub struct Header {
     /// The format version.
     pub version: u32,
-    /// The id of the file: 32 hex digits, new for each file, by which a merge detects a file given twice.
+    /// The id of the file: 32 hex digits, new for each file, by which a merge detects a file given
+    /// twice.
     #[serde(rename = "file")]
     pub file_id: String,
     /// The server that recorded it.
@@ -88,7 +89,8 @@
     /// A value of the record did not fit its column.
     #[serde(rename = "unfit")]
     ValueOutOfRange,
-    /// No record is missing: the system's clock was set, and times from here on still go by the old one.
+    /// No record is missing: the system's clock was set, and times from here on still go by the old
+    /// one.
     ClockSet,
 }
 
--- a/crates/trace/src/reader/error.rs
+++ b/crates/trace/src/reader/error.rs
@@ -71,8 +71,8 @@
         /// The number that was read.
         read: u64,
     },
-    /// The header was damaged. Times and columns are known from the blocks, names only as far as later frames
-    /// have them.
+    /// The header was damaged. Times and columns are known from the blocks, names only as far as
+    /// later frames have them.
     DamagedHeader,
 }
 
--- a/crates/trace/src/reader/mod.rs
+++ b/crates/trace/src/reader/mod.rs
@@ -1,4 +1,5 @@
-//! Reads a file of either format version from its start to its end: intact, torn or damaged, from any stream.
+//! Reads a file of either format version from its start to its end: intact, torn or damaged, from
+//! any stream.
 
 mod error;
 mod random_access;
@@ -40,7 +41,8 @@
     original_servers: Vec<String>,
 }
 
-/// Reads a file; an iterator of its [`Item`]s. It owns the input and all that is known of the file so far.
+/// Reads a file; an iterator of its [`Item`]s. It owns the input and all that is known of the file
+/// so far.
 pub struct TraceReader<R> {
     frames: FrameReader<R>,
     header: Header,
@@ -71,8 +73,8 @@
     /// Reads the header of a file. A damaged header is a [`Loss`] if intact frames follow it.
     ///
     /// # Errors
-    /// [`TraceError`] where the file is not a recording, of a newer version, without any intact frame, or
-    /// unreadable.
+    /// [`TraceError`] where the file is not a recording, of a newer version, without any intact
+    /// frame, or unreadable.
     pub fn open(input: R) -> Result<Self, TraceError> {
         let mut frames = FrameReader::new(input);
         let version = read_version(&mut frames)?;
@@ -240,7 +242,8 @@
         let length = (framing::FRAME_HEADER_BYTES + payload.len() + framing::CHECKSUM_BYTES) as u64;
         let mut input = ByteReader(payload);
         let block = BlockHeader::read(&mut input)?;
-        // A block states how many records stand before it, and so how many were in blocks that are lost.
+        // A block states how many records stand before it, and so how many were in blocks that are
+        // lost.
         let missing = block.records_before.saturating_sub(self.records_before);
         if missing > 0 {
             self.pending
--- a/crates/trace/src/reader/random_access.rs
+++ b/crates/trace/src/reader/random_access.rs
@@ -25,8 +25,8 @@
 }
 
 impl<R: Read + Seek> TraceReader<R> {
-    /// Finds the blocks and gaps of a file by the index at its end, or else by reading all of it. The
-    /// dictionary is complete afterwards.
+    /// Finds the blocks and gaps of a file by the index at its end, or else by reading all of it.
+    /// The dictionary is complete afterwards.
     ///
     /// # Errors
     /// [`TraceError`] where the file cannot be read at all.
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -4,7 +4,8 @@
 
 use crate::Micros;
 
-/// How an attempt ended for its caller. Stored by position: the order of the variants is part of the format.
+/// How an attempt ended for its caller. Stored by position: the order of the variants is part of
+/// the format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Outcome {
     /// It was answered with a result.
@@ -50,8 +51,8 @@
     }
 }
 
-/// Why an attempt ended as it did, by its stored number. A newer writer may know more reasons than this
-/// reader has names for, so any number is kept.
+/// Why an attempt ended as it did, by its stored number. A newer writer may know more reasons than
+/// this reader has names for, so any number is kept.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Reason(
     /// The number in the file.
@@ -100,7 +101,8 @@
     NOT_STARTED = 14 "not-started",
     /// There was no memory for a further request at all.
     NO_CAPACITY = 15 "no-room",
-    /// It was coalesced with the attempt that it duplicates, and answered with the result of that one.
+    /// It was coalesced with the attempt that it duplicates, and answered with the result of that
+    /// one.
     COALESCED = 16 "joined",
 }
 
@@ -114,8 +116,8 @@
     }
 }
 
-/// The number that stands for a text in a record. It is the same on every server, so that attempts of one
-/// request can be correlated by it.
+/// The number that stands for a text in a record. It is the same on every server, so that attempts
+/// of one request can be correlated by it.
 pub fn hash_text(text: &str) -> u64 {
     leading_u64(&blake3::hash(text.as_bytes()))
 }
@@ -128,8 +130,8 @@
         .fold(0, |number, &byte| number << 8 | u64::from(byte))
 }
 
-/// One attempt of a request. Handlers, tenants and servers are indices into the dictionary of its file. All
-/// times but `reached` are microseconds since `reached`.
+/// One attempt of a request. Handlers, tenants and servers are indices into the dictionary of its
+/// file. All times but `reached` are microseconds since `reached`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Record {
     /// The server that recorded it.
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -1,5 +1,5 @@
-//! Records on their way from a server to its files. The server adds to a bounded queue and goes on at once,
-//! whatever the disk does; a thread of its own writes the files.
+//! Records on their way from a server to its files. The server adds to a bounded queue and goes on
+//! at once, whatever the disk does; a thread of its own writes the files.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -15,8 +15,8 @@
 use crate::writer::WriteError;
 use crate::{Micros, NEWEST_VERSION};
 
-/// How long the writer's thread sleeps before it polls the queue again. It is never woken: a wake-up for each
-/// record would cost the server a system call each time.
+/// How long the writer's thread sleeps before it polls the queue again. It is never woken: a
+/// wake-up for each record would cost the server a system call each time.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// By how much the system's clock may drift before that counts as set.
 const MAX_CLOCK_DRIFT: Micros = 1_000_000;
@@ -60,8 +60,8 @@
 }
 
 impl Recorder {
-    /// Begins a recording. `on_error` is called from the writer's thread with errors of the storage, and of
-    /// records that cannot be written.
+    /// Begins a recording. `on_error` is called from the writer's thread with errors of the
+    /// storage, and of records that cannot be written.
     ///
     /// # Errors
     /// Where the thread cannot be started.
@@ -111,7 +111,8 @@
         }
     }
 
-    /// Unix time by a clock that is never set: that of the start, and the time that has passed since.
+    /// Unix time by a clock that is never set: that of the start, and the time that has passed
+    /// since.
     pub fn unix_time(&self, at: Instant) -> Micros {
         let after = at.saturating_duration_since(self.start).as_micros() as Micros;
         let before = self.start.saturating_duration_since(at).as_micros() as Micros;
@@ -126,8 +127,8 @@
         }
     }
 
-    /// Ends the recording and waits for its last records; false where the storage does not let it end in
-    /// time.
+    /// Ends the recording and waits for its last records; false where the storage does not let it
+    /// end in time.
     pub fn finish(&self, timeout: Duration) -> bool {
         self.shared.is_stopping.store(true, Ordering::Release);
         let Some(thread) = self.thread.lock().ok().and_then(|mut thread| thread.take()) else {
--- a/crates/trace/src/retention.rs
+++ b/crates/trace/src/retention.rs
@@ -1,6 +1,6 @@
-//! The rotation and retention of a recorder's files: when a block is sealed, a file opened or closed, an old
-//! file removed, a record dropped. It is a state machine without I/O and without a clock: [`Event`]s in,
-//! [`Action`]s out, and the same events give the same actions.
+//! The rotation and retention of a recorder's files: when a block is sealed, a file opened or
+//! closed, an old file removed, a record dropped. It is a state machine without I/O and without a
+//! clock: [`Event`]s in, [`Action`]s out, and the same events give the same actions.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -123,8 +123,8 @@
     pending_gaps: Vec<PendingGap>,
 }
 
-/// Decides on the files of one recorder. It owns what is known of them; [`crate::RotatingWriter`] owns the
-/// files.
+/// Decides on the files of one recorder. It owns what is known of them; [`crate::RotatingWriter`]
+/// owns the files.
 pub(crate) struct RetentionPolicy {
     config: RetentionConfig,
     /// Bytes of the closed files by number.
@@ -172,8 +172,8 @@
                 self.closed_files.insert(file.number, file.bytes);
             }
             Event::RemoveFailed { number } => {
-                // Its bytes do not count again: a file that cannot be removed must not cause removals in a
-                // loop.
+                // Its bytes do not count again: a file that cannot be removed must not cause
+                // removals in a loop.
                 self.closed_files.entry(*number).or_insert(0);
             }
             Event::RecordsDropped { reason, records } => {
@@ -304,9 +304,9 @@
         }
     }
 
-    /// The disk took something in part or not at all. The file is left as it is, and another one is opened
-    /// after a backoff: a disk that is full, slow or gone must not cost an attempt for each record. Records
-    /// meanwhile are dropped.
+    /// The disk took something in part or not at all. The file is left as it is, and another one is
+    /// opened after a backoff: a disk that is full, slow or gone must not cost an attempt for each
+    /// record. Records meanwhile are dropped.
     fn write_failed(&mut self, now: Duration) {
         if let Some(file) = self.open_file.take() {
             self.closed_files.insert(file.number, file.bytes);
@@ -354,7 +354,8 @@
         self.total_missing += records;
     }
 
-    /// Has all that is missing written as gaps. It counts as missing until the file is known to have the gap.
+    /// Has all that is missing written as gaps. It counts as missing until the file is known to
+    /// have the gap.
     fn write_gaps(&mut self, actions: &mut Vec<Action>) {
         let Some(file) = self.open_file.as_mut() else {
             return;
--- a/crates/trace/src/rewrite.rs
+++ b/crates/trace/src/rewrite.rs
@@ -1,5 +1,5 @@
-//! What copying and merging share: dictionaries mapped to that of the new file, damage noted as gaps, and
-//! errors.
+//! What copying and merging share: dictionaries mapped to that of the new file, damage noted as
+//! gaps, and errors.
 
 use std::io::Write;
 
@@ -79,9 +79,9 @@
         }
     }
 
-    /// Replaces the indices of a record. Names may have been added to the dictionary since the mapping was
-    /// made. An index that the dictionary does not have gets a name that says so, and never that of another
-    /// entry.
+    /// Replaces the indices of a record. Names may have been added to the dictionary since the
+    /// mapping was made. An index that the dictionary does not have gets a name that says so, and
+    /// never that of another entry.
     pub(crate) fn apply<W: Write>(
         &mut self,
         record: &mut Record,
--- a/crates/trace/src/rotating_writer.rs
+++ b/crates/trace/src/rotating_writer.rs
@@ -1,4 +1,5 @@
-//! Writes records to a sequence of files: it carries out the actions of the retention policy on a storage.
+//! Writes records to a sequence of files: it carries out the actions of the retention policy on a
+//! storage.
 
 use std::io;
 use std::time::Duration;
@@ -50,8 +51,8 @@
     pub last_error: Option<WriteError>,
 }
 
-/// Writes the files of one server. It owns the storage and the open file. The caller tells the time, as the
-/// span since the start, so that a recording of hours can be made in seconds.
+/// Writes the files of one server. It owns the storage and the open file. The caller tells the
+/// time, as the span since the start, so that a recording of hours can be made in seconds.
 pub struct RotatingWriter<S: Storage> {
     storage: S,
     config: RecorderConfig,
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Lists the files that are there, so that new ones get higher numbers and the oldest can be removed.
+    /// Lists the files that are there, so that new ones get higher numbers and the oldest can be
+    /// removed.
     pub fn start(&mut self) {
         match self.storage.list() {
             Ok(files) => self.handle_event(Duration::ZERO, Event::FilesFound(files), None),
--- a/crates/trace/src/storage.rs
+++ b/crates/trace/src/storage.rs
@@ -50,9 +50,9 @@
 }
 
 impl DirectoryStorage {
-    /// The files of `server` in that directory, which is created when it is needed. Characters of the
-    /// server's name that do not belong into a file name are replaced. With `is_synced`, what is written
-    /// survives a crash of the machine, and not only of the process.
+    /// The files of `server` in that directory, which is created when it is needed. Characters of
+    /// the server's name that do not belong into a file name are replaced. With `is_synced`, what
+    /// is written survives a crash of the machine, and not only of the process.
     pub fn new(path: &Path, server: &str, is_synced: bool) -> Self {
         let file_name_char = |c: char| {
             if c.is_ascii_alphanumeric() || "-_.".contains(c) {
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -1,6 +1,6 @@
-//! What a recording comes to: for each handler and tenant the requests, how they ended and why, the response
-//! times, and the service level: the priority weight answered within the latency objective over that of all
-//! requests. Retries count as part of their first attempt.
+//! What a recording comes to: for each handler and tenant the requests, how they ended and why, the
+//! response times, and the service level: the priority weight answered within the latency objective
+//! over that of all requests. Retries count as part of their first attempt.
 
 use std::collections::BTreeMap;
 
@@ -76,8 +76,8 @@
 }
 
 impl GroupStatistics {
-    /// The fraction of the requested priority weight that was answered in time; `None` where none was
-    /// requested.
+    /// The fraction of the requested priority weight that was answered in time; `None` where none
+    /// was requested.
     pub fn service_level(&self) -> Option<f64> {
         (self.requested_weight > 0.0).then(|| self.answered_weight / self.requested_weight)
     }
@@ -164,8 +164,8 @@
     pub tenant: String,
 }
 
-/// Sums up records as they come, in the order of time. It owns the counts and what is needed to correlate
-/// attempts.
+/// Sums up records as they come, in the order of time. It owns the counts and what is needed to
+/// correlate attempts.
 #[derive(Default)]
 pub struct Summary {
     correlator: AttemptCorrelator,
--- a/crates/trace/src/synthetic.rs
+++ b/crates/trace/src/synthetic.rs
@@ -1,6 +1,6 @@
-//! Records of synthetic load: Poisson arrivals, handlers of different work and weight, tenants of different
-//! share, subjects by a Zipf law, a server of some cores that rejects what would be late, and clients that
-//! retry. The same seed gives the same records.
+//! Records of synthetic load: Poisson arrivals, handlers of different work and weight, tenants of
+//! different share, subjects by a Zipf law, a server of some cores that rejects what would be late,
+//! and clients that retry. The same seed gives the same records.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -150,8 +150,8 @@
     }
 }
 
-/// Generates the records of a load and passes them to `out` in the order in which they are released, each
-/// with that time (Unix time).
+/// Generates the records of a load and passes them to `out` in the order in which they are
+/// released, each with that time (Unix time).
 pub fn generate_load(load: &SyntheticLoad, mut out: impl FnMut(Micros, Record)) {
     let mut random = ChaCha8Rng::seed_from_u64(load.seed);
     let distributions = Distributions::new(load.rate);
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -1,4 +1,5 @@
-//! Writes a file. Records are buffered until they fill a block; a block is written whole or not at all.
+//! Writes a file. Records are buffered until they fill a block; a block is written whole or not at
+//! all.
 
 use std::io::{self, Write};
 
@@ -42,8 +43,8 @@
 pub struct BlockConfig {
     /// The most records of a block.
     pub max_records: usize,
-    /// A record that lies further than this from the first one of its block begins a new block, so that
-    /// blocks stay short in time when a clock is set.
+    /// A record that lies further than this from the first one of its block begins a new block, so
+    /// that blocks stay short in time when a clock is set.
     pub max_time_span: Micros,
 }
 
@@ -56,7 +57,8 @@
     }
 }
 
-/// Writes one file. It owns the output, the records that are not written yet, the dictionary and the index.
+/// Writes one file. It owns the output, the records that are not written yet, the dictionary and
+/// the index.
 pub struct Writer<W> {
     out: W,
     header: Header,
@@ -182,8 +184,8 @@
     /// Takes a record.
     ///
     /// # Errors
-    /// [`WriteError::ValueOutOfRange`] where a value does not fit its column; the record is not taken.
-    /// [`WriteError::Io`] where a block had to be written first and that failed.
+    /// [`WriteError::ValueOutOfRange`] where a value does not fit its column; the record is not
+    /// taken. [`WriteError::Io`] where a block had to be written first and that failed.
     pub fn push(&mut self, record: Record) -> Result<(), WriteError> {
         let version = self.header.version;
         for column in columns::of_version(version) {
@@ -244,8 +246,8 @@
         Ok(())
     }
 
-    /// Ends the file, with its index where the format version has one. Returns the output and the length of
-    /// the file.
+    /// Ends the file, with its index where the format version has one. Returns the output and the
+    /// length of the file.
     ///
     /// # Errors
     /// [`WriteError::Io`].
--- a/crates/trace/tests/files/damage.rs
+++ b/crates/trace/tests/files/damage.rs
@@ -125,7 +125,8 @@
 fn claimed_lengths_beyond_the_limits_allocate_no_memory() {
     let (recorded, bytes) = small(2);
     let ends = frames(&bytes);
-    // Headers of a frame of 4 GB, and of the longest frame, without their payloads before the second block.
+    // Headers of a frame of 4 GB, and of the longest frame, without their payloads before the
+    // second block.
     let mut hostile = bytes[..ends[1].0].to_vec();
     for length in [u32::MAX, 8 * 1024 * 1024] {
         let mut head = vec![0xF7, b't', b'g', b'B'];
--- a/crates/trace/tests/files/golden.rs
+++ b/crates/trace/tests/files/golden.rs
@@ -1,8 +1,10 @@
-//! Recordings written by version 0.1.0, kept as bytes: every later version reads the same values from them.
+//! Recordings written by version 0.1.0, kept as bytes: every later version reads the same values
+//! from them.
 //!
-//! Each `golden/NAME.tgt` stands beside `golden/NAME.jsonl`, what `tulipgap trace export` of version 0.1.0
-//! printed of it. `format-1.tgt` is a recording of synthetic load in format 1. `format-2.tgt` is a merge of
-//! two servers' files in format 2, one of them repaired after damage, so that it has a gap.
+//! Each `golden/NAME.tgt` stands beside `golden/NAME.jsonl`, what `tulipgap trace export` of
+//! version 0.1.0 printed of it. `format-1.tgt` is a recording of synthetic load in format 1.
+//! `format-2.tgt` is a merge of two servers' files in format 2, one of them repaired after damage,
+//! so that it has a gap.
 
 use serde_json::{Map, Value, json};
 use tulipgap_trace::{
--- a/crates/trace/tests/files/main.rs
+++ b/crates/trace/tests/files/main.rs
@@ -1,4 +1,5 @@
-//! Recordings of both formats: complete, torn, damaged and hostile; the recorder; and files made from files.
+//! Recordings of both formats: complete, torn, damaged and hostile; the recorder; and files made
+//! from files.
 
 mod common;
 mod damage;
--- a/crates/write-ahead-log/src/disk.rs
+++ b/crates/write-ahead-log/src/disk.rs
@@ -4,8 +4,9 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Named files in one place. Nothing is durable before it is synced, but for [`replace`](Disk::replace),
-/// [`truncate`](Disk::truncate) and [`remove`](Disk::remove), which sync themselves.
+/// Named files in one place. Nothing is durable before it is synced, but for
+/// [`replace`](Disk::replace), [`truncate`](Disk::truncate) and [`remove`](Disk::remove), which
+/// sync themselves.
 ///
 /// All methods fail with the error of the device or file system.
 pub trait Disk {
@@ -17,7 +18,8 @@
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
     /// Makes a file's content durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Replaces a file's content atomically and durably: after a crash it is the old or the new one.
+    /// Replaces a file's content atomically and durably: after a crash it is the old or the new
+    /// one.
     fn replace(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
     /// Truncates a file to that length in bytes, durably.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
@@ -25,7 +27,8 @@
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// A directory that one process uses at a time. It owns the directory's lock file until it is dropped.
+/// A directory that one process uses at a time. It owns the directory's lock file until it is
+/// dropped.
 pub struct Directory {
     path: PathBuf,
     /// Holds the lock until the process ends.
--- a/crates/write-ahead-log/src/error.rs
+++ b/crates/write-ahead-log/src/error.rs
@@ -4,7 +4,8 @@
 
 use crate::record::MAX_RECORD_BYTES;
 
-/// An error of [`crate::WriteAheadLog`]. After any of them but [`LogError::RecordTooLong`] the log is of no use.
+/// An error of [`crate::WriteAheadLog`]. After any of them but [`LogError::RecordTooLong`] the log
+/// is of no use.
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
     /// The directory could not be listed.
@@ -30,7 +31,8 @@
         /// What is wrong with it.
         corruption: Corruption,
     },
-    /// An earlier write or sync failed, so what is on the disk is unknown. The log must be opened again.
+    /// An earlier write or sync failed, so what is on the disk is unknown. The log must be opened
+    /// again.
     #[error("an earlier write or sync failed ({cause}); what is on the disk is unknown")]
     Poisoned {
         /// The earlier failure.
--- a/crates/write-ahead-log/src/fault_injection.rs
+++ b/crates/write-ahead-log/src/fault_injection.rs
@@ -11,7 +11,8 @@
 pub struct DiskFaults {
     /// The disk is full: a write fails after a part of it was written.
     pub is_full: bool,
-    /// The next sync fails and drops what it was to write, as kernels do; the one after it succeeds.
+    /// The next sync fails and drops what it was to write, as kernels do; the one after it
+    /// succeeds.
     pub next_sync_fails: bool,
     /// A sync reports success and makes nothing durable.
     pub ignores_syncs: bool,
@@ -49,7 +50,8 @@
     usage: DiskUsage,
 }
 
-/// A disk in memory. Clones share the files, which outlive a simulated crash; what is not synced may be lost in part.
+/// A disk in memory. Clones share the files, which outlive a simulated crash; what is not synced
+/// may be lost in part.
 #[derive(Clone, Debug, Default)]
 pub struct FaultyDisk(Arc<Mutex<State>>);
 
@@ -68,8 +70,8 @@
         self.state().usage
     }
 
-    /// The machine crashes. Of each file's unsynced bytes, whose number `surviving_bytes` is given, as many survive as it
-    /// returns.
+    /// The machine crashes. Of each file's unsynced bytes, whose number `surviving_bytes` is given,
+    /// as many survive as it returns.
     pub fn crash(&self, mut surviving_bytes: impl FnMut(usize) -> usize) {
         for file in self.state().files.values_mut() {
             let unsynced = file.bytes.len() - file.synced_bytes;
@@ -143,7 +145,8 @@
             return Ok(());
         };
         if faults.next_sync_fails {
-            // The pages count as clean from now on and their content is lost: it reads as zeros after a crash.
+            // The pages count as clean from now on and their content is lost: it reads as zeros
+            // after a crash.
             let synced_bytes = file.synced_bytes;
             file.bytes[synced_bytes..].fill(0);
             file.synced_bytes = file.bytes.len();
--- a/crates/write-ahead-log/src/log.rs
+++ b/crates/write-ahead-log/src/log.rs
@@ -1,7 +1,7 @@
 //! The write-ahead log: opening and recovery, appending, snapshots.
 //!
-//! A directory holds `log-N` files with records and a `snapshot` in a file `state-N`, where N is the sequence number of
-//! the last record before the file began.
+//! A directory holds `log-N` files with records and a `snapshot` in a file `state-N`, where N is
+//! the sequence number of the last record before the file began.
 
 use std::io;
 
@@ -14,7 +14,8 @@
 /// Files of a single record have no place in the sequence.
 const NO_SEQUENCE: u64 = 0;
 
-/// A bug that tests inject to show that their checks can fail. Each stands for a mistake that is easily made.
+/// A bug that tests inject to show that their checks can fail. Each stands for a mistake that is
+/// easily made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
     /// A record is acknowledged before it is synced.
@@ -36,8 +37,8 @@
 
 /// A log on a disk. It is the only writer of its files.
 ///
-/// Invariants: a payload is durable when [`append`](Self::append) returns `Ok`; sequence numbers have no gap; once a write
-/// or sync failed, every further write fails with [`LogError::Poisoned`].
+/// Invariants: a payload is durable when [`append`](Self::append) returns `Ok`; sequence numbers
+/// have no gap; once a write or sync failed, every further write fails with [`LogError::Poisoned`].
 pub struct WriteAheadLog<D: Disk> {
     disk: D,
     /// The sequence number of the last record. A snapshot does not restart the numbers.
@@ -54,8 +55,8 @@
     /// Opens what is on the disk, or begins an empty log.
     ///
     /// # Errors
-    /// [`LogError::Corrupt`] where an acknowledged record is damaged or missing; [`LogError::List`] and [`LogError::Io`]
-    /// where the disk fails.
+    /// [`LogError::Corrupt`] where an acknowledged record is damaged or missing; [`LogError::List`]
+    /// and [`LogError::Io`] where the disk fails.
     pub fn open(disk: D) -> Result<(Self, Recovered), LogError> {
         let mut log = WriteAheadLog {
             disk,
@@ -121,7 +122,8 @@
     /// Appends one record; it is durable when this returns.
     ///
     /// # Errors
-    /// [`LogError::RecordTooLong`] leaves the log as it was. After any other error the log is poisoned.
+    /// [`LogError::RecordTooLong`] leaves the log as it was. After any other error the log is
+    /// poisoned.
     pub fn append(&mut self, payload: &[u8]) -> Result<(), LogError> {
         self.ensure_not_poisoned()?;
         if payload.len() > MAX_RECORD_BYTES {
@@ -163,7 +165,8 @@
         Ok(())
     }
 
-    /// Writes a small file beside the log, in place of what it held; it is durable when this returns.
+    /// Writes a small file beside the log, in place of what it held; it is durable when this
+    /// returns.
     ///
     /// # Errors
     /// After an error the log is poisoned.
@@ -251,8 +254,9 @@
         }
     }
 
-    /// After a failure the content of the disk is unknown, and a second sync may report success although the data of the
-    /// first is lost. So nothing more is written until the log is opened again.
+    /// After a failure the content of the disk is unknown, and a second sync may report success
+    /// although the data of the first is lost. So nothing more is written until the log is opened
+    /// again.
     fn poison_on_error<T>(&mut self, file: &str, result: io::Result<T>) -> Result<T, LogError> {
         result.map_err(|error| {
             self.poisoned_by = Some(format!("{file}: {error}"));
--- a/crates/write-ahead-log/src/record.rs
+++ b/crates/write-ahead-log/src/record.rs
@@ -9,7 +9,8 @@
 //! | length | payload |
 //! | 1 | end marker `0xa5` |
 //!
-//! The header has a checksum of its own, so that a damaged length is not mistaken for a record that was cut short.
+//! The header has a checksum of its own, so that a damaged length is not mistaken for a record that
+//! was cut short.
 
 use crate::error::Corruption;
 
--- a/crates/write-ahead-log/tests/recovery.rs
+++ b/crates/write-ahead-log/tests/recovery.rs
@@ -1,4 +1,5 @@
-//! What a log recovers after a crash, on a disk that is full, fails, ignores syncs or has a flipped bit.
+//! What a log recovers after a crash, on a disk that is full, fails, ignores syncs or has a flipped
+//! bit.
 
 use quickcheck::quickcheck;
 use tulipgap_write_ahead_log::{
@@ -14,7 +15,8 @@
 }
 
 quickcheck! {
-    /// Whatever part of the unsynced bytes survives, acknowledged records are there, in order, and appending goes on.
+    /// Whatever part of the unsynced bytes survives, acknowledged records are there, in order, and
+    /// appending goes on.
     fn acknowledged_records_survive_a_crash(payloads: Vec<Vec<u8>>, snapshots: Vec<bool>, torn: usize) -> bool {
         let disk = FaultyDisk::default();
         let (mut log, _) = open(&disk);
@@ -121,7 +123,8 @@
     );
 }
 
-/// A disk that reports syncs it has not done can't be told from a working one: docs/design-leases.md names this limit.
+/// A disk that reports syncs it has not done can't be told from a working one:
+/// docs/design-leases.md names this limit.
 #[test]
 fn records_that_the_disk_only_claims_to_have_synced_are_lost_undetected() {
     let disk = FaultyDisk::default();
--- a/example/toy.rs
+++ b/example/toy.rs
@@ -1,5 +1,6 @@
-//! A toy deployment around one `tulipgapd`: an executor with two cores (the `kernel` of its configuration), a
-//! store, and an edge node that sends one request and then a burst. See README.md beside this file.
+//! A toy deployment around one `tulipgapd`: an executor with two cores (the `kernel` of its
+//! configuration), a store, and an edge node that sends one request and then a burst. See README.md
+//! beside this file.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -86,7 +87,8 @@
     }
 }
 
-/// Reads lines and passes their words on, with the body that follows some; its length is their last word.
+/// Reads lines and passes their words on, with the body that follows some; its length is their last
+/// word.
 fn read_lines(
     stream: &TcpStream,
     mut handle: impl FnMut(&[&str], Vec<u8>) -> Result<(), Error>,
@@ -206,7 +208,8 @@
         self.notice("REAP", &head, result.as_bytes());
     }
 
-    /// Does half of the work, slower where more run than there are cores; false where it was cancelled.
+    /// Does half of the work, slower where more run than there are cores; false where it was
+    /// cancelled.
     fn work(&self) -> bool {
         self.running.fetch_add(1, Ordering::AcqRel);
         let mut left = WORK_MS as f64 / 2.0;
--- a/src/action.rs
+++ b/src/action.rs
@@ -15,7 +15,8 @@
     AdmissionControl,
     /// It was not expected to meet its latency objective.
     PredictedLate,
-    /// As `PredictedLate`, but after it had been queued: requests of higher priority came before it.
+    /// As `PredictedLate`, but after it had been queued: requests of higher priority came before
+    /// it.
     Overtaken,
     /// Its latency objective passed while it was queued or running.
     ObjectiveMissed,
@@ -91,7 +92,8 @@
         /// The request that skips its call.
         request: RequestIndex,
     },
-    /// The feedback value that answers carry from now on; see [`CallerFeedback`](crate::CallerFeedback).
+    /// The feedback value that answers carry from now on; see
+    /// [`CallerFeedback`](crate::CallerFeedback).
     SetFeedback {
         /// The value, in the unit of the feedback in use.
         value: f64,
--- a/src/config.rs
+++ b/src/config.rs
@@ -46,7 +46,8 @@
     None,
     /// One service shared by all servers.
     Shared {
-        /// This server's share of the concurrent calls that the service survives, as a mean over `window`.
+        /// This server's share of the concurrent calls that the service survives, as a mean over
+        /// `window`.
         share: f64,
         /// The averaging window of `share`.
         window: Duration,
@@ -62,7 +63,8 @@
 pub struct HandlerConfig {
     /// An answer within this time is worth the full priority weight.
     pub latency_objective: Duration,
-    /// The latency objective grows by this multiple of a request's own work, up to the client timeout.
+    /// The latency objective grows by this multiple of a request's own work, up to the client
+    /// timeout.
     pub objective_stretch: f64,
     /// How long a client waits.
     pub client_timeout: Duration,
@@ -74,7 +76,8 @@
     pub key_retention: Duration,
     /// Whether its requests may call the dependency.
     pub calls_dependency: bool,
-    /// The fraction of the priority weight that is left when a call is skipped; 0 makes calls mandatory.
+    /// The fraction of the priority weight that is left when a call is skipped; 0 makes calls
+    /// mandatory.
     pub degraded_weight: f64,
 }
 
@@ -92,7 +95,8 @@
     pub handlers: Vec<HandlerConfig>,
     /// The tenants, addressed by position.
     pub tenants: Vec<TenantConfig>,
-    /// The worth of a request beyond its tenant's quota, as a fraction of its handler's priority weight.
+    /// The worth of a request beyond its tenant's quota, as a fraction of its handler's priority
+    /// weight.
     pub over_quota_weight: f64,
     /// The number of cores.
     pub cores: u32,
--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -29,8 +29,8 @@
         self.requests.insert(index, request);
         let idempotency = self.handlers[arrival.handler].idempotency;
 
-        // No effect twice: a duplicate of a keyed request is neither run nor rejected, as the first may have
-        // run.
+        // No effect twice: a duplicate of a keyed request is neither run nor rejected, as the first
+        // may have run.
         if arrival.is_duplicate && idempotency != Idempotency::Idempotent {
             return self.coalesce(index, out);
         }
@@ -53,8 +53,8 @@
     fn describe(&self, arrival: &Arrival) -> Option<Request> {
         let now = self.clock.now;
         let profile = self.handlers.get(arrival.handler)?;
-        // Where requests state no work, it is learnt from their handler's runs; otherwise all would look
-        // alike.
+        // Where requests state no work, it is learnt from their handler's runs; otherwise all would
+        // look alike.
         let work_is_learnt = arrival.estimated_work.is_none();
         let work = arrival
             .estimated_work
@@ -75,7 +75,8 @@
             .tenant
             .and_then(|tenant| self.quotas.buckets.get(tenant));
         let is_over_quota = bucket.is_some_and(|bucket| bucket.tokens < self.quota_threshold());
-        // A learnt estimate describes a handler, not a request: only one far above the mean counts as long.
+        // A learnt estimate describes a handler, not a request: only one far above the mean counts
+        // as long.
         let long_from = self.mean_work()
             * if work_is_learnt {
                 LONG_LEARNT_WORK_FACTOR
@@ -131,7 +132,8 @@
         }
     }
 
-    /// Whether the queue and the memory have room for a request that already counts, and for its key.
+    /// Whether the queue and the memory have room for a request that already counts, and for its
+    /// key.
     fn has_memory_for(&self, request: RequestIndex) -> bool {
         let memory = &self.memory;
         let is_keyed =
@@ -141,7 +143,8 @@
         queue_has_room && memory.used_kb + key_kb <= memory.limit_kb
     }
 
-    /// Spends the admitted fraction on the highest levels first; a draw decides only within the marginal one.
+    /// Spends the admitted fraction on the highest levels first; a draw decides only within the
+    /// marginal one.
     fn passes_admission_control(&mut self, level: usize) -> bool {
         if self.brownout.admitted_fraction >= 1.0 {
             return true;
@@ -152,10 +155,10 @@
         self.rng.f64() * own < self.brownout.admitted_fraction * all - above
     }
 
-    /// The tokens under which a tenant is over its quota. While arrivals stay within what all tenants may
-    /// send to one server, none is: buckets walk at random, and a low rank would reject what there is room
-    /// for. Beyond that, as large a part is over quota as there is excess. It does harm where one tenant
-    /// floods a fleet that the others leave idle.
+    /// The tokens under which a tenant is over its quota. While arrivals stay within what all
+    /// tenants may send to one server, none is: buckets walk at random, and a low rank would reject
+    /// what there is room for. Beyond that, as large a part is over quota as there is excess. It
+    /// does harm where one tenant floods a fleet that the others leave idle.
     fn quota_threshold(&self) -> f64 {
         let Some(quota) = self.quotas.rate_per_s else {
             return 1.0;
--- a/src/controller/bookkeeping.rs
+++ b/src/controller/bookkeeping.rs
@@ -1,5 +1,5 @@
-//! Records of what happened, means of recent measurements, and the release of a request. No decision is taken
-//! here.
+//! Records of what happened, means of recent measurements, and the release of a request. No
+//! decision is taken here.
 
 use std::ops::Range;
 
--- a/src/controller/brownout.rs
+++ b/src/controller/brownout.rs
@@ -1,5 +1,6 @@
-//! The ordinary path of control: a PID loop on the mean response time sets the dimmer, the probability that a
-//! request makes its optional calls; at a dimmer of zero a second loop cuts the admitted fraction.
+//! The ordinary path of control: a PID loop on the mean response time sets the dimmer, the
+//! probability that a request makes its optional calls; at a dimmer of zero a second loop cuts the
+//! admitted fraction.
 
 use super::Controller;
 use super::tuning::{
@@ -51,9 +52,10 @@
         brownout.ceiling = (brownout.ceiling + CEILING_RECOVERY_STEP).min(1.0);
     }
 
-    /// A dependency slows at its knee long before that shows in responses, and the more it is pressed the
-    /// less it does in all: fewer calls at once, and all of them again slowly, because the knee shows only
-    /// once it is passed. It does harm where calls get slower for good, until that is learnt.
+    /// A dependency slows at its knee long before that shows in responses, and the more it is
+    /// pressed the less it does in all: fewer calls at once, and all of them again slowly, because
+    /// the knee shows only once it is passed. It does harm where calls get slower for good, until
+    /// that is learnt.
     pub(super) fn cut_dimmer_ceiling(&mut self) {
         let brownout = &mut self.brownout;
         brownout.ceiling = (brownout.ceiling * CEILING_CUT).max(MIN_DIMMER_CEILING);
--- a/src/controller/caller_feedback.rs
+++ b/src/controller/caller_feedback.rs
@@ -1,4 +1,5 @@
-//! What callers are told: how much to send here, when to come back, and whether to try another server.
+//! What callers are told: how much to send here, when to come back, and whether to try another
+//! server.
 
 use std::time::Duration;
 
@@ -15,8 +16,9 @@
 use crate::sliding_window::Metric;
 use crate::state::seconds;
 
-/// The fraction of the cores that may go into reading what is rejected. Credit moves traffic elsewhere and a
-/// threshold spares high priorities; a weight ignores priorities, so it is cut later.
+/// The fraction of the cores that may go into reading what is rejected. Credit moves traffic
+/// elsewhere and a threshold spares high priorities; a weight ignores priorities, so it is cut
+/// later.
 pub(super) fn max_wasted_fraction(feedback: CallerFeedback) -> f64 {
     match feedback {
         CallerFeedback::TrafficWeight => MAX_WASTED_FRACTION_BY_WEIGHT,
@@ -25,14 +27,16 @@
 }
 
 impl Controller {
-    /// What stands unread cannot be rejected here, and reading it takes the cores from what can be in time:
-    /// only callers that send less help. Guards against floods, uneven callers and a server grown slow.
+    /// What stands unread cannot be rejected here, and reading it takes the cores from what can be
+    /// in time: only callers that send less help. Guards against floods, uneven callers and a
+    /// server grown slow.
     pub(super) fn update_wanted_traffic(&mut self) {
         let unread = self
             .window
             .per_arrival(Metric::UnreadTime, CONTROL_INTERVAL);
         let bearable = UNREAD_SETPOINT_FRACTION * self.brownout.setpoint;
-        // Reading what is then rejected costs cores too; where that is much, callers should not send it.
+        // Reading what is then rejected costs cores too; where that is much, callers should not
+        // send it.
         let rejected = self
             .window
             .per_arrival(Metric::Rejected, MEASUREMENT_WINDOW);
@@ -82,9 +86,10 @@
         }
     }
 
-    /// When a rejected caller should come back to this server, where callers can be told: once what is queued
-    /// now has run, and as late as callers honour while this server is degraded or draining. Guards against a
-    /// retry that comes at once to a server as full as before, and costs another reading.
+    /// When a rejected caller should come back to this server, where callers can be told: once what
+    /// is queued now has run, and as late as callers honour while this server is degraded or
+    /// draining. Guards against a retry that comes at once to a server as full as before, and costs
+    /// another reading.
     pub(super) fn retry_after(&self) -> Option<Duration> {
         let longest = self.feedback.max_retry_after?;
         if self.is_degraded() {
@@ -95,10 +100,11 @@
         Some(until_done.clamp(self.schedule.tick_interval, longest))
     }
 
-    /// Whether a rejected request is worth an attempt elsewhere. With few retries among arrivals, and most of
-    /// them admitted, other servers still admit what this one rejects. Otherwise the fleet is full, and one
-    /// more attempt only costs a reading. Unmarked retries are not seen: there only a server that is draining
-    /// or failing sends requests elsewhere. Guards against retry storms; does harm on the only full server.
+    /// Whether a rejected request is worth an attempt elsewhere. With few retries among arrivals,
+    /// and most of them admitted, other servers still admit what this one rejects. Otherwise the
+    /// fleet is full, and one more attempt only costs a reading. Unmarked retries are not seen:
+    /// there only a server that is draining or failing sends requests elsewhere. Guards against
+    /// retry storms; does harm on the only full server.
     pub(super) fn should_retry_other_server(&self, index: RequestIndex) -> bool {
         let request = &self.requests[index];
         let objective = request.objective_at.saturating_sub(request.arrived_at);
--- a/src/controller/connections.rs
+++ b/src/controller/connections.rs
@@ -11,11 +11,12 @@
 use crate::state::seconds;
 
 impl Controller {
-    /// Closes idle connections at once while they saturate the table, until connecting and reading in vain
-    /// drown what runs: then it lets the table fill, until the cores starve behind it. Guards against many
-    /// callers that each come rarely: the connections they leave open shut others out and cost cores. In a
-    /// retry storm a full table is the cheapest limit, as opening a connection costs too; half full it shuts
-    /// nobody out. It does harm where the table is far larger than that: callers then connect anew.
+    /// Closes idle connections at once while they saturate the table, until connecting and reading
+    /// in vain drown what runs: then it lets the table fill, until the cores starve behind it.
+    /// Guards against many callers that each come rarely: the connections they leave open shut
+    /// others out and cost cores. In a retry storm a full table is the cheapest limit, as opening a
+    /// connection costs too; half full it shuts nobody out. It does harm where the table is far
+    /// larger than that: callers then connect anew.
     pub(super) fn adjust_idle_timeout(&mut self, open_connections: f64, out: &mut Vec<Action>) {
         let cores = self.capacity.cores;
         let is_above_limit = open_connections > SATURATED_CONNECTIONS_PER_CORE * cores;
--- a/src/controller/dependency_calls.rs
+++ b/src/controller/dependency_calls.rs
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Makes the call that a request waits for, or continues without it; otherwise the request stays.
+    /// Makes the call that a request waits for, or continues without it; otherwise the request
+    /// stays.
     fn try_call(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
         let draw = self.rng.f64();
         let now = self.clock.now;
@@ -84,9 +85,9 @@
         } else {
             entry.deadline.saturating_sub(self.clock.now)
         };
-        // Guards against replies that never come: given up early, the call can be made again in time. It does
-        // harm where a few calls take far longer than most; where many do, the dependency is slow, and this
-        // does not act.
+        // Guards against replies that never come: given up early, the call can be made again in
+        // time. It does harm where a few calls take far longer than most; where many do, the
+        // dependency is slow, and this does not act.
         let may_retry = profile.calls_are_optional
             && profile.idempotency == Idempotency::Idempotent
             && entry.call_attempts + 1 < MAX_CALL_ATTEMPTS;
@@ -113,8 +114,9 @@
             && timeout > self.schedule.tick_interval
     }
 
-    /// Seconds of calls that an optional call leaves for a mandatory one, as far as two of its own fit.
-    /// Guards against mandatory calls that wait while the budget is spent, and return all at once.
+    /// Seconds of calls that an optional call leaves for a mandatory one, as far as two of its own
+    /// fit. Guards against mandatory calls that wait while the budget is spent, and return all at
+    /// once.
     fn reserved_for_mandatory_calls(&self, timeout: Duration) -> f64 {
         let Some(budget) = self.calls.budget.filter(|_| self.calls.has_mandatory) else {
             return 0.0;
@@ -184,7 +186,8 @@
             Metric::CallsTimedOut,
             f64::from(u8::from(outcome == Outcome::TimedOut)),
         );
-        // A call whose connection was lost, or that never left, shows nothing of the dependency's pace.
+        // A call whose connection was lost, or that never left, shows nothing of the dependency's
+        // pace.
         let has_duration = !outcome.is_connection_failure();
         let weight = f64::from(u8::from(has_duration));
         self.window.add(Metric::Calls, weight);
@@ -212,8 +215,8 @@
         let may_run_again = never_ran || profile.idempotency == Idempotency::Idempotent;
         let may_retry = may_run_again && entry.call_attempts < MAX_CALL_ATTEMPTS;
         entry.stage = Stage::AwaitingCall;
-        // An optional call is attempted again only where its connection or reply was lost: a dependency that
-        // rejects is full.
+        // An optional call is attempted again only where its connection or reply was lost: a
+        // dependency that rejects is full.
         let was_lost =
             outcome.is_connection_failure() || outcome == Outcome::TimedOut && lost_calls_are_rare;
         entry.may_retry_call = may_retry && was_lost;
--- a/src/controller/dispatch.rs
+++ b/src/controller/dispatch.rs
@@ -42,12 +42,13 @@
         (requests.running as f64) < self.concurrency_limit() && (started + 1) as f64 <= survivable
     }
 
-    /// Runs that the cores bear beside the reading that goes on: saturated cores do less in all, and starving
-    /// the reading leaves requests unread until they are late. Guards against floods; it never binds at rest.
+    /// Runs that the cores bear beside the reading that goes on: saturated cores do less in all,
+    /// and starving the reading leaves requests unread until they are late. Guards against floods;
+    /// it never binds at rest.
     fn concurrency_limit(&self) -> f64 {
         let spare = self.capacity.cores - self.capacity.reading;
-        // With a read backlog, what is read is late already, and answers reach nobody until reading has
-        // caught up. It does not catch up where nothing completes for a whole window.
+        // With a read backlog, what is read is late already, and answers reach nobody until reading
+        // has caught up. It does not catch up where nothing completes for a whole window.
         let unread = self.window.per_arrival(Metric::UnreadTime, BUCKET_WIDTH);
         let has_read_backlog = unread > READ_BACKLOG_FRACTION * self.brownout.setpoint
             && self.window.sum(Metric::Completed, MEASUREMENT_WINDOW) > 0.0;
--- a/src/controller/drain.rs
+++ b/src/controller/drain.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: what may still run after the shutdown notice, and until when everything is answered.
+//! Graceful shutdown: what may still run after the shutdown notice, and until when everything is
+//! answered.
 
 use std::time::Duration;
 
@@ -16,8 +17,8 @@
         }
         let now = self.clock.now;
         let run_until = now.saturating_add(self.drain_grace).saturating_sub(since);
-        // Guards a fleet that is short of servers: what may still run here stays welcome until callers must
-        // leave. It costs as much as one full server does.
+        // Guards a fleet that is short of servers: what may still run here stays welcome until
+        // callers must leave. It costs as much as one full server does.
         let fleet_is_short = self.capacity.busy >= DRAIN_BUSY_FRACTION;
         let last_welcome = run_until.saturating_sub(seconds(self.brownout.setpoint));
         self.drain = Some(Drain {
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -9,8 +9,8 @@
 use crate::sliding_window::Metric;
 
 impl Controller {
-    /// Takes what happened, in order, and returns what is to be done, in order. `now` is the time since the
-    /// start of the process.
+    /// Takes what happened, in order, and returns what is to be done, in order. `now` is the time
+    /// since the start of the process.
     pub fn handle_events(&mut self, now: Duration, events: &[Event]) -> Vec<Action> {
         let mut out = Vec::new();
         self.advance_clock(now);
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -9,7 +9,8 @@
 use crate::sliding_window::Metric;
 
 impl Controller {
-    /// Measures seconds on a core for a unit of work, from recent runs and from those that run longer.
+    /// Measures seconds on a core for a unit of work, from recent runs and from those that run
+    /// longer.
     pub(super) fn update_pace(&mut self) {
         let mut core_time = self.window.sum(Metric::CoreTime, MEASUREMENT_WINDOW);
         let mut work = self.window.sum(Metric::Work, MEASUREMENT_WINDOW);
@@ -20,15 +21,15 @@
                 work += request.work;
             }
         }
-        // Few requests with rough estimates show little: on a small server two long ones would make it look
-        // degraded, and it would reject with idle cores. The usual pace counts as so many requests more, and
-        // is all that counts once nothing runs: a server that hung would otherwise reject for ever. The price
-        // is that a slow server is noticed later.
+        // Few requests with rough estimates show little: on a small server two long ones would make
+        // it look degraded, and it would reject with idle cores. The usual pace counts as so many
+        // requests more, and is all that counts once nothing runs: a server that hung would
+        // otherwise reject for ever. The price is that a slow server is noticed later.
         let prior = PACE_PRIOR_REQUESTS * self.mean_work();
         let pace = &mut self.pace;
         pace.measured = (core_time + prior * pace.usual) / (work + prior);
-        // A warm start learns in its first seconds how fast this machine is: a slow kind would otherwise look
-        // degraded.
+        // A warm start learns in its first seconds how fast this machine is: a slow kind would
+        // otherwise look degraded.
         let is_learning = self.capacity.warm_at == 0.0 && self.clock.now < PACE_LEARNING_TIME;
         let is_better = pace.measured < pace.usual;
         let gain = if is_better || is_learning {
@@ -45,10 +46,10 @@
         self.drain.is_some() || self.high_failure_fraction() > 0.0 || is_slow
     }
 
-    /// The fraction of recent runs that failed if it is so high that other servers are likely to do better,
-    /// and 0 otherwise; what is still admitted shows when the fault is over. Guards against a server that
-    /// fails fast and so attracts more than its share. It does harm where every server fails alike: a
-    /// rejected request then finds no better one.
+    /// The fraction of recent runs that failed if it is so high that other servers are likely to do
+    /// better, and 0 otherwise; what is still admitted shows when the fault is over. Guards against
+    /// a server that fails fast and so attracts more than its share. It does harm where every
+    /// server fails alike: a rejected request then finds no better one.
     pub(super) fn high_failure_fraction(&self) -> f64 {
         let failed = self.window.sum(Metric::Failed, MEASUREMENT_WINDOW);
         let completed = self.window.sum(Metric::Completed, MEASUREMENT_WINDOW);
--- a/src/controller/lifecycle.rs
+++ b/src/controller/lifecycle.rs
@@ -27,7 +27,8 @@
         }
         match outcome {
             Outcome::Succeeded if stage == Stage::Running => self.learn_from_run(request),
-            // A coalesced request fails with the run that it waits for: that was no run of this one.
+            // A coalesced request fails with the run that it waits for: that was no run of this
+            // one.
             Outcome::Failed if stage != Stage::Coalesced => self.window.add(Metric::Failed, 1.0),
             Outcome::Cancelled if !is_answered => {
                 out.push(Action::Fail {
@@ -86,9 +87,9 @@
             }
             let is_due = entry.deadline.min(answer_by) <= now + self.schedule.tick_interval;
             let is_terminated_first = answer_by < entry.deadline;
-            // A started request is given up only once it is late, and if it may not run again only where it
-            // waits at a call: that call would be made for nobody, together with those of all that wait as
-            // long.
+            // A started request is given up only once it is late, and if it may not run again only
+            // where it waits at a call: that call would be made for nobody, together with those of
+            // all that wait as long.
             let is_idempotent = self.handlers[entry.handler].idempotency == Idempotency::Idempotent;
             let may_give_up = match entry.stage {
                 Stage::Queued | Stage::Coalesced => false,
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Answers a request that cannot be served any more, at once, and cancels its run where that is possible.
-    /// What certainly had no effect is rejected; anything else fails.
+    /// Answers a request that cannot be served any more, at once, and cancels its run where that is
+    /// possible. What certainly had no effect is rejected; anything else fails.
     pub(super) fn finish_early(
         &mut self,
         request: RequestIndex,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,5 +1,5 @@
-//! The controller's state and its construction. No decision is taken here: `events.rs` hands each event to
-//! the file that decides on it, and `tuning.rs` holds every tuned constant.
+//! The controller's state and its construction. No decision is taken here: `events.rs` hands each
+//! event to the file that decides on it, and `tuning.rs` holds every tuned constant.
 
 mod admission;
 mod bookkeeping;
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -1,5 +1,5 @@
-//! The queue: two lists by length of work, each by priority and then by latency objective, and predictions of
-//! when a queued request will be answered.
+//! The queue: two lists by length of work, each by priority and then by latency objective, and
+//! predictions of when a queued request will be answered.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -52,7 +52,8 @@
             .sum()
     }
 
-    /// Whether a request behind that much work is likely to be answered within `fraction` of its objective.
+    /// Whether a request behind that much work is likely to be answered within `fraction` of its
+    /// objective.
     pub(super) fn meets_objective(
         &self,
         index: RequestIndex,
@@ -83,7 +84,8 @@
         };
         let age = (self.clock.now - request.arrived_at).as_secs_f64();
         let response_time = age + wait + request.work * self.pace.measured + calling;
-        // On a free core an attempt delays nobody, so an estimate that may be wrong gets some tolerance.
+        // On a free core an attempt delays nobody, so an estimate that may be wrong gets some
+        // tolerance.
         let is_degraded = self.is_degraded();
         let tolerance = if is_degraded {
             IDLE_CORE_TOLERANCE_DEGRADED
@@ -111,7 +113,8 @@
         fraction.min(MAX_OVERTAKING_FRACTION)
     }
 
-    /// Rejects queued requests that are not likely to be in time any more, behind what has arrived since.
+    /// Rejects queued requests that are not likely to be in time any more, behind what has arrived
+    /// since.
     pub(super) fn reject_overtaken(&mut self, out: &mut Vec<Action>) {
         let mut queued: Vec<RequestIndex> = self.requests.queued_indices().collect();
         queued.sort_by_key(|&request| queue_order(&self.requests[request]));
--- a/src/controller/tuning.rs
+++ b/src/controller/tuning.rs
@@ -1,4 +1,5 @@
-//! Every constant of the controller that is tuned by hand. docs/design.md gives the reason for each.
+//! Every constant of the controller that is tuned by hand. docs/design.md gives the reason for
+//! each.
 
 use std::time::Duration;
 
@@ -32,46 +33,48 @@
 /// The cores count as busy from this gauge on.
 pub(super) const BUSY_FRACTION: f64 = 0.9;
 
-/// A request is admitted while its predicted answer comes within this fraction of its latency objective, and
-/// stays queued within the other.
+/// A request is admitted while its predicted answer comes within this fraction of its latency
+/// objective, and stays queued within the other.
 pub(super) const ADMISSION_OBJECTIVE_FRACTION: f64 = 0.65;
 pub(super) const QUEUED_OBJECTIVE_FRACTION: f64 = 1.0;
-/// The fraction of arriving work of higher priority that is expected to overtake, and how much of the running
-/// limit it takes at most.
+/// The fraction of arriving work of higher priority that is expected to overtake, and how much of
+/// the running limit it takes at most.
 pub(super) const OVERTAKING_FRACTION: f64 = 0.4;
 pub(super) const MAX_OVERTAKING_FRACTION: f64 = 0.6;
-/// By what factor an estimate of work may be wrong where an attempt delays nobody; less on a degraded server.
+/// By what factor an estimate of work may be wrong where an attempt delays nobody; less on a
+/// degraded server.
 pub(super) const IDLE_CORE_TOLERANCE: f64 = 4.0;
 pub(super) const IDLE_CORE_TOLERANCE_DEGRADED: f64 = 2.0;
 
-/// Mean time unread, as a fraction of the setpoint, from which callers are asked to send less; how fast the
-/// wanted traffic recovers each step, and its floor.
+/// Mean time unread, as a fraction of the setpoint, from which callers are asked to send less; how
+/// fast the wanted traffic recovers each step, and its floor.
 pub(super) const UNREAD_SETPOINT_FRACTION: f64 = 0.15;
 pub(super) const TRAFFIC_RECOVERY_STEP: f64 = 0.05;
 pub(super) const MIN_TRAFFIC_FRACTION: f64 = 0.1;
-/// The fraction of the cores spent on reading what is rejected from which wanted traffic is cut too; the same
-/// where the cut ignores priorities; and the factor of the cut.
+/// The fraction of the cores spent on reading what is rejected from which wanted traffic is cut
+/// too; the same where the cut ignores priorities; and the factor of the cut.
 pub(super) const MAX_WASTED_FRACTION: f64 = 0.04;
 pub(super) const MAX_WASTED_FRACTION_BY_WEIGHT: f64 = 0.08;
 pub(super) const TRAFFIC_CUT_ON_WASTE: f64 = 0.9;
-/// Requests by which a tenant may exceed its quota of what is admitted, or fall short, and the window over
-/// which arrivals are compared with the quotas of all tenants.
+/// Requests by which a tenant may exceed its quota of what is admitted, or fall short, and the
+/// window over which arrivals are compared with the quotas of all tenants.
 pub(super) const QUOTA_BURST: f64 = 5.0;
 pub(super) const QUOTA_WINDOW: Duration = Duration::from_secs(5);
-/// The fraction of arrivals that are retries, or that are rejected (retries need not be marked), from which
-/// callers are asked not to try another server.
+/// The fraction of arrivals that are retries, or that are rejected (retries need not be marked),
+/// from which callers are asked not to try another server.
 pub(super) const MAX_RETRY_FRACTION: f64 = 0.1;
 pub(super) const MAX_REJECTED_FRACTION: f64 = 0.5;
 /// The fraction of the cores that runs keep beside reading.
 pub(super) const MIN_RUNNING_CORE_FRACTION: f64 = 0.34;
-/// Mean time unread, as a fraction of the setpoint, from which reading gets all the cores that it wants.
+/// Mean time unread, as a fraction of the setpoint, from which reading gets all the cores that it
+/// wants.
 pub(super) const READ_BACKLOG_FRACTION: f64 = 0.5;
 
 /// Connections per core from which the table is saturated, while most callers have none.
 pub(super) const SATURATED_CONNECTIONS_PER_CORE: f64 = 6.0;
-/// Arrivals per completion, and demand per core beside runs, from which the table is left to fill; the busy
-/// fraction below which connections are closed again; how the idle timeout changes each step in either state,
-/// how it recovers, and its floor.
+/// Arrivals per completion, and demand per core beside runs, from which the table is left to fill;
+/// the busy fraction below which connections are closed again; how the idle timeout changes each
+/// step in either state, how it recovers, and its floor.
 pub(super) const STORM_ARRIVALS_PER_COMPLETION: f64 = 6.0;
 pub(super) const STORM_READERS_PER_CORE: f64 = 1.75;
 pub(super) const STARVED_BUSY_FRACTION: f64 = 0.4;
@@ -79,7 +82,8 @@
 pub(super) const IDLE_TIMEOUT_RISE: f64 = 3.0;
 pub(super) const IDLE_TIMEOUT_RECOVERY: f64 = 1.02;
 pub(super) const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Outstanding requests per core that callers are granted at least, and beyond that at full willingness.
+/// Outstanding requests per core that callers are granted at least, and beyond that at full
+/// willingness.
 pub(super) const MIN_CREDIT_PER_CORE: f64 = 0.5;
 pub(super) const EXTRA_CREDIT_PER_CORE: f64 = 3.5;
 
@@ -89,16 +93,19 @@
 pub(super) const MAX_QUEUED_MEMORY_FRACTION: f64 = 0.5;
 /// Calls in flight per core, where the dependency states no share.
 pub(super) const MAX_CALLS_PER_CORE: f64 = 4.0;
-/// Attempts of one call, where the one before is known not to have run or the request is idempotent.
+/// Attempts of one call, where the one before is known not to have run or the request is
+/// idempotent.
 pub(super) const MAX_CALL_ATTEMPTS: u32 = 3;
-/// A call that may be attempted again has a timeout of so many usual durations, or of this fraction of the
-/// time left, if that is more.
+/// A call that may be attempted again has a timeout of so many usual durations, or of this fraction
+/// of the time left, if that is more.
 pub(super) const CALL_TIMEOUT_FACTOR: f64 = 8.0;
 pub(super) const MIN_CALL_TIMEOUT_FRACTION: f64 = 0.15;
-/// The fraction of recent calls without a reply in time up to which these count as lost, and not as slow.
+/// The fraction of recent calls without a reply in time up to which these count as lost, and not as
+/// slow.
 pub(super) const MAX_LOST_CALL_FRACTION: f64 = 0.1;
-/// How many usual durations make a call slow, once so many were seen; the gain of the usual duration, and
-/// that for slow calls; how the dimmer's ceiling is cut by each, recovers, and its floor.
+/// How many usual durations make a call slow, once so many were seen; the gain of the usual
+/// duration, and that for slow calls; how the dimmer's ceiling is cut by each, recovers, and its
+/// floor.
 pub(super) const SLOW_CALL_FACTOR: f64 = 6.0;
 pub(super) const MIN_CALLS_FOR_USUAL_TIME: f64 = 20.0;
 pub(super) const CALL_TIME_GAIN: f64 = 0.02;
@@ -109,22 +116,25 @@
 
 /// How many times slower than usual a server counts as degraded.
 pub(super) const DEGRADED_PACE_FACTOR: f64 = 1.7;
-/// The work of a request without an estimate, at first, how fast it is learnt from each run, and its floor;
-/// and from how many times the mean such a request counts as long.
+/// The work of a request without an estimate, at first, how fast it is learnt from each run, and
+/// its floor; and from how many times the mean such a request counts as long.
 pub(super) const DEFAULT_WORK_SECONDS: f64 = 0.1;
 pub(super) const WORK_GAIN: f64 = 0.05;
 pub(super) const MIN_WORK_SECONDS: f64 = 0.001;
 pub(super) const LONG_LEARNT_WORK_FACTOR: f64 = 1.25;
 /// Requests of mean work at the usual pace that the measured pace starts from.
 pub(super) const PACE_PRIOR_REQUESTS: f64 = 6.0;
-/// The gain of the usual pace each tick while the measured one is better or new, and while it is worse.
+/// The gain of the usual pace each tick while the measured one is better or new, and while it is
+/// worse.
 pub(super) const PACE_GAIN: f64 = 0.02;
 pub(super) const SLOWER_PACE_GAIN: f64 = 0.0005;
 pub(super) const PACE_LEARNING_TIME: Duration = Duration::from_secs(4);
-/// The fraction of recent runs that failed, and how many at least, from which a server rejects traffic.
+/// The fraction of recent runs that failed, and how many at least, from which a server rejects
+/// traffic.
 pub(super) const HIGH_FAILURE_FRACTION: f64 = 0.4;
 pub(super) const MIN_FAILURES: f64 = 3.0;
 /// The busy fraction of the cores from which traffic stays welcome after the shutdown notice.
 pub(super) const DRAIN_BUSY_FRACTION: f64 = 0.7;
-/// The time before termination by which everything must be answered, so that a pause carries nothing past it.
+/// The time before termination by which everything must be answered, so that a pause carries
+/// nothing past it.
 pub(super) const TERMINATION_MARGIN: Duration = Duration::from_millis(500);
--- a/src/event.rs
+++ b/src/event.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-/// A small index that the host assigns to a request when it reads it. The host may reuse the index after
-/// [`Action::Release`](crate::Action::Release).
+/// A small index that the host assigns to a request when it reads it. The host may reuse the index
+/// after [`Action::Release`](crate::Action::Release).
 pub type RequestIndex = usize;
 
 /// The position of a handler in [`Config::handlers`](crate::Config::handlers).
@@ -31,7 +31,8 @@
     pub queued_kb: f64,
     /// Whether it is known to be a retry or a hedged request.
     pub is_retry: bool,
-    /// Whether it duplicates a request whose idempotency key is remembered, so that it can be coalesced.
+    /// Whether it duplicates a request whose idempotency key is remembered, so that it can be
+    /// coalesced.
     pub is_duplicate: bool,
 }
 
@@ -86,7 +87,8 @@
     Started,
     /// A request was read.
     Arrived(Arrival),
-    /// A run, or a coalesced request, ended; with `Succeeded` or `Failed` the caller has its answer.
+    /// A run, or a coalesced request, ended; with `Succeeded` or `Failed` the caller has its
+    /// answer.
     Finished {
         /// The request that ended.
         request: RequestIndex,
@@ -103,8 +105,8 @@
         /// The request that waits for its call.
         request: RequestIndex,
     },
-    /// A dependency call ended. After `Succeeded` the run continues by itself; otherwise it waits at the call
-    /// again.
+    /// A dependency call ended. After `Succeeded` the run continues by itself; otherwise it waits
+    /// at the call again.
     CallFinished {
         /// The request whose call ended.
         request: RequestIndex,
