--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,19 +1,20 @@
-//! A per-server overload controller. It decides, inside each server of a fleet, which requests that server
-//! admits, runs and rejects, and which optional dependency calls it skips while it falls behind.
+//! A per-server overload controller. It decides, inside each server of a fleet, which requests that
+//! server admits, runs and rejects, and which optional dependency calls it skips while it falls
+//! behind.
 //!
-//! The control loop follows the brownout controllers of Maggio, Klein and Årzén ("Control strategies for
-//! predictable brownouts in cloud computing"): a PID controller on the mean response time sets the
-//! probability that a request makes its optional calls; once that probability is zero a second loop cuts the
-//! fraction of requests that is admitted.
+//! The control loop follows the brownout controllers of Maggio, Klein and Årzén ("Control
+//! strategies for predictable brownouts in cloud computing"): a PID controller on the mean response
+//! time sets the probability that a request makes its optional calls; once that probability is zero
+//! a second loop cuts the fraction of requests that is admitted.
 //!
-//! The crate does no I/O, reads no clock and starts no thread. A host reports what happened as [`Event`]s and
-//! carries out the [`Action`]s that come back, in order. One [`Controller`] serves one process and shares
-//! nothing; the same seed and the same events always give the same actions.
+//! The crate does no I/O, reads no clock and starts no thread. A host reports what happened as
+//! [`Event`]s and carries out the [`Action`]s that come back, in order. One [`Controller`] serves
+//! one process and shares nothing; the same seed and the same events always give the same actions.
 //!
 //! ```
 //! use std::time::Duration;
-//! use tulipgap::{Action, Arrival, CallerFeedback, Cancellation, Config, Controller, Dependency, Event};
-//! use tulipgap::{HandlerConfig, Idempotency};
+//! use tulipgap::{Action, Arrival, CallerFeedback, Cancellation, Config, Controller, Dependency};
+//! use tulipgap::{Event, HandlerConfig, Idempotency};
 //!
 //! let search = HandlerConfig {
 //!     latency_objective: Duration::from_millis(500),
--- a/src/request.rs
+++ b/src/request.rs
@@ -44,8 +44,8 @@
     }
 }
 
-/// The profiles of all handlers, and the number of priority levels. A level is the rank of a priority weight
-/// among all of them, within and beyond a tenant's quota.
+/// The profiles of all handlers, and the number of priority levels. A level is the rank of a
+/// priority weight among all of them, within and beyond a tenant's quota.
 pub(crate) fn handler_profiles(config: &Config, default_work: f64) -> (Vec<HandlerProfile>, usize) {
     let mut weights: Vec<f64> = config
         .handlers
@@ -117,9 +117,9 @@
     pub(crate) key_expires_at: Option<Duration>,
 }
 
-/// A tenant's quota on this server: filled by its fraction of every admitted request, emptied by its own. It
-/// counts fractions of what is admitted here and not a rate, because one server may see far more of a tenant
-/// than the others do.
+/// A tenant's quota on this server: filled by its fraction of every admitted request, emptied by
+/// its own. It counts fractions of what is admitted here and not a rate, because one server may see
+/// far more of a tenant than the others do.
 pub(crate) struct TokenBucket {
     pub(crate) fraction: f64,
     pub(crate) tokens: f64,
--- a/src/request_table.rs
+++ b/src/request_table.rs
@@ -1,5 +1,5 @@
-//! The requests that a server knows, by index, and the lists that they stand in. No decision is taken here:
-//! the order of the queues is chosen in `controller/queueing.rs`.
+//! The requests that a server knows, by index, and the lists that they stand in. No decision is
+//! taken here: the order of the queues is chosen in `controller/queueing.rs`.
 
 use std::ops::{Index, IndexMut};
 
@@ -79,7 +79,8 @@
         self.awaiting_call.retain(|&other| other != request);
     }
 
-    /// Puts a request on the cores; `awake` is the time that the process was awake so far, in seconds.
+    /// Puts a request on the cores; `awake` is the time that the process was awake so far, in
+    /// seconds.
     pub(crate) fn enter_core(&mut self, request: RequestIndex, awake: f64) {
         let entry = &mut self[request];
         entry.stage = Stage::Running;
--- a/src/sliding_window.rs
+++ b/src/sliding_window.rs
@@ -7,7 +7,8 @@
 pub(crate) enum Metric {
     /// Requests that succeeded in time for their caller.
     Completed,
-    /// Response times of completed requests, in seconds; time in which the process stood still is left out.
+    /// Response times of completed requests, in seconds; time in which the process stood still is
+    /// left out.
     ResponseTime,
     /// Seconds on a core of runs that succeeded.
     CoreTime,
@@ -68,7 +69,8 @@
     }
 }
 
-/// Measurements in buckets of a fixed width, reused as a ring. It owns the only copy of every metric.
+/// Measurements in buckets of a fixed width, reused as a ring. It owns the only copy of every
+/// metric.
 pub(crate) struct SlidingWindow {
     bucket_width: Duration,
     /// The number of the present bucket, counted from the start.
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,5 @@
-//! The parts of the controller's state, each with one owner among the files of `controller/`. No decision is
-//! taken here.
+//! The parts of the controller's state, each with one owner among the files of `controller/`. No
+//! decision is taken here.
 
 use std::time::Duration;
 
--- a/tests/decisions/common.rs
+++ b/tests/decisions/common.rs
@@ -1,5 +1,5 @@
-//! A simulated host that checks every action against the four rules: no request is lost, no effect happens
-//! twice, a drain is safe, and no limit is exceeded.
+//! A simulated host that checks every action against the four rules: no request is lost, no effect
+//! happens twice, a drain is safe, and no limit is exceeded.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,7 +26,8 @@
     }
 }
 
-/// Two cores, a handler of each kind of idempotency, and a dependency that survives two concurrent calls.
+/// Two cores, a handler of each kind of idempotency, and a dependency that survives two concurrent
+/// calls.
 pub(crate) fn config() -> Config {
     Config {
         handlers: vec![
--- a/tests/decisions/failures.rs
+++ b/tests/decisions/failures.rs
@@ -70,7 +70,8 @@
     );
 }
 
-/// A flood that reading cannot catch up with took every core for reading: for ten seconds nothing has_run at all.
+/// A flood that reading cannot catch up with took every core for reading: for ten seconds nothing
+/// has_run at all.
 #[test]
 fn a_server_with_a_read_backlog_still_runs_some_requests() {
     let mut host = host_without_dependency();
@@ -134,8 +135,8 @@
     assert!(taken[1] > 0, "{taken:?}");
 }
 
-/// Purses walk at random: most requests of a quiet fleet were taken for requests beyond their tenant's share, ranked
-/// below all others, shed first and not sent on.
+/// Purses walk at random: most requests of a quiet fleet were taken for requests beyond their
+/// tenant's share, ranked below all others, shed first and not sent on.
 #[test]
 fn no_tenant_is_over_quota_while_all_send_less_than_their_quotas() {
     let third_sent_on = |servers: u32, flood: u64| {
@@ -336,7 +337,8 @@
     host.open_connections = 60.0;
     host.pass(ms(6000));
     assert!(host.idle <= ms(300), "{:?}", host.idle);
-    // Sheds alone, with cores to spare for connecting and reading, are no storm: who is worth most has to get in.
+    // Sheds alone, with cores to spare for connecting and reading, are no storm: who is worth most
+    // has to get in.
     let tries = |host: &mut SimulatedHost| {
         for turn in 0..60 {
             host.arrive(0, 0, None, 9000, turn);
@@ -399,8 +401,9 @@
     assert_eq!(rejections(&host), [false], "{:?}", host.last);
 }
 
-/// A server that reads two requests a second holds four in its window: one retry among them was a quarter, and one
-/// shed of two a half, so that all it shed was told to stay though nobody else was full.
+/// A server that reads two requests a second holds four in its window: one retry among them was a
+/// quarter, and one shed of two a half, so that all it shed was told to stay though nobody else was
+/// full.
 #[test]
 fn one_retry_or_rejection_among_few_requests_does_not_stop_retries_elsewhere() {
     let mut config = config();
@@ -551,8 +554,9 @@
     assert_eq!(reasons(&host), [Reason::Draining]);
 }
 
-/// regina-main and nairobi-calc: callers heed a wait of up to a second, and a request turned away for lack of
-/// room was told nothing while the server was well, so that its retry came back at once.
+/// regina-main and nairobi-calc: callers heed a wait of up to a second, and a request turned away
+/// for lack of room was told nothing while the server was well, so that its retry came back at
+/// once.
 #[test]
 fn a_rejection_carries_a_retry_after_on_a_healthy_server() {
     let mut host = host_without_dependency();
@@ -575,8 +579,9 @@
     assert!(waits.iter().all(heeded), "{waits:?}");
 }
 
-/// Two handlers that tell no work, one ten times the other: trained alike, a burst of the long one is kept
-/// less than a burst of the short one. Where every request without a hint counted as 0.1 s, both were alike.
+/// Two handlers that tell no work, one ten times the other: trained alike, a burst of the long one
+/// is kept less than a burst of the short one. Where every request without a hint counted as 0.1 s,
+/// both were alike.
 #[test]
 fn requests_without_an_estimate_use_the_work_learnt_for_their_handler() {
     let trained = || {
@@ -620,8 +625,8 @@
     );
 }
 
-/// A repeat fails with the run that it waits for. Counted as runs that errored, the repeats of one stopped run
-/// had a well server turn most away.
+/// A repeat fails with the run that it waits for. Counted as runs that errored, the repeats of one
+/// stopped run had a well server turn most away.
 #[test]
 fn coalesced_requests_that_fail_do_not_count_as_failed_runs() {
     let mut host = SimulatedHost::new(
@@ -654,7 +659,8 @@
     }
 }
 
-/// What may not be left out takes its time however low the dimmer, and as often as the handler's runs make it.
+/// What may not be left out takes its time however low the dimmer, and as often as the handler's
+/// runs make it.
 #[test]
 fn mandatory_calls_count_in_full_at_admission() {
     let mut host = SimulatedHost::new(
@@ -681,7 +687,8 @@
     assert_eq!(reasons(&host), [Reason::PredictedLate], "{:?}", host.last);
 }
 
-/// The ledger of regina-main collapsed at its knee: each server went on calling, as its own responses were fine.
+/// The ledger of regina-main collapsed at its knee: each server went on calling, as its own
+/// responses were fine.
 #[test]
 fn slow_calls_lower_the_dimmer_ceiling_which_recovers_slowly() {
     let mut host = SimulatedHost::new(
@@ -715,7 +722,8 @@
     assert_eq!(made(&mut host, 20, 10), 20, "it has recovered");
 }
 
-/// Retries without marks are not tracked, so no try is the last: sent on, they walk through the fleet.
+/// Retries without marks are not tracked, so no try is the last: sent on, they walk through the
+/// fleet.
 #[test]
 fn with_unmarked_retries_only_a_draining_server_forwards_requests() {
     let sheds = |marks_retries: bool, leaves: bool| {
@@ -753,8 +761,9 @@
         .any(|action| matches!(action, Action::StartCall { .. }))
 }
 
-/// One slow second spent every server's part of the ledger on calls that may be left out; those that may not
-/// stood until it came back five seconds later, all at once, and pushed the ledger over its knee again.
+/// One slow second spent every server's part of the ledger on calls that may be left out; those
+/// that may not stood until it came back five seconds later, all at once, and pushed the ledger
+/// over its knee again.
 #[test]
 fn optional_calls_leave_budget_for_a_mandatory_one() {
     let dependency = Dependency::Shared {
@@ -791,7 +800,8 @@
     );
 }
 
-/// A request that stands at its call past its response target helps nobody by waiting on: its caller hears at once.
+/// A request that stands at its call past its response target helps nobody by waiting on: its
+/// caller hears at once.
 #[test]
 fn a_request_awaiting_its_call_past_its_objective_is_answered_at_once() {
     let dependency = Dependency::Shared {
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,4 +1,5 @@
-//! The controller alone: on generated days against the four rules, and on each failure that was found.
+//! The controller alone: on generated days against the four rules, and on each failure that was
+//! found.
 
 mod common;
 mod failures;
--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -204,7 +204,8 @@
     }
 }
 
-/// The caller of the nth request that is queued, running or calling goes away, where it still waits.
+/// The caller of the nth request that is queued, running or calling goes away, where it still
+/// waits.
 fn leave_as_caller(host: &mut SimulatedHost, nth: usize) {
     let places = [Stage::Queued, Stage::Running, Stage::Calling];
     if let Some(request) = places.iter().find_map(|&stage| host.nth(stage, nth))
