--- /dev/null
+++ b/crates/connection-limits/tests/limiter/eviction.rs
@@ -0,0 +1,165 @@
+//! Which connection is closed so that another gets its descriptor.
+
+use std::time::Duration;
+
+use tulipgap_connection_limits::{
+    AcceptError, Action, CloseReason, Config, ConnectionId, DescriptorOwner, Event, FullPolicy,
+};
+
+use crate::harness::{Server, config, ms, v4};
+
+#[test]
+fn connections_are_evicted_in_the_order_of_their_classes() {
+    // Without limits by network and with long timeouts, so that only the descriptors count.
+    let minute = Duration::from_secs(60);
+    let mut server = Server::new(Config {
+        network_limits: None,
+        message_timeout: minute,
+        idle_timeout: minute,
+        ..config()
+    });
+    let client = server.become_known(v4(127, 1, 1, 1));
+    server.close(client);
+    let known = server.accept(v4(127, 1, 1, 1)).unwrap();
+    server.serve(known);
+    let busy = server.accept(v4(127, 2, 1, 1)).unwrap();
+    server.handle(Event::MessageCompleted { connection: busy });
+    server.start_request(busy);
+    let idle = server.accept(v4(127, 3, 1, 1)).unwrap();
+    server.serve(idle);
+    let partial = server.accept(v4(127, 4, 1, 1)).unwrap();
+    server.serve(partial);
+    server.handle(Event::MessageStarted {
+        connection: partial,
+    });
+    let silent = server.accept(v4(127, 5, 1, 1)).unwrap();
+    server.advance(ms(1200));
+    let mut order = Vec::new();
+    for host in 0..250u8 {
+        let Some(connection) = server.accept(v4(126, host, host, 1)) else {
+            server.advance(ms(70));
+            order.extend(server.closed.drain(..).map(|(connection, _)| connection));
+            continue;
+        };
+        // These have an open request from the start, so that none of them is evicted.
+        server.start_request(connection);
+        server.advance(ms(70));
+        order.extend(server.closed.drain(..).map(|(connection, _)| connection));
+    }
+    assert_eq!(
+        order,
+        [silent, partial, idle],
+        "neither the busy one nor, for new clients, that of a known one"
+    );
+    assert!(server.open.contains_key(&busy) && server.open.contains_key(&known));
+}
+
+#[test]
+fn two_active_clients_do_not_evict_each_other() {
+    let mut server = Server::new(Config {
+        network_limits: None,
+        ..config()
+    });
+    // All connections but a few have an open request; two clients use theirs every 100 ms.
+    for host in 0..38u8 {
+        let connection = server.accept(v4(126, host, 1, 1)).unwrap();
+        server.start_request(connection);
+    }
+    let pair: Vec<ConnectionId> = (1..=2)
+        .map(|host| server.accept(v4(127, host, 1, 1)).unwrap())
+        .collect();
+    for turn in 0..50u8 {
+        pair.iter().for_each(|&connection| server.serve(connection));
+        if let Some(connection) = server.accept(v4(125, turn, 1, 1)) {
+            server.serve(connection);
+        }
+        server.advance(ms(100));
+    }
+    assert!(
+        pair.iter()
+            .all(|connection| server.open.contains_key(connection)
+                && !server.open[connection].is_close_requested),
+        "{:?}",
+        server.closed
+    );
+}
+
+#[test]
+fn accepting_pauses_and_a_connection_is_evicted_when_descriptors_run_out() {
+    let mut server = Server::new(config());
+    let connection = server.accept(v4(127, 1, 1, 1)).unwrap();
+    server.handle(Event::AcceptFailed {
+        error: AcceptError::ProcessDescriptorLimit,
+    });
+    assert_eq!(server.paused_until, ms(20));
+    assert_eq!(server.closed, [(connection, CloseReason::Evicted)]);
+    server.handle(Event::AcceptFailed {
+        error: AcceptError::ConnectionAborted,
+    });
+    assert_eq!(
+        server.paused_until,
+        ms(20),
+        "an aborted connection does not pause accepting"
+    );
+}
+
+/// Where new connections wait in the backlog, the one that filled the capacity was closed at once,
+/// as the only silent one: its first message was in transit, and its client saw the connection
+/// close.
+#[test]
+fn new_connection_that_fills_the_capacity_is_spared_while_its_first_message_is_in_transit() {
+    let mut config = config();
+    (config.full_policy, config.network_limits) = (FullPolicy::Wait, None);
+    let mut server = Server::new(config);
+    let evicted = |server: &mut Server| {
+        let mut actions = Vec::new();
+        let may = server.limiter.may_accept(server.now, &mut actions);
+        let closed = |action: &Action| {
+            if let Action::Close { connection, .. } = action {
+                Some(*connection)
+            } else {
+                None
+            }
+        };
+        (may, actions.iter().find_map(closed))
+    };
+    let mut last = None;
+    while server
+        .limiter
+        .descriptors()
+        .available(DescriptorOwner::NewClients)
+        > 0
+    {
+        last = server.accept(v4(10, 0, 0, 1));
+        assert!(last.is_some(), "a descriptor is available");
+        if server
+            .limiter
+            .descriptors()
+            .available(DescriptorOwner::NewClients)
+            > 0
+        {
+            server.serve(last.unwrap());
+        }
+    }
+    let (may, first) = evicted(&mut server);
+    assert!(
+        !may && first.is_some() && first != last,
+        "{first:?} of {last:?}"
+    );
+    // Of several silent connections the oldest is evicted at once.
+    let mut server = Server::new(Config {
+        full_policy: FullPolicy::Wait,
+        network_limits: None,
+        ..crate::harness::config()
+    });
+    let mut silent = Vec::new();
+    while server
+        .limiter
+        .descriptors()
+        .available(DescriptorOwner::NewClients)
+        > 0
+    {
+        silent.extend(server.accept(v4(10, 0, 0, 2)));
+    }
+    assert_eq!(evicted(&mut server), (false, silent.first().copied()));
+}
