--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -6,11 +6,23 @@
 
 use crate::node::{MAX_NAME_BYTES, Node, is_valid_name};
 
-/// No interval and no time limit is this long.
+/// Every interval and every time limit is shorter than this.
 const MAX_INTERVAL: Duration = Duration::from_secs(3600);
-const MULTIPLIERS: RangeInclusive<f64> = 1.0..=100.0;
-const UPDATES_PER_MESSAGE: RangeInclusive<usize> = 1..=1000;
-const MEMBERS: RangeInclusive<usize> = 1..=100_000;
+
+/// The range of the parameters that multiply an interval or a count.
+const MULTIPLIER_RANGE: RangeInclusive<f64> = 1.0..=100.0;
+
+/// The range of the updates that a message carries.
+const UPDATES_PER_MESSAGE_RANGE: RangeInclusive<usize> = 1..=1000;
+
+/// The range of the other members that are recorded.
+const MEMBERS_RANGE: RangeInclusive<usize> = 1..=100_000;
+
+/// What an error says of the range of an interval.
+const EXPECTED_INTERVAL: &str = "over zero and under an hour";
+
+/// What an error says of [`MULTIPLIER_RANGE`].
+const EXPECTED_MULTIPLIER: &str = "from 1 to 100";
 
 /// The parameters of the protocol. All members of a cluster should have the same.
 #[derive(Clone, Debug)]
@@ -93,13 +105,15 @@
     ///
     /// [`ConfigError::OutOfRange`] with the first parameter that is out of range.
     pub(crate) fn validate(&self) -> Result<(), ConfigError> {
-        const INTERVAL: &str = "over zero and under an hour";
-        const MULTIPLIER: &str = "from 1 to 100";
         let is_interval = |span: Duration| span > Duration::ZERO && span < MAX_INTERVAL;
         let is_timeout =
             is_interval(self.probe_timeout) && self.probe_timeout * 2 < self.probe_interval;
         let checks = [
-            ("probe_interval", is_interval(self.probe_interval), INTERVAL),
+            (
+                "probe_interval",
+                is_interval(self.probe_interval),
+                EXPECTED_INTERVAL,
+            ),
             (
                 "probe_timeout",
                 is_timeout,
@@ -107,33 +121,33 @@
             ),
             (
                 "suspicion_mult",
-                MULTIPLIERS.contains(&self.suspicion_mult),
-                MULTIPLIER,
+                MULTIPLIER_RANGE.contains(&self.suspicion_mult),
+                EXPECTED_MULTIPLIER,
             ),
             (
                 "suspicion_max_timeout_mult",
-                MULTIPLIERS.contains(&self.suspicion_max_timeout_mult),
-                MULTIPLIER,
+                MULTIPLIER_RANGE.contains(&self.suspicion_max_timeout_mult),
+                EXPECTED_MULTIPLIER,
             ),
             (
                 "retransmit_mult",
-                MULTIPLIERS.contains(&self.retransmit_mult),
-                MULTIPLIER,
+                MULTIPLIER_RANGE.contains(&self.retransmit_mult),
+                EXPECTED_MULTIPLIER,
             ),
             (
                 "max_updates_per_message",
-                UPDATES_PER_MESSAGE.contains(&self.max_updates_per_message),
+                UPDATES_PER_MESSAGE_RANGE.contains(&self.max_updates_per_message),
                 "from 1 to 1,000",
             ),
             (
                 "max_members",
-                MEMBERS.contains(&self.max_members),
+                MEMBERS_RANGE.contains(&self.max_members),
                 "from 1 to 100,000",
             ),
             (
                 "push_pull_interval",
                 is_interval(self.push_pull_interval),
-                INTERVAL,
+                EXPECTED_INTERVAL,
             ),
             (
                 "dead_member_retention",
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,12 +1,28 @@
 //! SWIM's failure detector: in each protocol period one member is probed, directly and then through
 //! others.
+//!
+//! **Decision**: when others are asked to probe the target, which ones, and what the period's probe
+//! says of the target at its end.
+//!
+//! **When it binds**: relays are asked where the target has not answered within the probe timeout;
+//! the verdict falls at the end of the period.
+//!
+//! **Failure it guards against**: a lost message or a cut link between two nodes would look like a
+//! crash of the target. That shows as false positives which one member reports, and as a zone that
+//! is declared dead by the other side of a cut.
+//!
+//! **Why it holds**: relays reach the target on other links. An answer to one of them shows that
+//! the target lives; their reports of no answer (Lifeguard's nack) show that this node is reached,
+//! so that the target is at fault.
+//!
+//! **Price**: `indirect_checks` relays, four messages each, for every probe that is not answered.
+//!
+//! Source: SWIM, section 3.1 (failure detector); Lifeguard (nack).
 
 use std::time::Duration;
 
-use crate::member_table::Recipient;
-use crate::membership::Membership;
-use crate::message::{MemberState, MemberUpdate, MessageBody, RelayedProbeOutcome, SequenceNumber};
-use crate::node::NodeName;
+use crate::message::{RelayedProbeOutcome, SequenceNumber};
+use crate::node::{NodeName, Recipient};
 
 /// How far a probe has come.
 enum ProbePhase {
@@ -25,294 +41,139 @@
 struct Probe {
     sequence_number: SequenceNumber,
     target: NodeName,
+    /// On the clock of the events.
     started_at: Duration,
     phase: ProbePhase,
 }
 
-/// A ping that this node sent on behalf of another.
-struct RelayedProbe {
-    sequence_number: SequenceNumber,
-    requester: Recipient,
-    requester_sequence_number: SequenceNumber,
-    deadline: Duration,
+/// What is known at the end of a period about a probe that got no direct answer.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) enum FailedProbe {
+    /// A relay got an answer: the target lives and the link to it is cut.
+    AnsweredRelayOnly {
+        /// The member that was probed.
+        target: NodeName,
+    },
+    /// Nobody is known to have had an answer.
+    Unanswered {
+        /// The member that was probed.
+        target: NodeName,
+        /// The number of relays that did not report.
+        missing_reports: u32,
+    },
 }
 
-/// The probes in flight and the order of those to come. Owned by the membership.
+/// The probe of the current protocol period, and the numbers of all probes of this node.
 #[derive(Default)]
 pub(crate) struct FailureDetector {
-    /// The members still to be probed in this round; the last one is next.
-    round: Vec<NodeName>,
+    /// `None` once the target has answered.
     probe: Option<Probe>,
-    relayed_probes: Vec<RelayedProbe>,
     last_sequence_number: SequenceNumber,
 }
 
 impl FailureDetector {
-    fn next_sequence_number(&mut self) -> SequenceNumber {
+    /// Draws the number of a probe, own or relayed.
+    pub(crate) fn next_sequence_number(&mut self) -> SequenceNumber {
         self.last_sequence_number.0 += 1;
         self.last_sequence_number
     }
 
-    /// The probe that still waits for a direct answer.
-    fn direct_probe(&self) -> Option<&Probe> {
-        self.probe
-            .as_ref()
-            .filter(|probe| matches!(probe.phase, ProbePhase::Direct))
-    }
-
-    fn take_relayed_probe(&mut self, sequence_number: SequenceNumber) -> Option<RelayedProbe> {
-        let index = self
-            .relayed_probes
-            .iter()
-            .position(|relayed| relayed.sequence_number == sequence_number)?;
-        Some(self.relayed_probes.swap_remove(index))
-    }
-
-    /// Takes the probe that this message answers. Another node that has the address of the target
-    /// now is no answer.
-    fn take_probe(&mut self, from: &NodeName, sequence_number: SequenceNumber) -> Option<Probe> {
-        self.probe
-            .take_if(|probe| probe.sequence_number == sequence_number && probe.target == *from)
-    }
-
-    /// Takes the relayed probes that got no answer in time.
-    fn take_expired_relayed_probes(&mut self, now: Duration) -> Vec<RelayedProbe> {
-        let relayed_probes = std::mem::take(&mut self.relayed_probes);
-        let (expired, pending) = relayed_probes
-            .into_iter()
-            .partition(|relayed| relayed.deadline <= now);
-        self.relayed_probes = pending;
-        expired
-    }
-}
-
-impl Membership {
-    /// Pings the next member of the round. A new round is drawn when the old one is through: every
-    /// member is probed once in each, so that the time until a crash is noticed has a bound (SWIM,
-    /// section 4.3).
-    pub(crate) fn start_probe(&mut self) {
-        let Some(target) = self.next_probe_target() else {
-            return;
-        };
-        let Some(member) = self.members.get(&target) else {
-            return;
-        };
-        let recipient = member.recipient();
-        // The ping carries the suspicion, so that the suspect can refute it, even where the update
-        // has left the queue.
-        if member.update.state == MemberState::Suspect {
-            self.broadcasts.push(member.update.clone());
-        }
-        let sequence_number = self.detector.next_sequence_number();
-        self.detector.probe = Some(Probe {
+    /// Starts the probe of a period and returns its number.
+    pub(crate) fn start_probe(&mut self, target: NodeName, now: Duration) -> SequenceNumber {
+        let sequence_number = self.next_sequence_number();
+        self.probe = Some(Probe {
             sequence_number,
             target,
-            started_at: self.now,
+            started_at: now,
             phase: ProbePhase::Direct,
         });
-        self.send(&recipient, MessageBody::Ping { sequence_number });
-    }
-
-    fn next_probe_target(&mut self) -> Option<NodeName> {
-        loop {
-            if self.detector.round.is_empty() {
-                let names = self
-                    .members
-                    .live()
-                    .map(|member| member.update.node.name.clone());
-                self.detector.round = names.collect();
-                self.rng.shuffle(&mut self.detector.round);
-            }
-            let name = self.detector.round.pop()?;
-            if self.members.get_live(&name).is_some() {
-                return Some(name);
-            }
-        }
+        sequence_number
     }
 
-    /// When others are asked to probe the target, where it has not answered by then.
-    pub(crate) fn direct_probe_deadline(&self) -> Option<Duration> {
-        let probe = self.detector.direct_probe()?;
-        Some(probe.started_at + self.health.scale(self.config.probe_timeout))
+    /// When relays are to be asked, where a probe still waits for its direct answer.
+    pub(crate) fn direct_deadline(&self, probe_timeout: Duration) -> Option<Duration> {
+        let probe = self.probe.as_ref()?;
+        matches!(probe.phase, ProbePhase::Direct).then(|| probe.started_at + probe_timeout)
     }
 
-    /// When each of the relayed probes is given up.
-    pub(crate) fn relayed_probe_deadlines(&self) -> impl Iterator<Item = Duration> {
-        self.detector
-            .relayed_probes
-            .iter()
-            .map(|relayed| relayed.deadline)
+    /// The target that has not answered within `probe_timeout`, where relays were not asked yet.
+    pub(crate) fn overdue_target(
+        &self,
+        now: Duration,
+        probe_timeout: Duration,
+    ) -> Option<&NodeName> {
+        let deadline = self.direct_deadline(probe_timeout)?;
+        let probe = self.probe.as_ref()?;
+        (now >= deadline).then_some(&probe.target)
     }
 
-    /// Asks others to probe the target, where it has not answered in time.
-    pub(crate) fn send_indirect_pings_when_due(&mut self) {
-        if self
-            .direct_probe_deadline()
-            .is_none_or(|deadline| self.now < deadline)
-        {
-            return;
-        }
-        let Some(probe) = &mut self.detector.probe else {
-            return;
-        };
-        let Some(address) = self
-            .members
-            .get(&probe.target)
-            .map(|member| member.update.node.address)
-        else {
-            return;
-        };
-        let relays = self
-            .members
-            .alive()
-            .filter(|member| member.update.node.name != probe.target);
-        let mut relays: Vec<Recipient> = relays.map(|member| member.recipient()).collect();
-        self.rng.shuffle(&mut relays);
-        relays.truncate(self.config.indirect_checks);
+    /// Notes that relays are asked to ping the target. Returns the number under which they report.
+    pub(crate) fn start_indirect_probe(&mut self, relays: usize) -> Option<SequenceNumber> {
+        let probe = self.probe.as_mut()?;
         probe.phase = ProbePhase::Indirect {
-            pending_relays: relays.len(),
+            pending_relays: relays,
             is_acked_by_relay: false,
         };
-        let (sequence_number, target) = (probe.sequence_number, probe.target.clone());
-        for relay in relays {
-            self.send(
-                &relay,
-                MessageBody::IndirectPing {
-                    sequence_number,
-                    target: target.clone(),
-                    address,
-                },
-            );
-        }
+        Some(probe.sequence_number)
     }
 
-    /// Ends the probe of the last period, where it got no direct answer. The reports of the relays
-    /// tell a cut link from a crash.
-    pub(crate) fn finish_probe(&mut self) {
-        let Some(probe) = self.detector.probe.take() else {
-            return;
-        };
-        let missing_reports = match probe.phase {
-            ProbePhase::Direct => 0,
-            ProbePhase::Indirect {
-                is_acked_by_relay: true,
-                ..
-            } => {
-                return self.mark_directly_unreachable(&probe.target);
-            }
-            ProbePhase::Indirect { pending_relays, .. } => pending_relays as u32,
-        };
-        // Where relays did not report at all, the fault is more likely this node's than the
-        // target's.
-        self.health.degrade(1 + missing_reports);
-        let Some(member) = self.members.get_live(&probe.target) else {
-            return;
-        };
-        let suspect = MemberUpdate {
-            state: MemberState::Suspect,
-            reported_by: Some(self.local.node.name.clone()),
-            ..member.update.clone()
-        };
-        let recipient = member.recipient();
-        self.apply_update(&suspect);
-        // The target is notified of the suspicion at once: over a slow link the next probe would
-        // leave too little time to refute it.
-        self.send_update(&recipient, suspect);
-    }
-
-    fn mark_directly_unreachable(&mut self, target: &NodeName) {
-        let Some(member) = self.members.get_mut(target) else {
-            return;
-        };
-        if !std::mem::replace(&mut member.is_directly_unreachable, true) {
-            self.publish_unreachable_peers();
-        }
-    }
-
-    /// Takes the answer to a ping, either for this node's own probe or for one that it relays.
-    pub(crate) fn handle_ack(&mut self, from: &NodeName, sequence_number: SequenceNumber) {
-        if let Some(relayed) = self.detector.take_relayed_probe(sequence_number) {
-            return self.report_relayed_probe(&relayed, RelayedProbeOutcome::Ack);
-        }
-        if self.detector.take_probe(from, sequence_number).is_none() {
-            return;
-        }
-        self.health.improve();
-        let Some(member) = self.members.get_mut(from) else {
-            return;
-        };
-        member.last_ack = Some(self.now);
-        if std::mem::replace(&mut member.is_directly_unreachable, false) {
-            self.publish_unreachable_peers();
-        }
-    }
-
-    /// Pings a target on behalf of another node.
-    pub(crate) fn handle_indirect_ping(
-        &mut self,
-        requester: Recipient,
-        requester_sequence_number: SequenceNumber,
-        target: Recipient,
-    ) {
-        let sequence_number = self.detector.next_sequence_number();
-        // A requester has one probe in each period, so there are about as many of these as members
-        // at the most.
-        if self.detector.relayed_probes.len() > self.config.max_members {
-            return;
-        }
-        let deadline = self.now + self.config.probe_timeout;
-        let relayed = RelayedProbe {
-            sequence_number,
-            requester,
-            requester_sequence_number,
-            deadline,
-        };
-        self.detector.relayed_probes.push(relayed);
-        self.send(&target, MessageBody::Ping { sequence_number });
-        self.schedule_timer(deadline);
+    /// Takes an answer. Returns whether it answers the probe of this period: another node that has
+    /// the address of the target now is no answer.
+    pub(crate) fn take_ack(&mut self, from: &NodeName, sequence_number: SequenceNumber) -> bool {
+        self.probe
+            .take_if(|probe| probe.sequence_number == sequence_number && probe.target == *from)
+            .is_some()
     }
 
-    /// Takes the report of a relay on this node's own probe.
-    pub(crate) fn handle_indirect_ping_result(
+    /// Takes the report of a relay.
+    pub(crate) fn record_relay_report(
         &mut self,
         sequence_number: SequenceNumber,
         outcome: RelayedProbeOutcome,
     ) {
         let probe = self
-            .detector
             .probe
             .as_mut()
             .filter(|probe| probe.sequence_number == sequence_number);
-        if let Some(Probe {
-            phase:
-                ProbePhase::Indirect {
-                    pending_relays,
-                    is_acked_by_relay,
-                },
-            ..
-        }) = probe
+        if let Some(probe) = probe
+            && let ProbePhase::Indirect {
+                pending_relays,
+                is_acked_by_relay,
+            } = &mut probe.phase
         {
             *pending_relays = pending_relays.saturating_sub(1);
             *is_acked_by_relay |= outcome == RelayedProbeOutcome::Ack;
         }
     }
 
-    /// Reports the relayed probes that got no answer: silence would count against the health of the
-    /// requester.
-    pub(crate) fn expire_relayed_probes(&mut self) {
-        for relayed in self.detector.take_expired_relayed_probes(self.now) {
-            self.report_relayed_probe(&relayed, RelayedProbeOutcome::Nack);
-        }
-    }
-
-    fn report_relayed_probe(&mut self, relayed: &RelayedProbe, outcome: RelayedProbeOutcome) {
-        let sequence_number = relayed.requester_sequence_number;
-        self.send(
-            &relayed.requester,
-            MessageBody::IndirectPingResult {
-                sequence_number,
-                outcome,
+    /// Ends the probe of a period. Returns what is known of it, where it got no direct answer.
+    pub(crate) fn finish_probe(&mut self) -> Option<FailedProbe> {
+        let Probe { target, phase, .. } = self.probe.take()?;
+        Some(match phase {
+            ProbePhase::Direct => FailedProbe::Unanswered {
+                target,
+                missing_reports: 0,
             },
-        );
+            ProbePhase::Indirect {
+                is_acked_by_relay: true,
+                ..
+            } => FailedProbe::AnsweredRelayOnly { target },
+            ProbePhase::Indirect { pending_relays, .. } => FailedProbe::Unanswered {
+                target,
+                missing_reports: pending_relays as u32,
+            },
+        })
     }
 }
+
+/// Chooses the members that are asked to probe a target: random ones, `indirect_checks` at the
+/// most. `candidates` are the alive members without the target.
+pub(crate) fn choose_relays(
+    mut candidates: Vec<Recipient>,
+    indirect_checks: usize,
+    rng: &mut fastrand::Rng,
+) -> Vec<Recipient> {
+    rng.shuffle(&mut candidates);
+    candidates.truncate(indirect_checks);
+    candidates
+}
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,13 +1,20 @@
 //! The records of the other members.
+//!
+//! **Decision**: what an update about another member changes. Which update holds is the rule of
+//! [`update_precedence`](crate::update_precedence).
+//!
+//! A dead member stays on record for a time: without its record an older update that is still on
+//! its way would bring it back. The number of records is bounded, so that malformed updates cannot
+//! fill the memory; the price is that members beyond the bound are not seen at all.
 
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::message::{MemberState, MemberUpdate};
-use crate::node::NodeName;
-use crate::reachability::Reachability;
-use crate::suspicion::Suspicion;
+use crate::node::{NodeName, Recipient};
+use crate::reachability::{LinkState, Reachability};
+use crate::suspicion::{Suspicion, SuspicionParameters};
+use crate::update_precedence::{overrides, precedence};
 
 /// A member as this node sees it; a copy for the host.
 #[derive(Clone, Debug, PartialEq)]
@@ -24,54 +31,86 @@
 
 /// The record of a member. Owned by the [`MemberTable`].
 pub(crate) struct Member {
-    pub(crate) update: MemberUpdate,
-    pub(crate) state_since: Duration,
+    update: MemberUpdate,
+    /// Since when the member has this state, on the clock of the events.
+    state_since: Duration,
     /// The suspicion, exactly where the state is suspect.
-    pub(crate) suspicion: Option<Suspicion>,
-    /// When it last answered a probe of this node.
-    pub(crate) last_ack: Option<Duration>,
-    /// When a message of any kind last came from it.
-    pub(crate) last_message: Option<Duration>,
-    /// Its last probe by this node failed while a relay got an answer.
-    pub(crate) is_directly_unreachable: bool,
+    suspicion: Option<Suspicion>,
+    /// What is known of the link to the member.
+    link: LinkState,
 }
 
 impl Member {
-    pub(crate) fn is_live(&self) -> bool {
-        self.update.state.is_live()
+    /// The update that holds.
+    pub(crate) fn update(&self) -> &MemberUpdate {
+        &self.update
     }
 
-    pub(crate) fn is_alive(&self) -> bool {
-        self.update.state == MemberState::Alive
+    /// The unique name of the member.
+    pub(crate) fn name(&self) -> &NodeName {
+        &self.update.node.name
     }
 
+    /// The member as the destination of a message.
     pub(crate) fn recipient(&self) -> Recipient {
         Recipient {
-            name: Some(self.update.node.name.clone()),
+            name: Some(self.name().clone()),
             address: self.update.node.address,
         }
     }
+
+    /// What is known of the link to the member.
+    pub(crate) fn link_mut(&mut self) -> &mut LinkState {
+        &mut self.link
+    }
+
+    fn is_live(&self) -> bool {
+        self.update.state.is_live()
+    }
+
+    fn record(&self, now: Duration, recent_window: Duration) -> MemberRecord {
+        let reporters = self.suspicion.iter().flat_map(Suspicion::reporters);
+        MemberRecord {
+            update: self.update.clone(),
+            state_since: self.state_since,
+            suspected_by: reporters.cloned().collect(),
+            reachability: self.link.reachability(self.is_live(), now, recent_window),
+        }
+    }
 }
 
-/// The destination of a message.
-#[derive(Clone, Debug)]
-pub(crate) struct Recipient {
-    /// The node that is expected at the address; not known of a seed.
-    pub(crate) name: Option<NodeName>,
-    pub(crate) address: SocketAddr,
+/// The bounds of what the table takes from updates.
+pub(crate) struct TableLimits {
+    /// The most records; [`Config::max_members`](crate::Config::max_members).
+    pub(crate) max_members: usize,
+    /// The most confirmations that shorten a suspicion;
+    /// [`Config::indirect_checks`](crate::Config::indirect_checks).
+    pub(crate) max_confirmations: usize,
 }
 
-/// The members that are recorded, by name, without this node itself. Owned by the membership.
+/// What an update has changed.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) enum UpdateEffect {
+    /// Nothing: it is known or out of date.
+    Ignored,
+    /// Nothing, since the table is full.
+    TableFull,
+    /// It confirms a suspicion, whose time limit is shorter now.
+    SuspicionConfirmed,
+    /// It is recorded and holds from now on.
+    Recorded {
+        /// Whether the state of the member is another than before.
+        has_state_changed: bool,
+    },
+}
+
+/// The members that are recorded, by name, without this node itself.
 #[derive(Default)]
 pub(crate) struct MemberTable {
     members: BTreeMap<NodeName, Member>,
 }
 
 impl MemberTable {
-    pub(crate) fn len(&self) -> usize {
-        self.members.len()
-    }
-
     /// All members in the order of their names.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
@@ -84,31 +123,127 @@
 
     /// The members that are alive and not suspect.
     pub(crate) fn alive(&self) -> impl Iterator<Item = &Member> {
-        self.iter().filter(|member| member.is_alive())
+        self.in_state(MemberState::Alive)
     }
 
-    pub(crate) fn live_count(&self) -> usize {
-        self.live().count()
+    /// The members in one state.
+    pub(crate) fn in_state(&self, state: MemberState) -> impl Iterator<Item = &Member> {
+        self.iter()
+            .filter(move |member| member.update.state == state)
     }
 
+    /// The members that this node does not reach directly while a relay does.
+    pub(crate) fn directly_unreachable(&self) -> impl Iterator<Item = &Member> {
+        self.iter()
+            .filter(|member| member.link.is_directly_unreachable())
+    }
+
+    /// The member of a name, where it is recorded.
     pub(crate) fn get(&self, name: &str) -> Option<&Member> {
         self.members.get(name)
     }
 
+    /// The member of a name, where it is recorded, to note what was learned of its link.
     pub(crate) fn get_mut(&mut self, name: &str) -> Option<&mut Member> {
         self.members.get_mut(name)
     }
 
+    /// The member of a name, where it is alive or suspect.
     pub(crate) fn get_live(&self, name: &str) -> Option<&Member> {
         self.get(name).filter(|member| member.is_live())
     }
 
-    pub(crate) fn insert(&mut self, member: Member) {
-        self.members.insert(member.update.node.name.clone(), member);
+    /// Copies of all records for the host.
+    pub(crate) fn records(
+        &self,
+        now: Duration,
+        recent_window: Duration,
+    ) -> impl Iterator<Item = MemberRecord> + '_ {
+        self.iter()
+            .map(move |member| member.record(now, recent_window))
+    }
+
+    /// Applies a well-formed update about another member.
+    pub(crate) fn apply(
+        &mut self,
+        update: &MemberUpdate,
+        now: Duration,
+        limits: &TableLimits,
+    ) -> UpdateEffect {
+        let is_full = self.members.len() >= limits.max_members;
+        let Some(member) = self.members.get_mut(&update.node.name) else {
+            if is_full {
+                return UpdateEffect::TableFull;
+            }
+            // An unknown member that is dead is recorded too: otherwise an older update would bring
+            // it back.
+            return self.record(update, now);
+        };
+        if overrides(update, &member.update) {
+            return self.record(update, now);
+        }
+        if precedence(update) == precedence(&member.update)
+            && let (Some(suspicion), Some(reporter)) = (&mut member.suspicion, &update.reported_by)
+            && suspicion.confirm(reporter, limits.max_confirmations)
+        {
+            return UpdateEffect::SuspicionConfirmed;
+        }
+        UpdateEffect::Ignored
+    }
+
+    fn record(&mut self, update: &MemberUpdate, now: Duration) -> UpdateEffect {
+        let previous = self.members.remove(&update.node.name);
+        let same_state = previous
+            .as_ref()
+            .filter(|member| member.update.state == update.state);
+        let has_state_changed = same_state.is_none();
+        let state_since = same_state.map_or(now, |member| member.state_since);
+        let link = previous.as_ref().map_or_else(LinkState::default, |member| {
+            let is_same_address = member.update.node.address == update.node.address;
+            member
+                .link
+                .after_update(is_same_address, update.state.is_live())
+        });
+        let is_suspect = update.state == MemberState::Suspect;
+        let suspicion = is_suspect.then(|| Suspicion::new(now, update.reported_by.as_ref()));
+        let member = Member {
+            update: update.clone(),
+            state_since,
+            suspicion,
+            link,
+        };
+        self.members.insert(update.node.name.clone(), member);
+        UpdateEffect::Recorded { has_state_changed }
+    }
+
+    /// When each of the suspicions ends, on the clock of the events.
+    pub(crate) fn suspicion_deadlines(
+        &self,
+        parameters: &SuspicionParameters,
+    ) -> impl Iterator<Item = Duration> {
+        self.suspicions(parameters).map(|(_, deadline)| deadline)
+    }
+
+    /// The updates of the members whose suspicion has ended.
+    pub(crate) fn expired_suspicions(
+        &self,
+        now: Duration,
+        parameters: &SuspicionParameters,
+    ) -> Vec<MemberUpdate> {
+        self.suspicions(parameters)
+            .filter(|(_, deadline)| now >= *deadline)
+            .map(|(member, _)| member.update.clone())
+            .collect()
     }
 
-    pub(crate) fn remove(&mut self, name: &str) -> Option<Member> {
-        self.members.remove(name)
+    fn suspicions(
+        &self,
+        parameters: &SuspicionParameters,
+    ) -> impl Iterator<Item = (&Member, Duration)> {
+        self.iter().filter_map(move |member| {
+            let suspicion = member.suspicion.as_ref()?;
+            Some((member, suspicion.deadline(parameters)))
+        })
     }
 
     /// Drops the members that have been dead or gone for `retention`.
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -1,49 +1,68 @@
-//! The state machine of the membership: its API, the dispatch of events and its timer.
+//! The state machine of the membership: its interface, the routing of events to its parts, and the
+//! deadlines that they set.
+//!
+//! Each part owns its state and decides on named inputs. `Membership` owns the parts, passes what
+//! one knows to another as a value, and turns their results into actions. `protocol.rs` has the steps
+//! of the protocol to which events and deadlines lead.
+
+mod protocol;
 
 use std::net::SocketAddr;
-use std::sync::Arc;
 use std::time::Duration;
 
+use crate::anti_entropy::PushPullSchedule;
 use crate::broadcast_queue::BroadcastQueue;
 use crate::config::{Config, ConfigError};
 use crate::event::{Action, Event};
 use crate::failure_detector::FailureDetector;
 use crate::local_health::LocalHealth;
-use crate::member_table::{MemberRecord, MemberTable, Recipient};
+use crate::local_node::LocalNode;
+use crate::member_table::{Member, MemberRecord, MemberTable};
 use crate::message::{Incarnation, MemberState, MemberUpdate, Message, MessageBody};
-use crate::node::Node;
-
-/// The shortest time for which a timer is set.
-const MIN_TIMER_DELAY: Duration = Duration::from_millis(1);
+use crate::name_conflict::is_name_in_use;
+use crate::node::{Node, Recipient};
+use crate::probe_round::ProbeRound;
+use crate::reachability::recent_window;
+use crate::relayed_probes::RelayedProbes;
+use crate::suspicion::SuspicionParameters;
+use crate::timer::{MIN_TIMER_DELAY, Timer};
 
 /// The membership of one node: its view of the other members and its own announcements.
 ///
 /// It owns all of that state. The host only holds copies, which the methods return.
 pub struct Membership {
-    pub(crate) config: Config,
-    /// What this node announces of itself. Only this node raises its incarnation.
-    pub(crate) local: MemberUpdate,
-    pub(crate) members: MemberTable,
-    pub(crate) broadcasts: BroadcastQueue,
-    pub(crate) detector: FailureDetector,
-    pub(crate) health: LocalHealth,
-    pub(crate) rng: fastrand::Rng,
+    config: Config,
+    /// What this node announces of itself.
+    local: LocalNode,
+    members: MemberTable,
+    /// Updates to be sent on other messages.
+    broadcasts: BroadcastQueue,
+    /// The order in which members are probed.
+    round: ProbeRound,
+    /// The probe of the current protocol period.
+    detector: FailureDetector,
+    /// Probes on behalf of others.
+    relayed_probes: RelayedProbes,
+    health: LocalHealth,
+    push_pull: PushPullSchedule,
+    timer: Timer,
+    /// When the next protocol period starts, on the clock of the events.
+    next_probe_at: Duration,
+    /// The source of all random choices.
+    rng: fastrand::Rng,
     /// The time of the last event; it never goes back.
-    pub(crate) now: Duration,
+    now: Duration,
     /// The actions of the events at hand, in order.
-    pub(crate) actions: Vec<Action>,
+    actions: Vec<Action>,
     /// Whether another member has sent its complete state once.
-    pub(crate) has_joined: bool,
+    has_joined: bool,
     /// Whether this node has left, or has given way to another of the same name.
-    pub(crate) is_stopped: bool,
+    is_stopped: bool,
     /// Updates that were ignored since they were malformed or there was no room.
-    pub(crate) anomalies: u64,
-    /// The timer that is set.
-    timer_at: Option<Duration>,
-    next_probe_at: Duration,
-    next_push_pull_at: Duration,
+    anomalies: u64,
 }
 
+/// The interface to the host.
 impl Membership {
     /// Creates the membership of a node that knows no other yet. `seed` determines all its random
     /// choices.
@@ -60,29 +79,23 @@
     ) -> Result<Self, ConfigError> {
         config.validate()?;
         node.validate()?;
-        let local = MemberUpdate {
-            node,
-            incarnation,
-            state: MemberState::Alive,
-            reported_by: None,
-            metadata: Arc::default(),
-            unreachable_peers: Arc::default(),
-        };
         Ok(Membership {
-            local,
+            local: LocalNode::new(node, incarnation),
             members: MemberTable::default(),
             broadcasts: BroadcastQueue::default(),
+            round: ProbeRound::default(),
             detector: FailureDetector::default(),
+            relayed_probes: RelayedProbes::default(),
             health: LocalHealth::new(config.max_awareness),
+            push_pull: PushPullSchedule::default(),
+            timer: Timer::default(),
+            next_probe_at: Duration::ZERO,
             rng: fastrand::Rng::with_seed(seed),
             now: Duration::ZERO,
             actions: Vec::new(),
             has_joined: false,
             is_stopped: false,
             anomalies: 0,
-            timer_at: None,
-            next_probe_at: Duration::ZERO,
-            next_push_pull_at: Duration::ZERO,
             config,
         })
     }
@@ -96,38 +109,26 @@
             if self.is_stopped {
                 break;
             }
-            match event {
-                Event::Started => self.start(),
-                Event::Received { from, message } => self.handle_message(*from, message),
-                Event::TimerExpired => self.handle_timer(),
-                Event::Leave => self.leave(),
-                Event::SetMetadata { key, value } => self.set_metadata(key, value.as_deref()),
-            }
+            self.handle_event(event);
         }
         std::mem::take(&mut self.actions)
     }
 
     /// The other members that are recorded, dead ones included, in the order of their names.
     pub fn members(&self) -> impl Iterator<Item = MemberRecord> + '_ {
-        let recent_window = self.recent_window();
-        self.members.iter().map(move |member| MemberRecord {
-            update: member.update.clone(),
-            state_since: member.state_since,
-            suspected_by: (member.suspicion.iter())
-                .flat_map(|suspicion| suspicion.reporters().cloned())
-                .collect(),
-            reachability: member.reachability(self.now, recent_window),
-        })
+        let alive_members = self.members.alive().count();
+        let recent_window = recent_window(self.config.probe_interval, alive_members);
+        self.members.records(self.now, recent_window)
     }
 
     /// The state of another member, where it is recorded.
     pub fn state(&self, name: &str) -> Option<MemberState> {
-        self.members.get(name).map(|member| member.update.state)
+        self.members.get(name).map(|member| member.update().state)
     }
 
     /// What this node announces of itself.
     pub fn local(&self) -> &MemberUpdate {
-        &self.local
+        self.local.update()
     }
 
     /// The score of the local health: 0 is healthy, [`Config::max_awareness`] the worst. All
@@ -141,37 +142,59 @@
     pub fn anomalies(&self) -> u64 {
         self.anomalies
     }
+}
+
+/// The routing of events and messages.
+impl Membership {
+    fn handle_event(&mut self, event: &Event) {
+        match event {
+            Event::Started => self.start(),
+            Event::Received { from, message } => self.handle_message(*from, message),
+            Event::TimerExpired => self.handle_timer(),
+            Event::SetMetadata { key, value } => self.set_metadata(key, value.as_deref()),
+            Event::Leave => self.leave(),
+        }
+    }
 
     fn start(&mut self) {
-        self.broadcasts.push(self.local.clone());
+        self.broadcast_local_update();
         // Nodes that are started together do not probe at the same time.
         self.next_probe_at = self.now + self.config.probe_interval.mul_f64(self.rng.f64());
-        self.next_push_pull_at = self.next_probe_at;
-        self.schedule_timer(self.next_probe_at);
+        self.push_pull.start_at(self.next_probe_at);
+        self.set_timer(self.next_probe_at);
+    }
+
+    fn set_metadata(&mut self, key: &str, value: Option<&str>) {
+        match self.local.set_metadata(key, value) {
+            Ok(true) => self.broadcast_local_update(),
+            Ok(false) => {}
+            Err(error) => self.actions.push(Action::MetadataRejected { error }),
+        }
     }
 
     fn leave(&mut self) {
-        self.local.state = MemberState::Left;
-        self.broadcasts.push(self.local.clone());
-        let recipients: Vec<Recipient> = self
-            .members
-            .live()
-            .map(|member| member.recipient())
-            .collect();
+        self.local.leave();
+        self.broadcast_local_update();
+        let recipients: Vec<Recipient> = self.members.live().map(Member::recipient).collect();
         for recipient in recipients {
-            self.send_update(&recipient, self.local.clone());
+            self.send_update(&recipient, self.local.update().clone());
         }
         self.is_stopped = true;
     }
 
+    fn stop_for_name_conflict(&mut self, address: SocketAddr) {
+        self.is_stopped = true;
+        self.actions.push(Action::NameConflict { address });
+    }
+
     fn handle_message(&mut self, from: SocketAddr, message: &Message) {
-        if message.from == self.local.node.name {
+        if message.from == *self.local.name() {
             return self.handle_message_under_own_name(message);
         }
         match message.body {
             MessageBody::NameConflict if self.has_joined => return,
             MessageBody::NameConflict => return self.stop_for_name_conflict(from),
-            MessageBody::Join if self.is_name_in_use(message) => {
+            MessageBody::Join if self.is_sender_name_in_use(message) => {
                 let sender = Recipient {
                     name: Some(message.from.clone()),
                     address: from,
@@ -185,7 +208,7 @@
             return;
         }
         if let Some(member) = self.members.get_mut(&message.from) {
-            member.last_message = Some(self.now);
+            member.link_mut().record_message(self.now);
         }
         self.handle_body(from, message);
     }
@@ -194,34 +217,36 @@
     /// address in the update tells.
     fn handle_message_under_own_name(&mut self, message: &Message) {
         for update in &message.updates {
-            let is_about_self = update.node.name == self.local.node.name;
-            if is_about_self && update.node.address != self.local.node.address {
+            let own = &self.local.update().node;
+            if update.node.name == own.name && update.node.address != own.address {
                 self.apply_update_about_self(update);
             }
         }
     }
 
+    fn is_sender_name_in_use(&self, message: &Message) -> bool {
+        let member = self.members.get_live(&message.from);
+        member.is_some_and(|member| {
+            let address = member.update().node.address;
+            is_name_in_use(address, &message.from, &message.updates)
+        })
+    }
+
     fn handle_body(&mut self, from: SocketAddr, message: &Message) {
         // Another node may have had this address before.
-        let is_recipient = message
-            .to
-            .as_ref()
-            .is_none_or(|to| *to == self.local.node.name);
+        let recipient = message.to.as_ref();
+        let is_recipient = recipient.is_none_or(|to| to == self.local.name());
         let sender = Recipient {
             name: Some(message.from.clone()),
             address: from,
         };
         match &message.body {
             MessageBody::Ping { sequence_number } if is_recipient => {
-                self.send(
-                    &sender,
-                    MessageBody::Ack {
-                        sequence_number: *sequence_number,
-                    },
-                );
+                let sequence_number = *sequence_number;
+                self.send(&sender, MessageBody::Ack { sequence_number });
             }
             MessageBody::Ack { sequence_number } => {
-                self.handle_ack(&message.from, *sequence_number)
+                self.handle_ack(&message.from, *sequence_number);
             }
             MessageBody::IndirectPing {
                 sequence_number,
@@ -232,29 +257,19 @@
                     name: Some(target.clone()),
                     address: *address,
                 };
-                self.handle_indirect_ping(sender, *sequence_number, target);
+                self.handle_indirect_ping(sender, *sequence_number, &target);
             }
             MessageBody::IndirectPingResult {
                 sequence_number,
                 outcome,
-            } => {
-                self.handle_indirect_ping_result(*sequence_number, *outcome);
-            }
-            MessageBody::Join => self.send(
-                &sender,
-                MessageBody::PushPull {
-                    reply_requested: false,
-                },
-            ),
+            } => self
+                .detector
+                .record_relay_report(*sequence_number, *outcome),
+            MessageBody::Join => self.send_push_pull(&sender, false),
             MessageBody::PushPull { reply_requested } if is_recipient => {
                 self.has_joined = true;
                 if *reply_requested {
-                    self.send(
-                        &sender,
-                        MessageBody::PushPull {
-                            reply_requested: false,
-                        },
-                    );
+                    self.send_push_pull(&sender, false);
                 }
             }
             // Meant for another node, or handled before the updates.
@@ -264,36 +279,21 @@
             | MessageBody::NameConflict => {}
         }
     }
+}
 
-    /// Whether a node wants to join under the name of a live member at another address.
-    fn is_name_in_use(&self, message: &Message) -> bool {
-        self.members.get_live(&message.from).is_some_and(|member| {
-            let mut own_updates = message
-                .updates
-                .iter()
-                .filter(|update| update.node.name == message.from);
-            own_updates.any(|update| update.node.address != member.update.node.address)
-        })
-    }
-
-    pub(crate) fn stop_for_name_conflict(&mut self, address: SocketAddr) {
-        self.is_stopped = true;
-        self.actions.push(Action::NameConflict { address });
-    }
-
+/// What is due at a time.
+impl Membership {
     fn handle_timer(&mut self) {
-        // The event of a timer that an earlier one has replaced.
-        if self.timer_at.is_some_and(|at| self.now < at) {
+        if !self.timer.expire(self.now) {
             return;
         }
-        self.timer_at = None;
         self.expire_relayed_probes();
         self.send_indirect_pings_when_due();
         self.expire_suspicions();
         if self.now >= self.next_probe_at {
             self.start_protocol_period();
         }
-        self.schedule_timer(self.next_deadline());
+        self.set_timer(self.next_deadline());
     }
 
     fn start_protocol_period(&mut self) {
@@ -302,29 +302,46 @@
             .remove_expired(self.now, self.config.dead_member_retention);
         self.next_probe_at = self.now + self.health.scale(self.config.probe_interval);
         self.start_probe();
-        if self.now >= self.next_push_pull_at || !self.has_joined {
-            let jitter = 0.75 + self.rng.f64() / 2.0;
-            self.next_push_pull_at = self.now + self.config.push_pull_interval.mul_f64(jitter);
+        if self.push_pull.is_due(self.now, self.has_joined) {
+            let interval = self.config.push_pull_interval;
+            self.push_pull.plan_next(self.now, interval, &mut self.rng);
             self.exchange_state();
         }
     }
 
-    /// Sets a timer, unless one is due by then. Every timer that expires sets the next one, so a
-    /// second one beside it would go on for ever.
-    pub(crate) fn schedule_timer(&mut self, at: Duration) {
-        if self.timer_at.is_none_or(|due| at < due) {
-            self.timer_at = Some(at);
+    fn set_timer(&mut self, at: Duration) {
+        if self.timer.set(at) {
             self.actions.push(Action::SetTimer { at });
         }
     }
 
     /// When the timer has to expire next.
-    pub(crate) fn next_deadline(&self) -> Duration {
-        let deadlines = (self.direct_probe_deadline().into_iter())
-            .chain(self.suspicion_deadlines())
-            .chain(self.relayed_probe_deadlines());
+    fn next_deadline(&self) -> Duration {
+        let suspicion_parameters = self.suspicion_parameters();
+        let deadlines = (self
+            .detector
+            .direct_deadline(self.probe_timeout())
+            .into_iter())
+        .chain(self.members.suspicion_deadlines(&suspicion_parameters))
+        .chain(self.relayed_probes.deadlines());
         deadlines
             .fold(self.next_probe_at, Duration::min)
             .max(self.now + MIN_TIMER_DELAY)
     }
+
+    /// How long this node waits for a direct answer.
+    fn probe_timeout(&self) -> Duration {
+        self.health.scale(self.config.probe_timeout)
+    }
+
+    fn suspicion_parameters(&self) -> SuspicionParameters {
+        SuspicionParameters {
+            probe_interval: self.config.probe_interval,
+            suspicion_mult: self.config.suspicion_mult,
+            max_timeout_mult: self.config.suspicion_max_timeout_mult,
+            max_confirmations: self.config.indirect_checks,
+            live_members: self.members.live().count(),
+            time_factor: self.health.time_factor(),
+        }
+    }
 }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -76,14 +76,6 @@
     pub unreachable_peers: Arc<BTreeSet<NodeName>>,
 }
 
-impl MemberUpdate {
-    /// The greater one overrides the other: the higher incarnation, and at the same incarnation the
-    /// worse state.
-    pub(crate) fn precedence(&self) -> (Incarnation, MemberState) {
-        (self.incarnation, self.state)
-    }
-}
-
 /// What a relay reports of a probe that it sent on behalf of another node. The negative answer is
 /// Lifeguard's: a relay that reports it is reachable itself, so the failed probe speaks against the
 /// target and not against the prober.
--- a/crates/membership/src/metadata.rs
+++ b/crates/membership/src/metadata.rs
@@ -1,10 +1,10 @@
 //! The metadata of a node: a few short key-value pairs that are disseminated to every other member.
+//!
+//! **Decision**: whether an entry that the host sets is published. An entry out of bounds is
+//! rejected whole and the metadata stays as it was. The bounds guard against messages that grow
+//! without limit: push-pull carries the metadata of every member.
 
 use std::collections::BTreeMap;
-use std::sync::Arc;
-
-use crate::event::Action;
-use crate::membership::Membership;
 
 /// The most entries that a node may publish.
 pub const MAX_METADATA_ENTRIES: usize = 8;
@@ -37,22 +37,12 @@
     },
 }
 
-impl Membership {
-    /// Sets an entry, or removes it where there is no value, and announces the change under a new
-    /// incarnation.
-    pub(crate) fn set_metadata(&mut self, key: &str, value: Option<&str>) {
-        match changed_metadata(&self.local.metadata, key, value) {
-            Err(error) => self.actions.push(Action::MetadataRejected { error }),
-            Ok(metadata) if metadata == *self.local.metadata => {}
-            Ok(metadata) => {
-                self.local.metadata = Arc::new(metadata);
-                self.announce_local_update(self.local.incarnation);
-            }
-        }
-    }
-}
-
-fn changed_metadata(
+/// The metadata after one entry is set, or removed where there is no value.
+///
+/// # Errors
+///
+/// [`MetadataError`] where the key or the value is out of bounds or an entry is one too many.
+pub(crate) fn with_entry(
     current: &Metadata,
     key: &str,
     value: Option<&str>,
@@ -60,10 +50,8 @@
     if key.is_empty() {
         return Err(MetadataError::EmptyKey);
     }
-    if [key, value.unwrap_or_default()]
-        .iter()
-        .any(|text| text.len() > MAX_METADATA_TEXT_BYTES)
-    {
+    let is_too_long = |text: &str| text.len() > MAX_METADATA_TEXT_BYTES;
+    if is_too_long(key) || value.is_some_and(is_too_long) {
         return Err(MetadataError::TooLong {
             key: key.chars().take(MAX_METADATA_TEXT_BYTES).collect(),
         });
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -31,6 +31,15 @@
     pub version: u16,
 }
 
+/// The destination of a message.
+#[derive(Clone, Debug)]
+pub(crate) struct Recipient {
+    /// The node that is expected at the address; `None` for a seed, whose name is not known yet.
+    pub(crate) name: Option<NodeName>,
+    /// Where the message goes.
+    pub(crate) address: SocketAddr,
+}
+
 /// Whether the length of a name is within bounds.
 pub(crate) fn is_valid_name(name: &str) -> bool {
     (1..=MAX_NAME_BYTES).contains(&name.len())
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,26 +1,82 @@
 //! Suspicion: a member that failed a probe is suspect, and dead when the suspicion ends without a
 //! refutation.
 //!
-//! The time limit shrinks with each member that confirms the suspicion (Lifeguard's LHA-Suspicion):
-//! a suspicion that one member alone raises may be that member's own fault.
+//! **Decision**: how long a suspicion stands, and which confirmations shorten it.
+//!
+//! **When it binds**: from the first update that calls a member suspect until an update overrides
+//! it. The time limit is the longest while one member alone suspects, and shrinks with each one
+//! that confirms, down to the shortest.
+//!
+//! **Failure it guards against**: a suspicion that one member alone raises may be that member's own
+//! fault (it is slow or its links are). With a short limit for all suspicions, such a member
+//! declares healthy ones dead; with a long one, a crash is noticed late.
+//!
+//! **Why it holds**: members that probe independently confirm a crash soon, and none of them
+//! confirms a suspicion that the fault of the first one has caused.
+//!
+//! **Price**: a crash that few can confirm is noticed up to `suspicion_max_timeout_mult` times as
+//! late.
+//!
+//! Source: Dadgar, Phillips, Currey: "Lifeguard", 2017 (Local Health Aware Suspicion); SWIM,
+//! section 4.2 (the suspicion itself).
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::config::Config;
-use crate::member_table::Member;
-use crate::membership::Membership;
-use crate::message::{MemberState, MemberUpdate};
 use crate::node::NodeName;
 
-/// A suspicion against one member. Owned by the record of that member.
+/// The least factor by which the number of members lengthens a suspicion: up to ten nodes the limit
+/// is the same.
+const MIN_SIZE_FACTOR: f64 = 1.0;
+
+/// The least number of nodes for which the limit is computed.
+const MIN_CLUSTER_SIZE: usize = 2;
+
+/// What the time limit of every suspicion of a node depends on.
+pub(crate) struct SuspicionParameters {
+    /// The protocol period; [`Config::probe_interval`](crate::Config::probe_interval).
+    pub(crate) probe_interval: Duration,
+    /// The shortest limit in probe intervals, before it is scaled with the number of nodes;
+    /// [`Config::suspicion_mult`](crate::Config::suspicion_mult).
+    pub(crate) suspicion_mult: f64,
+    /// The longest limit in multiples of the shortest;
+    /// [`Config::suspicion_max_timeout_mult`](crate::Config::suspicion_max_timeout_mult).
+    pub(crate) max_timeout_mult: f64,
+    /// How many confirmations bring the limit down to the shortest, where the cluster has as many
+    /// members; [`Config::indirect_checks`](crate::Config::indirect_checks).
+    pub(crate) max_confirmations: usize,
+    /// The number of members other than this node that are alive or suspect.
+    pub(crate) live_members: usize,
+    /// The factor by which the local health of this node stretches the limit.
+    pub(crate) time_factor: u32,
+}
+
+impl SuspicionParameters {
+    /// The limit with all confirmations, before it is stretched by the local health.
+    fn min_timeout(&self) -> Duration {
+        let cluster_size = (self.live_members + 1).max(MIN_CLUSTER_SIZE);
+        let size_factor = (cluster_size as f64).log10().max(MIN_SIZE_FACTOR);
+        self.probe_interval
+            .mul_f64(self.suspicion_mult * size_factor)
+    }
+
+    /// How many confirmations can be expected: neither the suspect nor the first reporter confirms.
+    fn expected_confirmations(&self) -> usize {
+        let other_members = self.live_members.saturating_sub(1);
+        self.max_confirmations.min(other_members).max(1)
+    }
+}
+
+/// A suspicion against one member.
 pub(crate) struct Suspicion {
+    /// When it was raised, on the clock of the events.
     since: Duration,
     /// The members that raised or confirmed it.
     reporters: BTreeSet<NodeName>,
 }
 
 impl Suspicion {
+    /// A suspicion raised now.
     pub(crate) fn new(now: Duration, reported_by: Option<&NodeName>) -> Self {
         Suspicion {
             since: now,
@@ -28,6 +84,7 @@
         }
     }
 
+    /// The members that raised or confirmed it, in the order of their names.
     pub(crate) fn reporters(&self) -> impl Iterator<Item = &NodeName> {
         self.reporters.iter()
     }
@@ -38,14 +95,16 @@
         self.reporters.len() <= max_confirmations && self.reporters.insert(reporter.clone())
     }
 
-    /// How long the suspicion stands, before it is scaled by the local health.
-    fn timeout(&self, config: &Config, live_members: usize) -> Duration {
-        let shortest = min_suspicion_timeout(config, live_members + 1);
-        let longest = shortest.mul_f64(config.suspicion_max_timeout_mult);
-        let expected_confirmations = config
-            .indirect_checks
-            .min(live_members.saturating_sub(1))
-            .max(1) as f64;
+    /// When the suspicion ends, on the clock of the events.
+    pub(crate) fn deadline(&self, parameters: &SuspicionParameters) -> Duration {
+        self.since + self.timeout(parameters) * parameters.time_factor
+    }
+
+    /// How long the suspicion stands, before it is stretched by the local health.
+    fn timeout(&self, parameters: &SuspicionParameters) -> Duration {
+        let shortest = parameters.min_timeout();
+        let longest = shortest.mul_f64(parameters.max_timeout_mult);
+        let expected_confirmations = parameters.expected_confirmations() as f64;
         let confirmations = (self.reporters.len() - 1) as f64;
         let confirmed_fraction =
             ((confirmations + 1.0).ln() / (expected_confirmations + 1.0).ln()).min(1.0);
@@ -54,43 +113,3 @@
             .max(shortest)
     }
 }
-
-fn min_suspicion_timeout(config: &Config, cluster_size: usize) -> Duration {
-    let scale = (cluster_size.max(2) as f64).log10().max(1.0);
-    config.probe_interval.mul_f64(config.suspicion_mult * scale)
-}
-
-impl Membership {
-    /// The suspect members, and when the suspicion of each ends.
-    fn suspicions(&self) -> impl Iterator<Item = (&Member, Duration)> {
-        let live_members = self.members.live_count();
-        self.members.iter().filter_map(move |member| {
-            let suspicion = member.suspicion.as_ref()?;
-            let timeout = suspicion.timeout(&self.config, live_members);
-            Some((member, suspicion.since + self.health.scale(timeout)))
-        })
-    }
-
-    /// When each of the suspicions ends.
-    pub(crate) fn suspicion_deadlines(&self) -> impl Iterator<Item = Duration> {
-        self.suspicions().map(|(_, deadline)| deadline)
-    }
-
-    /// Declares the members dead whose suspicion has ended.
-    pub(crate) fn expire_suspicions(&mut self) {
-        let is_over = |(_, deadline): &(&Member, Duration)| self.now >= *deadline;
-        let expired: Vec<MemberUpdate> = self
-            .suspicions()
-            .filter(is_over)
-            .map(|(member, _)| member.update.clone())
-            .collect();
-        for update in expired {
-            let reported_by = Some(self.local.node.name.clone());
-            self.apply_update(&MemberUpdate {
-                state: MemberState::Dead,
-                reported_by,
-                ..update
-            });
-        }
-    }
-}
