--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -67,6 +67,8 @@
 mod refutation;
 mod relayed_probes;
 mod suspicion;
+#[cfg(test)]
+mod tests;
 mod timer;
 mod update_precedence;
 
