--- a/crates/membership/src/dependency_probe.rs
+++ b/crates/membership/src/dependency_probe.rs
@@ -1,26 +1,44 @@
 //! Probing of a dependency that all processes of a zone share, such as a store: one process finds
 //! out that it is down and tells the others.
 //!
-//! A process whose calls are refused wants the lease on probing. The lease holder alone probes, and
-//! publishes a verdict while the dependency does not answer; the others fail their calls at once
-//! instead of making them. The holder renews its verdict, and one that is not renewed expires after
-//! [`VERDICT_TTL`]: a prober that died blocks no calls for longer. Like the membership, this is a
-//! state machine without I/O and without a clock.
+//! **Decision**: which process probes (by a lease), when it publishes that the dependency is down,
+//! and whether a process fails its calls without making them.
+//!
+//! **When it binds**: a process whose calls are refused several times in a row wants the lease on
+//! probing. The lease holder alone probes, and publishes a verdict while the dependency does not
+//! answer. The other processes fail their calls while they see a verdict that has not expired.
+//!
+//! **Failure it guards against**: every process keeps calling a dependency that is down. That shows
+//! as requests that spend their time on calls which all fail, and as a load of calls on a dependency
+//! that is about to recover.
+//!
+//! **Why it holds**: the lease has one holder at a time. The holder renews its verdict, and one
+//! that is not renewed expires after [`VERDICT_TTL`], so that a prober that died blocks no calls
+//! for longer.
+//!
+//! **Price**: calls fail for up to a probe interval and the time of dissemination after the
+//! dependency has recovered.
+//!
+//! Like the membership, this is a state machine without I/O and without a clock.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::node::NodeName;
 
-/// The number of calls refused in a row after which a process suspects the dependency to be down.
+/// After how many calls refused in a row a process suspects the dependency to be down.
 pub const SUSPECT_AFTER_REFUSALS: u32 = 3;
-/// The number of probes failed in a row after which the lease holder publishes a verdict.
+
+/// After how many probes failed in a row the lease holder publishes a verdict.
 pub const DOWN_AFTER_FAILURES: u32 = 2;
+
 /// The time between two probes.
 pub const PROBE_INTERVAL: Duration = Duration::from_millis(500);
+
 /// The time between two renewals of a verdict.
 pub const VERDICT_RENEWAL_INTERVAL: Duration = Duration::from_secs(2);
-/// How long a verdict of another process holds without being renewed.
+
+/// How long a verdict of another process holds without being renewed: two renewals may be missed.
 pub const VERDICT_TTL: Duration = Duration::from_secs(6);
 
 /// A verdict that a live member of the zone has published in its metadata.
@@ -80,112 +98,132 @@
 #[derive(Debug)]
 struct ObservedVerdict {
     text: String,
+    /// On the clock of the process that observes it.
     since: Duration,
 }
 
+/// The verdicts of the other live members of the zone.
+#[derive(Debug, Default)]
+struct ObservedVerdicts {
+    by_member: BTreeMap<NodeName, ObservedVerdict>,
+}
+
+impl ObservedVerdicts {
+    /// Takes the verdicts that are published now; one whose text has changed was renewed.
+    fn observe(&mut self, now: Duration, verdicts: &[Verdict]) {
+        self.by_member
+            .retain(|name, _| verdicts.iter().any(|verdict| verdict.member == *name));
+        for Verdict { member, text } in verdicts {
+            let observed = self.by_member.get(member);
+            if observed.is_some_and(|observed| observed.text == *text) {
+                continue;
+            }
+            let observed = ObservedVerdict {
+                text: text.clone(),
+                since: now,
+            };
+            self.by_member.insert(member.clone(), observed);
+        }
+    }
+
+    /// Whether a verdict holds.
+    fn is_down(&self, now: Duration) -> bool {
+        self.by_member
+            .values()
+            .any(|observed| now.saturating_sub(observed.since) <= VERDICT_TTL)
+    }
+}
+
+/// The verdict of this process.
+#[derive(Debug, Default)]
+struct OwnVerdict {
+    /// The number of the last one that was published. It makes each text another.
+    number: u64,
+    /// When it was last published; `None` where there is none.
+    published_at: Option<Duration>,
+}
+
+impl OwnVerdict {
+    /// Publishes a verdict or renews it, where that is due.
+    fn renew(&mut self, now: Duration) -> Option<VerdictChange> {
+        let is_due = self
+            .published_at
+            .is_none_or(|at| now.saturating_sub(at) >= VERDICT_RENEWAL_INTERVAL);
+        if !is_due {
+            return None;
+        }
+        self.number += 1;
+        self.published_at = Some(now);
+        Some(VerdictChange::Publish(format!("down {}", self.number)))
+    }
+
+    /// Removes the verdict, where there is one.
+    fn withdraw(&mut self) -> Option<VerdictChange> {
+        self.published_at.take().map(|_| VerdictChange::Withdraw)
+    }
+}
+
 /// The state of one process for one dependency. It owns the process's own verdict and its memory of
 /// those of others.
 #[derive(Debug, Default)]
 pub struct DependencyProber {
+    /// The number of probes failed in a row, while this process has the lease.
     consecutive_failures: u32,
+    /// When the next probe is due, on the clock of the inputs.
     next_probe_at: Duration,
-    /// The number of the last verdict that was published.
-    verdict_number: u64,
-    /// When the verdict was last published; nothing where there is none.
-    published_at: Option<Duration>,
-    observed: BTreeMap<NodeName, ObservedVerdict>,
+    own_verdict: OwnVerdict,
+    observed: ObservedVerdicts,
 }
 
 impl DependencyProber {
     /// Takes what is known at `now` and returns what follows. To be called several times in a
     /// [`PROBE_INTERVAL`].
     pub fn update(&mut self, now: Duration, input: &Input) -> Output {
-        self.observe_verdicts(now, input.verdicts);
-        if input.has_lease {
-            self.update_as_prober(now, input.probe_outcome)
-        } else {
-            self.update_without_lease(now, input.consecutive_refusals)
+        self.observed.observe(now, input.verdicts);
+        if !input.has_lease {
+            return self.update_without_lease(now, input.consecutive_refusals);
         }
-    }
-
-    fn observe_verdicts(&mut self, now: Duration, verdicts: &[Verdict]) {
-        self.observed
-            .retain(|name, _| verdicts.iter().any(|verdict| verdict.member == *name));
-        for Verdict { member, text } in verdicts {
-            let is_known = self
-                .observed
-                .get(member)
-                .is_some_and(|observed| observed.text == *text);
-            if !is_known {
-                self.observed.insert(
-                    member.clone(),
-                    ObservedVerdict {
-                        text: text.clone(),
-                        since: now,
-                    },
-                );
-            }
+        if input.probe_outcome == Some(ProbeOutcome::Succeeded) {
+            return self.finish_probing();
         }
+        let has_failed = input.probe_outcome == Some(ProbeOutcome::Failed);
+        self.update_as_prober(now, has_failed)
     }
 
     fn update_without_lease(&mut self, now: Duration, consecutive_refusals: u32) -> Output {
         self.consecutive_failures = 0;
-        let is_down = self
-            .observed
-            .values()
-            .any(|observed| now.saturating_sub(observed.since) <= VERDICT_TTL);
+        let is_down = self.observed.is_down(now);
         Output {
             should_have_lease: consecutive_refusals >= SUSPECT_AFTER_REFUSALS && !is_down,
             should_probe: false,
-            verdict_change: self.withdraw_verdict(),
+            verdict_change: self.own_verdict.withdraw(),
             is_down,
         }
     }
 
-    fn update_as_prober(&mut self, now: Duration, probe_outcome: Option<ProbeOutcome>) -> Output {
-        match probe_outcome {
-            Some(ProbeOutcome::Succeeded) => {
-                self.consecutive_failures = 0;
-                return Output {
-                    verdict_change: self.withdraw_verdict(),
-                    ..Output::default()
-                };
-            }
-            Some(ProbeOutcome::Failed) => {
-                self.consecutive_failures = self.consecutive_failures.saturating_add(1);
-            }
-            None => {}
+    /// The dependency has answered: the lease and the verdict go.
+    fn finish_probing(&mut self) -> Output {
+        self.consecutive_failures = 0;
+        Output {
+            verdict_change: self.own_verdict.withdraw(),
+            ..Output::default()
         }
-        let verdict_change = self.renew_verdict(now);
+    }
+
+    fn update_as_prober(&mut self, now: Duration, has_failed: bool) -> Output {
+        let failures = u32::from(has_failed);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(failures);
+        let is_known_down = self.consecutive_failures >= DOWN_AFTER_FAILURES;
+        let verdict_change = is_known_down.then(|| self.own_verdict.renew(now)).flatten();
         let should_probe = now >= self.next_probe_at;
         if should_probe {
             self.next_probe_at = now + PROBE_INTERVAL;
         }
-        let is_down = self.published_at.is_some();
         Output {
             should_have_lease: true,
             should_probe,
             verdict_change,
-            is_down,
+            is_down: self.own_verdict.published_at.is_some(),
         }
     }
-
-    fn renew_verdict(&mut self, now: Duration) -> Option<VerdictChange> {
-        let is_due = self
-            .published_at
-            .is_none_or(|at| now.saturating_sub(at) >= VERDICT_RENEWAL_INTERVAL);
-        if self.consecutive_failures < DOWN_AFTER_FAILURES || !is_due {
-            return None;
-        }
-        self.verdict_number += 1;
-        self.published_at = Some(now);
-        Some(VerdictChange::Publish(format!(
-            "down {}",
-            self.verdict_number
-        )))
-    }
-
-    fn withdraw_verdict(&mut self) -> Option<VerdictChange> {
-        self.published_at.take().map(|_| VerdictChange::Withdraw)
-    }
 }
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -318,12 +318,10 @@
     /// When the timer has to expire next.
     fn next_deadline(&self) -> Duration {
         let suspicion_parameters = self.suspicion_parameters();
-        let deadlines = (self
-            .detector
-            .direct_deadline(self.probe_timeout())
-            .into_iter())
-        .chain(self.members.suspicion_deadlines(&suspicion_parameters))
-        .chain(self.relayed_probes.deadlines());
+        let probe = self.detector.direct_deadline(self.probe_timeout());
+        let suspicions = self.members.suspicion_deadlines(&suspicion_parameters);
+        let relayed_probes = self.relayed_probes.deadlines();
+        let deadlines = probe.into_iter().chain(suspicions).chain(relayed_probes);
         deadlines
             .fold(self.next_probe_at, Duration::min)
             .max(self.now + MIN_TIMER_DELAY)
--- a/crates/membership/tests/dependency_probe.rs
+++ b/crates/membership/tests/dependency_probe.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use tulipgap_membership::dependency_probe::{
-    DependencyProber, Input, Output, ProbeOutcome, SUSPECT_AFTER_REFUSALS, VERDICT_TTL, Verdict,
-    VerdictChange,
+    DOWN_AFTER_FAILURES, DependencyProber, Input, Output, PROBE_INTERVAL, ProbeOutcome,
+    SUSPECT_AFTER_REFUSALS, VERDICT_RENEWAL_INTERVAL, VERDICT_TTL, Verdict, VerdictChange,
 };
 
 fn ms(ms: u64) -> Duration {
@@ -141,3 +141,50 @@
         (Some(VerdictChange::Withdraw), false)
     );
 }
+
+#[test]
+fn process_wants_the_lease_from_the_threshold_of_refusals_on() {
+    for refusals in 0..=SUSPECT_AFTER_REFUSALS + 1 {
+        let input = Input {
+            consecutive_refusals: refusals,
+            ..Input::default()
+        };
+        let output = DependencyProber::default().update(ms(0), &input);
+        let wants_lease = refusals >= SUSPECT_AFTER_REFUSALS;
+        assert_eq!(output.should_have_lease, wants_lease, "{refusals} refusals");
+    }
+}
+
+#[test]
+fn verdict_is_published_after_the_threshold_of_failures_and_renewed_at_its_interval() {
+    let mut prober = DependencyProber::default();
+    let failed = Input {
+        has_lease: true,
+        probe_outcome: Some(ProbeOutcome::Failed),
+        ..Input::default()
+    };
+    for _ in 1..DOWN_AFTER_FAILURES {
+        let output = prober.update(ms(0), &failed);
+        assert_eq!((output.verdict_change, output.is_down), (None, false));
+    }
+    let output = prober.update(ms(0), &failed);
+    assert_eq!(output.verdict_change, Some(published("down 1")));
+    assert!(output.is_down);
+    let early = prober.update(VERDICT_RENEWAL_INTERVAL - ms(1), &failed);
+    assert_eq!(early.verdict_change, None);
+    let due = prober.update(VERDICT_RENEWAL_INTERVAL, &failed);
+    assert_eq!(due.verdict_change, Some(published("down 2")));
+}
+
+#[test]
+fn lease_holder_probes_once_in_each_interval() {
+    let mut prober = DependencyProber::default();
+    let holding = Input {
+        has_lease: true,
+        ..Input::default()
+    };
+    let mut probes_at = |now| prober.update(now, &holding).should_probe;
+    assert!(probes_at(ms(0)));
+    assert!(!probes_at(PROBE_INTERVAL - ms(1)));
+    assert!(probes_at(PROBE_INTERVAL));
+}
