--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -52,17 +52,25 @@
 mod broadcast_queue;
 mod config;
 pub mod dependency_probe;
-mod dissemination;
 mod event;
 mod failure_detector;
 mod local_health;
+mod local_node;
 mod member_table;
 mod membership;
 mod message;
 mod metadata;
+mod name_conflict;
 mod node;
+mod probe_round;
 mod reachability;
+mod refutation;
+mod relayed_probes;
 mod suspicion;
+#[cfg(test)]
+mod tests;
+mod timer;
+mod update_precedence;
 
 pub use config::{Config, ConfigError};
 pub use event::{Action, Event};
