--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -8,6 +8,8 @@
 mod raft_messages;
 mod ready;
 mod snapshot;
+#[cfg(test)]
+mod tests;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
