--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -1,58 +1,35 @@
-//! Bootstrap: how the initial voters find each other. Each is known by an id that was drawn when
-//! its directory was created, not by its name: a directory that was emptied draws another id, and
-//! whoever has it is no voter. Once a voter knows the ids of all, it promises them, once and for
-//! all; when all have promised the same ids, those are the voters.
+//! Bootstrap: which voters are the initial ones. It is decided once, while a voter has no log.
+//!
+//! Each is known by an id that was drawn when its directory was created, not by its name: a
+//! directory that was emptied draws another id, and whoever has it is no voter. Once a voter knows
+//! the ids of all, it promises them, once and for all; when all have promised the same ids, those
+//! are the voters.
+//!
+//! The failure it guards against: a directory is emptied during the bootstrap, and two sets of
+//! voters form that share a name, each with a majority of its own, so a lease is granted twice. It
+//! would show as two leaders in one term. A promise is durable before it is sent and never changed,
+//! and a set needs the promise of every member, so two sets can't both be complete. The price: an
+//! emptied directory leaves the bootstrap incomplete, and an operator must empty all.
 
 use std::collections::BTreeMap;
 
-use serde::{Deserialize, Serialize};
 use tulipgap_leases::Name;
 
-use crate::error::LoadError;
+use crate::identity::Identity;
 use crate::peer_message::{BootstrapStage, VoterId};
 
 #[cfg(test)]
 mod tests;
 
-/// What a voter's directory stores of the voter itself. It is durable before anything is sent.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Identity {
-    pub(crate) name: Name,
+/// What another voter's handshake says of its bootstrap.
+#[derive(Clone, Copy)]
+pub(crate) struct PeerBootstrap<'a> {
+    /// The name that the message came from.
+    pub(crate) from: &'a Name,
     pub(crate) id: VoterId,
-    /// The initial voters that it promised.
-    pub(crate) promised: Option<BTreeMap<Name, VoterId>>,
-    /// Whether all have promised the same.
-    pub(crate) is_bootstrapped: bool,
-}
-
-impl Identity {
-    pub(crate) fn new(name: Name, id: VoterId) -> Self {
-        Identity {
-            name,
-            id: id.max(VoterId(1)),
-            promised: None,
-            is_bootstrapped: false,
-        }
-    }
-
-    pub(crate) fn decode(bytes: &[u8]) -> Result<Self, LoadError> {
-        postcard::from_bytes(bytes).map_err(|source| LoadError::Decode {
-            item: "the identity",
-            source,
-        })
-    }
-
-    pub(crate) fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).unwrap_or_default()
-    }
-
-    pub(crate) fn stage(&self) -> BootstrapStage {
-        match (&self.promised, self.is_bootstrapped) {
-            (_, true) => BootstrapStage::Complete,
-            (Some(_), false) => BootstrapStage::Promised,
-            (None, false) => BootstrapStage::Discovering,
-        }
-    }
+    /// The initial voters, as far as the sender knows them.
+    pub(crate) initial_voters: &'a BTreeMap<Name, VoterId>,
+    pub(crate) stage: BootstrapStage,
 }
 
 /// What another voter has sent of itself.
@@ -100,14 +77,18 @@
         others.chain([(own.name.clone(), own.id)]).collect()
     }
 
+    /// Decides what follows from another voter's handshake; `own` is this voter's identity.
     pub(crate) fn handle_handshake(
         &mut self,
         own: &Identity,
-        from: &Name,
-        id: VoterId,
-        initial_voters: &BTreeMap<Name, VoterId>,
-        stage: BootstrapStage,
+        peer: PeerBootstrap<'_>,
     ) -> BootstrapStep {
+        let PeerBootstrap {
+            from,
+            id,
+            initial_voters,
+            stage,
+        } = peer;
         if stage == BootstrapStage::Complete {
             return match initial_voters.get(&own.name) == Some(&own.id) {
                 true => BootstrapStep::Complete(initial_voters.clone()),
--- a/crates/consensus/src/bootstrap/tests.rs
+++ b/crates/consensus/src/bootstrap/tests.rs
@@ -1,4 +1,5 @@
-use super::{Bootstrap, BootstrapStep, Identity};
+use super::{Bootstrap, BootstrapStep, PeerBootstrap};
+use crate::identity::Identity;
 use crate::peer_message::{BootstrapStage, VoterId};
 
 use std::collections::BTreeMap;
@@ -42,7 +43,13 @@
             if own.is_bootstrapped {
                 continue;
             }
-            match bootstrap.handle_handshake(own, &from, id, &initial_voters, stage) {
+            let peer = PeerBootstrap {
+                from: &from,
+                id,
+                initial_voters: &initial_voters,
+                stage,
+            };
+            match bootstrap.handle_handshake(own, peer) {
                 BootstrapStep::Promise(voters) => own.promised = Some(voters),
                 BootstrapStep::Complete(voters) => {
                     (own.promised, own.is_bootstrapped) = (Some(voters.clone()), true);
--- a/crates/consensus/src/durable_voter.rs
+++ b/crates/consensus/src/durable_voter.rs
@@ -6,9 +6,10 @@
 use tulipgap_leases::Name;
 use tulipgap_write_ahead_log::{Disk, Recovered, WriteAheadLog};
 
-use crate::bootstrap::Identity;
+use crate::config::Config;
 use crate::error::{LoadError, VoterError};
-use crate::event::{Action, Config, Event};
+use crate::event::{Action, Event};
+use crate::identity::Identity;
 use crate::peer_message::VoterId;
 use crate::voter::Voter;
 
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -2,7 +2,7 @@
 
 use tulipgap_write_ahead_log::LogError;
 
-use crate::event::MAX_VOTERS;
+use crate::config::MAX_VOTERS;
 
 /// Why a voter could not be made of what was on the disk.
 #[derive(Debug, thiserror::Error)]
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -55,23 +55,27 @@
 //! ```
 
 mod bootstrap;
+mod config;
 mod durable_voter;
 mod error;
 mod event;
+mod identity;
 #[cfg(feature = "injected-bugs")]
 mod injected_bug;
 mod log_store;
+mod notice;
 mod peer_message;
 mod replicated_state;
+mod status;
 mod voter;
 
+pub use config::{Config, MAX_VOTERS};
 pub use durable_voter::DurableVoter;
 pub use error::{LoadError, VoterError};
-pub use event::{
-    Action, Config, Event, InvalidData, MAX_LISTED_LEASES, MAX_VOTERS, Notice, VoterPhase,
-    VoterStatus,
-};
+pub use event::{Action, Event, MAX_LISTED_LEASES};
 #[cfg(feature = "injected-bugs")]
 pub use injected_bug::InjectedBug;
+pub use notice::{InvalidData, Notice};
 pub use peer_message::{BootstrapStage, LogPosition, PeerMessage, VoterId};
+pub use status::{VoterPhase, VoterStatus};
 pub use voter::Voter;
--- a/crates/consensus/src/replicated_state.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -41,7 +41,7 @@
 }
 
 /// The context of a membership change in the log.
-#[derive(Debug, Serialize, Deserialize)]
+#[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct VoterChange {
     pub(crate) name: Name,
     pub(crate) replaces: VoterId,
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -1,63 +1,54 @@
-//! One voter: its state and the dispatch of events. The modules beneath each hold one concern.
+//! One voter: the state machine that owns the parts beneath, routes events to them and turns what
+//! they decide into actions.
+//!
+//! `voter.rs` handles events, `voter/ready.rs` performs what the consensus has ready. The other
+//! modules are the parts; none of them knows the voter.
 
-mod handshake;
 mod leadership;
 mod linearizable_reads;
 mod membership_change;
+mod peers;
+mod phase;
 mod proposals;
-mod raft_messages;
+mod raft_node;
 mod ready;
+mod rollback;
 mod snapshot;
 #[cfg(test)]
 mod tests;
+mod tick_timer;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use raft::{RawNode, ReadOnlyOption, StateRole};
+use protobuf::Message as _;
+use raft::prelude::Message;
 use tulipgap_leases::{ExpiryTracker, LeaseStateMachine, Name};
 use tulipgap_write_ahead_log::Recovered;
 
-use crate::bootstrap::{Bootstrap, Identity};
+use crate::bootstrap::{Bootstrap, BootstrapStep, PeerBootstrap};
+use crate::config::{Config, MAX_VOTERS};
 use crate::error::LoadError;
-use crate::event::{Action, Config, Event, MAX_VOTERS, VoterPhase, VoterStatus};
+use crate::event::{Action, Event};
+use crate::identity::Identity;
 #[cfg(feature = "injected-bugs")]
 use crate::injected_bug::InjectedBug;
 use crate::log_store::LogStore;
+use crate::notice::{InvalidData, Notice};
 use crate::peer_message::{LogPosition, PeerMessage, VoterId};
 use crate::replicated_state::ReplicatedState;
-use leadership::ElectionTimeout;
-use linearizable_reads::{PendingRead, ReadRequest};
-use proposals::Proposal;
-
-/// Entries that are proposed and not committed, in bytes.
-const MAX_UNCOMMITTED_BYTES: u64 = 1024 * 1024;
-const MAX_MESSAGE_BYTES: u64 = 256 * 1024;
-const MAX_IN_FLIGHT_MESSAGES: usize = 64;
-/// Voters of which something is remembered, former and future ones included.
-const MAX_REMEMBERED_VOTERS: usize = 4 * MAX_VOTERS;
-
-/// How far a voter takes part; see [`VoterPhase`].
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Phase {
-    Bootstrapping,
-    Waiting { until: Duration },
-    Voting,
-    Outside,
-    RolledBack,
-}
-
-impl From<Phase> for VoterPhase {
-    fn from(phase: Phase) -> Self {
-        match phase {
-            Phase::Bootstrapping => VoterPhase::Bootstrapping,
-            Phase::Waiting { .. } => VoterPhase::Waiting,
-            Phase::Voting => VoterPhase::Voting,
-            Phase::Outside => VoterPhase::Outside,
-            Phase::RolledBack => VoterPhase::RolledBack,
-        }
-    }
-}
+use crate::status::VoterStatus;
+use leadership::Leadership;
+use linearizable_reads::{LinearizableReads, ReadRequest};
+use membership_change::{first_step, next_step};
+use peers::{Peers, other_voters};
+use phase::Phase;
+use proposals::{Proposal, encode_entry};
+use raft_node::{NodeConfig, RaftNode};
+use ready::report_invalid;
+use rollback::{ObservedLogs, contradicting_position, is_rolled_back};
+use snapshot::SnapshotSchedule;
+use tick_timer::TickTimer;
 
 /// A voter. It owns the consensus log, the replicated state and, while it leads, the expiry of
 /// leases; its host owns the disk and the network and performs its [`Action`]s.
@@ -67,31 +58,25 @@
 pub struct Voter {
     config: Config,
     identity: Identity,
+    /// The configured initial voters, this one among them or not.
     initial_voter_names: Vec<Name>,
-    random: fastrand::Rng,
+    seed: u64,
+    /// The latest time of an event. It never goes backwards.
     now: Duration,
     phase: Phase,
     bootstrap: Bootstrap,
+    peers: Peers,
+    observed_logs: ObservedLogs,
+    timer: TickTimer,
     /// The consensus; `None` before bootstrap and after a rollback.
-    node: Option<RawNode<LogStore>>,
+    node: Option<RaftNode>,
+    leadership: Leadership,
+    reads: LinearizableReads,
     state: ReplicatedState,
+    /// The last entry that is applied to the state.
     applied_index: u64,
-    /// The entry of the latest snapshot.
-    snapshot_index: u64,
+    snapshots: SnapshotSchedule,
     expiry: ExpiryTracker,
-    /// The term in which it leads and counts TTLs.
-    leading_term: Option<u64>,
-    election_timeout: ElectionTimeout,
-    next_tick_at: Duration,
-    /// The timer that the host was last asked for and that has not elapsed yet.
-    timer_at: Option<Duration>,
-    pending_reads: Vec<PendingRead>,
-    /// How far other voters have confirmed their logs.
-    observed: BTreeMap<VoterId, LogPosition>,
-    /// The id that each name last sent.
-    peer_ids: BTreeMap<Name, VoterId>,
-    /// Who has replied to a handshake since the start.
-    replied: Vec<Name>,
     #[cfg(feature = "injected-bugs")]
     injected_bug: Option<InjectedBug>,
 }
@@ -114,40 +99,41 @@
         let store = LogStore::decode(recovered.snapshot.as_deref(), &recovered.records)?;
         let mut voter = Voter {
             bootstrap: Bootstrap::new(initial_voter_names.clone()),
+            peers: Peers::default(),
+            observed_logs: ObservedLogs::default(),
+            timer: TickTimer::new(config.tick_interval),
+            leadership: Leadership::default(),
+            reads: LinearizableReads::default(),
+            snapshots: SnapshotSchedule::new(config.snapshot_interval_entries),
             expiry: ExpiryTracker::new(config.max_clock_drift_permille),
-            random: fastrand::Rng::with_seed(seed),
             config,
             identity,
             initial_voter_names,
+            seed,
             now: Duration::ZERO,
             phase: Phase::Bootstrapping,
             node: None,
             state: ReplicatedState::default(),
             applied_index: 0,
-            snapshot_index: 0,
-            leading_term: None,
-            election_timeout: ElectionTimeout::default(),
-            next_tick_at: Duration::ZERO,
-            timer_at: None,
-            pending_reads: Vec::new(),
-            observed: BTreeMap::new(),
-            peer_ids: BTreeMap::new(),
-            replied: Vec::new(),
             #[cfg(feature = "injected-bugs")]
             injected_bug: None,
         };
         if let Some(store) = store {
-            voter.start_node(store)?;
-            // The log is written before the identity says that bootstrap is complete.
-            let is_voter = voter.state.voters.contains_key(&voter.identity.id);
-            voter.identity.is_bootstrapped |= voter.identity.promised.is_some() && is_voter;
-            voter.phase = Phase::Waiting {
-                until: config.tick_interval * config.election_ticks,
-            };
+            voter.restart_from(store)?;
         }
         Ok(voter)
     }
 
+    fn restart_from(&mut self, store: LogStore) -> Result<(), LoadError> {
+        self.start_node(store)?;
+        // The log is written before the identity says that bootstrap is complete.
+        let is_voter = self.state.voters.contains_key(&self.identity.id);
+        self.identity.is_bootstrapped |= self.identity.promised.is_some() && is_voter;
+        let until = self.config.tick_interval * self.config.election_ticks;
+        self.phase = Phase::Waiting { until };
+        Ok(())
+    }
+
     /// Makes the voter behave as though it had that bug.
     #[cfg(feature = "injected-bugs")]
     pub fn inject_bug(&mut self, bug: Option<InjectedBug>) {
@@ -161,7 +147,7 @@
     pub fn status(&self) -> VoterStatus {
         VoterStatus {
             id: self.identity.id,
-            term: self.node.as_ref().map_or(0, |node| node.raft.term),
+            term: self.node.as_ref().map_or(0, RaftNode::term),
             leader: self.leader(),
             applied_index: self.applied_index,
             phase: self.phase.into(),
@@ -171,9 +157,7 @@
 
     /// Whether it takes itself for the leader. Another may lead already in a later term.
     pub fn is_leader(&self) -> bool {
-        self.node
-            .as_ref()
-            .is_some_and(|node| node.raft.state == StateRole::Leader)
+        self.node.as_ref().is_some_and(RaftNode::is_leader)
     }
 
     /// The replicated leases, as of [`applied_index`](Self::applied_index).
@@ -187,7 +171,7 @@
     }
 
     fn leader(&self) -> Option<Name> {
-        let leader_id = VoterId(self.node.as_ref()?.raft.leader_id);
+        let leader_id = self.node.as_ref()?.leader_id();
         self.state.voters.get(&leader_id).cloned()
     }
 
@@ -202,51 +186,85 @@
             if self.phase == Phase::RolledBack {
                 return Vec::new();
             }
-            match event {
-                Event::TimerElapsed => self.handle_timer(&mut actions),
-                Event::PeerMessage { from, message } => {
-                    self.handle_peer_message(&from, message, &mut actions);
-                }
-                Event::Propose {
+            self.handle_event(event, &mut proposals, &mut actions);
+        }
+        self.propose(proposals, &mut actions);
+        self.process_ready(&mut actions);
+        actions
+    }
+
+    fn handle_event(
+        &mut self,
+        event: Event,
+        proposals: &mut Vec<Proposal>,
+        actions: &mut Vec<Action>,
+    ) {
+        match event {
+            Event::TimerElapsed => self.handle_timer(actions),
+            Event::PeerMessage { from, message } => {
+                self.handle_peer_message(&from, message, actions);
+            }
+            Event::Propose {
+                from,
+                request,
+                command,
+            } => {
+                let proposal = Proposal {
                     from,
                     request,
                     command,
-                } if self.is_leader() => {
-                    proposals.push(Proposal {
-                        from,
-                        request,
-                        command,
-                    });
-                }
-                Event::Propose { from, request, .. } => {
-                    let leader = self.leader();
-                    actions.push(Action::RejectNotLeader {
-                        to: from,
-                        request,
-                        leader,
-                    });
+                };
+                match self.is_leader() {
+                    true => proposals.push(proposal),
+                    false => actions.push(proposal.reject(self.leader())),
                 }
-                Event::Read {
+            }
+            Event::Read {
+                from,
+                request,
+                lease,
+            } => {
+                let read = ReadRequest {
                     from,
                     request,
                     lease,
-                } => {
-                    self.read(
-                        ReadRequest {
-                            from,
-                            request,
-                            lease,
-                        },
-                        &mut actions,
-                    );
+                };
+                self.read(read, actions);
+            }
+            Event::TransferLeadership => {
+                if let Some(node) = &mut self.node {
+                    node.transfer_leadership();
                 }
-                Event::TransferLeadership => self.transfer_leadership(),
-                Event::ReplaceVoter { old, new } => self.replace_voter(&old, &new),
             }
+            Event::ReplaceVoter { old, new } => self.replace_voter(&old, &new),
         }
-        self.propose(proposals, &mut actions);
-        self.process_ready(&mut actions);
-        actions
+    }
+
+    fn handle_timer(&mut self, actions: &mut Vec<Action>) {
+        if self.timer.elapsed(self.now) {
+            self.tick(actions);
+        }
+        self.propose_expirations(actions);
+    }
+
+    fn tick(&mut self, actions: &mut Vec<Action>) {
+        match self.phase {
+            Phase::Bootstrapping | Phase::Waiting { .. } => self.send_handshakes(true, actions),
+            Phase::Voting | Phase::Outside => {
+                if let Some(node) = &mut self.node {
+                    node.tick();
+                }
+                self.advance_membership_change();
+            }
+            Phase::RolledBack => {}
+        }
+        self.phase = self.phase.after_tick(self.now);
+    }
+
+    /// Proposes to expire the owners whose TTL is over. Only a leader has any.
+    fn propose_expirations(&mut self, actions: &mut Vec<Action>) {
+        let expirations = self.expiry.due_expirations(self.now).into_iter();
+        self.propose(expirations.map(Proposal::expiration).collect(), actions);
     }
 
     fn handle_peer_message(
@@ -263,55 +281,132 @@
                 stage,
                 observed,
             } => {
-                self.remember_peer(from, id);
-                if wants_reply {
-                    self.send_handshake(from, false, actions);
-                } else if !self.replied.contains(from) {
-                    self.replied.push(from.clone());
-                }
-                if self.is_behind(observed) {
-                    return self.roll_back(observed, actions);
-                }
-                if self.phase == Phase::Bootstrapping {
-                    self.advance_bootstrap(from, id, &initial_voters, stage, actions);
+                self.peers.remember(from, id, &self.initial_voter_names);
+                match wants_reply {
+                    true => self.send_handshake(from, false, actions),
+                    false => self.peers.record_reply(from),
                 }
-                self.vote_once_all_replied();
+                let peer = PeerBootstrap {
+                    from,
+                    id,
+                    initial_voters: &initial_voters,
+                    stage,
+                };
+                self.handle_handshake(peer, observed, actions);
             }
             PeerMessage::Raft(bytes) => self.handle_raft_message(&bytes, actions),
         }
     }
 
-    fn handle_timer(&mut self, actions: &mut Vec<Action>) {
-        self.timer_at = self.timer_at.filter(|&at| at > self.now);
-        if self.now >= self.next_tick_at {
-            // One tick for each timer, however late it is: a process that was paused can't
-            // conclude that the leader sent no heartbeat.
-            self.next_tick_at = self.now + self.config.tick_interval;
-            self.tick(actions);
+    /// `observed` is how far the sender has seen this voter's log.
+    fn handle_handshake(
+        &mut self,
+        peer: PeerBootstrap<'_>,
+        observed: LogPosition,
+        actions: &mut Vec<Action>,
+    ) {
+        let durable = self.node.as_ref().map(RaftNode::durable_position);
+        if durable.is_some_and(|durable| is_rolled_back(durable, observed)) {
+            return self.roll_back(observed, actions);
         }
-        self.propose_expirations(actions);
+        if self.phase == Phase::Bootstrapping {
+            self.advance_bootstrap(peer, actions);
+        }
+        let replied = self.peers.replied();
+        self.phase = self.phase.after_reply(&self.other_voters(), replied);
     }
 
-    fn tick(&mut self, actions: &mut Vec<Action>) {
-        match self.phase {
-            Phase::Bootstrapping => self.send_handshakes(true, actions),
-            Phase::Waiting { until } => {
-                self.send_handshakes(true, actions);
-                if self.now >= until {
-                    self.phase = Phase::Voting;
-                }
+    fn other_voters(&self) -> Vec<Name> {
+        other_voters(&self.state, &self.initial_voter_names, &self.identity.name)
+    }
+
+    fn send_handshakes(&self, wants_reply: bool, actions: &mut Vec<Action>) {
+        for to in self.other_voters() {
+            self.send_handshake(&to, wants_reply, actions);
+        }
+    }
+
+    fn send_handshake(&self, to: &Name, wants_reply: bool, actions: &mut Vec<Action>) {
+        let id = self.peers.id_of(to);
+        let observed = id.map(|id| self.observed_logs.position(id));
+        let message = PeerMessage::Handshake {
+            wants_reply,
+            id: self.identity.id,
+            initial_voters: self.bootstrap.known_voters(&self.identity),
+            stage: self.identity.stage(),
+            observed: observed.unwrap_or_default(),
+        };
+        actions.push(Action::Send {
+            to: to.clone(),
+            message,
+        });
+    }
+
+    fn handle_raft_message(&mut self, bytes: &[u8], actions: &mut Vec<Action>) {
+        if !self.phase.takes_part() {
+            return;
+        }
+        let Ok(message) = Message::parse_from_bytes(bytes) else {
+            return report_invalid(InvalidData::RaftMessage, actions);
+        };
+        let is_local = raft::raw_node::is_local_msg(message.get_msg_type());
+        if message.to != self.identity.id.0 || is_local {
+            return;
+        }
+        let Some(node) = &mut self.node else { return };
+        if let Some(observed) = contradicting_position(&message, node.position()) {
+            return self.roll_back(observed, actions);
+        }
+        self.observed_logs.observe(&message, &self.state.voters);
+        node.step(message);
+    }
+
+    /// Ends the voter: its directory is an older copy, as `observed` of its log shows.
+    fn roll_back(&mut self, observed: LogPosition, actions: &mut Vec<Action>) {
+        let own = self.node.as_ref().map(RaftNode::position);
+        let own = own.unwrap_or_default();
+        self.stop_node();
+        self.expiry.stop_leading();
+        actions.push(Action::Notice(Notice::RolledBack { own, observed }));
+    }
+
+    fn advance_bootstrap(&mut self, peer: PeerBootstrap<'_>, actions: &mut Vec<Action>) {
+        match self.bootstrap.handle_handshake(&self.identity, peer) {
+            BootstrapStep::Wait => {}
+            BootstrapStep::Promise(voters) => {
+                self.identity.promise(voters);
+                actions.push(Action::WriteIdentity(self.identity.encode()));
+                self.send_handshakes(false, actions);
             }
-            Phase::Voting | Phase::Outside => {
-                if let Some(node) = &mut self.node {
-                    node.tick();
-                }
-                self.redraw_election_timeout();
-                self.advance_membership_changes();
+            BootstrapStep::Complete(voters) => self.complete_bootstrap(voters, actions),
+            BootstrapStep::Outside => {
+                actions.push(Action::Notice(Notice::NotAMember));
+                self.phase = Phase::Outside;
+                let store = LogStore::default();
+                actions.push(Action::WriteSnapshot(store.encode()));
+                self.start_node_or_report(store, actions);
             }
-            Phase::RolledBack => {}
         }
     }
 
+    fn complete_bootstrap(
+        &mut self,
+        initial_voters: BTreeMap<Name, VoterId>,
+        actions: &mut Vec<Action>,
+    ) {
+        let store = LogStore::bootstrapped(&initial_voters);
+        let voters = initial_voters.keys().map(Name::to_string).collect();
+        // The log first: an identity alone would name voters and start without the log that they
+        // begin with.
+        actions.push(Action::WriteSnapshot(store.encode()));
+        self.identity.complete_bootstrap(initial_voters);
+        actions.push(Action::WriteIdentity(self.identity.encode()));
+        actions.push(Action::Notice(Notice::Bootstrapped { voters }));
+        self.phase = Phase::Voting;
+        self.send_handshakes(false, actions);
+        self.start_node_or_report(store, actions);
+    }
+
     /// Starts the consensus from a log.
     fn start_node(&mut self, store: LogStore) -> Result<(), LoadError> {
         let snapshot = store.latest_snapshot();
@@ -319,26 +414,23 @@
         if self.applied_index > 0 {
             self.state = ReplicatedState::decode(snapshot.get_data())?;
         }
-        self.snapshot_index = self.applied_index;
-        let config = raft::Config {
-            id: self.identity.id.0,
-            election_tick: self.config.election_ticks as usize,
-            heartbeat_tick: 1,
-            applied: self.applied_index,
-            max_size_per_msg: MAX_MESSAGE_BYTES,
-            max_inflight_msgs: MAX_IN_FLIGHT_MESSAGES,
-            check_quorum: true,
-            pre_vote: true,
-            read_only_option: ReadOnlyOption::Safe,
-            max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
-            ..raft::Config::default()
+        self.snapshots.record(self.applied_index);
+        let config = NodeConfig {
+            id: self.identity.id,
+            election_ticks: self.config.election_ticks,
+            applied_index: self.applied_index,
+            seed: self.seed,
         };
-        let no_log = slog::Logger::root(slog::Discard, slog::o!());
-        self.node = Some(RawNode::new(&config, store, &no_log)?);
-        self.redraw_election_timeout();
+        self.node = Some(RaftNode::start(&config, store)?);
         Ok(())
     }
 
+    fn start_node_or_report(&mut self, store: LogStore, actions: &mut Vec<Action>) {
+        if let Err(error) = self.start_node(store) {
+            report_invalid(InvalidData::State(error), actions);
+        }
+    }
+
     /// Ends the consensus for good, after a rollback or where its state is invalid: nothing sound
     /// could follow. Operators see the same phase for both.
     fn stop_node(&mut self) {
@@ -346,14 +438,64 @@
         self.node = None;
     }
 
-    /// Asks for a timer where something is due before the one that was asked for.
-    fn set_timer(&mut self, actions: &mut Vec<Action>) {
-        let next_check_at = self.expiry.next_check_at().unwrap_or(self.next_tick_at);
-        let at = next_check_at.min(self.next_tick_at).max(self.now);
-        let is_sooner = self.timer_at.is_none_or(|timer_at| at < timer_at);
-        if self.phase != Phase::RolledBack && is_sooner {
-            self.timer_at = Some(at);
-            actions.push(Action::SetTimer { at });
+    /// Proposes commands as one entry. Where the consensus accepts no more, they are rejected, and
+    /// whoever sent them sends them again.
+    fn propose(&mut self, proposals: Vec<Proposal>, actions: &mut Vec<Action>) {
+        if proposals.is_empty() {
+            return;
+        }
+        let entry = encode_entry(&proposals);
+        let is_proposed = self.node.as_mut().is_some_and(|node| node.propose(entry));
+        if !is_proposed {
+            actions.extend(proposals.into_iter().map(|proposal| proposal.reject(None)));
+        }
+    }
+
+    fn read(&mut self, read: ReadRequest, actions: &mut Vec<Action>) {
+        if self.has_stale_reads() && self.is_leader() {
+            return self.respond_read(read, actions);
+        }
+        let leader = self.leader();
+        match &mut self.node {
+            Some(node) if node.is_leader() && self.reads.has_capacity() => {
+                node.confirm_read(read.encode());
+            }
+            _ => actions.push(Action::RejectNotLeader {
+                to: read.from,
+                request: read.request,
+                leader,
+            }),
+        }
+    }
+
+    #[cfg(feature = "injected-bugs")]
+    fn has_stale_reads(&self) -> bool {
+        self.injected_bug == Some(InjectedBug::StaleRead)
+    }
+
+    #[cfg(not(feature = "injected-bugs"))]
+    fn has_stale_reads(&self) -> bool {
+        false
+    }
+
+    fn replace_voter(&mut self, old: &Name, new: &Name) {
+        let Some(new_id) = self.peers.id_of(new) else {
+            return;
+        };
+        let step = first_step(&self.state, old, new, new_id);
+        if let (Some(step), Some(node)) = (step, &mut self.node) {
+            node.propose_change(&step);
+        }
+    }
+
+    /// Proposes the next step of a change that is under way.
+    fn advance_membership_change(&mut self) {
+        let Some(node) = self.node.as_mut().filter(|node| node.is_leader()) else {
+            return;
+        };
+        let has_caught_up = |learner| node.learner_progress(learner).has_caught_up();
+        if let Some(step) = next_step(&self.state, has_caught_up) {
+            node.propose_change(&step);
         }
     }
 }
--- a/crates/consensus/src/voter/leadership.rs
+++ b/crates/consensus/src/voter/leadership.rs
@@ -1,69 +1,97 @@
-//! Elections and leadership, and the expiry of leases that goes with it.
+//! Elections and leadership: how long a follower waits before it campaigns, from when on a leader
+//! expires leases, and to whom it hands leadership over.
 
 use raft::StateRole;
 
-use super::Voter;
-use crate::event::{Action, Notice};
-
-/// The random election timeout, drawn anew with each term and role.
-#[derive(Default)]
+/// The random election timeout (Raft, section 5.2), drawn anew with each term and role.
+///
+/// The crate `raft` draws its timeouts from a random source of its own. Each is replaced by one
+/// that is drawn from the voter's seed, so that a simulation repeats to the last message.
 pub(super) struct ElectionTimeout {
+    random: fastrand::Rng,
     drawn_for: (u64, StateRole),
     /// Zero before the first draw.
     ticks: usize,
 }
 
-impl Voter {
-    /// The consensus draws its election timeouts from a random source of its own; each is replaced
-    /// by one that is drawn from the seed.
-    pub(super) fn redraw_election_timeout(&mut self) {
-        let Some(node) = &mut self.node else { return };
-        let current = (node.raft.term, node.raft.state);
-        let election_ticks = self.config.election_ticks as usize;
-        let timeout = &mut self.election_timeout;
-        if timeout.ticks == 0 || timeout.drawn_for != current {
-            timeout.drawn_for = current;
-            timeout.ticks = self.random.usize(election_ticks..2 * election_ticks);
+impl ElectionTimeout {
+    pub(super) fn new(seed: u64) -> Self {
+        ElectionTimeout {
+            random: fastrand::Rng::with_seed(seed),
+            drawn_for: (0, StateRole::default()),
+            ticks: 0,
         }
-        node.raft.set_randomized_election_timeout(timeout.ticks);
     }
 
-    /// Begins or ends the expiry of leases. It begins with the first entry of the leader's own term
-    /// that is applied: then everything that was committed before is known.
-    pub(super) fn follow_role(&mut self, actions: &mut Vec<Action>) {
-        let Some(node) = &self.node else { return };
-        let term = node.raft.term;
-        let leads = node.raft.state == StateRole::Leader && node.raft.apply_to_current_term();
-        if leads && self.leading_term != Some(term) {
-            self.leading_term = Some(term);
-            self.state.leases.leader_changed();
-            self.expiry.start_leading(self.now, &self.state.leases);
-            actions.push(Action::Notice(Notice::BecameLeader { term }));
-        } else if !leads && self.leading_term.is_some() {
-            self.leading_term = None;
-            self.expiry.stop_leading();
-            self.pending_reads.clear();
-            actions.push(Action::Notice(Notice::LostLeadership));
+    /// The timeout in ticks for a term and role: from `election_ticks` to less than twice as many.
+    pub(super) fn ticks(&mut self, term: u64, role: StateRole, election_ticks: usize) -> usize {
+        if self.ticks == 0 || self.drawn_for != (term, role) {
+            self.drawn_for = (term, role);
+            self.ticks = self.random.usize(election_ticks..2 * election_ticks);
         }
+        self.ticks
     }
+}
 
-    /// Hands leadership to the active voter whose log has come furthest.
-    pub(super) fn transfer_leadership(&mut self) {
-        let Some(node) = &mut self.node else { return };
-        if node.raft.state != StateRole::Leader {
-            return;
-        }
-        let own_id = node.raft.id;
-        let active = node
-            .raft
-            .prs()
-            .iter()
-            .filter(|(id, progress)| **id != own_id && progress.recent_active);
-        let furthest = active
-            .max_by_key(|(id, progress)| (progress.matched, **id))
-            .map(|(id, _)| *id);
-        if let Some(id) = furthest {
-            node.transfer_leader(id);
+/// A voter's role as the consensus has it.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Role {
+    pub(super) term: u64,
+    pub(super) is_leader: bool,
+    /// Whether an entry of its own term is applied.
+    pub(super) has_applied_own_term: bool,
+}
+
+/// A change of what the voter does as a leader.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum LeadershipChange {
+    Began { term: u64 },
+    Ended,
+}
+
+/// Whether the voter acts as the leader: counts TTLs and answers reads.
+///
+/// It begins with the first entry of the leader's own term that is applied: only then is everything
+/// known that was committed before (Raft, section 5.4.2). A leader that began at its election could
+/// expire an owner whose renewal it has not applied yet.
+#[derive(Default)]
+pub(super) struct Leadership {
+    /// The term in which the voter leads and counts TTLs.
+    term: Option<u64>,
+}
+
+impl Leadership {
+    /// What changes with the present role.
+    pub(super) fn update(&mut self, role: Role) -> Option<LeadershipChange> {
+        let term = role.term;
+        let leads = role.is_leader && role.has_applied_own_term;
+        if leads && self.term != Some(term) {
+            self.term = Some(term);
+            Some(LeadershipChange::Began { term })
+        } else if !leads && self.term.is_some() {
+            self.term = None;
+            Some(LeadershipChange::Ended)
+        } else {
+            None
         }
     }
 }
+
+/// Another voter as the leader knows it.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct FollowerProgress {
+    pub(super) id: u64,
+    /// The last entry that is known to be in its log.
+    pub(super) matched_index: u64,
+    /// Whether it has responded within the last election timeout.
+    pub(super) is_active: bool,
+}
+
+/// To whom leadership is handed over: the active voter whose log has come furthest, of equal ones
+/// the one with the highest id.
+pub(super) fn transfer_target(followers: impl Iterator<Item = FollowerProgress>) -> Option<u64> {
+    followers
+        .filter(|follower| follower.is_active)
+        .max_by_key(|follower| (follower.matched_index, follower.id))
+        .map(|follower| follower.id)
+}
--- a/crates/consensus/src/voter/linearizable_reads.rs
+++ b/crates/consensus/src/voter/linearizable_reads.rs
@@ -1,106 +1,92 @@
-//! Linearizable reads by Raft's read index: a read is answered once a quorum has confirmed that the
-//! leader still leads, and everything that was committed when it came is applied.
+//! When a read of the leases is answered: once a quorum has confirmed that the leader still leads,
+//! and everything that was committed when the read came is applied (Raft's dissertation, section
+//! 6.4, "read index").
+//!
+//! A leader that was cut off does not know that another one was elected. If it answered from its
+//! own copy, a read could show an owner of a lease after another owner acquired it. The quorum's
+//! confirmation costs one round of heartbeats and no write.
 
-use raft::StateRole;
 use serde::{Deserialize, Serialize};
-use tulipgap_leases::{Name, RequestId};
+use tulipgap_leases::{Lease, LeaseStateMachine, Name, RequestId};
 
-use super::Voter;
-use crate::event::{Action, MAX_LISTED_LEASES};
+use crate::event::MAX_LISTED_LEASES;
 
-/// Reads that are confirmed and wait for entries to be applied.
-const MAX_PENDING_READS: usize = 256;
+/// Reads that are confirmed and wait for entries to be applied, at most; further reads are
+/// rejected.
+pub(super) const MAX_PENDING_READS: usize = 256;
 
 /// A read. The consensus carries it in its messages, serialized by position.
-#[derive(Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct ReadRequest {
     pub(super) from: Name,
     pub(super) request: RequestId,
+    /// One lease, or all.
     pub(super) lease: Option<Name>,
 }
 
+impl ReadRequest {
+    pub(super) fn encode(&self) -> Vec<u8> {
+        postcard::to_stdvec(self).unwrap_or_default()
+    }
+}
+
 /// A read that a quorum has confirmed.
-pub(super) struct PendingRead {
+struct PendingRead {
     /// The entry that must be applied before.
-    pub(super) index: u64,
-    pub(super) read: ReadRequest,
+    index: u64,
+    read: ReadRequest,
 }
 
-impl Voter {
-    pub(super) fn read(&mut self, read: ReadRequest, actions: &mut Vec<Action>) {
-        if self.has_stale_reads() && self.is_leader() {
-            return self.respond_read(read, actions);
-        }
-        let leader = self.leader();
-        match &mut self.node {
-            Some(node)
-                if node.raft.state == StateRole::Leader
-                    && self.pending_reads.len() < MAX_PENDING_READS =>
-            {
-                node.read_index(postcard::to_stdvec(&read).unwrap_or_default());
-            }
-            _ => {
-                let (to, request) = (read.from, read.request);
-                actions.push(Action::RejectNotLeader {
-                    to,
-                    request,
-                    leader,
-                });
-            }
-        }
-    }
-
-    #[cfg(feature = "injected-bugs")]
-    fn has_stale_reads(&self) -> bool {
-        self.injected_bug == Some(crate::InjectedBug::StaleRead)
-    }
+/// The reads that a quorum has confirmed and that are not answered yet.
+#[derive(Default)]
+pub(super) struct LinearizableReads {
+    pending: Vec<PendingRead>,
+}
 
-    #[cfg(not(feature = "injected-bugs"))]
-    fn has_stale_reads(&self) -> bool {
-        false
+impl LinearizableReads {
+    /// Whether there is room for a further read.
+    pub(super) fn has_capacity(&self) -> bool {
+        self.pending.len() < MAX_PENDING_READS
     }
 
-    /// Takes up the reads that a quorum has confirmed.
-    pub(super) fn add_confirmed_reads(&mut self, confirmed: Vec<raft::ReadState>) {
+    /// A quorum has confirmed these reads.
+    pub(super) fn add_confirmed(&mut self, confirmed: Vec<raft::ReadState>) {
         for state in confirmed {
             if let Ok(read) = postcard::from_bytes(&state.request_ctx) {
-                self.pending_reads.push(PendingRead {
-                    index: state.index,
-                    read,
-                });
+                let index = state.index;
+                self.pending.push(PendingRead { index, read });
             }
         }
     }
 
-    /// Responds to the reads whose entries are applied.
-    pub(super) fn respond_pending_reads(&mut self, actions: &mut Vec<Action>) {
-        for pending in std::mem::take(&mut self.pending_reads) {
-            match pending.index <= self.applied_index {
-                true => self.respond_read(pending.read, actions),
-                false => self.pending_reads.push(pending),
-            }
-        }
+    /// Removes and returns the reads whose entries are applied, in the order they were confirmed.
+    pub(super) fn take_applied(&mut self, applied_index: u64) -> Vec<ReadRequest> {
+        let (applied, pending) = std::mem::take(&mut self.pending)
+            .into_iter()
+            .partition(|pending| pending.index <= applied_index);
+        self.pending = pending;
+        let applied: Vec<PendingRead> = applied;
+        applied.into_iter().map(|pending| pending.read).collect()
     }
 
-    fn respond_read(&self, read: ReadRequest, actions: &mut Vec<Action>) {
-        let state = &self.state.leases;
-        let leases = match &read.lease {
-            Some(name) => state
-                .lease(name)
-                .map(|lease| (name.clone(), lease.clone()))
-                .into_iter()
-                .collect(),
-            None => {
-                let all = state
-                    .leases()
-                    .map(|(name, lease)| (name.clone(), lease.clone()));
-                all.take(MAX_LISTED_LEASES).collect()
-            }
-        };
-        actions.push(Action::RespondRead {
-            to: read.from,
-            request: read.request,
-            leases,
-        });
+    /// The voter leads no more: none of the reads may be answered by it.
+    pub(super) fn clear(&mut self) {
+        self.pending.clear();
+    }
+}
+
+/// The leases that a read is answered with: one, or all up to [`MAX_LISTED_LEASES`].
+pub(super) fn read_leases(leases: &LeaseStateMachine, name: Option<&Name>) -> Vec<(Name, Lease)> {
+    match name {
+        Some(name) => leases
+            .lease(name)
+            .map(|lease| (name.clone(), lease.clone()))
+            .into_iter()
+            .collect(),
+        None => leases
+            .leases()
+            .map(|(name, lease)| (name.clone(), lease.clone()))
+            .take(MAX_LISTED_LEASES)
+            .collect(),
     }
 }
--- a/crates/consensus/src/voter/proposals.rs
+++ b/crates/consensus/src/voter/proposals.rs
@@ -1,12 +1,9 @@
-//! Commands: proposed by the leader, and applied by all once they are committed.
+//! Commands as entries of the log: proposed by the leader, and applied by all once committed.
 
-use protobuf::Message as _;
-use raft::prelude::{ConfChange, ConfChangeV2, Entry, EntryType};
 use serde::{Deserialize, Serialize};
-use tulipgap_leases::{Command, Name, RequestId};
+use tulipgap_leases::{Command, LeaseStateMachine, Name, RequestId};
 
-use super::Voter;
-use crate::event::{Action, InvalidData, Notice};
+use crate::event::Action;
 
 /// A command and whom to respond to. An entry of the log is a list of them, serialized by position.
 #[derive(Serialize, Deserialize)]
@@ -17,108 +14,50 @@
     pub(super) command: Command,
 }
 
-impl Voter {
-    /// Proposes commands as one entry.
-    pub(super) fn propose(&mut self, proposals: Vec<Proposal>, actions: &mut Vec<Action>) {
-        if proposals.is_empty() {
-            return;
-        }
-        let data = postcard::to_stdvec(&proposals).unwrap_or_default();
-        let is_proposed = self
-            .node
-            .as_mut()
-            .is_some_and(|node| node.propose(Vec::new(), data).is_ok());
-        if !is_proposed {
-            // More is proposed than is committed: whoever sent these sends them again.
-            actions.extend(
-                proposals
-                    .into_iter()
-                    .map(|proposal| Action::RejectNotLeader {
-                        to: proposal.from,
-                        request: proposal.request,
-                        leader: None,
-                    }),
-            );
+impl Proposal {
+    /// The leader's own proposal that an owner's TTL is over.
+    pub(super) fn expiration(command: Command) -> Self {
+        Proposal {
+            from: "".into(),
+            request: RequestId::default(),
+            command,
         }
     }
 
-    /// Proposes to expire the owners whose TTL is over. Only a leader has any.
-    pub(super) fn propose_expirations(&mut self, actions: &mut Vec<Action>) {
-        let nobody: Name = "".into();
-        let expirations = self.expiry.due_expirations(self.now).into_iter();
-        let proposals = expirations
-            .map(|command| Proposal {
-                from: nobody.clone(),
-                request: RequestId::default(),
-                command,
-            })
-            .collect();
-        self.propose(proposals, actions);
-    }
-
-    /// Applies committed entries.
-    pub(super) fn apply_entries(&mut self, entries: Vec<Entry>, actions: &mut Vec<Action>) {
-        for entry in entries {
-            self.applied_index = entry.index;
-            match entry.get_entry_type() {
-                // A new leader commits an empty entry.
-                EntryType::EntryNormal if entry.data.is_empty() => {}
-                EntryType::EntryNormal => self.apply_proposals(&entry, actions),
-                EntryType::EntryConfChange => {
-                    if let Ok(change) = ConfChange::parse_from_bytes(&entry.data) {
-                        self.apply_change(&change);
-                    }
-                }
-                EntryType::EntryConfChangeV2 => {
-                    if let Ok(change) = ConfChangeV2::parse_from_bytes(&entry.data)
-                        && let Some(node) = &mut self.node
-                    {
-                        let _ = node.apply_conf_change(&change);
-                    }
-                }
-            }
+    /// Rejects the proposal; `leader` is whom to ask instead, where that is known.
+    pub(super) fn reject(self, leader: Option<Name>) -> Action {
+        Action::RejectNotLeader {
+            to: self.from,
+            request: self.request,
+            leader,
         }
     }
+}
 
-    fn apply_proposals(&mut self, entry: &Entry, actions: &mut Vec<Action>) {
-        let Ok(proposals) = postcard::from_bytes::<Vec<Proposal>>(&entry.data) else {
-            let invalid = InvalidData::Entry { index: entry.index };
-            return actions.push(Action::Notice(Notice::InvalidData(invalid)));
-        };
-        for proposal in proposals {
-            self.apply_proposal(proposal, actions);
-        }
-    }
+/// One entry of the log with all of these proposals.
+pub(super) fn encode_entry(proposals: &[Proposal]) -> Vec<u8> {
+    postcard::to_stdvec(proposals).unwrap_or_default()
+}
 
-    fn apply_proposal(&mut self, proposal: Proposal, actions: &mut Vec<Action>) {
-        let Proposal {
-            from,
-            request,
-            command,
-        } = proposal;
-        let response = self.state.leases.apply(&command);
-        let lease = command.lease();
-        self.expiry
-            .command_applied(self.now, lease, &self.state.leases);
-        if !self.is_leader() {
-            return;
-        }
-        if !from.is_empty() {
-            let incarnation = command.incarnation();
-            actions.push(Action::Respond {
-                to: from,
-                incarnation,
-                request,
-                response,
-            });
-        }
-        if !matches!(command, Command::Acquire { .. }) {
-            for owner in self.state.leases.next_owners(lease) {
-                actions.push(Action::NotifySlotAvailable {
-                    to: owner.name.clone(),
-                    lease: lease.clone(),
-                });
-            }
-        }
-    }
+/// The proposals of an entry; `None` where it is not one of these.
+pub(super) fn decode_entry(data: &[u8]) -> Option<Vec<Proposal>> {
+    postcard::from_bytes(data).ok()
+}
+
+/// Who is notified that a slot is free for it, after a command was applied: whoever would be
+/// granted one now. An owner that acquired a slot freed none for others.
+pub(super) fn slot_notifications(
+    leases: &LeaseStateMachine,
+    applied: &Command,
+) -> impl Iterator<Item = Action> {
+    let lease = applied.lease();
+    let may_free_a_slot = !matches!(applied, Command::Acquire { .. });
+    let next_owners = may_free_a_slot.then(|| leases.next_owners(lease));
+    next_owners
+        .into_iter()
+        .flatten()
+        .map(|owner| Action::NotifySlotAvailable {
+            to: owner.name.clone(),
+            lease: lease.clone(),
+        })
 }
--- a/crates/consensus/src/voter/ready.rs
+++ b/crates/consensus/src/voter/ready.rs
@@ -1,26 +1,37 @@
-//! The ready loop: what the consensus wants is written first, then sent, then applied.
+//! The ready loop: what the consensus wants is written first, then sent, then applied. A message
+//! may depend on what is written before it: a vote that was sent and is forgotten after a crash
+//! could be given twice.
 
+use protobuf::Message as _;
 use raft::Ready;
+use raft::prelude::{ConfChange, ConfChangeV2, Entry, EntryType, Message, Snapshot};
+use tulipgap_leases::Command;
 
 use super::Voter;
+use super::leadership::LeadershipChange;
+use super::linearizable_reads::{ReadRequest, read_leases};
+use super::membership_change::apply_step;
+use super::phase::Phase;
+use super::proposals::{Proposal, decode_entry, slot_notifications};
+use super::snapshot::KEPT_ENTRIES;
 use crate::error::LoadError;
-use crate::event::{Action, InvalidData, Notice};
+use crate::event::Action;
 use crate::log_store::LogStore;
+use crate::notice::{InvalidData, Notice};
+use crate::peer_message::{PeerMessage, VoterId};
+use crate::replicated_state::ReplicatedState;
 
 impl Voter {
     /// Processes everything that the consensus has ready, and what follows from it.
     pub(super) fn process_ready(&mut self, actions: &mut Vec<Action>) {
-        while let Some(node) = self.node.as_mut().filter(|node| node.has_ready()) {
-            let ready = node.ready();
+        while let Some(ready) = self.node.as_mut().and_then(|node| node.next_ready()) {
             if let Err(error) = self.process_one_ready(ready, actions) {
                 self.stop_node();
-                return actions.push(Action::Notice(Notice::InvalidData(InvalidData::State(
-                    error,
-                ))));
+                return report_invalid(InvalidData::State(error), actions);
             }
         }
         self.follow_role(actions);
-        self.respond_pending_reads(actions);
+        self.respond_applied_reads(actions);
         self.take_snapshot_if_due(actions);
         self.set_timer(actions);
     }
@@ -37,7 +48,7 @@
         self.persist(&mut ready, actions)?;
         self.send_raft_messages(messages, actions);
         self.apply_entries(committed, actions);
-        self.add_confirmed_reads(confirmed_reads);
+        self.reads.add_confirmed(confirmed_reads);
         self.advance(ready, actions);
         Ok(())
     }
@@ -52,7 +63,7 @@
         let has_snapshot = snapshot.get_metadata().index > 0;
         let entries = ready.take_entries();
         let hard_state = ready.hs().cloned();
-        let store = node.mut_store();
+        let store = node.store_mut();
         if has_snapshot {
             store.install_snapshot(snapshot.clone());
         }
@@ -76,15 +87,161 @@
     fn advance(&mut self, ready: Ready, actions: &mut Vec<Action>) {
         let Some(node) = &mut self.node else { return };
         let mut light = node.advance(ready);
-        if let Some(commit) = light.commit_index() {
-            node.mut_store().set_commit(commit);
-        }
         let (messages, committed) = (light.take_messages(), light.take_committed_entries());
         self.send_raft_messages(messages, actions);
         self.apply_entries(committed, actions);
         if let Some(node) = &mut self.node {
-            node.advance_apply();
+            node.finish_advance();
+        }
+    }
+
+    fn send_raft_messages(&self, messages: Vec<Message>, actions: &mut Vec<Action>) {
+        for message in messages {
+            let id = VoterId(message.to);
+            if let Some(to) = self.peers.name_of(id, &self.state, &self.identity) {
+                let bytes = message.write_to_bytes().unwrap_or_default();
+                let message = PeerMessage::Raft(bytes);
+                actions.push(Action::Send { to, message });
+            }
+        }
+    }
+
+    fn apply_entries(&mut self, entries: Vec<Entry>, actions: &mut Vec<Action>) {
+        for entry in entries {
+            self.applied_index = entry.index;
+            match entry.get_entry_type() {
+                // A new leader commits an empty entry.
+                EntryType::EntryNormal if entry.data.is_empty() => {}
+                EntryType::EntryNormal => self.apply_proposals(&entry, actions),
+                EntryType::EntryConfChange => {
+                    if let Ok(change) = ConfChange::parse_from_bytes(&entry.data) {
+                        self.apply_change(&change);
+                    }
+                }
+                EntryType::EntryConfChangeV2 => {
+                    if let Ok(change) = ConfChangeV2::parse_from_bytes(&entry.data)
+                        && let Some(node) = &mut self.node
+                    {
+                        node.apply_change_v2(&change);
+                    }
+                }
+            }
         }
-        self.redraw_election_timeout();
     }
+
+    /// Applies a committed step of a membership change. What the consensus does not accept is not
+    /// applied here either.
+    fn apply_change(&mut self, change: &ConfChange) {
+        let Some(node) = &mut self.node else { return };
+        if node.apply_change(change) {
+            apply_step(&mut self.state, change);
+        }
+    }
+
+    fn apply_proposals(&mut self, entry: &Entry, actions: &mut Vec<Action>) {
+        let Some(proposals) = decode_entry(&entry.data) else {
+            let index = entry.index;
+            return report_invalid(InvalidData::Entry { index }, actions);
+        };
+        for proposal in proposals {
+            self.apply_proposal(proposal, actions);
+        }
+    }
+
+    fn apply_proposal(&mut self, proposal: Proposal, actions: &mut Vec<Action>) {
+        let Proposal {
+            from,
+            request,
+            command,
+        } = proposal;
+        let response = self.state.leases.apply(&command);
+        self.expiry
+            .command_applied(self.now, command.lease(), &self.state.leases);
+        if !self.is_leader() {
+            return;
+        }
+        if !from.is_empty() {
+            let incarnation = Command::incarnation(&command);
+            actions.push(Action::Respond {
+                to: from,
+                incarnation,
+                request,
+                response,
+            });
+        }
+        actions.extend(slot_notifications(&self.state.leases, &command));
+    }
+
+    /// Begins or ends the expiry of leases.
+    fn follow_role(&mut self, actions: &mut Vec<Action>) {
+        let Some(node) = &self.node else { return };
+        match self.leadership.update(node.role()) {
+            Some(LeadershipChange::Began { term }) => {
+                self.state.leases.leader_changed();
+                self.expiry.start_leading(self.now, &self.state.leases);
+                actions.push(Action::Notice(Notice::BecameLeader { term }));
+            }
+            Some(LeadershipChange::Ended) => {
+                self.expiry.stop_leading();
+                self.reads.clear();
+                actions.push(Action::Notice(Notice::LostLeadership));
+            }
+            None => {}
+        }
+    }
+
+    fn respond_applied_reads(&mut self, actions: &mut Vec<Action>) {
+        for read in self.reads.take_applied(self.applied_index) {
+            self.respond_read(read, actions);
+        }
+    }
+
+    pub(super) fn respond_read(&self, read: ReadRequest, actions: &mut Vec<Action>) {
+        actions.push(Action::RespondRead {
+            to: read.from,
+            request: read.request,
+            leases: read_leases(&self.state.leases, read.lease.as_ref()),
+        });
+    }
+
+    /// Replaces the replicated state by the leader's. A voter that was outside votes where the
+    /// snapshot names it.
+    fn restore_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), LoadError> {
+        let state = ReplicatedState::decode(snapshot.get_data())?;
+        self.applied_index = snapshot.get_metadata().index;
+        self.snapshots.record(self.applied_index);
+        let id = self.identity.id;
+        if state.voters.contains_key(&id) || state.joining.contains_key(&id) {
+            self.phase = Phase::Voting;
+        }
+        self.state = state;
+        Ok(())
+    }
+
+    fn take_snapshot_if_due(&mut self, actions: &mut Vec<Action>) {
+        if !self.snapshots.is_due(self.applied_index) {
+            return;
+        }
+        let Some(node) = &mut self.node else { return };
+        let membership = node.membership();
+        let store = node.store_mut();
+        store.compact(self.applied_index, membership, &self.state, KEPT_ENTRIES);
+        self.snapshots.record(self.applied_index);
+        actions.push(Action::WriteSnapshot(store.encode()));
+    }
+
+    /// Asks for a timer where something is due before the one that was asked for.
+    fn set_timer(&mut self, actions: &mut Vec<Action>) {
+        if self.phase == Phase::RolledBack {
+            return;
+        }
+        let next_check_at = self.expiry.next_check_at();
+        if let Some(at) = self.timer.request(self.now, next_check_at) {
+            actions.push(Action::SetTimer { at });
+        }
+    }
+}
+
+pub(super) fn report_invalid(invalid: InvalidData, actions: &mut Vec<Action>) {
+    actions.push(Action::Notice(Notice::InvalidData(invalid)));
 }
--- a/crates/consensus/src/voter/snapshot.rs
+++ b/crates/consensus/src/voter/snapshot.rs
@@ -1,40 +1,33 @@
-//! Snapshots of the replicated state: taken at an interval of entries, and restored from the
-//! leader's.
+//! When a snapshot of the replicated state is taken (Raft, section 7): a log that grows without
+//! bound would fill the disk and make each start longer.
 
-use raft::prelude::Snapshot;
+/// Entries that stay in the log after a snapshot, for voters that are a little behind: those get
+/// the entries and not the complete state.
+pub(super) const KEPT_ENTRIES: u64 = 200;
 
-use super::{Phase, Voter};
-use crate::error::LoadError;
-use crate::event::Action;
-use crate::replicated_state::ReplicatedState;
-
-/// Entries that stay in the log after a snapshot, for voters that are a little behind.
-const KEPT_ENTRIES: u64 = 200;
+/// The entries between two snapshots.
+pub(super) struct SnapshotSchedule {
+    interval_entries: u64,
+    /// The entry of the latest snapshot.
+    last_index: u64,
+}
 
-impl Voter {
-    /// Replaces the replicated state by the leader's. A voter that was outside votes where the
-    /// snapshot names it.
-    pub(super) fn restore_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), LoadError> {
-        let state = ReplicatedState::decode(snapshot.get_data())?;
-        self.applied_index = snapshot.get_metadata().index;
-        self.snapshot_index = self.applied_index;
-        let id = self.identity.id;
-        if state.voters.contains_key(&id) || state.joining.contains_key(&id) {
-            self.phase = Phase::Voting;
+impl SnapshotSchedule {
+    /// `interval_entries` entries are applied between two snapshots.
+    pub(super) fn new(interval_entries: u64) -> Self {
+        SnapshotSchedule {
+            interval_entries,
+            last_index: 0,
         }
-        self.state = state;
-        Ok(())
     }
 
-    pub(super) fn take_snapshot_if_due(&mut self, actions: &mut Vec<Action>) {
-        if self.applied_index < self.snapshot_index + self.config.snapshot_interval_entries {
-            return;
-        }
-        let Some(node) = &mut self.node else { return };
-        let conf_state = node.raft.prs().conf().to_conf_state();
-        let store = node.mut_store();
-        store.compact(self.applied_index, conf_state, &self.state, KEPT_ENTRIES);
-        self.snapshot_index = self.applied_index;
-        actions.push(Action::WriteSnapshot(store.encode()));
+    /// A snapshot as of that entry was taken or received.
+    pub(super) fn record(&mut self, index: u64) {
+        self.last_index = index;
+    }
+
+    /// Whether a snapshot is to be taken once the entry of that index is applied.
+    pub(super) fn is_due(&self, applied_index: u64) -> bool {
+        applied_index >= self.last_index + self.interval_entries
     }
 }
--- a/crates/consensus/src/voter/tests/golden_transcripts.rs
+++ b/crates/consensus/src/voter/tests/golden_transcripts.rs
@@ -17,8 +17,10 @@
 };
 use tulipgap_write_ahead_log::Recovered;
 
-use crate::bootstrap::Identity;
-use crate::event::{Action, Config, Event, InvalidData, Notice};
+use crate::config::Config;
+use crate::event::{Action, Event};
+use crate::identity::Identity;
+use crate::notice::{InvalidData, Notice};
 use crate::peer_message::{PeerMessage, VoterId};
 use crate::voter::Voter;
 
