--- /dev/null
+++ b/crates/server/tests/program/configuration.rs
@@ -0,0 +1,144 @@
+//! Settings that are served and settings that are refused at the start.
+
+use crate::harness::backend::{
+    TestBackend, config_json, run_to_refusal, spawn_backend, write_config,
+};
+use crate::harness::edge_node::{AnswerKind, EdgeConnection};
+use crate::harness::executor::{SharedExecutor, serve_executor};
+use crate::harness::store::start_store;
+use crate::harness::unique_address;
+
+#[test]
+fn an_invalid_configuration_is_reported_in_one_line() {
+    let host = unique_address();
+    let told = config_json(&host);
+    for (from, to, problem) in [
+        ("{\"name\":\"n3\"", "{\"name\"", "expected `:`"),
+        ("\"cores\":4", "\"cores\":0", "no cores are given"),
+        (
+            "\"8c1f30d27a5be964\"",
+            "\"seed\"",
+            "seed: 'seed' is no hex number",
+        ),
+        (
+            "\"sockets\":1024",
+            "\"sockets\":3",
+            "limits.sockets: 3 are too few to serve",
+        ),
+        (&format!("{host}:6565"), "nowhere", "invalid socket address"),
+        (
+            "\"stop_ms\":4000",
+            "\"stop_ms\":-4",
+            "stop_ms: -4 is no time",
+        ),
+    ] {
+        assert!(told.contains(from), "{from}");
+        let file = write_config(&format!("{host}-wrong"), &told.replace(from, to));
+        let output = spawn_backend(&file).wait_with_output().unwrap();
+        let said = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.status.code(), Some(2), "{said}");
+        assert!(
+            said.lines().count() == 1 && said.contains(problem),
+            "{said}"
+        );
+        std::fs::remove_file(file).unwrap();
+    }
+}
+
+/// Whether any of many answers carries a value; the first come before one is known.
+fn tells_a_value(edge: &mut EdgeConnection) -> bool {
+    (1..300).any(|sequence| {
+        edge.request(sequence, &format!("{sequence:016x}"), b"run");
+        edge.expect_answer(sequence, AnswerKind::Answer)
+            .contains(b"signal")
+    })
+}
+
+/// The shape of regina-main and nairobi-calc: the list follows health, callers get no value, a
+/// handler writes. One build serves it from the settings alone; a write that may run again is
+/// refused at start, by the key at fault.
+#[test]
+fn settings_with_writes_are_served_and_an_idempotent_write_is_refused() {
+    let new_shape = |host: &str| {
+        config_json(host)
+            .replace(r#""say":"weight""#, r#""say":"silent","list_follows":true"#)
+            .replace(
+                r#""effect":"pure"}"#,
+                r#""effect":"side_effect","write":true}"#,
+            )
+    };
+    let host = unique_address();
+    let mixed = write_config(
+        &host,
+        &new_shape(&host).replace(
+            r#""effect":"side_effect","write""#,
+            r#""effect":"pure","write""#,
+        ),
+    );
+    let (status, error) = run_to_refusal(&mixed);
+    assert!(!status.success());
+    assert!(error.contains("settings: classes[0].write: "), "{error}");
+    let _ = std::fs::remove_file(mixed);
+
+    let (kernel, store) = (
+        serve_executor(SharedExecutor::default(), &host),
+        start_store(&host),
+    );
+    let file = write_config(&host, &new_shape(&host));
+    let child = spawn_backend(&file);
+    let backend = TestBackend {
+        host,
+        kernel,
+        store,
+        child,
+        file,
+    };
+    backend.wait_until_healthy(|_| true);
+    let mut edge = backend.connect();
+    assert!(!tells_a_value(&mut edge), "a value where callers take none");
+}
+
+/// recife-matching gives callers a value and has the list follow health; such settings were refused
+/// at start.
+#[test]
+fn feedback_values_beside_a_list_that_follows_health_are_served() {
+    let host = unique_address();
+    let (kernel, store) = (
+        serve_executor(SharedExecutor::default(), &host),
+        start_store(&host),
+    );
+    let file = write_config(
+        &host,
+        &config_json(&host).replace(r#""say":"weight""#, r#""say":"weight","list_follows":true"#),
+    );
+    let child = spawn_backend(&file);
+    let backend = TestBackend {
+        host,
+        kernel,
+        store,
+        child,
+        file,
+    };
+    backend.wait_until_healthy(|_| true);
+    let mut edge = backend.connect();
+    assert!(tells_a_value(&mut edge), "no value where callers take one");
+}
+
+/// An effect of a word the backend does not know, such as the site file's "keyed" for the wire's
+/// "token", was told by its line and column alone.
+#[test]
+fn an_invalid_word_in_the_settings_is_reported_with_key_and_line() {
+    let host = unique_address();
+    let file = write_config(
+        &host,
+        &config_json(&host).replace(r#""effect":"pure""#, r#""effect":"keyed""#),
+    );
+    let (status, error) = run_to_refusal(&file);
+    assert_eq!(status.code(), Some(2));
+    assert!(
+        error.contains("settings.classes[0].effect: unknown variant `keyed`"),
+        "{error}"
+    );
+    assert!(error.contains(" at line 2 column "), "{error}");
+    let _ = std::fs::remove_file(file);
+}
--- /dev/null
+++ b/crates/server/tests/program/connection_close.rs
@@ -0,0 +1,296 @@
+//! Requests and answers that cross the close of their connection, at an idle close, at shutdown or
+//! by a reset from the caller.
+
+use std::io::{ErrorKind, Read, Write};
+use std::time::Duration;
+
+use crate::harness::backend::{TestBackend, stand_with_changes, start_backend, was_run};
+use crate::harness::edge_node::{
+    AnswerKind, EdgeConnection, answers_until_close, request_fields, slow_reader,
+    wait_for_drain_notification,
+};
+use crate::harness::wait_until;
+
+/// Requests on resting connections at moments around the close of each: every one is answered once,
+/// or its connection closes and the request was never run.
+fn assert_answered_or_never_run(
+    backend: &TestBackend,
+    edges: Vec<EdgeConnection>,
+    prefix: &str,
+    first: Duration,
+    step: Duration,
+) {
+    std::thread::scope(|scope| {
+        for (at, mut edge) in (0u32..).zip(edges) {
+            let id = format!("{prefix}{at:04x}");
+            scope.spawn(move || {
+                wait_for_drain_notification(&mut edge);
+                std::thread::sleep(first + step * at);
+                let message = edge.message(2, &request_fields(&id, "20.0"), b"run");
+                let _ = edge.stream.write_all(&message);
+                let answers = answers_until_close(&mut edge);
+                match answers.get(&2) {
+                    Some(count) => assert_eq!(*count, 1, "{id} is answered once"),
+                    None => assert!(!was_run(backend, &id), "{id} was run and not answered"),
+                }
+            });
+        }
+    });
+}
+
+/// Connections that rest after one answered request each.
+fn resting_connections(backend: &TestBackend, count: u32, prefix: &str) -> Vec<EdgeConnection> {
+    let rest = |at: u32| {
+        let mut edge = backend.connect();
+        edge.request(1, &format!("{prefix}{at:04x}"), b"run");
+        assert_eq!(edge.read_answer().expect("an answer").sequence, 1);
+        edge
+    };
+    (0..count).map(rest).collect()
+}
+
+#[test]
+fn a_request_on_a_resting_connection_that_closes_at_shutdown_is_answered_or_never_run() {
+    let mut backend = stand_with_changes(&[(r#""drain_grace":1000.0"#, r#""drain_grace":100.0"#)]);
+    let edges = resting_connections(&backend, 32, "000000000a01");
+    backend.signal("TERM");
+    // The close follows the notification by 60 ms.
+    let (first, step) = (Duration::from_millis(40), Duration::from_millis(2));
+    assert_answered_or_never_run(&backend, edges, "000000000a02", first, step);
+    assert_eq!(backend.wait_for_exit().code(), Some(0));
+}
+
+#[test]
+fn a_request_on_a_resting_connection_that_closes_idle_is_answered_or_never_run() {
+    let backend = stand_with_changes(&[(r#""idle":9000.0"#, r#""idle":100.0"#)]);
+    let edges = resting_connections(&backend, 32, "000000000a03");
+    // The close follows the notification by 2 s.
+    let (first, step) = (Duration::from_millis(1960), Duration::from_millis(4));
+    assert_answered_or_never_run(&backend, edges, "000000000a04", first, step);
+}
+
+/// Requests that backend unread in the socket when their idle connections fall due to close: the
+/// backend is stopped over that moment. Whole ones are read and answered, half ones end with their
+/// connection.
+#[test]
+fn a_request_that_stands_unread_as_its_connection_falls_due_is_answered() {
+    let backend = stand_with_changes(&[(r#""idle":9000.0"#, r#""idle":100.0"#)]);
+    let mut edges = resting_connections(&backend, 16, "000000000a0f");
+    for edge in &mut edges {
+        wait_for_drain_notification(edge);
+    }
+    // Long before the close, which follows the notification by 2 s.
+    backend.signal("STOP");
+    for (at, edge) in (0u32..).zip(&mut edges) {
+        let message = edge.message(
+            2,
+            &request_fields(&format!("000000000a10{at:04x}"), "20.0"),
+            b"run",
+        );
+        let length = if at % 2 == 0 {
+            message.len()
+        } else {
+            message.len() / 2
+        };
+        edge.stream.write_all(&message[..length]).unwrap();
+    }
+    std::thread::sleep(Duration::from_millis(2200));
+    backend.signal("CONT");
+    for (at, edge) in (0u32..).zip(&mut edges) {
+        let expected = u32::from(at % 2 == 0);
+        assert_eq!(
+            answers_until_close(edge).get(&2).copied().unwrap_or(0),
+            expected,
+            "connection {at}"
+        );
+        assert_eq!(
+            u32::from(was_run(&backend, &format!("000000000a10{at:04x}"))),
+            expected,
+            "connection {at}"
+        );
+    }
+}
+
+/// Half a request in the instant of the shutdown notice: with its second half it is answered,
+/// without it the connection ends and costs nobody an answer.
+#[test]
+fn half_a_request_in_the_instant_of_shutdown_costs_no_answer() {
+    let mut backend = stand_with_changes(&[(r#""drain_grace":1000.0"#, r#""drain_grace":300.0"#)]);
+    let mut edges = resting_connections(&backend, 16, "000000000a05");
+    let messages: Vec<Vec<u8>> = (0u32..)
+        .zip(&edges)
+        .map(|(at, edge)| {
+            edge.message(
+                2,
+                &request_fields(&format!("000000000a06{at:04x}"), "20.0"),
+                b"run",
+            )
+        })
+        .collect();
+    for (at, (edge, message)) in edges.iter_mut().zip(&messages).enumerate() {
+        if at == 8 {
+            backend.signal("TERM");
+        }
+        edge.stream
+            .write_all(&message[..message.len() * (at + 1) / 17])
+            .unwrap();
+    }
+    for (at, (edge, message)) in edges.iter_mut().zip(&messages).enumerate() {
+        if at % 2 == 0 {
+            edge.stream
+                .write_all(&message[message.len() * (at + 1) / 17..])
+                .unwrap();
+        }
+    }
+    for (at, edge) in edges.iter_mut().enumerate() {
+        let answers = answers_until_close(edge);
+        assert_eq!(
+            answers.get(&2).copied().unwrap_or(0),
+            u32::from(at % 2 == 0),
+            "connection {at}"
+        );
+    }
+    assert_eq!(backend.wait_for_exit().code(), Some(0));
+}
+
+/// Half a request in the instant of an idle close: the request is read as a whole once its rest has
+/// come.
+#[test]
+fn half_a_request_in_the_instant_of_an_idle_close_costs_no_answer() {
+    let backend = stand_with_changes(&[(r#""idle":9000.0"#, r#""idle":100.0"#)]);
+    let edges = resting_connections(&backend, 16, "000000000a07");
+    std::thread::scope(|scope| {
+        for (at, mut edge) in (0u32..).zip(edges) {
+            let backend = &backend;
+            scope.spawn(move || {
+                let id = format!("000000000a08{at:04x}");
+                wait_for_drain_notification(&mut edge);
+                // Some at the notification, the others around the close 2 s behind it.
+                let pause = if at < 8 {
+                    0
+                } else {
+                    1960 + u64::from(at - 8) * 10
+                };
+                std::thread::sleep(Duration::from_millis(pause));
+                let message = edge.message(2, &request_fields(&id, "20.0"), b"run");
+                let half = message.len() / 2;
+                let _ = edge.stream.write_all(&message[..half]);
+                std::thread::sleep(Duration::from_millis(20));
+                let _ = edge.stream.write_all(&message[half..]);
+                let answers = answers_until_close(&mut edge);
+                match answers.get(&2) {
+                    Some(count) => assert_eq!(*count, 1, "{id} is answered once"),
+                    None => {
+                        assert!(at >= 8, "{id} came long before the close");
+                        assert!(!was_run(backend, &id), "{id} was run and not answered");
+                    }
+                }
+            });
+        }
+    });
+}
+
+/// The answers to a slow reader wait in the send buffer as the backend closes the connection, and a
+/// request crosses the close: its bytes arrive behind the close, so the system reset the connection
+/// and dropped all answers.
+#[test]
+fn a_request_that_crosses_the_close_does_not_reset_answers_on_their_way() {
+    const REQUESTS: u32 = 16;
+    let mut backend = stand_with_changes(&[(r#""drain_grace":1000.0"#, r#""drain_grace":100.0"#)]);
+    let mut edge = slow_reader(&backend);
+    for sequence in 1..=REQUESTS {
+        edge.request(sequence, &format!("000000000a09{sequence:04x}"), b"large");
+    }
+    wait_until("all are answered", || {
+        let mut probe = backend.connect();
+        probe.call(1, "probe", b"\0");
+        probe.read_answer();
+        backend.kernel.lock().unwrap().ends.len() as u32 == REQUESTS
+    });
+    backend.signal("TERM");
+    // Behind the grace and the 60 ms that a connection then has.
+    std::thread::sleep(Duration::from_millis(500));
+    let late = edge.message(99, &request_fields("000000000a0a0001", "20.0"), b"run");
+    let _ = edge.stream.write_all(&late);
+    std::thread::sleep(Duration::from_millis(50));
+    let answers = answers_until_close(&mut edge);
+    let answered = (1..=REQUESTS)
+        .filter(|sequence| answers.get(sequence) == Some(&1))
+        .count();
+    assert_eq!(answered as u32, REQUESTS, "answers lost: {answers:?}");
+    assert!(
+        !was_run(&backend, "000000000a0a0001"),
+        "run behind the close"
+    );
+    assert_eq!(backend.wait_for_exit().code(), Some(0));
+}
+
+/// The answer meets a caller that is just cutting off: it is lost with its connection, and harms
+/// nobody else.
+#[test]
+fn an_answer_that_meets_a_reset_is_the_only_one_lost() {
+    let backend = start_backend();
+    let mut edge = backend.connect();
+    for turn in 0..60u32 {
+        let mut cut = backend.connect();
+        let id = format!("0000000000f6{turn:04x}");
+        cut.request(1, &id, b"hang");
+        wait_until("it runs", || {
+            backend.kernel.lock().unwrap().runs.contains_key(&id)
+        });
+        socket2::SockRef::from(&cut.stream)
+            .set_linger(Some(std::time::Duration::ZERO))
+            .unwrap();
+        // By turns the end of the run comes first, the reset does, or both at once.
+        match turn % 3 {
+            0 => backend
+                .kernel
+                .lock()
+                .unwrap()
+                .end(&id, "success", b"to nobody"),
+            1 => drop(std::mem::replace(&mut cut, backend.connect())),
+            _ => {}
+        }
+        drop(cut);
+        if turn % 3 == 2 {
+            backend
+                .kernel
+                .lock()
+                .unwrap()
+                .end(&id, "success", b"to nobody");
+        }
+        edge.request(turn + 1, &format!("0000000000f5{turn:04x}"), b"run");
+        assert!(
+            edge.expect_answer(turn + 1, AnswerKind::Answer)
+                .contains(format!("f5{turn:04x}").as_bytes())
+        );
+    }
+    // Those that were cut off before their run ended were stopped, or end when they are told to.
+    let left: Vec<String> = backend
+        .kernel
+        .lock()
+        .unwrap()
+        .runs
+        .keys()
+        .cloned()
+        .collect();
+    for id in left {
+        backend.kernel.lock().unwrap().end(&id, "interrupted", b"");
+    }
+    assert!(
+        backend
+            .kernel
+            .lock()
+            .unwrap()
+            .ends
+            .values()
+            .all(|&ends| ends == 1)
+    );
+    assert_eq!(edge.stream.set_nonblocking(true).ok(), Some(()));
+    let mut one = [0];
+    assert_eq!(
+        edge.stream.read(&mut one).unwrap_err().kind(),
+        ErrorKind::WouldBlock,
+        "nothing more than one each"
+    );
+}
--- /dev/null
+++ b/crates/server/tests/program/connection_floods.rs
@@ -0,0 +1,142 @@
+//! Floods of connections and of requests on one connection, and the limit on open connections.
+
+use std::collections::HashMap;
+use std::io::Write;
+use std::net::{SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::{Duration, Instant};
+
+use crate::harness::backend::{start_backend, start_backend_with_sockets};
+use crate::harness::edge_node::{AnswerKind, EdgeConnection, slowest_answer_while};
+use crate::harness::{PROMPT, wait_until};
+
+/// A flood of connections beyond the limit: whoever is connected is served meanwhile, a newcomer
+/// afterwards.
+#[test]
+fn a_flood_of_connections_holds_up_nobody_who_is_connected() {
+    let backend = start_backend_with_sockets(64);
+    let running = AtomicBool::new(true);
+    let address: SocketAddr = format!("{}:6565", backend.host).parse().unwrap();
+    std::thread::scope(|scope| {
+        let other = scope.spawn(|| slowest_answer_while(&backend, &running, "0b050000"));
+        let flood: Vec<_> = (0..4)
+            .map(|_| {
+                scope.spawn(move || {
+                    let connect =
+                        |_| TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
+                    (0..250).filter_map(connect).collect::<Vec<_>>().len()
+                })
+            })
+            .collect();
+        let connected: usize = flood.into_iter().map(|thread| thread.join().unwrap()).sum();
+        let files = std::fs::read_dir(format!("/proc/{}/fd", backend.child.id()))
+            .unwrap()
+            .count();
+        running.store(false, Ordering::Release);
+        let slowest = other.join().unwrap();
+        println!("slowest answer beside a flood of {connected} connections: {slowest:?}");
+        assert!(files <= 64, "{files} descriptors");
+        assert!(slowest < PROMPT, "{slowest:?}");
+    });
+    let begin = Instant::now();
+    let mut newcomer = backend.connect();
+    newcomer.request(1, "000000000b060001", b"run");
+    assert_eq!(newcomer.read_answer().expect("an answer").sequence, 1);
+    assert!(begin.elapsed() < PROMPT, "{:?}", begin.elapsed());
+}
+
+/// A flood of requests on one connection, far more at a time than it may have open: each is
+/// answered once, and others are served meanwhile.
+#[test]
+fn a_flood_of_requests_on_one_connection_holds_up_nobody_else() {
+    const REQUESTS: u32 = 3000;
+    let backend = start_backend();
+    let mut edge = backend.connect();
+    let mut writer = EdgeConnection {
+        stream: edge.stream.try_clone().unwrap(),
+    };
+    let running = AtomicBool::new(true);
+    let mut counts: HashMap<u32, u32> = HashMap::new();
+    std::thread::scope(|scope| {
+        let other = scope.spawn(|| slowest_answer_while(&backend, &running, "0b080000"));
+        scope.spawn(move || {
+            for sequence in 1..=REQUESTS {
+                writer.request(sequence, &format!("000000000b07{sequence:04x}"), b"run");
+            }
+        });
+        for _ in 0..REQUESTS {
+            let answer = edge.read_answer().expect("an answer for each");
+            *counts.entry(answer.sequence).or_default() += 1;
+        }
+        running.store(false, Ordering::Release);
+        let slowest = other.join().unwrap();
+        println!("slowest answer beside a flood of {REQUESTS} requests: {slowest:?}");
+        assert!(slowest < PROMPT, "{slowest:?}");
+    });
+    assert!(
+        (1..=REQUESTS).all(|sequence| counts.get(&sequence) == Some(&1)),
+        "once each"
+    );
+}
+
+#[test]
+fn silent_connections_keep_nobody_out() {
+    let backend = start_backend_with_sockets(48);
+    // Those that asked once and stay go too, the oldest first.
+    let asked = |at: u32| {
+        let mut edge = backend.connect();
+        edge.request(1, &format!("0000000000ea{at:04x}"), b"run");
+        edge.expect_answer(1, AnswerKind::Answer);
+        edge
+    };
+    let _asked: Vec<EdgeConnection> = (0..60).map(asked).collect();
+    let mut silent: Vec<EdgeConnection> = (0..80).map(|_| backend.connect()).collect();
+    let mut edge = backend.connect();
+    edge.request(1, "0000000000eb0001", b"run");
+    edge.expect_answer(1, AnswerKind::Answer);
+    let files = std::fs::read_dir(format!("/proc/{}/fd", backend.child.id()))
+        .unwrap()
+        .count();
+    assert!(files <= 48, "{files} descriptors");
+    // One that never says a word, and one that stops in the middle of it, are closed.
+    let mut half = backend.connect();
+    half.stream.write_all(b"\0\0\0\x30\x80\x01").unwrap();
+    silent.push(half);
+    for mut edge in silent {
+        assert!(edge.is_closed());
+    }
+}
+
+#[test]
+fn connections_beyond_the_limit_wait_for_a_place() {
+    let backend = start_backend_with_sockets(32);
+    let hang = |at: u32| {
+        let mut edge = backend.connect();
+        edge.request(1, &format!("0000000000fa{at:04x}"), b"hang");
+        edge
+    };
+    let mut edges: Vec<EdgeConnection> = (0..12).map(hang).collect();
+    wait_until("it runs", || {
+        backend
+            .kernel
+            .lock()
+            .unwrap()
+            .runs
+            .contains_key("0000000000fa0000")
+    });
+    let mut last = backend.connect();
+    last.call(1, "probe", b"\0");
+    let files = std::fs::read_dir(format!("/proc/{}/fd", backend.child.id()))
+        .unwrap()
+        .count();
+    assert!(files <= 32, "{files} descriptors");
+    // It is served once nothing is open on another.
+    backend
+        .kernel
+        .lock()
+        .unwrap()
+        .end("0000000000fa0000", "success", b"its place is free");
+    edges[0].expect_answer(1, AnswerKind::Answer);
+    last.expect_answer(1, AnswerKind::Answer);
+    assert!(edges[0].is_closed());
+}
--- /dev/null
+++ b/crates/server/tests/program/executor_link.rs
@@ -0,0 +1,309 @@
+//! Loss of the link to the executor, its resynchronisation, and an executor that violates its
+//! protocol.
+
+use std::collections::HashMap;
+use std::net::Shutdown;
+use std::sync::atomic::Ordering;
+
+use crate::harness::backend::{
+    TestBackend, config_json, spawn_backend, start_backend, write_config,
+};
+use crate::harness::edge_node::{AnswerKind, EdgeConnection, answers_until_close, request_fields};
+use crate::harness::executor::{SharedExecutor, serve_executor};
+use crate::harness::store::start_store;
+use crate::harness::{unique_address, wait_until};
+
+#[test]
+fn a_link_that_is_cut_is_resumed_where_it_was() {
+    let backend = start_backend();
+    let mut edge = backend.connect();
+    edge.request(1, "00000000000000b1", b"run");
+    edge.expect_answer(1, AnswerKind::Answer);
+    edge.request(2, "00000000000000b2", b"hang");
+    wait_until("it runs", || {
+        backend
+            .kernel
+            .lock()
+            .unwrap()
+            .runs
+            .contains_key("00000000000000b2")
+    });
+    {
+        let mut kernel = backend.kernel.lock().unwrap();
+        let link = kernel.link.take().unwrap();
+        // It ends while nobody hears of it.
+        kernel.end("00000000000000b2", "success", b"ended unheard");
+        link.shutdown(Shutdown::Both).unwrap();
+    }
+    edge.request(3, "00000000000000b3", b"hang");
+    assert!(
+        edge.expect_answer(2, AnswerKind::Answer)
+            .contains(b"ended unheard")
+    );
+    // What came in between runs, and once.
+    wait_until("it runs", || {
+        backend
+            .kernel
+            .lock()
+            .unwrap()
+            .runs
+            .contains_key("00000000000000b3")
+    });
+    let mut kernel = backend.kernel.lock().unwrap();
+    assert_eq!(kernel.link_count, 2);
+    assert!(!kernel.runs.contains_key("00000000000000b2"), "run again");
+    kernel.end("00000000000000b3", "failure", b"");
+    drop(kernel);
+    edge.expect_answer(3, AnswerKind::Crashed);
+}
+
+#[test]
+fn a_run_unheard_of_behind_missing_notices_is_not_run_again() {
+    let backend = start_backend();
+    let mut edge = backend.connect();
+    edge.request(1, "00000000000000e1", b"hang");
+    edge.request(2, "00000000000000e2", b"hang");
+    wait_until("both run", || {
+        backend.kernel.lock().unwrap().runs.len() == 2
+    });
+    {
+        let mut kernel = backend.kernel.lock().unwrap();
+        kernel
+            .link
+            .take()
+            .unwrap()
+            .shutdown(Shutdown::Both)
+            .unwrap();
+        // The end of the first is forgotten before anybody hears of it.
+        kernel.end("00000000000000e1", "success", b"forgotten");
+        kernel.notices.last_mut().unwrap().clear();
+        kernel.end("00000000000000e2", "success", b"kept");
+    }
+    let (one, other) = (edge.read_answer().unwrap(), edge.read_answer().unwrap());
+    for answer in [one, other] {
+        let kind = if answer.sequence == 1 {
+            AnswerKind::Crashed
+        } else {
+            AnswerKind::Answer
+        };
+        assert_eq!(answer.kind, kind);
+    }
+    assert!(backend.kernel.lock().unwrap().runs.is_empty(), "run again");
+}
+
+#[test]
+fn ids_unknown_to_the_executor_reject_nobody_else() {
+    let backend = start_backend();
+    let mut edge = backend.connect();
+    for sequence in 1..20 {
+        edge.request(
+            sequence,
+            &format!("0000000000adb{sequence:03x}"),
+            b"unknown",
+        );
+        edge.expect_answer(sequence, AnswerKind::Crashed);
+    }
+    for sequence in 20..30 {
+        edge.request(sequence, &format!("0000000000adb{sequence:03x}"), b"run");
+        // Where runs error no traffic is wanted; how much less is, while the machine is busy, is
+        // not told here.
+        let answer = edge.expect_answer(sequence, AnswerKind::Answer);
+        assert!(
+            answer.contains(b"signal") && !answer.contains(b"0.0000"),
+            "no traffic is wanted"
+        );
+    }
+}
+
+#[test]
+fn a_peer_that_violates_its_protocol_is_connected_again() {
+    let backend = start_backend();
+    let mut edge = backend.connect();
+    let long = "x".repeat(5000);
+    for (sequence, nonsense) in (1..).zip([
+        "HELLO 1\r\n",
+        "REAP 1 2\r\n",
+        "IOREQ 5 x -1\r\n",
+        "\u{1}\r\n",
+        &long,
+    ]) {
+        let links = backend.kernel.lock().unwrap().link_count;
+        backend
+            .kernel
+            .lock()
+            .unwrap()
+            .send_line(nonsense.to_owned());
+        wait_until(nonsense, || {
+            backend.kernel.lock().unwrap().link_count > links
+        });
+        edge.request(sequence, &format!("{sequence:016x}"), b"run");
+        edge.expect_answer(sequence, AnswerKind::Answer);
+    }
+    // What has no meaning, and what was refused, breaks nothing.
+    edge.request(9, "00000000000000f9", b"hang");
+    wait_until("it runs", || {
+        !backend.kernel.lock().unwrap().runs.is_empty()
+    });
+    let links = backend.kernel.lock().unwrap().link_count;
+    backend.kernel.lock().unwrap().send_line(
+        "EINVAL NOIO x\r\nINFO 999999 x\r\nEINVAL SCHED 00000000000000f9\r\n".to_owned(),
+    );
+    edge.expect_answer(9, AnswerKind::Crashed);
+    assert_eq!(backend.kernel.lock().unwrap().link_count, links);
+}
+
+#[test]
+fn each_request_is_answered_once_while_links_are_cut() {
+    const EACH: u32 = 150;
+    let backend = start_backend();
+    let mut edges: Vec<EdgeConnection> = (0..4).map(|_| backend.connect()).collect();
+    let mut left: Vec<Vec<u32>> = vec![(1..=EACH).collect(); edges.len()];
+    let mut sent = 0;
+    while left.iter().any(|left| !left.is_empty()) {
+        // A few more on each connection; their answers come in any order while everything breaks.
+        let few = sent..EACH.min(sent + 10);
+        for (at, edge) in edges.iter_mut().enumerate() {
+            for sequence in few.clone() {
+                let body = if (sequence + at as u32).is_multiple_of(3) {
+                    &b"call"[..]
+                } else {
+                    b"run"
+                };
+                edge.request(sequence + 1, &format!("{at:08x}{:08x}", sequence + 1), body);
+            }
+        }
+        sent = few.end;
+        if let Some(link) = backend.kernel.lock().unwrap().link.take() {
+            let _ = link.shutdown(Shutdown::Both);
+        }
+        backend.store.down.store(sent % 40 == 0, Ordering::Release);
+        for (at, edge) in edges.iter_mut().enumerate() {
+            while left[at].iter().any(|&sequence| sequence <= sent) {
+                let answer = edge.read_answer().expect("an answer for each");
+                let place = left[at]
+                    .iter()
+                    .position(|&sequence| sequence == answer.sequence);
+                left[at].swap_remove(place.expect("once each"));
+                let own = format!("page \0 {at:08x}{:08x}", answer.sequence);
+                let whole = [own.as_bytes(), b"richer", b"poorer"]
+                    .iter()
+                    .any(|result| answer.contains(result));
+                assert!(
+                    answer.kind != AnswerKind::Answer || whole,
+                    "a result of its own"
+                );
+            }
+        }
+    }
+    let kernel = backend.kernel.lock().unwrap();
+    assert!(kernel.link_count > 10, "{} links", kernel.link_count);
+    assert!(kernel.ends.values().all(|&ends| ends == 1), "run again");
+}
+
+/// A link breaks as a run starts that may not run twice, and the run ends as the next link is taken
+/// up: behind the notices that were read there, and before anything said over it arrives. Its start
+/// was said again, and it ran twice.
+#[test]
+fn a_run_that_ends_as_its_link_is_resynchronised_is_not_run_again() {
+    for effect in [
+        r#""effect":"side_effect""#,
+        r#""effect":"token","memory_span":9000.0"#,
+    ] {
+        let host = unique_address();
+        let (kernel, store) = (
+            serve_executor(SharedExecutor::default(), &host),
+            start_store(&host),
+        );
+        let file = write_config(
+            &host,
+            &config_json(&host).replace(r#""effect":"pure""#, effect),
+        );
+        let child = spawn_backend(&file);
+        let backend = TestBackend {
+            host,
+            kernel,
+            store,
+            child,
+            file,
+        };
+        backend.wait_until_serving();
+        let id = "0000000000ef0001";
+        backend.kernel.lock().unwrap().cuts_link_at_start = true;
+        let mut edge = backend.connect();
+        let mut keyed = request_fields(id, "20.0");
+        keyed.push(("opkey", "ef".to_owned()));
+        edge.process(1, &keyed, b"hang");
+        let first = edge.read_answer().expect("an answer");
+        assert!(
+            first.kind == AnswerKind::Crashed || first.contains(b"unheard"),
+            "{:?}",
+            first.kind
+        );
+        // What was said before is heard by the time that this has run.
+        edge.request(2, "0000000000ef0002", b"run");
+        edge.expect_answer(2, AnswerKind::Answer);
+        // A repeat gets no run either.
+        let mut again = request_fields("0000000000ef0003", "20.0");
+        again.push(("opkey", "ef".to_owned()));
+        if effect.contains("token") {
+            edge.process(3, &again, b"hang");
+            edge.expect_answer(3, first.kind);
+        }
+        let kernel = backend.kernel.lock().unwrap();
+        assert_eq!(
+            (kernel.ends.get(id), kernel.runs.len()),
+            (Some(&1), 0),
+            "run again"
+        );
+    }
+}
+
+/// A result and the end of the executor's link backend in the buffer, by turns with the shutdown
+/// notice beside them.
+#[test]
+fn a_result_that_stands_before_the_end_of_the_link_is_answered_once() {
+    let mut backend = start_backend();
+    let mut edge = backend.connect();
+    for turn in 0..6u32 {
+        let id = format!("000000000a0c{turn:04x}");
+        edge.request(turn + 1, &id, b"hang");
+        wait_until("it runs", || {
+            backend.kernel.lock().unwrap().runs.contains_key(&id)
+        });
+        backend.signal("STOP");
+        {
+            let mut kernel = backend.kernel.lock().unwrap();
+            kernel.end(&id, "success", b"its own");
+            kernel
+                .link
+                .take()
+                .unwrap()
+                .shutdown(Shutdown::Both)
+                .unwrap();
+        }
+        if turn == 5 {
+            backend.signal("TERM");
+        }
+        backend.signal("CONT");
+        let answer = std::iter::from_fn(|| edge.read_answer())
+            .find(|answer| answer.kind != AnswerKind::NoMore)
+            .unwrap();
+        assert_eq!(
+            (answer.sequence, &answer.kind),
+            (turn + 1, &AnswerKind::Answer)
+        );
+        assert!(answer.contains(b"its own"));
+    }
+    assert_eq!(answers_until_close(&mut edge), HashMap::new(), "once each");
+    assert!(
+        backend
+            .kernel
+            .lock()
+            .unwrap()
+            .ends
+            .values()
+            .all(|&ends| ends == 1),
+        "run again"
+    );
+    assert_eq!(backend.wait_for_exit().code(), Some(0));
+}
--- a/crates/server/tests/program/harness/backend.rs
+++ b/crates/server/tests/program/harness/backend.rs
@@ -217,3 +217,34 @@
         let _ = std::fs::remove_file(&self.file);
     }
 }
+
+/// Starts a backend whose configuration is changed by these replacements.
+pub(crate) fn stand_with_changes(changes: &[(&str, &str)]) -> TestBackend {
+    let host = unique_address();
+    let (kernel, store) = (
+        serve_executor(SharedExecutor::default(), &host),
+        start_store(&host),
+    );
+    let mut configuration = config_json(&host);
+    for (from, to) in changes {
+        assert!(configuration.contains(from), "{from}");
+        configuration = configuration.replace(from, to);
+    }
+    let file = write_config(&host, &configuration);
+    let child = spawn_backend(&file);
+    let backend = TestBackend {
+        host,
+        kernel,
+        store,
+        child,
+        file,
+    };
+    backend.wait_until_serving();
+    backend
+}
+
+/// Whether the executor was ever told to run a request.
+pub(crate) fn was_run(backend: &TestBackend, id: &str) -> bool {
+    let kernel = backend.kernel.lock().unwrap();
+    kernel.runs.contains_key(id) || kernel.ends.contains_key(id)
+}
--- a/crates/server/tests/program/harness/edge_node.rs
+++ b/crates/server/tests/program/harness/edge_node.rs
@@ -1,8 +1,15 @@
 //! The messages of an edge node, written by hand.
 
+use std::collections::HashMap;
 use std::io::{Read, Write};
-use std::net::TcpStream;
-use std::time::{SystemTime, UNIX_EPOCH};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+use socket2::{Domain, Socket, Type};
+
+use super::LONG_TIMEOUT;
+use super::backend::TestBackend;
 
 #[derive(Debug, PartialEq)]
 pub(crate) enum AnswerKind {
@@ -168,3 +175,53 @@
         answer
     }
 }
+
+/// A connection whose receive buffer holds very little, so that answers wait in the backend's send
+/// buffer.
+pub(crate) fn slow_reader(backend: &TestBackend) -> EdgeConnection {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+    socket.set_recv_buffer_size(4096).unwrap();
+    let address: SocketAddr = format!("{}:6565", backend.host).parse().unwrap();
+    socket.connect(&address.into()).unwrap();
+    let stream: TcpStream = socket.into();
+    stream.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
+    EdgeConnection { stream }
+}
+
+/// The answers up to the end of the connection, counted by sequence; drain notifications are left
+/// out.
+pub(crate) fn answers_until_close(edge: &mut EdgeConnection) -> HashMap<u32, u32> {
+    let mut counts = HashMap::new();
+    while let Some(answer) = edge.read_answer() {
+        if answer.kind != AnswerKind::NoMore {
+            *counts.entry(answer.sequence).or_default() += 1;
+        }
+    }
+    counts
+}
+
+pub(crate) fn wait_for_drain_notification(edge: &mut EdgeConnection) {
+    while edge.read_answer().expect("a drain notification").kind != AnswerKind::NoMore {}
+}
+
+/// Sends requests one after the other until told to stop; yields the longest time to an answer.
+pub(crate) fn slowest_answer_while(
+    backend: &TestBackend,
+    running: &AtomicBool,
+    prefix: &str,
+) -> Duration {
+    let mut edge = backend.connect();
+    let mut slowest = Duration::ZERO;
+    for sequence in 1.. {
+        if !running.load(Ordering::Acquire) {
+            break;
+        }
+        let begin = Instant::now();
+        edge.request(sequence, &format!("{prefix}{sequence:08x}"), b"run");
+        let answer = edge.read_answer().expect("an answer");
+        assert_eq!(answer.sequence, sequence);
+        slowest = slowest.max(begin.elapsed());
+        std::thread::sleep(Duration::from_millis(5));
+    }
+    slowest
+}
--- a/crates/server/tests/program/harness/mod.rs
+++ b/crates/server/tests/program/harness/mod.rs
@@ -14,6 +14,10 @@
 /// Far longer than anything takes, on a busy machine too.
 pub(crate) const LONG_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// Far longer than an answer takes on a busy machine, far shorter than a caller that is held up by
+/// another would wait.
+pub(crate) const PROMPT: Duration = Duration::from_secs(5);
+
 /// A loopback address that no other test uses, nor a suite that runs at the same time: a socket
 /// that is kept until the process ends claims it.
 pub(crate) fn unique_address() -> String {
--- a/crates/server/tests/program/main.rs
+++ b/crates/server/tests/program/main.rs
@@ -1,14 +1,28 @@
 //! The program as a whole, on loopback.
 
-mod admitting;
+mod address_limits;
+mod cancellation;
+mod configuration;
+mod connection_close;
+mod connection_floods;
 mod cost;
-mod crossings;
+mod deployment;
 mod docs;
-mod fleet;
+mod executor_link;
+mod graceful_shutdown;
 mod harness;
+mod idempotency;
 mod leases;
+mod listener_close;
 mod load;
-mod members;
+mod malformed_messages;
+mod membership;
+mod peer_moves;
 mod recording;
+mod registration;
+mod restart;
 mod serving;
-mod standing;
+mod slow_clients;
+mod socket_options;
+mod startup;
+mod store_calls;
--- /dev/null
+++ b/crates/server/tests/program/malformed_messages.rs
@@ -0,0 +1,135 @@
+//! Malformed messages and messages that violate the protocol of edge nodes.
+
+use std::io::Write;
+use std::net::Shutdown;
+
+use crate::harness::backend::{TestBackend, start_backend};
+use crate::harness::edge_node::{AnswerKind, EdgeConnection, request_fields_with};
+use crate::harness::wait_until;
+
+/// Each of these gets its exception, and the connection goes on.
+fn send_invalid_requests(edge: &mut EdgeConnection) {
+    edge.call(2, "drop_tables", b"\0");
+    edge.expect_answer(2, AnswerKind::Exception);
+    edge.call(3, "process", b"\x0d\0\x01\x0b\x0b\x7f\xff\xff\xff");
+    edge.expect_answer(3, AnswerKind::Exception);
+    for (sequence, name, value) in [
+        (4, "kind", "pag"),
+        (5, "owner", "nobody"),
+        (6, "ts", "soon"),
+        (7, "need", "-1"),
+        (8, "req", "short"),
+    ] {
+        edge.process(
+            sequence,
+            &request_fields_with("00000000000000d2", name, value),
+            b"run",
+        );
+        edge.expect_answer(sequence, AnswerKind::Exception);
+    }
+    edge.request(10, "00000000000000d4", b"run");
+    edge.expect_answer(10, AnswerKind::Answer);
+}
+
+/// The id of a request that is open, and of one that is over; then the sequence of one that is
+/// open. With too much of that it is cut short.
+fn reuse_ids_and_sequences(backend: &TestBackend) {
+    let mut other = backend.connect();
+    for (sequence, id) in [(1, "00000000000000d1"), (2, "00000000000000d4")] {
+        other.request(sequence, id, b"run");
+        other.expect_answer(sequence, AnswerKind::Exception);
+    }
+    other.request(3, "00000000000000d7", b"hang");
+    for id in 0..7 {
+        other.request(3, &format!("00000000000001d{id}"), b"run");
+        other.expect_answer(3, AnswerKind::Exception);
+    }
+    other.request(4, "00000000000000d8", b"run");
+    wait_until("it runs", || {
+        backend
+            .kernel
+            .lock()
+            .unwrap()
+            .runs
+            .contains_key("00000000000000d7")
+    });
+    backend
+        .kernel
+        .lock()
+        .unwrap()
+        .end("00000000000000d7", "success", b"the last");
+    assert!(
+        other
+            .expect_answer(3, AnswerKind::Answer)
+            .contains(b"the last")
+    );
+    assert!(other.read_answer().is_none(), "closed");
+}
+
+#[test]
+fn a_hostile_peer_harms_only_itself() {
+    let backend = start_backend();
+    let mut edge = backend.connect();
+    edge.request(1, "00000000000000d1", b"hang");
+    send_invalid_requests(&mut edge);
+    reuse_ids_and_sequences(&backend);
+    // A withdrawal is not known here, and can't be answered.
+    let mut other = backend.connect();
+    for (name, value) in [
+        ("need", "2000"),
+        ("ms", "NaN"),
+        ("ts", "1"),
+        ("ts", "99999999999999"),
+        ("level", "1"),
+    ] {
+        other.process(
+            1,
+            &request_fields_with("00000000000000d9", name, value),
+            b"run",
+        );
+        other.expect_answer(1, AnswerKind::Exception);
+    }
+    let mut other = backend.connect();
+    other.oneway(1, "giveUp");
+    assert!(other.read_answer().is_none(), "closed");
+    // After what is no frame nothing is read there any more, but what is open is answered.
+    edge.stream.write_all(&[0xff; 64]).unwrap();
+    for garbage in [
+        &b"GET / HTTP/1.1\r\n\r\n"[..],
+        &[0, 0, 0, 5, 1, 2, 3, 4, 5],
+        &[0x7f, 0xff, 0xff, 0xff],
+    ] {
+        let mut other = backend.connect();
+        other.stream.write_all(garbage).unwrap();
+        assert!(other.read_answer().is_none(), "closed");
+    }
+    backend
+        .kernel
+        .lock()
+        .unwrap()
+        .end("00000000000000d1", "success", b"all the same");
+    assert!(
+        edge.expect_answer(1, AnswerKind::Answer)
+            .contains(b"all the same")
+    );
+    assert!(edge.read_answer().is_none(), "closed");
+    // A message cut short by its end.
+    let mut other = backend.connect();
+    other.stream.write_all(b"\0\0\0\x30\x80\x01\0\x01").unwrap();
+    other.stream.shutdown(Shutdown::Write).unwrap();
+    assert!(other.read_answer().is_none(), "closed");
+    // A connection cut off takes its request along, and others are served.
+    let mut cut = backend.connect();
+    cut.request(1, "00000000000000d5", b"hang");
+    wait_until("it runs", || {
+        backend
+            .kernel
+            .lock()
+            .unwrap()
+            .runs
+            .contains_key("00000000000000d5")
+    });
+    let mut edge = backend.connect();
+    edge.request(1, "00000000000000d6", b"run");
+    edge.expect_answer(1, AnswerKind::Answer);
+}
--- /dev/null
+++ b/crates/server/tests/program/slow_clients.rs
@@ -0,0 +1,114 @@
+//! Clients that send or read slowly, and what they cost the others.
+
+use std::io::{ErrorKind, Read, Write};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
+
+use crate::harness::PROMPT;
+use crate::harness::backend::{start_backend, was_run};
+use crate::harness::edge_node::{
+    AnswerKind, EdgeConnection, request_fields, slow_reader, slowest_answer_while,
+};
+use crate::harness::executor::large_result;
+
+/// A hundred connections that send one byte every 100 ms are ended, and hold up nobody else.
+#[test]
+fn a_hundred_slow_senders_hold_up_nobody_else() {
+    let backend = start_backend();
+    let mut senders: Vec<EdgeConnection> = (0..100).map(|_| backend.connect()).collect();
+    let messages: Vec<Vec<u8>> = (0u32..)
+        .zip(&senders)
+        .map(|(at, edge)| {
+            edge.message(
+                1,
+                &request_fields(&format!("000000000b01{at:04x}"), "20.0"),
+                b"run",
+            )
+        })
+        .collect();
+    let running = AtomicBool::new(true);
+    std::thread::scope(|scope| {
+        let other = scope.spawn(|| slowest_answer_while(&backend, &running, "0b020000"));
+        for byte in 0..25 {
+            for (edge, message) in senders.iter_mut().zip(&messages) {
+                // Behind 2 s without a whole message the backend has ended it.
+                let _ = edge.stream.write_all(&message[byte..byte + 1]);
+            }
+            std::thread::sleep(Duration::from_millis(100));
+        }
+        running.store(false, Ordering::Release);
+        let slowest = other.join().unwrap();
+        println!("slowest answer beside 100 slow senders: {slowest:?}");
+        assert!(slowest < PROMPT, "{slowest:?}");
+    });
+    for edge in &mut senders {
+        assert!(edge.is_closed());
+    }
+    assert!((0u32..100).all(|at| !was_run(&backend, &format!("000000000b01{at:04x}"))));
+}
+
+/// A hundred connections that read nothing for a while, and then slowly, get each of their answers
+/// once and whole, and hold up nobody else.
+#[test]
+fn a_hundred_slow_readers_get_their_answers_and_hold_up_nobody_else() {
+    const REQUESTS: u32 = 12;
+    let backend = start_backend();
+    let mut readers: Vec<EdgeConnection> = (0..100).map(|_| slow_reader(&backend)).collect();
+    let running = AtomicBool::new(true);
+    let mut served = 0;
+    std::thread::scope(|scope| {
+        let other = scope.spawn(|| slowest_answer_while(&backend, &running, "0b040000"));
+        for sequence in 1..=REQUESTS {
+            for (at, edge) in readers.iter_mut().enumerate() {
+                edge.request(sequence, &format!("000b03{at:02x}{sequence:08x}"), b"large");
+            }
+        }
+        std::thread::sleep(Duration::from_millis(500));
+        for _ in 0..REQUESTS {
+            for (at, edge) in readers.iter_mut().enumerate() {
+                let answer = edge.read_answer().expect("an answer for each");
+                if answer.kind == AnswerKind::Answer {
+                    let id = format!("000b03{at:02x}{:08x}", answer.sequence);
+                    assert!(answer.contains(&large_result(&id)), "whole");
+                    served += 1;
+                }
+            }
+            std::thread::sleep(Duration::from_millis(20));
+        }
+        running.store(false, Ordering::Release);
+        let slowest = other.join().unwrap();
+        println!(
+            "slowest answer beside 100 slow readers: {slowest:?}; {served} of theirs were served"
+        );
+        assert!(slowest < PROMPT, "{slowest:?}");
+    });
+    assert!(served > 0);
+    for edge in &mut readers {
+        edge.stream.set_nonblocking(true).unwrap();
+        let more = edge.stream.read(&mut [0; 64]);
+        assert!(
+            more.is_err_and(|error| error.kind() == ErrorKind::WouldBlock),
+            "once each"
+        );
+    }
+}
+
+#[test]
+fn a_slow_reader_holds_up_nobody_else() {
+    let backend = start_backend();
+    let mut slow = backend.connect();
+    let mut edge = backend.connect();
+    for sequence in 1..400 {
+        slow.request(sequence, &format!("{sequence:016x}"), b"run");
+        if sequence % 40 == 0 {
+            edge.request(sequence, &format!("{sequence:015x}e"), b"run");
+            edge.expect_answer(sequence, AnswerKind::Answer);
+        }
+    }
+    let mut left: Vec<u32> = (1..400).collect();
+    while !left.is_empty() {
+        let answer = slow.read_answer().expect("an answer for each");
+        assert!(left.contains(&answer.sequence), "once each");
+        left.retain(|&sequence| sequence != answer.sequence);
+    }
+}
--- /dev/null
+++ b/crates/server/tests/program/store_calls.rs
@@ -0,0 +1,314 @@
+//! Calls to the store: a store that is down, silent or malformed, replies that break off, and pooled
+//! connections that close.
+
+use std::io::{Read, Write};
+use std::net::{Shutdown, TcpListener, TcpStream};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
+
+use socket2::SockRef;
+
+use crate::harness::backend::{
+    TestBackend, config_json, spawn_backend, start_backend, write_config,
+};
+use crate::harness::edge_node::AnswerKind;
+use crate::harness::executor::{SharedExecutor, serve_executor};
+use crate::harness::store::StoreStub;
+use crate::harness::{LONG_TIMEOUT, unique_address, wait_until};
+
+#[test]
+fn calls_are_skipped_while_the_store_is_down() {
+    let backend = start_backend();
+    backend.store.down.store(true, Ordering::Release);
+    let mut edge = backend.connect();
+    for sequence in 1..4 {
+        edge.request(sequence, &format!("00000000000000c{sequence}"), b"call");
+        assert!(
+            edge.expect_answer(sequence, AnswerKind::Answer)
+                .contains(b"poorer")
+        );
+    }
+    backend.store.down.store(false, Ordering::Release);
+    wait_until("calls are made again", || {
+        let mut edge = backend.connect();
+        edge.request(
+            1,
+            &format!(
+                "{:016x}",
+                backend.store.calls.load(Ordering::Acquire) + 0xc000
+            ),
+            b"call",
+        );
+        let answer = edge.expect_answer(1, AnswerKind::Answer);
+        answer.contains(b"richer")
+    });
+}
+
+#[test]
+fn a_call_that_is_not_answered_times_out() {
+    let backend = start_backend();
+    backend.store.plan(&[""; 9]);
+    let mut edge = backend.connect();
+    edge.request(1, "00000000000000c9", b"call");
+    assert!(
+        edge.expect_answer(1, AnswerKind::Answer)
+            .contains(b"poorer")
+    );
+    wait_until("its connection is left", || {
+        backend.store.left.load(Ordering::Acquire) > 0
+    });
+}
+
+#[test]
+fn a_malformed_reply_costs_its_own_call_only() {
+    let backend = start_backend();
+    let mut edge = backend.connect();
+    for (at, spoilt) in [
+        "\u{1}noise\r\n",
+        "ID OK 3000000000\r\nx",
+        "ID OK 2\r\nfour\r\n",
+        &"x".repeat(9000),
+    ]
+    .iter()
+    .enumerate()
+    {
+        let other = format!("00000000000cc{at:02}0");
+        backend.store.plan(&["", spoilt, spoilt, spoilt]);
+        edge.request(1, &other, b"call");
+        wait_until("it is open", || {
+            backend.store.open.lock().unwrap().contains_key(&other)
+        });
+        edge.request(2, &format!("00000000000cc{at:02}1"), b"call");
+        edge.expect_answer(2, AnswerKind::Answer);
+        backend.store.plan.lock().unwrap().clear();
+        let mut open = backend.store.open.lock().unwrap().remove(&other).unwrap();
+        open.write_all(format!("{other} OK 4\r\ngood\r\n").as_bytes())
+            .unwrap();
+        assert!(
+            edge.expect_answer(1, AnswerKind::Answer)
+                .contains(b"richer")
+        );
+    }
+    // More than belongs to it: a reply to nobody ahead, a second copy behind.
+    backend.store.plan(&[
+        "f OK 1\r\nx\r\nID OK 3\r\nown\r\nID OK 3\r\nown\r\n",
+        "ID BUSY\r\n",
+    ]);
+    edge.request(3, "00000000000ccaa0", b"call");
+    assert!(
+        edge.expect_answer(3, AnswerKind::Answer)
+            .contains(b"richer")
+    );
+    edge.request(4, "00000000000ccaa1", b"call");
+    assert!(
+        edge.expect_answer(4, AnswerKind::Answer)
+            .contains(b"poorer")
+    );
+    assert_eq!(
+        backend.kernel.lock().unwrap().replies.last().unwrap(),
+        b"own"
+    );
+}
+
+#[test]
+fn a_reply_lost_with_the_link_is_replaced_by_a_skip() {
+    let backend = start_backend();
+    let mut edge = backend.connect();
+    backend.kernel.lock().unwrap().loses_link_at_reply = true;
+    edge.request(1, "0000000000000ac1", b"call");
+    // It may have arrived, so it is not said again; a skip names its call.
+    assert!(
+        edge.expect_answer(1, AnswerKind::Answer)
+            .contains(b"poorer")
+    );
+}
+
+/// A store that closes each connection with its reply, just as the next call is given to it. 150
+/// calls.
+#[test]
+fn a_pooled_connection_that_closes_as_it_is_assigned_costs_one_call_at_most() {
+    let host = unique_address();
+    let listener = std::net::TcpListener::bind((&host[..], 7700)).unwrap();
+    let resets = AtomicBool::new(false);
+    std::thread::spawn(move || {
+        for mut stream in listener.incoming().map_while(Result::ok) {
+            let mut bytes = [0; 512];
+            // One call, its reply, and the end with it: by turns a plain one and one that cuts off.
+            let Ok(read) = stream.read(&mut bytes) else {
+                continue;
+            };
+            let text = String::from_utf8_lossy(&bytes[..read]).into_owned();
+            let Some(id) = text.split(' ').nth(1) else {
+                continue;
+            };
+            let _ = stream.write_all(format!("{id} OK 3\r\nown\r\n").as_bytes());
+            if resets.fetch_not(Ordering::AcqRel) {
+                let _ = socket2::SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO));
+            }
+            let _ = stream.shutdown(Shutdown::Write);
+        }
+    });
+    let kernel = serve_executor(SharedExecutor::default(), &host);
+    let file = write_config(&host, &config_json(&host));
+    let child = spawn_backend(&file);
+    let backend = TestBackend {
+        host,
+        kernel,
+        store: StoreStub::default(),
+        child,
+        file,
+    };
+    backend.wait_until_serving();
+    let mut edge = backend.connect();
+    let mut richer = 0;
+    for turn in 0..150u32 {
+        edge.request(turn + 1, &format!("0000000000f7{turn:04x}"), b"call");
+        let answer = edge.expect_answer(turn + 1, AnswerKind::Answer);
+        richer += u32::from(answer.contains(b"richer"));
+        assert!(answer.contains(b"richer") || answer.contains(b"poorer"));
+    }
+    assert!(richer > 50, "{richer} of 150");
+    let kernel = backend.kernel.lock().unwrap();
+    assert!(
+        kernel.replies.iter().all(|reply| reply == b"own"),
+        "a reply of its own"
+    );
+    assert!(kernel.ends.values().all(|&ends| ends == 1));
+}
+
+/// A call's reply and the reset behind it backend in the buffer before the backend reads either:
+/// the reply counts.
+#[test]
+fn a_store_reply_that_stands_before_a_reset_is_used() {
+    let (backend, calls) = stand_with_own_store();
+    let mut edge = backend.connect();
+    for turn in 0..8u32 {
+        let id = format!("000000000a0b{turn:04x}");
+        edge.request(turn + 1, &id, b"call");
+        let call = calls.recv_timeout(LONG_TIMEOUT).unwrap();
+        assert_eq!(call.id, id);
+        backend.signal("STOP");
+        (&call.stream)
+            .write_all(format!("{id} OK 3\r\nown\r\n").as_bytes())
+            .unwrap();
+        if turn % 2 == 0 {
+            SockRef::from(&call.stream)
+                .set_linger(Some(Duration::ZERO))
+                .unwrap();
+        }
+        drop(call);
+        backend.signal("CONT");
+        assert!(
+            edge.expect_answer(turn + 1, AnswerKind::Answer)
+                .contains(b"richer"),
+            "turn {turn}"
+        );
+    }
+    assert!(
+        backend
+            .kernel
+            .lock()
+            .unwrap()
+            .replies
+            .iter()
+            .all(|reply| reply == b"own")
+    );
+}
+
+/// A call as the test's own store has read it.
+struct Call {
+    id: String,
+    stream: TcpStream,
+}
+
+/// A backend whose store hands each call to the test.
+fn stand_with_own_store() -> (TestBackend, std::sync::mpsc::Receiver<Call>) {
+    let host = unique_address();
+    let listener = TcpListener::bind((&host[..], 7700)).unwrap();
+    let (sender, calls) = std::sync::mpsc::channel();
+    std::thread::spawn(move || {
+        for mut stream in listener.incoming().map_while(Result::ok) {
+            let mut bytes = [0; 512];
+            // A call is written at once, so it is read at once.
+            let Ok(length) = stream.read(&mut bytes) else {
+                continue;
+            };
+            let text = String::from_utf8_lossy(&bytes[..length]).into_owned();
+            let Some(id) = text.split(' ').nth(1) else {
+                continue;
+            };
+            if sender
+                .send(Call {
+                    id: id.to_owned(),
+                    stream,
+                })
+                .is_err()
+            {
+                return;
+            }
+        }
+    });
+    let kernel = serve_executor(SharedExecutor::default(), &host);
+    let file = write_config(&host, &config_json(&host));
+    let child = spawn_backend(&file);
+    let backend = TestBackend {
+        host,
+        kernel,
+        store: StoreStub::default(),
+        child,
+        file,
+    };
+    backend.wait_until_serving();
+    (backend, calls)
+}
+
+/// A store reply breaks off behind each of its bytes, by turns with a plain end and a reset: its
+/// request is answered once, and no run is handed anything but a whole reply.
+#[test]
+fn a_store_reply_that_breaks_off_anywhere_is_no_reply() {
+    const BODY: &str = "a reply";
+    let (backend, calls) = stand_with_own_store();
+    let whole_length = format!("{:016x} OK {}\r\n{BODY}\r\n", 0, BODY.len()).len();
+    let done = Arc::new(AtomicBool::new(false));
+    let finished = done.clone();
+    let store = std::thread::spawn(move || {
+        let mut cut = 0;
+        for (number, call) in calls.iter().enumerate() {
+            let reply = format!("{} OK {}\r\n{BODY}\r\n", call.id, BODY.len());
+            assert_eq!(reply.len(), whole_length);
+            // Whole replies in between keep calls going.
+            let whole = number % 2 == 0;
+            let length = if whole { whole_length } else { cut };
+            let _ = (&call.stream).write_all(&reply.as_bytes()[..length]);
+            if !whole {
+                if cut % 2 == 1 {
+                    let _ = SockRef::from(&call.stream).set_linger(Some(Duration::ZERO));
+                }
+                cut += 1;
+                finished.store(cut == whole_length, Ordering::Release);
+            }
+            if cut == whole_length {
+                return;
+            }
+        }
+    });
+    let mut edge = backend.connect();
+    for sequence in 1.. {
+        if done.load(Ordering::Acquire) {
+            break;
+        }
+        assert!(sequence < 2000, "the store is called");
+        edge.request(sequence, &format!("000000000a0d{sequence:04x}"), b"call");
+        let answer = edge.expect_answer(sequence, AnswerKind::Answer);
+        assert!(answer.contains(b"richer") || answer.contains(b"poorer"));
+    }
+    store.join().unwrap();
+    let kernel = backend.kernel.lock().unwrap();
+    assert!(!kernel.replies.is_empty());
+    assert!(
+        kernel.replies.iter().all(|reply| reply == BODY.as_bytes()),
+        "part of a reply"
+    );
+    assert!(kernel.ends.values().all(|&ends| ends == 1));
+}
