--- /dev/null
+++ b/crates/server/src/requests/tests/lifecycle.rs
@@ -0,0 +1,134 @@
+//! The life of one request: its commands, its deadline, and a coroutine that ends early.
+
+use std::time::{Duration, Instant};
+
+use super::common::{config, ms};
+use super::{bytes, incoming, next_command, registry};
+use crate::requests::{Command, Outcome, RegisterError, RequestEvent, RequestRegistry, Response};
+
+#[test]
+fn a_request_runs_makes_calls_and_completes() {
+    let registry = registry();
+    let ticket = registry.register(incoming("a", 0, None)).unwrap();
+    assert_eq!(next_command(&ticket), Some(Command::Start));
+    assert_eq!(next_command(&ticket), None);
+    assert_eq!(
+        registry.register(incoming("a", 0, None)).err(),
+        Some(RegisterError::DuplicateId)
+    );
+    registry.report(
+        "a",
+        RequestEvent::CallReached {
+            call: 4,
+            body: bytes("body"),
+        },
+    );
+    assert!(
+        matches!(next_command(&ticket), Some(Command::StartCall { body, .. }) if body == bytes("body"))
+    );
+    registry.report(
+        "a",
+        RequestEvent::CallFinished {
+            outcome: Outcome::Succeeded,
+            reply: bytes("reply"),
+        },
+    );
+    assert_eq!(
+        next_command(&ticket),
+        Some(Command::Resume {
+            reply: bytes("reply")
+        })
+    );
+    // A second reply to the same call is ignored.
+    registry.report(
+        "a",
+        RequestEvent::CallFinished {
+            outcome: Outcome::Failed,
+            reply: bytes(""),
+        },
+    );
+    registry.report(
+        "a",
+        RequestEvent::CallReached {
+            call: 5,
+            body: bytes("body"),
+        },
+    );
+    assert!(matches!(
+        next_command(&ticket),
+        Some(Command::StartCall { .. })
+    ));
+    registry.report(
+        "a",
+        RequestEvent::CallFinished {
+            outcome: Outcome::Rejected,
+            reply: bytes(""),
+        },
+    );
+    assert_eq!(next_command(&ticket), Some(Command::SkipCall { call: 5 }));
+    registry.report(
+        "a",
+        RequestEvent::RunFinished {
+            outcome: Outcome::Succeeded,
+            result: bytes("page"),
+            work: None,
+        },
+    );
+    assert_eq!(
+        next_command(&ticket),
+        Some(Command::Respond(Response::Completed(bytes("page"))))
+    );
+    assert_eq!(next_command(&ticket), Some(Command::Finish));
+    drop(ticket);
+    assert_eq!(registry.open(), 0);
+}
+
+#[test]
+fn a_warm_start_begins_the_clock_and_a_cold_one_takes_its_age() {
+    for (cold, age) in [(false, Duration::ZERO), (true, ms(4000))] {
+        let registry = RequestRegistry::new(config(), 7, None);
+        assert!(!registry.is_started() && !registry.is_healthy());
+        assert!(registry.start(cold, ms(4000)));
+        assert!(!registry.start(cold, ms(9000)), "only once");
+        assert!(registry.is_healthy());
+        let now = registry.state.lock().now();
+        assert!(now >= age && now < age + ms(3000));
+    }
+}
+
+#[test]
+fn a_coroutine_that_ends_abandons_its_request() {
+    let registry = registry();
+    let ticket = registry.register(incoming("a", 0, None)).unwrap();
+    assert_eq!(next_command(&ticket), Some(Command::Start));
+    drop(ticket);
+    assert_eq!(registry.open(), 1, "its run goes on");
+    registry.report(
+        "a",
+        RequestEvent::RunFinished {
+            outcome: Outcome::Cancelled,
+            result: bytes(""),
+            work: None,
+        },
+    );
+    assert_eq!(registry.open(), 0);
+}
+
+/// A coroutine whose deadline had passed by less than a millisecond once waited for ever: calls
+/// were never given up, and timers stopped for good when the executor's link broke during a query.
+#[test]
+fn a_ticket_waits_no_longer_than_its_deadline() {
+    let (commands, received) = std::sync::mpsc::channel();
+    crate::net::spawn(move || {
+        let ticket = registry().register(incoming("a", 0, None)).unwrap();
+        assert_eq!(ticket.next_command(None), Some(Command::Start));
+        for span in (0..20).map(|step| Duration::from_micros(300 * step)) {
+            commands
+                .send(ticket.next_command(Some(Instant::now() + span)))
+                .unwrap();
+        }
+    });
+    for _ in 0..20 {
+        assert_eq!(received.recv_timeout(Duration::from_secs(30)), Ok(None));
+    }
+}
