--- a/crates/server/tests/program/address_limits.rs
+++ b/crates/server/tests/program/address_limits.rs
@@ -9,15 +9,15 @@
 use socket2::{Domain, Socket, Type};
 
 use crate::harness::backend::{
-    TestBackend, start_backend_with, start_backend_with_descriptor_limit,
+    TestBackend, start_backend_with_descriptor_limit, start_backend_with_settings,
 };
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, request_fields};
 use crate::harness::{LONG_TIMEOUT, wait_until};
 
-/// Ends the flood, also when the test fails before.
-struct Ends(Arc<AtomicBool>);
+/// StopOnDrop the flood, also when the test fails before.
+struct StopOnDrop(Arc<AtomicBool>);
 
-impl Drop for Ends {
+impl Drop for StopOnDrop {
     fn drop(&mut self) {
         self.0.store(false, Ordering::Release);
     }
@@ -34,7 +34,7 @@
 }
 
 /// A connection from that address; `None` where the server's end of it is not to be had.
-fn from(backend: &TestBackend, address: [u8; 4]) -> Option<EdgeConnection> {
+fn connect_from(backend: &TestBackend, address: [u8; 4]) -> Option<EdgeConnection> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket
         .bind(&SocketAddr::from((Ipv4Addr::from(address), 0)).into())
@@ -49,10 +49,10 @@
 }
 
 /// Sends a request, and tells whether it was answered before the connection ended.
-fn served(edge: &mut EdgeConnection, sequence: u32, id: u64) -> bool {
+fn is_served(edge: &mut EdgeConnection, sequence: u32, id: u64) -> bool {
     use std::io::Write;
     // What was refused may be closed before all is written.
-    let message = edge.message(
+    let message = edge.encode_request(
         sequence,
         &request_fields(&format!("{id:016x}"), "20.0"),
         b"run",
@@ -64,11 +64,11 @@
 }
 
 /// Has an address earn that it is known: requests done over some seconds.
-fn earn(backend: &TestBackend, address: [u8; 4], ids: &AtomicU32) {
-    let mut edge = from(backend, address).unwrap();
+fn become_known_client(backend: &TestBackend, address: [u8; 4], ids: &AtomicU32) {
+    let mut edge = connect_from(backend, address).unwrap();
     let start = Instant::now();
     for sequence in 1.. {
-        assert!(served(
+        assert!(is_served(
             &mut edge,
             sequence,
             ids.fetch_add(1, Ordering::Relaxed).into()
@@ -83,24 +83,24 @@
 #[test]
 fn known_clients_are_accepted_while_one_address_opens_thousands() {
     let (_folder, file) = settings("  known_part = 0.5");
-    let backend = Arc::new(start_backend_with(128, Some(&file)));
+    let backend = Arc::new(start_backend_with_settings(128, Some(&file)));
     let ids = Arc::new(AtomicU32::new(1));
     let known: Vec<[u8; 4]> = (1..=8).map(|host| [127, 200, 1, host]).collect();
     std::thread::scope(|scope| {
         for &address in &known {
             let (backend, ids) = (&backend, &ids);
-            scope.spawn(move || earn(backend, address, ids));
+            scope.spawn(move || become_known_client(backend, address, ids));
         }
     });
     let flooding = Arc::new(AtomicBool::new(true));
-    let ends = Ends(flooding.clone());
+    let ends = StopOnDrop(flooding.clone());
     let flood = {
         let (backend, flooding) = (backend.clone(), flooding.clone());
         std::thread::spawn(move || {
             let (mut held, mut tried) = (Vec::new(), 0u32);
             while flooding.load(Ordering::Acquire) || tried < 5000 {
                 tried += 1;
-                held.extend(from(&backend, [127, 99, 9, 9]));
+                held.extend(connect_from(&backend, [127, 99, 9, 9]));
                 // Its own descriptors are bounded, too: the oldest go.
                 if held.len() > 400 {
                     held.drain(..200);
@@ -113,9 +113,9 @@
     for turn in 0..5 {
         for &address in &known {
             let start = Instant::now();
-            let mut edge = from(&backend, address).expect("it connects");
+            let mut edge = connect_from(&backend, address).expect("it connects");
             assert!(
-                served(&mut edge, 1, ids.fetch_add(1, Ordering::Relaxed).into()),
+                is_served(&mut edge, 1, ids.fetch_add(1, Ordering::Relaxed).into()),
                 "turn {turn}, {address:?}"
             );
             slowest = slowest.max(start.elapsed());
@@ -135,25 +135,25 @@
 #[test]
 fn one_address_has_its_limit_and_is_rejected_at_once_beyond() {
     let (_folder, file) = settings("  address {\n    open = 5\n    rate = 1000\n  }");
-    let backend = start_backend_with(256, Some(&file));
+    let backend = start_backend_with_settings(256, Some(&file));
     let mut edges: Vec<EdgeConnection> = (0..12)
-        .filter_map(|_| from(&backend, [127, 98, 1, 1]))
+        .filter_map(|_| connect_from(&backend, [127, 98, 1, 1]))
         .collect();
     let in_time: Vec<bool> = (1..)
         .zip(&mut edges)
-        .map(|(id, edge)| served(edge, 1, id))
+        .map(|(id, edge)| is_served(edge, 1, id))
         .collect();
     assert_eq!(in_time.iter().filter(|&&served| served).count(), 5);
     // Who is refused learns it at once, and not by waiting.
     let start = Instant::now();
-    let mut refused = from(&backend, [127, 98, 1, 1]).unwrap();
-    assert!(refused.is_closed() && start.elapsed() < PROMPT);
-    let mut other = from(&backend, [127, 98, 1, 2]).unwrap();
-    assert!(served(&mut other, 1, 77), "another address has its own");
+    let mut refused = connect_from(&backend, [127, 98, 1, 1]).unwrap();
+    assert!(refused.wait_until_closed() && start.elapsed() < PROMPT);
+    let mut other = connect_from(&backend, [127, 98, 1, 2]).unwrap();
+    assert!(is_served(&mut other, 1, 77), "another address has its own");
     drop(edges);
     wait_until("the place is free again", || {
-        from(&backend, [127, 98, 1, 1])
-            .is_some_and(|mut edge| served(&mut edge, 1, 99 + u64::from(fastrand::u32(..))))
+        connect_from(&backend, [127, 98, 1, 1])
+            .is_some_and(|mut edge| is_served(&mut edge, 1, 99 + u64::from(fastrand::u32(..))))
     });
 }
 
@@ -165,28 +165,26 @@
         settings("  when_full = \"refuse\"\n  address {\n    open = 1000\n    rate = 1000\n  }");
     let mut backend = start_backend_with_descriptor_limit(256, 60, &file);
     let mut early: Vec<EdgeConnection> = (1..=3)
-        .map(|host| from(&backend, [127, 97, 1, host]).unwrap())
+        .map(|host| connect_from(&backend, [127, 97, 1, host]).unwrap())
         .collect();
     for (id, edge) in (1u32..).zip(&mut early) {
-        edge.request(1, &format!("{id:016x}"), b"hang");
+        edge.send_request(1, &format!("{id:016x}"), b"hang");
     }
-    wait_until("they run", || {
-        backend.kernel.lock().unwrap().runs.len() == 3
-    });
+    wait_until("they run", || backend.executor().runs.len() == 3);
     // Far more than there are descriptors; each is let in, refused or waits, and none stops the
     // server.
     let many: Vec<EdgeConnection> = (0..120)
-        .filter_map(|at| from(&backend, [127, 96, 1, at % 4]))
+        .filter_map(|at| connect_from(&backend, [127, 96, 1, at % 4]))
         .collect();
     assert!(backend.child.try_wait().unwrap().is_none());
     drop(many);
     wait_until("it takes new ones again", || {
-        from(&backend, [127, 95, 1, 1])
-            .is_some_and(|mut edge| served(&mut edge, 1, fastrand::u64(..)))
+        connect_from(&backend, [127, 95, 1, 1])
+            .is_some_and(|mut edge| is_served(&mut edge, 1, fastrand::u64(..)))
     });
     // Once more, and then it leaves.
     let many: Vec<EdgeConnection> = (0..120)
-        .filter_map(|at| from(&backend, [127, 96, 1, at % 4]))
+        .filter_map(|at| connect_from(&backend, [127, 96, 1, at % 4]))
         .collect();
     backend.signal("TERM");
     let notice = early[0].read_answer();
@@ -196,10 +194,8 @@
     );
     for id in 1..=3 {
         backend
-            .kernel
-            .lock()
-            .unwrap()
-            .end(&format!("{id:016x}"), "success", b"late, and whole");
+            .executor()
+            .end_run(&format!("{id:016x}"), "success", b"late, and whole");
     }
     for edge in &mut early {
         let answer = std::iter::from_fn(|| edge.read_answer())
--- a/crates/server/tests/program/cancellation.rs
+++ b/crates/server/tests/program/cancellation.rs
@@ -3,14 +3,12 @@
 use std::collections::HashMap;
 use std::io::Write;
 
-use crate::harness::backend::{TestBackend, config_json, spawn_backend, write_config};
+use crate::harness::backend::{BackendSetup, TestBackend, config_json, spawn_program};
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, encode_string, request_fields};
-use crate::harness::executor::{SharedExecutor, serve_executor};
-use crate::harness::store::start_store;
-use crate::harness::{unique_address, wait_until};
+use crate::harness::wait_until;
 
 impl EdgeConnection {
-    fn give_up_message(&self, sequence: u32) -> Vec<u8> {
+    fn encode_cancellation(&self, sequence: u32) -> Vec<u8> {
         let head = [
             &b"\x80\x01\0\x04"[..],
             &encode_string(b"giveUp"),
@@ -20,55 +18,30 @@
         encode_string(&[&head[..], b"\x08\0\x01", &sequence.to_be_bytes(), b"\0"].concat())
     }
 
-    fn give_up(&mut self, sequence: u32) {
-        let message = self.give_up_message(sequence);
+    fn cancel(&mut self, sequence: u32) {
+        let message = self.encode_cancellation(sequence);
         self.stream.write_all(&message).unwrap();
     }
 }
 
 fn start_backend_that_sees_cancellations() -> TestBackend {
-    let host = unique_address();
-    let (kernel, store) = (
-        serve_executor(SharedExecutor::default(), &host),
-        start_store(&host),
-    );
-    let sees_cancellations = r#""cores":4,"cancel_seen":true"#;
-    let file = write_config(
-        &host,
-        &config_json(&host).replace(r#""cores":4"#, sees_cancellations),
-    );
-    let child = spawn_backend(&file);
-    TestBackend {
-        host,
-        kernel,
-        store,
-        child,
-        file,
-    }
+    BackendSetup::new()
+        .change(r#""cores":4"#, r#""cores":4,"cancel_seen":true"#)
+        .spawn()
 }
 
 /// Runs end just as their callers give up: whichever comes first, there is one answer or none.
-fn give_up_as_runs_end(backend: &TestBackend, edge: &mut EdgeConnection) {
+fn cancel_as_runs_end(backend: &TestBackend, edge: &mut EdgeConnection) {
     for turn in 0..30u32 {
         let id = format!("0000000000f5{turn:04x}");
-        edge.request(100 + turn, &id, b"hang");
-        wait_until("it runs", || {
-            backend.kernel.lock().unwrap().runs.contains_key(&id)
-        });
+        edge.send_request(100 + turn, &id, b"hang");
+        wait_until("it runs", || backend.executor().runs.contains_key(&id));
         if turn % 2 == 0 {
-            backend
-                .kernel
-                .lock()
-                .unwrap()
-                .end(&id, "success", b"crossing");
-            edge.give_up(100 + turn);
+            backend.executor().end_run(&id, "success", b"crossing");
+            edge.cancel(100 + turn);
         } else {
-            edge.give_up(100 + turn);
-            backend
-                .kernel
-                .lock()
-                .unwrap()
-                .end(&id, "success", b"crossing");
+            edge.cancel(100 + turn);
+            backend.executor().end_run(&id, "success", b"crossing");
         }
     }
 }
@@ -77,20 +50,13 @@
 /// cancellations.
 fn restart_without_cancellations(backend: &mut TestBackend) {
     backend.signal("TERM");
-    let left: Vec<String> = backend
-        .kernel
-        .lock()
-        .unwrap()
-        .runs
-        .keys()
-        .cloned()
-        .collect();
+    let left: Vec<String> = backend.executor().runs.keys().cloned().collect();
     for id in left {
-        backend.kernel.lock().unwrap().end(&id, "interrupted", b"");
+        backend.executor().end_run(&id, "interrupted", b"");
     }
     assert_eq!(backend.wait_for_exit().code(), Some(0));
-    std::fs::write(&backend.file, config_json(&backend.host)).unwrap();
-    backend.child = spawn_backend(&backend.file);
+    std::fs::write(&backend.config_file, config_json(&backend.host)).unwrap();
+    backend.child = spawn_program(&backend.config_file);
     backend.wait_until_serving();
 }
 
@@ -101,35 +67,26 @@
     let mut backend = start_backend_that_sees_cancellations();
     backend.wait_until_serving();
     let mut edge = backend.connect();
-    edge.request(1, "0000000000f40001", b"hang");
-    edge.request(2, "0000000000f40002", b"hang");
-    wait_until("both run", || {
-        backend.kernel.lock().unwrap().runs.len() == 2
-    });
-    edge.give_up(1);
+    edge.send_request(1, "0000000000f40001", b"hang");
+    edge.send_request(2, "0000000000f40002", b"hang");
+    wait_until("both run", || backend.executor().runs.len() == 2);
+    edge.cancel(1);
     // Stopped, which this executor answers; then nobody is owed an answer to it.
     wait_until("it is stopped", || {
-        backend
-            .kernel
-            .lock()
-            .unwrap()
-            .ends
-            .contains_key("0000000000f40001")
+        backend.executor().ends.contains_key("0000000000f40001")
     });
     // Of what is over, was never there, or comes twice.
     for sequence in [1, 77, 1] {
-        edge.give_up(sequence);
+        edge.cancel(sequence);
     }
-    give_up_as_runs_end(&backend, &mut edge);
+    cancel_as_runs_end(&backend, &mut edge);
     // In one piece with what is withdrawn: that is not run for nobody.
-    let mut both = edge.message(200, &request_fields("0000000000f60001", "20.0"), b"hang");
-    both.extend(edge.give_up_message(200));
+    let mut both = edge.encode_request(200, &request_fields("0000000000f60001", "20.0"), b"hang");
+    both.extend(edge.encode_cancellation(200));
     edge.stream.write_all(&both).unwrap();
     backend
-        .kernel
-        .lock()
-        .unwrap()
-        .end("0000000000f40002", "success", b"all the same");
+        .executor()
+        .end_run("0000000000f40002", "success", b"all the same");
     let mut seen = HashMap::new();
     loop {
         let answer = edge.read_answer().expect("the connection goes on");
@@ -139,12 +96,12 @@
             break;
         }
     }
-    edge.request(300, "0000000000f70001", b"run");
+    edge.send_request(300, "0000000000f70001", b"run");
     let last = std::iter::from_fn(|| edge.read_answer()).find(|answer| answer.sequence == 300);
     assert!(last.is_some_and(|answer| answer.kind == AnswerKind::Answer));
     {
-        let kernel = backend.kernel.lock().unwrap();
-        let ran = |id: &str| kernel.runs.contains_key(id) || kernel.ends.contains_key(id);
+        let executor = backend.executor();
+        let ran = |id: &str| executor.runs.contains_key(id) || executor.ends.contains_key(id);
         assert!(
             ran("0000000000f70001") && !ran("0000000000f60001"),
             "run for nobody"
@@ -158,6 +115,6 @@
     drop(edge);
     restart_without_cancellations(&mut backend);
     let mut edge = backend.connect();
-    edge.give_up(1);
+    edge.cancel(1);
     assert!(edge.read_answer().is_none(), "closed");
 }
--- a/crates/server/tests/program/configuration.rs
+++ b/crates/server/tests/program/configuration.rs
@@ -1,11 +1,9 @@
 //! Settings that are served and settings that are refused at the start.
 
 use crate::harness::backend::{
-    TestBackend, config_json, run_to_refusal, spawn_backend, write_config,
+    BackendSetup, config_json, run_until_rejected, spawn_program, write_config,
 };
 use crate::harness::edge_node::{AnswerKind, EdgeConnection};
-use crate::harness::executor::{SharedExecutor, serve_executor};
-use crate::harness::store::start_store;
 use crate::harness::unique_address;
 
 #[test]
@@ -34,7 +32,7 @@
     ] {
         assert!(told.contains(from), "{from}");
         let file = write_config(&format!("{host}-wrong"), &told.replace(from, to));
-        let output = spawn_backend(&file).wait_with_output().unwrap();
+        let output = spawn_program(&file).wait_with_output().unwrap();
         let said = String::from_utf8(output.stderr).unwrap();
         assert_eq!(output.status.code(), Some(2), "{said}");
         assert!(
@@ -46,9 +44,9 @@
 }
 
 /// Whether any of many answers carries a value; the first come before one is known.
-fn tells_a_value(edge: &mut EdgeConnection) -> bool {
+fn has_feedback_value(edge: &mut EdgeConnection) -> bool {
     (1..300).any(|sequence| {
-        edge.request(sequence, &format!("{sequence:016x}"), b"run");
+        edge.send_request(sequence, &format!("{sequence:016x}"), b"run");
         edge.expect_answer(sequence, AnswerKind::Answer)
             .contains(b"signal")
     })
@@ -75,53 +73,39 @@
             r#""effect":"pure","write""#,
         ),
     );
-    let (status, error) = run_to_refusal(&mixed);
+    let (status, error) = run_until_rejected(&mixed);
     assert!(!status.success());
     assert!(error.contains("settings: classes[0].write: "), "{error}");
     let _ = std::fs::remove_file(mixed);
 
-    let (kernel, store) = (
-        serve_executor(SharedExecutor::default(), &host),
-        start_store(&host),
-    );
-    let file = write_config(&host, &new_shape(&host));
-    let child = spawn_backend(&file);
-    let backend = TestBackend {
-        host,
-        kernel,
-        store,
-        child,
-        file,
-    };
+    let backend = BackendSetup::new()
+        .change(r#""say":"weight""#, r#""say":"silent","list_follows":true"#)
+        .change(
+            r#""effect":"pure"}"#,
+            r#""effect":"side_effect","write":true}"#,
+        )
+        .spawn();
     backend.wait_until_healthy(|_| true);
     let mut edge = backend.connect();
-    assert!(!tells_a_value(&mut edge), "a value where callers take none");
+    assert!(
+        !has_feedback_value(&mut edge),
+        "a value where callers take none"
+    );
 }
 
 /// recife-matching gives callers a value and has the list follow health; such settings were refused
 /// at start.
 #[test]
 fn feedback_values_beside_a_list_that_follows_health_are_served() {
-    let host = unique_address();
-    let (kernel, store) = (
-        serve_executor(SharedExecutor::default(), &host),
-        start_store(&host),
-    );
-    let file = write_config(
-        &host,
-        &config_json(&host).replace(r#""say":"weight""#, r#""say":"weight","list_follows":true"#),
-    );
-    let child = spawn_backend(&file);
-    let backend = TestBackend {
-        host,
-        kernel,
-        store,
-        child,
-        file,
-    };
+    let backend = BackendSetup::new()
+        .change(r#""say":"weight""#, r#""say":"weight","list_follows":true"#)
+        .spawn();
     backend.wait_until_healthy(|_| true);
     let mut edge = backend.connect();
-    assert!(tells_a_value(&mut edge), "no value where callers take one");
+    assert!(
+        has_feedback_value(&mut edge),
+        "no value where callers take one"
+    );
 }
 
 /// An effect of a word the backend does not know, such as the site file's "keyed" for the wire's
@@ -133,7 +117,7 @@
         &host,
         &config_json(&host).replace(r#""effect":"pure""#, r#""effect":"keyed""#),
     );
-    let (status, error) = run_to_refusal(&file);
+    let (status, error) = run_until_rejected(&file);
     assert_eq!(status.code(), Some(2));
     assert!(
         error.contains("settings.classes[0].effect: unknown variant `keyed`"),
--- a/crates/server/tests/program/connection_close.rs
+++ b/crates/server/tests/program/connection_close.rs
@@ -4,9 +4,9 @@
 use std::io::{ErrorKind, Read, Write};
 use std::time::Duration;
 
-use crate::harness::backend::{TestBackend, stand_with_changes, start_backend, was_run};
+use crate::harness::backend::{TestBackend, start_backend, start_backend_with_changes};
 use crate::harness::edge_node::{
-    AnswerKind, EdgeConnection, answers_until_close, request_fields, slow_reader,
+    AnswerKind, EdgeConnection, answers_until_close, connect_slow_reader, request_fields,
     wait_for_drain_notification,
 };
 use crate::harness::wait_until;
@@ -26,12 +26,12 @@
             scope.spawn(move || {
                 wait_for_drain_notification(&mut edge);
                 std::thread::sleep(first + step * at);
-                let message = edge.message(2, &request_fields(&id, "20.0"), b"run");
+                let message = edge.encode_request(2, &request_fields(&id, "20.0"), b"run");
                 let _ = edge.stream.write_all(&message);
                 let answers = answers_until_close(&mut edge);
                 match answers.get(&2) {
                     Some(count) => assert_eq!(*count, 1, "{id} is answered once"),
-                    None => assert!(!was_run(backend, &id), "{id} was run and not answered"),
+                    None => assert!(!backend.was_run(&id), "{id} was run and not answered"),
                 }
             });
         }
@@ -42,7 +42,7 @@
 fn resting_connections(backend: &TestBackend, count: u32, prefix: &str) -> Vec<EdgeConnection> {
     let rest = |at: u32| {
         let mut edge = backend.connect();
-        edge.request(1, &format!("{prefix}{at:04x}"), b"run");
+        edge.send_request(1, &format!("{prefix}{at:04x}"), b"run");
         assert_eq!(edge.read_answer().expect("an answer").sequence, 1);
         edge
     };
@@ -51,7 +51,8 @@
 
 #[test]
 fn a_request_on_a_resting_connection_that_closes_at_shutdown_is_answered_or_never_run() {
-    let mut backend = stand_with_changes(&[(r#""drain_grace":1000.0"#, r#""drain_grace":100.0"#)]);
+    let mut backend =
+        start_backend_with_changes(&[(r#""drain_grace":1000.0"#, r#""drain_grace":100.0"#)]);
     let edges = resting_connections(&backend, 32, "000000000a01");
     backend.signal("TERM");
     // The close follows the notification by 60 ms.
@@ -62,7 +63,7 @@
 
 #[test]
 fn a_request_on_a_resting_connection_that_closes_idle_is_answered_or_never_run() {
-    let backend = stand_with_changes(&[(r#""idle":9000.0"#, r#""idle":100.0"#)]);
+    let backend = start_backend_with_changes(&[(r#""idle":9000.0"#, r#""idle":100.0"#)]);
     let edges = resting_connections(&backend, 32, "000000000a03");
     // The close follows the notification by 2 s.
     let (first, step) = (Duration::from_millis(1960), Duration::from_millis(4));
@@ -74,7 +75,7 @@
 /// connection.
 #[test]
 fn a_request_that_stands_unread_as_its_connection_falls_due_is_answered() {
-    let backend = stand_with_changes(&[(r#""idle":9000.0"#, r#""idle":100.0"#)]);
+    let backend = start_backend_with_changes(&[(r#""idle":9000.0"#, r#""idle":100.0"#)]);
     let mut edges = resting_connections(&backend, 16, "000000000a0f");
     for edge in &mut edges {
         wait_for_drain_notification(edge);
@@ -82,7 +83,7 @@
     // Long before the close, which follows the notification by 2 s.
     backend.signal("STOP");
     for (at, edge) in (0u32..).zip(&mut edges) {
-        let message = edge.message(
+        let message = edge.encode_request(
             2,
             &request_fields(&format!("000000000a10{at:04x}"), "20.0"),
             b"run",
@@ -104,7 +105,7 @@
             "connection {at}"
         );
         assert_eq!(
-            u32::from(was_run(&backend, &format!("000000000a10{at:04x}"))),
+            u32::from(backend.was_run(&format!("000000000a10{at:04x}"))),
             expected,
             "connection {at}"
         );
@@ -115,12 +116,13 @@
 /// without it the connection ends and costs nobody an answer.
 #[test]
 fn half_a_request_in_the_instant_of_shutdown_costs_no_answer() {
-    let mut backend = stand_with_changes(&[(r#""drain_grace":1000.0"#, r#""drain_grace":300.0"#)]);
+    let mut backend =
+        start_backend_with_changes(&[(r#""drain_grace":1000.0"#, r#""drain_grace":300.0"#)]);
     let mut edges = resting_connections(&backend, 16, "000000000a05");
     let messages: Vec<Vec<u8>> = (0u32..)
         .zip(&edges)
         .map(|(at, edge)| {
-            edge.message(
+            edge.encode_request(
                 2,
                 &request_fields(&format!("000000000a06{at:04x}"), "20.0"),
                 b"run",
@@ -157,7 +159,7 @@
 /// come.
 #[test]
 fn half_a_request_in_the_instant_of_an_idle_close_costs_no_answer() {
-    let backend = stand_with_changes(&[(r#""idle":9000.0"#, r#""idle":100.0"#)]);
+    let backend = start_backend_with_changes(&[(r#""idle":9000.0"#, r#""idle":100.0"#)]);
     let edges = resting_connections(&backend, 16, "000000000a07");
     std::thread::scope(|scope| {
         for (at, mut edge) in (0u32..).zip(edges) {
@@ -172,7 +174,7 @@
                     1960 + u64::from(at - 8) * 10
                 };
                 std::thread::sleep(Duration::from_millis(pause));
-                let message = edge.message(2, &request_fields(&id, "20.0"), b"run");
+                let message = edge.encode_request(2, &request_fields(&id, "20.0"), b"run");
                 let half = message.len() / 2;
                 let _ = edge.stream.write_all(&message[..half]);
                 std::thread::sleep(Duration::from_millis(20));
@@ -182,7 +184,7 @@
                     Some(count) => assert_eq!(*count, 1, "{id} is answered once"),
                     None => {
                         assert!(at >= 8, "{id} came long before the close");
-                        assert!(!was_run(backend, &id), "{id} was run and not answered");
+                        assert!(!backend.was_run(&id), "{id} was run and not answered");
                     }
                 }
             });
@@ -196,21 +198,22 @@
 #[test]
 fn a_request_that_crosses_the_close_does_not_reset_answers_on_their_way() {
     const REQUESTS: u32 = 16;
-    let mut backend = stand_with_changes(&[(r#""drain_grace":1000.0"#, r#""drain_grace":100.0"#)]);
-    let mut edge = slow_reader(&backend);
+    let mut backend =
+        start_backend_with_changes(&[(r#""drain_grace":1000.0"#, r#""drain_grace":100.0"#)]);
+    let mut edge = connect_slow_reader(&backend);
     for sequence in 1..=REQUESTS {
-        edge.request(sequence, &format!("000000000a09{sequence:04x}"), b"large");
+        edge.send_request(sequence, &format!("000000000a09{sequence:04x}"), b"large");
     }
     wait_until("all are answered", || {
         let mut probe = backend.connect();
-        probe.call(1, "probe", b"\0");
+        probe.send_call(1, "probe", b"\0");
         probe.read_answer();
-        backend.kernel.lock().unwrap().ends.len() as u32 == REQUESTS
+        backend.executor().ends.len() as u32 == REQUESTS
     });
     backend.signal("TERM");
     // Behind the grace and the 60 ms that a connection then has.
     std::thread::sleep(Duration::from_millis(500));
-    let late = edge.message(99, &request_fields("000000000a0a0001", "20.0"), b"run");
+    let late = edge.encode_request(99, &request_fields("000000000a0a0001", "20.0"), b"run");
     let _ = edge.stream.write_all(&late);
     std::thread::sleep(Duration::from_millis(50));
     let answers = answers_until_close(&mut edge);
@@ -218,10 +221,7 @@
         .filter(|sequence| answers.get(sequence) == Some(&1))
         .count();
     assert_eq!(answered as u32, REQUESTS, "answers lost: {answers:?}");
-    assert!(
-        !was_run(&backend, "000000000a0a0001"),
-        "run behind the close"
-    );
+    assert!(!backend.was_run("000000000a0a0001"), "run behind the close");
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
@@ -234,58 +234,33 @@
     for turn in 0..60u32 {
         let mut cut = backend.connect();
         let id = format!("0000000000f6{turn:04x}");
-        cut.request(1, &id, b"hang");
-        wait_until("it runs", || {
-            backend.kernel.lock().unwrap().runs.contains_key(&id)
-        });
+        cut.send_request(1, &id, b"hang");
+        wait_until("it runs", || backend.executor().runs.contains_key(&id));
         socket2::SockRef::from(&cut.stream)
             .set_linger(Some(std::time::Duration::ZERO))
             .unwrap();
         // By turns the end of the run comes first, the reset does, or both at once.
         match turn % 3 {
-            0 => backend
-                .kernel
-                .lock()
-                .unwrap()
-                .end(&id, "success", b"to nobody"),
+            0 => backend.executor().end_run(&id, "success", b"to nobody"),
             1 => drop(std::mem::replace(&mut cut, backend.connect())),
             _ => {}
         }
         drop(cut);
         if turn % 3 == 2 {
-            backend
-                .kernel
-                .lock()
-                .unwrap()
-                .end(&id, "success", b"to nobody");
+            backend.executor().end_run(&id, "success", b"to nobody");
         }
-        edge.request(turn + 1, &format!("0000000000f5{turn:04x}"), b"run");
+        edge.send_request(turn + 1, &format!("0000000000f5{turn:04x}"), b"run");
         assert!(
             edge.expect_answer(turn + 1, AnswerKind::Answer)
                 .contains(format!("f5{turn:04x}").as_bytes())
         );
     }
     // Those that were cut off before their run ended were stopped, or end when they are told to.
-    let left: Vec<String> = backend
-        .kernel
-        .lock()
-        .unwrap()
-        .runs
-        .keys()
-        .cloned()
-        .collect();
+    let left: Vec<String> = backend.executor().runs.keys().cloned().collect();
     for id in left {
-        backend.kernel.lock().unwrap().end(&id, "interrupted", b"");
+        backend.executor().end_run(&id, "interrupted", b"");
     }
-    assert!(
-        backend
-            .kernel
-            .lock()
-            .unwrap()
-            .ends
-            .values()
-            .all(|&ends| ends == 1)
-    );
+    assert!(backend.executor().ends.values().all(|&ends| ends == 1));
     assert_eq!(edge.stream.set_nonblocking(true).ok(), Some(()));
     let mut one = [0];
     assert_eq!(
--- a/crates/server/tests/program/connection_floods.rs
+++ b/crates/server/tests/program/connection_floods.rs
@@ -40,7 +40,7 @@
     });
     let begin = Instant::now();
     let mut newcomer = backend.connect();
-    newcomer.request(1, "000000000b060001", b"run");
+    newcomer.send_request(1, "000000000b060001", b"run");
     assert_eq!(newcomer.read_answer().expect("an answer").sequence, 1);
     assert!(begin.elapsed() < PROMPT, "{:?}", begin.elapsed());
 }
@@ -61,7 +61,7 @@
         let other = scope.spawn(|| slowest_answer_while(&backend, &running, "0b080000"));
         scope.spawn(move || {
             for sequence in 1..=REQUESTS {
-                writer.request(sequence, &format!("000000000b07{sequence:04x}"), b"run");
+                writer.send_request(sequence, &format!("000000000b07{sequence:04x}"), b"run");
             }
         });
         for _ in 0..REQUESTS {
@@ -85,14 +85,14 @@
     // Those that asked once and stay go too, the oldest first.
     let asked = |at: u32| {
         let mut edge = backend.connect();
-        edge.request(1, &format!("0000000000ea{at:04x}"), b"run");
+        edge.send_request(1, &format!("0000000000ea{at:04x}"), b"run");
         edge.expect_answer(1, AnswerKind::Answer);
         edge
     };
     let _asked: Vec<EdgeConnection> = (0..60).map(asked).collect();
     let mut silent: Vec<EdgeConnection> = (0..80).map(|_| backend.connect()).collect();
     let mut edge = backend.connect();
-    edge.request(1, "0000000000eb0001", b"run");
+    edge.send_request(1, "0000000000eb0001", b"run");
     edge.expect_answer(1, AnswerKind::Answer);
     let files = std::fs::read_dir(format!("/proc/{}/fd", backend.child.id()))
         .unwrap()
@@ -103,7 +103,7 @@
     half.stream.write_all(b"\0\0\0\x30\x80\x01").unwrap();
     silent.push(half);
     for mut edge in silent {
-        assert!(edge.is_closed());
+        assert!(edge.wait_until_closed());
     }
 }
 
@@ -112,31 +112,24 @@
     let backend = start_backend_with_sockets(32);
     let hang = |at: u32| {
         let mut edge = backend.connect();
-        edge.request(1, &format!("0000000000fa{at:04x}"), b"hang");
+        edge.send_request(1, &format!("0000000000fa{at:04x}"), b"hang");
         edge
     };
     let mut edges: Vec<EdgeConnection> = (0..12).map(hang).collect();
     wait_until("it runs", || {
-        backend
-            .kernel
-            .lock()
-            .unwrap()
-            .runs
-            .contains_key("0000000000fa0000")
+        backend.executor().runs.contains_key("0000000000fa0000")
     });
     let mut last = backend.connect();
-    last.call(1, "probe", b"\0");
+    last.send_call(1, "probe", b"\0");
     let files = std::fs::read_dir(format!("/proc/{}/fd", backend.child.id()))
         .unwrap()
         .count();
     assert!(files <= 32, "{files} descriptors");
     // It is served once nothing is open on another.
     backend
-        .kernel
-        .lock()
-        .unwrap()
-        .end("0000000000fa0000", "success", b"its place is free");
+        .executor()
+        .end_run("0000000000fa0000", "success", b"its place is free");
     edges[0].expect_answer(1, AnswerKind::Answer);
     last.expect_answer(1, AnswerKind::Answer);
-    assert!(edges[0].is_closed());
+    assert!(edges[0].wait_until_closed());
 }
--- a/crates/server/tests/program/cost.rs
+++ b/crates/server/tests/program/cost.rs
@@ -5,17 +5,17 @@
 
 use std::time::{Duration, Instant};
 
-use crate::harness::backend::{TestBackend, start_backend_with};
+use crate::harness::backend::{TestBackend, start_backend_with_settings};
 use crate::harness::edge_node::{AnswerKind, request_fields_with};
 use crate::harness::unique_address;
-use crate::recording::recorded;
+use crate::recording::recording_settings;
 
 const PAIRS: usize = 9;
-const EDGES: usize = 4;
-const EACH: u32 = 20_000;
+const EDGE_NODES: usize = 4;
+const REQUESTS_PER_EDGE: u32 = 20_000;
 
 /// CPU seconds that the threads of a process have used, by their names.
-fn cpu(pid: u32) -> std::collections::BTreeMap<String, f64> {
+fn cpu_seconds_by_thread(pid: u32) -> std::collections::BTreeMap<String, f64> {
     let mut all = std::collections::BTreeMap::new();
     for task in std::fs::read_dir(format!("/proc/{pid}/task"))
         .unwrap()
@@ -33,17 +33,17 @@
 
 /// CPU microseconds a request, those of the writer's thread among them, and the median and 99th
 /// percentile of response times in microseconds.
-fn measured(settings: Option<&std::path::Path>) -> [f64; 4] {
-    let mut backend = start_backend_with(1024, settings);
-    let before = cpu(backend.child.id());
-    let edges: Vec<_> = (0..EDGES)
+fn measure(settings: Option<&std::path::Path>) -> [f64; 4] {
+    let mut backend = start_backend_with_settings(1024, settings);
+    let before = cpu_seconds_by_thread(backend.child.id());
+    let edges: Vec<_> = (0..EDGE_NODES)
         .map(|edge| {
             let mut node = backend.connect();
             std::thread::spawn(move || {
-                let mut times = Vec::with_capacity(EACH as usize);
-                for sequence in 1..=EACH {
+                let mut times = Vec::with_capacity(REQUESTS_PER_EDGE as usize);
+                for sequence in 1..=REQUESTS_PER_EDGE {
                     let start = Instant::now();
-                    node.request(
+                    node.send_request(
                         sequence,
                         &format!("{:016x}", (edge as u64) << 32 | u64::from(sequence)),
                         b"run",
@@ -59,7 +59,7 @@
         .into_iter()
         .flat_map(|edge| edge.join().unwrap())
         .collect();
-    let after = cpu(backend.child.id());
+    let after = cpu_seconds_by_thread(backend.child.id());
     let used: f64 = after
         .iter()
         .map(|(name, used)| used - before.get(name).unwrap_or(&0.0))
@@ -76,16 +76,16 @@
 }
 
 /// With those settings and without, in turn.
-fn pairs(settings: &std::path::Path, count: usize) {
+fn compare_in_pairs(settings: &std::path::Path, count: usize) {
     let mut pairs = Vec::new();
     for pair in 0..count {
         // Which comes first changes, so that neither has the warmer machine.
         let (on, off) = if pair % 2 == 0 {
-            let on = measured(Some(settings));
-            (on, measured(None))
+            let on = measure(Some(settings));
+            (on, measure(None))
         } else {
-            let off = measured(None);
-            (measured(Some(settings)), off)
+            let off = measure(None);
+            (measure(Some(settings)), off)
         };
         println!(
             "with {on:.1?}, without {off:.1?} (us of CPU a req, of the writer; median, 99th percentile)"
@@ -111,8 +111,8 @@
 #[test]
 #[ignore = "a measurement"]
 fn cost_of_a_recording() {
-    let (_folder, settings) = recorded("5s");
-    pairs(&settings, PAIRS);
+    let (_folder, settings) = recording_settings("5s");
+    compare_in_pairs(&settings, PAIRS);
 }
 
 /// As one of five that know one another, three of which vote, against alone.
@@ -140,35 +140,39 @@
         file
     };
     let _others: Vec<TestBackend> = (1..5)
-        .map(|at| start_backend_with(1024, Some(&settings(at))))
+        .map(|at| start_backend_with_settings(1024, Some(&settings(at))))
         .collect();
-    pairs(&settings(0), 5);
+    compare_in_pairs(&settings(0), 5);
 }
 
-/// As many requests as an hour at 190 a second has, as fast as they go, recorded on loopback: each
+/// As many requests as an hour at 190 a second has, as fast as they go, recording_settings on loopback: each
 /// is in the file.
 #[test]
 #[ignore = "a measurement"]
 fn an_hour_of_reqs() {
-    const EDGES: u32 = 6;
-    const ALL: u32 = 684_000;
-    let (folder, settings) = recorded("5s");
-    let mut backend = start_backend_with(1024, Some(&settings));
+    const EDGE_NODES: u32 = 6;
+    const REQUESTS: u32 = 684_000;
+    let (folder, settings) = recording_settings("5s");
+    let mut backend = start_backend_with_settings(1024, Some(&settings));
     let start = Instant::now();
-    let edges: Vec<_> = (0..EDGES)
+    let edges: Vec<_> = (0..EDGE_NODES)
         .map(|edge| {
             let mut node = backend.connect();
             std::thread::spawn(move || {
-                for sequence in 1..=ALL / EDGES {
+                for sequence in 1..=REQUESTS / EDGE_NODES {
                     let id = format!(
                         "{:016x}",
                         fastrand::u64(..) << 32 | u64::from(edge << 24 | sequence)
                     );
                     let body: &[u8] = if sequence % 5 == 0 { b"call" } else { b"run" };
                     if sequence % 11 == 0 {
-                        node.process(sequence, &request_fields_with(&id, "ms", "60000.00"), body);
+                        node.send_request_with_fields(
+                            sequence,
+                            &request_fields_with(&id, "ms", "60000.00"),
+                            body,
+                        );
                     } else {
-                        node.request(sequence, &id, body);
+                        node.send_request(sequence, &id, body);
                     }
                     node.read_answer().unwrap();
                 }
@@ -183,11 +187,11 @@
         .unwrap()
         .flatten();
     let bytes: u64 = files.map(|file| file.metadata().unwrap().len()).sum();
-    let records = crate::recording::count(folder.path());
+    let records = crate::recording::count_records(folder.path());
     let each = bytes as f64 / records as f64;
     println!(
-        "{ALL} requests in {:.0} s: {records} records, {bytes} bytes, {each:.1} a record",
+        "{REQUESTS} requests in {:.0} s: {records} records, {bytes} bytes, {each:.1} a record",
         took.as_secs_f64()
     );
-    assert_eq!(records as u32, ALL);
+    assert_eq!(records as u32, REQUESTS);
 }
--- a/crates/server/tests/program/deployment.rs
+++ b/crates/server/tests/program/deployment.rs
@@ -5,11 +5,8 @@
 use std::path::Path;
 use std::process::{Command, Stdio};
 
-use crate::harness::backend::{TestBackend, config_json, write_config};
+use crate::harness::backend::{BackendSetup, TestBackend};
 use crate::harness::edge_node::AnswerKind;
-use crate::harness::executor::{SharedExecutor, serve_executor};
-use crate::harness::store::start_store;
-use crate::harness::unique_address;
 
 /// System calls that are refused there, beside a new process, which is a clone that is no thread.
 const REFUSED: [i64; 6] = [
@@ -21,7 +18,7 @@
     libc::SYS_vmsplice,
 ];
 
-fn deployed(key: &str) -> String {
+fn deploy_entry(key: &str) -> String {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/balancer.toml");
     let text = std::fs::read_to_string(file).unwrap();
     let line = text
@@ -34,7 +31,7 @@
 }
 
 /// A filter of this and all later programs of the process: what is refused gets ENOSYS.
-fn refuse() -> std::io::Result<()> {
+fn install_system_call_filter() -> std::io::Result<()> {
     let step = |code: u32, jt: u8, jf: u8, k: u32| libc::sock_filter {
         code: code as u16,
         jt,
@@ -79,35 +76,27 @@
 /// whatever a configuration of the product's own turns on stay off there.
 #[test]
 fn the_run_command_is_one_process_by_exec_with_nothing_enabled() {
-    assert_eq!(deployed("run"), "exec target/release/tulipgapd");
-    assert!(deployed("build").contains("--release --locked --workspace"));
+    assert_eq!(deploy_entry("run"), "exec target/release/tulipgapd");
+    assert!(deploy_entry("build").contains("--release --locked --workspace"));
     assert!(env!("CARGO_BIN_EXE_tulipgapd").ends_with("/tulipgapd"));
 }
 
 /// Starts the backend by the deploy file's command, under the filter.
 fn start_as_deployed() -> TestBackend {
-    let host = unique_address();
-    let (kernel, store) = (
-        serve_executor(SharedExecutor::default(), &host),
-        start_store(&host),
-    );
-    let file = write_config(&host, &config_json(&host));
-    let run = deployed("run").replace("target/release/tulipgapd", env!("CARGO_BIN_EXE_tulipgapd"));
-    let mut command = Command::new("/bin/sh");
-    command
-        .args(["-c", &run])
-        .env("LB_CONFIG", &file)
-        .stdin(Stdio::null())
-        .stderr(Stdio::piped());
-    // Safe: it only makes system calls.
-    let child = unsafe { command.pre_exec(refuse) }.spawn().unwrap();
-    TestBackend {
-        host,
-        kernel,
-        store,
-        child,
-        file,
-    }
+    let run =
+        deploy_entry("run").replace("target/release/tulipgapd", env!("CARGO_BIN_EXE_tulipgapd"));
+    BackendSetup::new().spawn_by(|config_file| {
+        let mut command = Command::new("/bin/sh");
+        command
+            .args(["-c", &run])
+            .env("LB_CONFIG", config_file)
+            .stdin(Stdio::null())
+            .stderr(Stdio::piped());
+        // Safe: it only makes system calls.
+        unsafe { command.pre_exec(install_system_call_filter) }
+            .spawn()
+            .unwrap()
+    })
 }
 
 /// The shell has made way for it, which is linked dynamically and has no further process and no
@@ -196,15 +185,15 @@
     let mut backend = start_as_deployed();
     backend.wait_until_serving();
     let mut edge = backend.connect();
-    edge.request(1, "0000000000000f01", b"run");
+    edge.send_request(1, "0000000000000f01", b"run");
     edge.expect_answer(1, AnswerKind::Answer);
-    edge.request(2, "0000000000000f02", b"call");
+    edge.send_request(2, "0000000000000f02", b"call");
     assert!(
         edge.expect_answer(2, AnswerKind::Answer)
             .contains(b"richer")
     );
     backend.signal("HUP");
-    edge.request(3, "0000000000000f03", b"run");
+    edge.send_request(3, "0000000000000f03", b"run");
     edge.expect_answer(3, AnswerKind::Answer);
 
     assert_single_process(&backend);
--- a/crates/server/tests/program/executor_link.rs
+++ b/crates/server/tests/program/executor_link.rs
@@ -5,55 +5,41 @@
 use std::net::Shutdown;
 use std::sync::atomic::Ordering;
 
-use crate::harness::backend::{
-    TestBackend, config_json, spawn_backend, start_backend, write_config,
-};
+use crate::harness::backend::{start_backend, start_backend_with_changes};
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, answers_until_close, request_fields};
-use crate::harness::executor::{SharedExecutor, serve_executor};
-use crate::harness::store::start_store;
-use crate::harness::{unique_address, wait_until};
+use crate::harness::wait_until;
 
 #[test]
 fn a_link_that_is_cut_is_resumed_where_it_was() {
     let backend = start_backend();
     let mut edge = backend.connect();
-    edge.request(1, "00000000000000b1", b"run");
+    edge.send_request(1, "00000000000000b1", b"run");
     edge.expect_answer(1, AnswerKind::Answer);
-    edge.request(2, "00000000000000b2", b"hang");
+    edge.send_request(2, "00000000000000b2", b"hang");
     wait_until("it runs", || {
-        backend
-            .kernel
-            .lock()
-            .unwrap()
-            .runs
-            .contains_key("00000000000000b2")
+        backend.executor().runs.contains_key("00000000000000b2")
     });
     {
-        let mut kernel = backend.kernel.lock().unwrap();
-        let link = kernel.link.take().unwrap();
+        let mut executor = backend.executor();
+        let link = executor.link.take().unwrap();
         // It ends while nobody hears of it.
-        kernel.end("00000000000000b2", "success", b"ended unheard");
+        executor.end_run("00000000000000b2", "success", b"ended unheard");
         link.shutdown(Shutdown::Both).unwrap();
     }
-    edge.request(3, "00000000000000b3", b"hang");
+    edge.send_request(3, "00000000000000b3", b"hang");
     assert!(
         edge.expect_answer(2, AnswerKind::Answer)
             .contains(b"ended unheard")
     );
     // What came in between runs, and once.
     wait_until("it runs", || {
-        backend
-            .kernel
-            .lock()
-            .unwrap()
-            .runs
-            .contains_key("00000000000000b3")
+        backend.executor().runs.contains_key("00000000000000b3")
     });
-    let mut kernel = backend.kernel.lock().unwrap();
-    assert_eq!(kernel.link_count, 2);
-    assert!(!kernel.runs.contains_key("00000000000000b2"), "run again");
-    kernel.end("00000000000000b3", "failure", b"");
-    drop(kernel);
+    let mut executor = backend.executor();
+    assert_eq!(executor.link_count, 2);
+    assert!(!executor.runs.contains_key("00000000000000b2"), "run again");
+    executor.end_run("00000000000000b3", "failure", b"");
+    drop(executor);
     edge.expect_answer(3, AnswerKind::Crashed);
 }
 
@@ -61,23 +47,21 @@
 fn a_run_unheard_of_behind_missing_notices_is_not_run_again() {
     let backend = start_backend();
     let mut edge = backend.connect();
-    edge.request(1, "00000000000000e1", b"hang");
-    edge.request(2, "00000000000000e2", b"hang");
-    wait_until("both run", || {
-        backend.kernel.lock().unwrap().runs.len() == 2
-    });
+    edge.send_request(1, "00000000000000e1", b"hang");
+    edge.send_request(2, "00000000000000e2", b"hang");
+    wait_until("both run", || backend.executor().runs.len() == 2);
     {
-        let mut kernel = backend.kernel.lock().unwrap();
-        kernel
+        let mut executor = backend.executor();
+        executor
             .link
             .take()
             .unwrap()
             .shutdown(Shutdown::Both)
             .unwrap();
         // The end of the first is forgotten before anybody hears of it.
-        kernel.end("00000000000000e1", "success", b"forgotten");
-        kernel.notices.last_mut().unwrap().clear();
-        kernel.end("00000000000000e2", "success", b"kept");
+        executor.end_run("00000000000000e1", "success", b"forgotten");
+        executor.notices.last_mut().unwrap().clear();
+        executor.end_run("00000000000000e2", "success", b"kept");
     }
     let (one, other) = (edge.read_answer().unwrap(), edge.read_answer().unwrap());
     for answer in [one, other] {
@@ -88,7 +72,7 @@
         };
         assert_eq!(answer.kind, kind);
     }
-    assert!(backend.kernel.lock().unwrap().runs.is_empty(), "run again");
+    assert!(backend.executor().runs.is_empty(), "run again");
 }
 
 #[test]
@@ -96,7 +80,7 @@
     let backend = start_backend();
     let mut edge = backend.connect();
     for sequence in 1..20 {
-        edge.request(
+        edge.send_request(
             sequence,
             &format!("0000000000adb{sequence:03x}"),
             b"unknown",
@@ -104,7 +88,7 @@
         edge.expect_answer(sequence, AnswerKind::Crashed);
     }
     for sequence in 20..30 {
-        edge.request(sequence, &format!("0000000000adb{sequence:03x}"), b"run");
+        edge.send_request(sequence, &format!("0000000000adb{sequence:03x}"), b"run");
         // Where runs error no traffic is wanted; how much less is, while the machine is busy, is
         // not told here.
         let answer = edge.expect_answer(sequence, AnswerKind::Answer);
@@ -127,29 +111,21 @@
         "\u{1}\r\n",
         &long,
     ]) {
-        let links = backend.kernel.lock().unwrap().link_count;
-        backend
-            .kernel
-            .lock()
-            .unwrap()
-            .send_line(nonsense.to_owned());
-        wait_until(nonsense, || {
-            backend.kernel.lock().unwrap().link_count > links
-        });
-        edge.request(sequence, &format!("{sequence:016x}"), b"run");
+        let links = backend.executor().link_count;
+        backend.executor().send_line(nonsense.to_owned());
+        wait_until(nonsense, || backend.executor().link_count > links);
+        edge.send_request(sequence, &format!("{sequence:016x}"), b"run");
         edge.expect_answer(sequence, AnswerKind::Answer);
     }
     // What has no meaning, and what was refused, breaks nothing.
-    edge.request(9, "00000000000000f9", b"hang");
-    wait_until("it runs", || {
-        !backend.kernel.lock().unwrap().runs.is_empty()
-    });
-    let links = backend.kernel.lock().unwrap().link_count;
-    backend.kernel.lock().unwrap().send_line(
+    edge.send_request(9, "00000000000000f9", b"hang");
+    wait_until("it runs", || !backend.executor().runs.is_empty());
+    let links = backend.executor().link_count;
+    backend.executor().send_line(
         "EINVAL NOIO x\r\nINFO 999999 x\r\nEINVAL SCHED 00000000000000f9\r\n".to_owned(),
     );
     edge.expect_answer(9, AnswerKind::Crashed);
-    assert_eq!(backend.kernel.lock().unwrap().link_count, links);
+    assert_eq!(backend.executor().link_count, links);
 }
 
 #[test]
@@ -169,14 +145,17 @@
                 } else {
                     b"run"
                 };
-                edge.request(sequence + 1, &format!("{at:08x}{:08x}", sequence + 1), body);
+                edge.send_request(sequence + 1, &format!("{at:08x}{:08x}", sequence + 1), body);
             }
         }
         sent = few.end;
-        if let Some(link) = backend.kernel.lock().unwrap().link.take() {
+        if let Some(link) = backend.executor().link.take() {
             let _ = link.shutdown(Shutdown::Both);
         }
-        backend.store.down.store(sent % 40 == 0, Ordering::Release);
+        backend
+            .store
+            .is_down
+            .store(sent % 40 == 0, Ordering::Release);
         for (at, edge) in edges.iter_mut().enumerate() {
             while left[at].iter().any(|&sequence| sequence <= sent) {
                 let answer = edge.read_answer().expect("an answer for each");
@@ -195,9 +174,9 @@
             }
         }
     }
-    let kernel = backend.kernel.lock().unwrap();
-    assert!(kernel.link_count > 10, "{} links", kernel.link_count);
-    assert!(kernel.ends.values().all(|&ends| ends == 1), "run again");
+    let executor = backend.executor();
+    assert!(executor.link_count > 10, "{} links", executor.link_count);
+    assert!(executor.ends.values().all(|&ends| ends == 1), "run again");
 }
 
 /// A link breaks as a run starts that may not run twice, and the run ends as the next link is taken
@@ -209,30 +188,13 @@
         r#""effect":"side_effect""#,
         r#""effect":"token","memory_span":9000.0"#,
     ] {
-        let host = unique_address();
-        let (kernel, store) = (
-            serve_executor(SharedExecutor::default(), &host),
-            start_store(&host),
-        );
-        let file = write_config(
-            &host,
-            &config_json(&host).replace(r#""effect":"pure""#, effect),
-        );
-        let child = spawn_backend(&file);
-        let backend = TestBackend {
-            host,
-            kernel,
-            store,
-            child,
-            file,
-        };
-        backend.wait_until_serving();
+        let backend = start_backend_with_changes(&[(r#""effect":"pure""#, effect)]);
         let id = "0000000000ef0001";
-        backend.kernel.lock().unwrap().cuts_link_at_start = true;
+        backend.executor().cuts_link_at_start = true;
         let mut edge = backend.connect();
         let mut keyed = request_fields(id, "20.0");
         keyed.push(("opkey", "ef".to_owned()));
-        edge.process(1, &keyed, b"hang");
+        edge.send_request_with_fields(1, &keyed, b"hang");
         let first = edge.read_answer().expect("an answer");
         assert!(
             first.kind == AnswerKind::Crashed || first.contains(b"unheard"),
@@ -240,18 +202,18 @@
             first.kind
         );
         // What was said before is heard by the time that this has run.
-        edge.request(2, "0000000000ef0002", b"run");
+        edge.send_request(2, "0000000000ef0002", b"run");
         edge.expect_answer(2, AnswerKind::Answer);
         // A repeat gets no run either.
         let mut again = request_fields("0000000000ef0003", "20.0");
         again.push(("opkey", "ef".to_owned()));
         if effect.contains("token") {
-            edge.process(3, &again, b"hang");
+            edge.send_request_with_fields(3, &again, b"hang");
             edge.expect_answer(3, first.kind);
         }
-        let kernel = backend.kernel.lock().unwrap();
+        let executor = backend.executor();
         assert_eq!(
-            (kernel.ends.get(id), kernel.runs.len()),
+            (executor.ends.get(id), executor.runs.len()),
             (Some(&1), 0),
             "run again"
         );
@@ -266,15 +228,13 @@
     let mut edge = backend.connect();
     for turn in 0..6u32 {
         let id = format!("000000000a0c{turn:04x}");
-        edge.request(turn + 1, &id, b"hang");
-        wait_until("it runs", || {
-            backend.kernel.lock().unwrap().runs.contains_key(&id)
-        });
+        edge.send_request(turn + 1, &id, b"hang");
+        wait_until("it runs", || backend.executor().runs.contains_key(&id));
         backend.signal("STOP");
         {
-            let mut kernel = backend.kernel.lock().unwrap();
-            kernel.end(&id, "success", b"its own");
-            kernel
+            let mut executor = backend.executor();
+            executor.end_run(&id, "success", b"its own");
+            executor
                 .link
                 .take()
                 .unwrap()
@@ -296,13 +256,7 @@
     }
     assert_eq!(answers_until_close(&mut edge), HashMap::new(), "once each");
     assert!(
-        backend
-            .kernel
-            .lock()
-            .unwrap()
-            .ends
-            .values()
-            .all(|&ends| ends == 1),
+        backend.executor().ends.values().all(|&ends| ends == 1),
         "run again"
     );
     assert_eq!(backend.wait_for_exit().code(), Some(0));
--- a/crates/server/tests/program/graceful_shutdown.rs
+++ b/crates/server/tests/program/graceful_shutdown.rs
@@ -6,9 +6,7 @@
 use std::net::TcpStream;
 use std::os::unix::ffi::OsStrExt;
 
-use crate::harness::backend::{
-    TestBackend, config_json, spawn_backend, start_backend, write_config,
-};
+use crate::harness::backend::{BackendSetup, start_backend};
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, request_fields};
 use crate::harness::executor::{SharedExecutor, serve_executor};
 use crate::harness::store::start_store;
@@ -19,49 +17,33 @@
 #[test]
 fn a_shutdown_notice_before_the_executor_is_up_takes_effect_once_it_is() {
     let host = unique_address();
-    let (kernel, store, file) = (
-        SharedExecutor::default(),
-        start_store(&host),
-        write_config(&host, &config_json(&host)),
-    );
-    let child = spawn_backend(&file);
-    let mut backend = TestBackend {
-        host,
-        kernel,
-        store,
-        child,
-        file,
-    };
+    let store = start_store(&host);
+    let mut backend = BackendSetup::with_peers(host, SharedExecutor::default(), store).spawn();
     wait_until("it listens", || {
         TcpStream::connect((&backend.host[..], 6565)).is_ok()
     });
     let mut edge = backend.connect();
-    edge.call(1, "probe", b"\0");
+    edge.send_call(1, "probe", b"\0");
     assert!(
         edge.expect_answer(1, AnswerKind::Answer)
             .bytes
             .ends_with(b"\x02\0\x03\0\0\0"),
-        "well before its kernel is up"
+        "well before its executor is up"
     );
     backend.signal("TERM");
     let host = backend.host.clone();
-    serve_executor(backend.kernel.clone(), &host);
-    wait_until("the link is up", || {
-        backend.kernel.lock().unwrap().link_count == 1
-    });
+    serve_executor(backend.executor.clone(), &host);
+    wait_until("the link is up", || backend.executor().link_count == 1);
     edge.expect_answer(0, AnswerKind::NoMore);
     // It crosses the wish to send nothing more, behind the grace by more than its stamp is rough.
     std::thread::sleep(std::time::Duration::from_millis(5));
-    edge.request(2, "00000000000ee002", b"run");
+    edge.send_request(2, "00000000000ee002", b"run");
     // Where the machine is slow, the connection has closed by then.
     assert!(
         edge.read_answer()
             .is_none_or(|answer| answer.kind == AnswerKind::Rejected)
     );
-    assert!(
-        backend.kernel.lock().unwrap().ends.is_empty(),
-        "run behind the grace"
-    );
+    assert!(backend.executor().ends.is_empty(), "run behind the grace");
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
@@ -70,15 +52,15 @@
 #[test]
 fn a_shutdown_notice_takes_effect_while_the_configuration_is_being_read() {
     let mut backend = start_backend();
-    std::fs::remove_file(&backend.file).unwrap();
-    let path = std::ffi::CString::new(backend.file.as_os_str().as_bytes()).unwrap();
+    std::fs::remove_file(&backend.config_file).unwrap();
+    let path = std::ffi::CString::new(backend.config_file.as_os_str().as_bytes()).unwrap();
     assert_eq!(unsafe { libc::mkfifo(path.as_ptr(), 0o600) }, 0);
     backend.signal("HUP");
     // It is opened for writing once the program has opened it for reading: from then on it waits
     // for what never comes.
     let writer = std::fs::OpenOptions::new()
         .write(true)
-        .open(&backend.file)
+        .open(&backend.config_file)
         .unwrap();
     backend.signal("HUP");
     backend.signal("TERM");
@@ -94,9 +76,9 @@
     let mut backend = start_backend();
     let mut slow = backend.connect();
     for sequence in 1..31 {
-        slow.request(sequence, &format!("0000000000f9{sequence:04x}"), b"run");
+        slow.send_request(sequence, &format!("0000000000f9{sequence:04x}"), b"run");
     }
-    let half = slow.message(99, &request_fields("0000000000f90099", "20.0"), b"run");
+    let half = slow.encode_request(99, &request_fields("0000000000f90099", "20.0"), b"run");
     slow.stream.write_all(&half[..half.len() / 2]).unwrap();
     backend.signal("TERM");
     backend.signal("HUP");
@@ -121,17 +103,17 @@
     let mut edges: Vec<EdgeConnection> = (0..6).map(|_| backend.connect()).collect();
     // What is open on it keeps it from closing.
     for (at, edge) in (0u32..).zip(&mut edges) {
-        edge.request(1, &format!("0000000000f8{at:04x}"), b"hang");
+        edge.send_request(1, &format!("0000000000f8{at:04x}"), b"hang");
     }
     wait_until("they run or are held", || {
-        !backend.kernel.lock().unwrap().runs.is_empty()
+        !backend.executor().runs.is_empty()
     });
     backend.signal("TERM");
     for (at, edge) in (0x10u32..).zip(&mut edges) {
         while edge.read_answer().expect("the wish").kind != AnswerKind::NoMore {}
         // Behind the grace by more than its stamp is rough.
         std::thread::sleep(std::time::Duration::from_millis(5));
-        let message = edge.message(
+        let message = edge.encode_request(
             2,
             &request_fields(&format!("0000000000f8{at:04x}"), "20.0"),
             b"run",
@@ -150,14 +132,14 @@
         let mut kinds = Vec::new();
         while let Some(answer) = edge.read_answer() {
             kinds.push((answer.sequence, answer.kind));
-            let mut kernel = backend.kernel.lock().unwrap();
-            kernel.end(&id, "success", b"in the end");
+            let mut executor = backend.executor();
+            executor.end_run(&id, "success", b"in the end");
         }
         kinds.sort_by_key(|kind| kind.0);
         assert_eq!(kinds.len(), 2, "{kinds:?}");
         assert_eq!((kinds[0].0, &kinds[1]), (1, &(2, AnswerKind::Rejected)));
     }
-    let ends = backend.kernel.lock().unwrap().ends.clone();
+    let ends = backend.executor().ends.clone();
     assert!(
         ends.keys().all(|id| !id.starts_with("0000000000f8001")),
         "run behind the grace: {ends:?}"
--- a/crates/server/tests/program/harness/backend.rs
+++ b/crates/server/tests/program/harness/backend.rs
@@ -2,33 +2,35 @@
 
 use std::io::Read;
 use std::net::TcpStream;
+use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
+use std::sync::MutexGuard;
 use std::time::{Duration, Instant};
 
 use super::edge_node::{AnswerKind, EdgeConnection, ReceivedAnswer};
-use super::executor::{SharedExecutor, serve_executor};
+use super::executor::{ExecutorStub, SharedExecutor, serve_executor};
 use super::store::{StoreStub, start_store};
 use super::{LONG_TIMEOUT, unique_address, wait_until};
 
 /// A process of the program, the stubs around it, and its configuration file.
 pub(crate) struct TestBackend {
     pub(crate) host: String,
-    pub(crate) kernel: SharedExecutor,
+    pub(crate) executor: SharedExecutor,
     pub(crate) store: StoreStub,
     pub(crate) child: Child,
-    pub(crate) file: std::path::PathBuf,
+    pub(crate) config_file: PathBuf,
 }
 
-pub(crate) fn write_config(host: &str, text: &str) -> std::path::PathBuf {
+pub(crate) fn write_config(host: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("tulipgapd-{host}.json"));
     std::fs::write(&path, text).unwrap();
     path
 }
 
-/// Starts the program with a configuration that it refuses; returns its exit status and what it
-/// wrote.
-pub(crate) fn run_to_refusal(file: &std::path::Path) -> (ExitStatus, String) {
-    let mut child = spawn_backend(file);
+/// Starts the program with a configuration that it rejects; returns its exit status and what it
+/// wrote to standard error.
+pub(crate) fn run_until_rejected(file: &Path) -> (ExitStatus, String) {
+    let mut child = spawn_program(file);
     let start = Instant::now();
     let status = loop {
         if let Some(status) = child.try_wait().unwrap() {
@@ -47,15 +49,12 @@
     (status, written)
 }
 
-pub(crate) fn spawn_backend(file: &std::path::Path) -> Child {
-    spawn_backend_with(file, None)
+pub(crate) fn spawn_program(file: &Path) -> Child {
+    spawn_program_with_settings(file, None)
 }
 
 /// Starts the program, with the product's own configuration where one is given.
-pub(crate) fn spawn_backend_with(
-    file: &std::path::Path,
-    settings: Option<&std::path::Path>,
-) -> Child {
+pub(crate) fn spawn_program_with_settings(file: &Path, settings: Option<&Path>) -> Child {
     let program = env!("CARGO_BIN_EXE_tulipgapd");
     // For measurements: all of its threads on one core, as where it is deployed.
     let mut command = match std::env::var("TULIPGAP_CORE") {
@@ -77,44 +76,6 @@
         .unwrap()
 }
 
-/// A backend whose configuration promises more descriptors than the system grants.
-pub(crate) fn start_backend_with_descriptor_limit(
-    sockets: usize,
-    limit: usize,
-    settings: &std::path::Path,
-) -> TestBackend {
-    let host = unique_address();
-    let (kernel, store) = (
-        serve_executor(SharedExecutor::default(), &host),
-        start_store(&host),
-    );
-    let file = write_config(
-        &host,
-        &config_json(&host).replace("1024", &sockets.to_string()),
-    );
-    let mut command = Command::new("sh");
-    command.args([
-        "-c",
-        &format!("ulimit -n {limit}; exec \"$0\" --settings \"$1\""),
-    ]);
-    command.arg(env!("CARGO_BIN_EXE_tulipgapd")).arg(settings);
-    let child = command
-        .env("LB_CONFIG", &file)
-        .stdin(Stdio::null())
-        .stderr(Stdio::piped())
-        .spawn()
-        .unwrap();
-    let backend = TestBackend {
-        host,
-        kernel,
-        store,
-        child,
-        file,
-    };
-    backend.wait_until_serving();
-    backend
-}
-
 pub(crate) fn config_json(host: &str) -> String {
     let settings = r#"{"classes":[{"name":"page","objective":10000.0,"deadline":20000.0,"worth":1.0,"effect":"pure"}],
         "family_info":{"below":"shared","calls_out":20.0,"share_span":5000.0,"stays_for":100.0,"blowup":4.0,"cores":4,
@@ -128,35 +89,125 @@
     )
 }
 
+/// What a process of the program is started with: its address, its stubs and its configuration.
+pub(crate) struct BackendSetup {
+    pub(crate) host: String,
+    pub(crate) executor: SharedExecutor,
+    pub(crate) store: StoreStub,
+    configuration: String,
+    settings: Option<PathBuf>,
+}
+
+impl BackendSetup {
+    /// An address of its own, with an executor and a store that serve there.
+    pub(crate) fn new() -> Self {
+        let host = unique_address();
+        let executor = serve_executor(SharedExecutor::default(), &host);
+        let store = start_store(&host);
+        BackendSetup::with_peers(host, executor, store)
+    }
+
+    /// An address whose peers the test has set up.
+    pub(crate) fn with_peers(host: String, executor: SharedExecutor, store: StoreStub) -> Self {
+        let configuration = config_json(&host);
+        BackendSetup {
+            host,
+            executor,
+            store,
+            configuration,
+            settings: None,
+        }
+    }
+
+    /// Replaces a text of the configuration, which must be there.
+    pub(crate) fn change(mut self, from: &str, to: &str) -> Self {
+        assert!(self.configuration.contains(from), "{from}");
+        self.configuration = self.configuration.replace(from, to);
+        self
+    }
+
+    /// The settings file of the product's own, where one is given.
+    pub(crate) fn settings(mut self, file: Option<&Path>) -> Self {
+        self.settings = file.map(Path::to_owned);
+        self
+    }
+
+    /// Starts the process and waits for nothing.
+    pub(crate) fn spawn(self) -> TestBackend {
+        let settings = self.settings.clone();
+        self.spawn_by(|config_file| spawn_program_with_settings(config_file, settings.as_deref()))
+    }
+
+    /// Starts the process by a function of its configuration file, and waits for nothing.
+    pub(crate) fn spawn_by(self, spawn: impl FnOnce(&Path) -> Child) -> TestBackend {
+        let config_file = write_config(&self.host, &self.configuration);
+        let child = spawn(&config_file);
+        TestBackend {
+            host: self.host,
+            executor: self.executor,
+            store: self.store,
+            child,
+            config_file,
+        }
+    }
+
+    /// Starts the process and waits until it serves.
+    pub(crate) fn start(self) -> TestBackend {
+        let backend = self.spawn();
+        backend.wait_until_serving();
+        backend
+    }
+}
+
 pub(crate) fn start_backend() -> TestBackend {
     start_backend_with_sockets(1024)
 }
 
+/// A backend with that limit of descriptors in its configuration.
 pub(crate) fn start_backend_with_sockets(sockets: usize) -> TestBackend {
-    start_backend_with(sockets, None)
+    start_backend_with_settings(sockets, None)
 }
 
-pub(crate) fn start_backend_with(
+/// The same, with a settings file of the product's own.
+pub(crate) fn start_backend_with_settings(sockets: usize, settings: Option<&Path>) -> TestBackend {
+    BackendSetup::new()
+        .change("1024", &sockets.to_string())
+        .settings(settings)
+        .start()
+}
+
+/// A backend whose configuration is changed by these replacements.
+pub(crate) fn start_backend_with_changes(changes: &[(&str, &str)]) -> TestBackend {
+    changes
+        .iter()
+        .fold(BackendSetup::new(), |setup, (from, to)| {
+            setup.change(from, to)
+        })
+        .start()
+}
+
+/// A backend whose configuration promises more descriptors than the system grants.
+pub(crate) fn start_backend_with_descriptor_limit(
     sockets: usize,
-    settings: Option<&std::path::Path>,
+    limit: usize,
+    settings: &Path,
 ) -> TestBackend {
-    let host = unique_address();
-    let (kernel, store) = (
-        serve_executor(SharedExecutor::default(), &host),
-        start_store(&host),
-    );
-    let file = write_config(
-        &host,
-        &config_json(&host).replace("1024", &sockets.to_string()),
-    );
-    let child = spawn_backend_with(&file, settings);
-    let backend = TestBackend {
-        host,
-        kernel,
-        store,
-        child,
-        file,
-    };
+    let backend = BackendSetup::new()
+        .change("1024", &sockets.to_string())
+        .spawn_by(|config_file| {
+            let mut command = Command::new("sh");
+            command.args([
+                "-c",
+                &format!("ulimit -n {limit}; exec \"$0\" --settings \"$1\""),
+            ]);
+            command.arg(env!("CARGO_BIN_EXE_tulipgapd")).arg(settings);
+            command
+                .env("LB_CONFIG", config_file)
+                .stdin(Stdio::null())
+                .stderr(Stdio::piped())
+                .spawn()
+                .unwrap()
+        });
     backend.wait_until_serving();
     backend
 }
@@ -175,7 +226,7 @@
                 return false;
             };
             let mut edge = EdgeConnection { stream };
-            edge.call(1, "probe", b"\x02\0\x01\x01\0");
+            edge.send_call(1, "probe", b"\x02\0\x01\x01\0");
             edge.read_answer().is_some_and(|answer| {
                 answer.kind == AnswerKind::Answer
                     && is_expected(&answer)
@@ -184,6 +235,17 @@
         });
     }
 
+    /// The stub of its executor.
+    pub(crate) fn executor(&self) -> MutexGuard<'_, ExecutorStub> {
+        self.executor.lock().unwrap()
+    }
+
+    /// Whether the executor was ever told to run a request.
+    pub(crate) fn was_run(&self, id: &str) -> bool {
+        let executor = self.executor();
+        executor.runs.contains_key(id) || executor.ends.contains_key(id)
+    }
+
     pub(crate) fn connect(&self) -> EdgeConnection {
         let stream = TcpStream::connect((&self.host[..], 6565)).unwrap();
         stream.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
@@ -214,37 +276,6 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.config_file);
     }
 }
-
-/// Starts a backend whose configuration is changed by these replacements.
-pub(crate) fn stand_with_changes(changes: &[(&str, &str)]) -> TestBackend {
-    let host = unique_address();
-    let (kernel, store) = (
-        serve_executor(SharedExecutor::default(), &host),
-        start_store(&host),
-    );
-    let mut configuration = config_json(&host);
-    for (from, to) in changes {
-        assert!(configuration.contains(from), "{from}");
-        configuration = configuration.replace(from, to);
-    }
-    let file = write_config(&host, &configuration);
-    let child = spawn_backend(&file);
-    let backend = TestBackend {
-        host,
-        kernel,
-        store,
-        child,
-        file,
-    };
-    backend.wait_until_serving();
-    backend
-}
-
-/// Whether the executor was ever told to run a request.
-pub(crate) fn was_run(backend: &TestBackend, id: &str) -> bool {
-    let kernel = backend.kernel.lock().unwrap();
-    kernel.runs.contains_key(id) || kernel.ends.contains_key(id)
-}
--- a/crates/server/tests/program/harness/edge_node.rs
+++ b/crates/server/tests/program/harness/edge_node.rs
@@ -86,18 +86,18 @@
 }
 
 impl EdgeConnection {
-    pub(crate) fn call(&mut self, sequence: u32, method: &str, arguments: &[u8]) {
+    pub(crate) fn send_call(&mut self, sequence: u32, method: &str, arguments: &[u8]) {
         self.stream
             .write_all(&call(sequence, method, arguments))
             .unwrap();
     }
 
     /// A health check as it is written.
-    pub(crate) fn health_check(&self, sequence: u32) -> Vec<u8> {
+    pub(crate) fn encode_health_check(&self, sequence: u32) -> Vec<u8> {
         call(sequence, "probe", b"\0")
     }
 
-    pub(crate) fn oneway(&mut self, sequence: u32, method: &str) {
+    pub(crate) fn send_oneway(&mut self, sequence: u32, method: &str) {
         let head = [
             &b"\x80\x01\0\x04"[..],
             &encode_string(method.as_bytes()),
@@ -109,13 +109,23 @@
             .unwrap();
     }
 
-    pub(crate) fn process(&mut self, sequence: u32, fields: &[(&str, String)], body: &[u8]) {
-        let message = self.message(sequence, fields, body);
+    pub(crate) fn send_request_with_fields(
+        &mut self,
+        sequence: u32,
+        fields: &[(&str, String)],
+        body: &[u8],
+    ) {
+        let message = self.encode_request(sequence, fields, body);
         self.stream.write_all(&message).unwrap();
     }
 
     /// A request as it is written.
-    pub(crate) fn message(&self, sequence: u32, fields: &[(&str, String)], body: &[u8]) -> Vec<u8> {
+    pub(crate) fn encode_request(
+        &self,
+        sequence: u32,
+        fields: &[(&str, String)],
+        body: &[u8],
+    ) -> Vec<u8> {
         let mut map = [
             &b"\x0d\0\x01\x0b\x0b"[..],
             &(fields.len() as u32).to_be_bytes(),
@@ -134,8 +144,8 @@
         call(sequence, "process", &arguments)
     }
 
-    pub(crate) fn request(&mut self, sequence: u32, id: &str, body: &[u8]) {
-        self.process(sequence, &request_fields(id, "20.0"), body);
+    pub(crate) fn send_request(&mut self, sequence: u32, id: &str, body: &[u8]) {
+        self.send_request_with_fields(sequence, &request_fields(id, "20.0"), body);
     }
 
     /// The next answer; none once the connection is closed.
@@ -162,7 +172,7 @@
     }
 
     /// Waits until it is closed, and ignores what comes before.
-    pub(crate) fn is_closed(&mut self) -> bool {
+    pub(crate) fn wait_until_closed(&mut self) -> bool {
         match self.stream.read_to_end(&mut Vec::new()) {
             Ok(_) => true,
             Err(error) => error.kind() == std::io::ErrorKind::ConnectionReset,
@@ -178,7 +188,7 @@
 
 /// A connection whose receive buffer holds very little, so that answers wait in the backend's send
 /// buffer.
-pub(crate) fn slow_reader(backend: &TestBackend) -> EdgeConnection {
+pub(crate) fn connect_slow_reader(backend: &TestBackend) -> EdgeConnection {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
     let address: SocketAddr = format!("{}:6565", backend.host).parse().unwrap();
@@ -217,7 +227,7 @@
             break;
         }
         let begin = Instant::now();
-        edge.request(sequence, &format!("{prefix}{sequence:08x}"), b"run");
+        edge.send_request(sequence, &format!("{prefix}{sequence:08x}"), b"run");
         let answer = edge.read_answer().expect("an answer");
         assert_eq!(answer.sequence, sequence);
         slowest = slowest.max(begin.elapsed());
--- a/crates/server/tests/program/harness/executor.rs
+++ b/crates/server/tests/program/harness/executor.rs
@@ -36,7 +36,7 @@
 pub(crate) type SharedExecutor = Arc<Mutex<ExecutorStub>>;
 
 impl ExecutorStub {
-    pub(crate) fn notice(&mut self, word: &str, rest: String, body: &[u8]) {
+    pub(crate) fn send_notice(&mut self, word: &str, rest: String, body: &[u8]) {
         let head = format!(
             "{word} {} {rest} {}\r\n",
             self.notices.len() + 1,
@@ -49,10 +49,10 @@
         self.notices.push(bytes);
     }
 
-    pub(crate) fn end(&mut self, id: &str, end: &str, result: &[u8]) {
+    pub(crate) fn end_run(&mut self, id: &str, end: &str, result: &[u8]) {
         if self.runs.remove(id).is_some() {
             *self.ends.entry(id.to_owned()).or_default() += 1;
-            self.notice("REAP", format!("{id} {end} 1.5"), result);
+            self.send_notice("REAP", format!("{id} {end} 1.5"), result);
         }
     }
 
@@ -75,9 +75,9 @@
                 let starts = self.runs.entry(id.clone()).or_default();
                 *starts += 1;
                 match &body[..] {
-                    b"run" => self.end(&id, "success", format!("page \0 {id}").as_bytes()),
-                    b"large" => self.end(&id, "success", &large_result(&id)),
-                    b"call" if *starts == 1 => self.notice("IOREQ", id, b"what is called"),
+                    b"run" => self.end_run(&id, "success", format!("page \0 {id}").as_bytes()),
+                    b"large" => self.end_run(&id, "success", &large_result(&id)),
+                    b"call" if *starts == 1 => self.send_notice("IOREQ", id, b"what is called"),
                     _ if std::mem::take(&mut self.cuts_link_at_start) => {
                         let _ = self.link.take().unwrap().shutdown(Shutdown::Both);
                         self.ending_run = Some(id);
@@ -85,14 +85,14 @@
                     _ => {}
                 }
             }
-            ["PREEMPT", id] => self.end(id, "interrupted", b""),
-            ["NOIO", id, _] => self.end(id, "success", b"poorer"),
+            ["PREEMPT", id] => self.end_run(id, "interrupted", b""),
+            ["NOIO", id, _] => self.end_run(id, "success", b"poorer"),
             ["IODONE", ..] if std::mem::take(&mut self.loses_link_at_reply) => {
                 let _ = self.link.take().unwrap().shutdown(Shutdown::Both);
             }
             ["IODONE", id, _] => {
                 self.replies.push(body);
-                self.end(id, "success", b"richer");
+                self.end_run(id, "success", b"richer");
             }
             ["SYSINFO", tag] => {
                 self.send_line(format!("INFO {tag} 0.1 0 0 1\r\n"));
@@ -100,7 +100,7 @@
                     && let Some(id) = self.ending_run.take()
                 {
                     let link = self.link.take();
-                    self.end(&id, "success", b"unheard");
+                    self.end_run(&id, "success", b"unheard");
                     (self.link, self.delayed_notice) = (link, self.notices.last().unwrap().clone());
                 }
             }
@@ -111,18 +111,18 @@
 }
 
 /// Lets the stub listen at that address.
-pub(crate) fn serve_executor(kernel: SharedExecutor, host: &str) -> SharedExecutor {
-    let (shared, listener) = (kernel.clone(), TcpListener::bind((host, 7300)).unwrap());
+pub(crate) fn serve_executor(executor: SharedExecutor, host: &str) -> SharedExecutor {
+    let (shared, listener) = (executor.clone(), TcpListener::bind((host, 7300)).unwrap());
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let kernel = shared.clone();
-            std::thread::spawn(move || serve_executor_link(&kernel, stream));
+            let executor = shared.clone();
+            std::thread::spawn(move || serve_executor_link(&executor, stream));
         }
     });
-    kernel
+    executor
 }
 
-pub(crate) fn serve_executor_link(kernel: &SharedExecutor, stream: TcpStream) {
+pub(crate) fn serve_executor_link(executor: &SharedExecutor, stream: TcpStream) {
     let mut input = BufReader::new(stream.try_clone().unwrap());
     let mut line = String::new();
     let mut number = 0;
@@ -141,19 +141,19 @@
             assert!(body.ends_with(b"\r\n"));
             body.truncate(body.len() - 2);
         }
-        let mut kernel = kernel.lock().unwrap();
+        let mut executor = executor.lock().unwrap();
         if let ["OPEN", last] = words[..] {
-            kernel.link = Some(stream.try_clone().unwrap());
-            kernel.link_count += 1;
-            number = kernel.link_count;
-            kernel
+            executor.link = Some(stream.try_clone().unwrap());
+            executor.link_count += 1;
+            number = executor.link_count;
+            executor
                 .send_line("BOOTED steady 1000.0\r\nDMESG 0 a remark of no meaning\r\n".to_owned());
             // One notice too many: what was read before must not be handled twice.
             let from = last.parse::<usize>().unwrap().saturating_sub(1);
-            let missed = kernel.notices[from..].concat();
-            let _ = kernel.link.as_ref().unwrap().write_all(&missed);
-        } else if kernel.link_count == number {
-            kernel.handle_command(&words, body);
+            let missed = executor.notices[from..].concat();
+            let _ = executor.link.as_ref().unwrap().write_all(&missed);
+        } else if executor.link_count == number {
+            executor.handle_command(&words, body);
         } else {
             // A new link replaces the one before: what is left in its buffers was sent again over
             // the new one, and would run twice.
--- a/crates/server/tests/program/harness/store.rs
+++ b/crates/server/tests/program/harness/store.rs
@@ -10,19 +10,19 @@
 /// planned.
 #[derive(Clone, Default)]
 pub(crate) struct StoreStub {
-    pub(crate) down: Arc<AtomicBool>,
+    pub(crate) is_down: Arc<AtomicBool>,
     pub(crate) calls: Arc<AtomicU32>,
     /// The replies to the next calls, with ID in place of theirs; an empty one is no reply.
-    pub(crate) plan: Arc<Mutex<VecDeque<String>>>,
+    pub(crate) planned_replies: Arc<Mutex<VecDeque<String>>>,
     /// Calls left without an answer, with their connections.
-    pub(crate) open: Arc<Mutex<HashMap<String, TcpStream>>>,
+    pub(crate) unanswered_calls: Arc<Mutex<HashMap<String, TcpStream>>>,
     /// Connections that have closed.
-    pub(crate) left: Arc<AtomicU32>,
+    pub(crate) closed_connections: Arc<AtomicU32>,
 }
 
 impl StoreStub {
-    pub(crate) fn plan(&self, replies: &[&str]) {
-        self.plan
+    pub(crate) fn plan_replies(&self, replies: &[&str]) {
+        self.planned_replies
             .lock()
             .unwrap()
             .extend(replies.iter().map(|reply| reply.to_string()));
@@ -31,7 +31,7 @@
     pub(crate) fn serve(&self, stream: TcpStream) {
         let mut input = BufReader::new(stream.try_clone().unwrap());
         let mut line = String::new();
-        while !self.down.load(Ordering::Acquire) && input.read_line(&mut line).unwrap_or(0) > 0 {
+        while !self.is_down.load(Ordering::Acquire) && input.read_line(&mut line).unwrap_or(0) > 0 {
             let words: Vec<&str> = line.trim_end().split(' ').collect();
             let ["CALL", id, _, length] = words[..] else {
                 panic!("no call: {words:?}")
@@ -39,10 +39,10 @@
             let mut body = vec![0; length.parse::<usize>().unwrap() + 2];
             input.read_exact(&mut body).unwrap();
             self.calls.fetch_add(1, Ordering::AcqRel);
-            if self.down.load(Ordering::Acquire) {
+            if self.is_down.load(Ordering::Acquire) {
                 break;
             }
-            match self.plan.lock().unwrap().pop_front() {
+            match self.planned_replies.lock().unwrap().pop_front() {
                 None => {
                     let head = format!("{id} OK {length}\r\n");
                     (&stream)
@@ -50,7 +50,7 @@
                         .unwrap();
                 }
                 Some(reply) if reply.is_empty() => {
-                    self.open
+                    self.unanswered_calls
                         .lock()
                         .unwrap()
                         .insert(id.to_owned(), stream.try_clone().unwrap());
@@ -61,7 +61,7 @@
             }
             line.clear();
         }
-        self.left.fetch_add(1, Ordering::AcqRel);
+        self.closed_connections.fetch_add(1, Ordering::AcqRel);
         let _ = stream.shutdown(Shutdown::Both);
     }
 }
--- a/crates/server/tests/program/idempotency.rs
+++ b/crates/server/tests/program/idempotency.rs
@@ -2,13 +2,9 @@
 
 use std::time::Duration;
 
-use crate::harness::backend::{
-    TestBackend, config_json, spawn_backend, stand_with_changes, was_run, write_config,
-};
+use crate::harness::backend::start_backend_with_changes;
 use crate::harness::edge_node::{AnswerKind, request_fields, request_fields_with};
-use crate::harness::executor::{SharedExecutor, serve_executor};
-use crate::harness::store::start_store;
-use crate::harness::{unique_address, wait_until};
+use crate::harness::wait_until;
 
 /// Duplicates of a keyed request inside, at the edge of and past a window of 1.5 s, which counts by
 /// arrival at the machine.
@@ -17,7 +13,7 @@
     const WINDOW_MS: u64 = 1500;
     // The window is kept in steps, so it ends a little later than it must.
     const STEP_MS: u64 = 250;
-    let backend = stand_with_changes(&[(
+    let backend = start_backend_with_changes(&[(
         r#""effect":"pure""#,
         &format!(r#""effect":"token","memory_span":{WINDOW_MS}.0"#),
     )]);
@@ -47,7 +43,7 @@
                 );
                 let mut edge = backend.connect();
                 let first_stamp = unix_milliseconds();
-                edge.process(1, &keyed(&first_id, &key, first_stamp), b"run");
+                edge.send_request_with_fields(1, &keyed(&first_id, &key, first_stamp), b"run");
                 assert!(
                     edge.expect_answer(1, AnswerKind::Answer)
                         .contains(first_id.as_bytes())
@@ -56,14 +52,14 @@
                 while unix_milliseconds() < second_stamp {
                     std::thread::sleep(Duration::from_millis(1));
                 }
-                edge.process(2, &keyed(&second_id, &key, second_stamp), b"run");
+                edge.send_request_with_fields(2, &keyed(&second_id, &key, second_stamp), b"run");
                 let answer = edge.expect_answer(2, AnswerKind::Answer);
                 let was_known = answer.contains(first_id.as_bytes());
                 assert!(
                     was_known || answer.contains(second_id.as_bytes()),
                     "a result of its own or of the first"
                 );
-                assert_eq!(was_run(backend, &second_id), !was_known, "offset {offset}");
+                assert_eq!(backend.was_run(&second_id), !was_known, "offset {offset}");
                 if let Some(known) = known {
                     assert_eq!(was_known, known, "offset {offset}");
                 }
@@ -83,49 +79,35 @@
 /// repeat of one that was run is errored, as nobody may be told that it was not.
 #[test]
 fn a_duplicate_of_a_run_is_not_rejected_for_memory() {
-    let host = unique_address();
-    let (kernel, store) = (
-        serve_executor(SharedExecutor::default(), &host),
-        start_store(&host),
-    );
-    let keyed = config_json(&host)
-        .replace(
+    let backend = start_backend_with_changes(&[
+        (
             r#""effect":"pure""#,
             r#""effect":"token","memory_span":9000.0"#,
-        )
-        .replace(r#""memory_mb":192"#, r#""memory_mb":1"#);
-    let file = write_config(&host, &keyed);
-    let child = spawn_backend(&file);
-    let backend = TestBackend {
-        host,
-        kernel,
-        store,
-        child,
-        file,
-    };
-    backend.wait_until_serving();
+        ),
+        (r#""memory_mb":192"#, r#""memory_mb":1"#),
+    ]);
     let of = |id: &str, key: &str| {
         let mut fields = request_fields(id, "20.0");
         fields.push(("opkey", key.to_owned()));
         fields
     };
     let mut edge = backend.connect();
-    edge.process(1, &of("0000000000e10001", "first"), b"run");
+    edge.send_request_with_fields(1, &of("0000000000e10001", "first"), b"run");
     let first = edge.expect_answer(1, AnswerKind::Answer);
     assert!(first.contains(b"page \0 0000000000e10001"));
     // A repeat with the same body has its result; one with another body, or for nobody's tenant,
     // has not.
-    edge.process(2, &of("0000000000e10002", "first"), b"run");
+    edge.send_request_with_fields(2, &of("0000000000e10002", "first"), b"run");
     assert!(
         edge.expect_answer(2, AnswerKind::Answer)
             .contains(b"page \0 0000000000e10001")
     );
-    edge.process(3, &of("0000000000e10003", "first"), b"runs");
+    edge.send_request_with_fields(3, &of("0000000000e10003", "first"), b"runs");
     edge.expect_answer(3, AnswerKind::Exception);
     // As many as there is memory for, and none more.
     let most = (0.45 * 1024.0 / 24.0) as u32;
     for at in 0..most {
-        edge.process(
+        edge.send_request_with_fields(
             10 + at,
             &of(&format!("0000000000e2{at:04x}"), &format!("k{at}")),
             b"hang",
@@ -135,15 +117,15 @@
         let mut probing = backend.connect();
         let id = format!(
             "{:016x}",
-            0xe300_0000u32 + backend.kernel.lock().unwrap().notices.len() as u32
+            0xe300_0000u32 + backend.executor().notices.len() as u32
         );
-        probing.process(1, &of(&id, &id), b"run");
+        probing.send_request_with_fields(1, &of(&id, &id), b"run");
         probing.read_answer().is_some_and(|answer| {
             answer.kind == AnswerKind::Rejected && answer.contains(b"holdoff")
         })
     });
     // Opened only now: where the machine is slow it would have been closed for saying nothing.
     let mut other = backend.connect();
-    other.process(1, &of("0000000000e10004", "first"), b"run");
+    other.send_request_with_fields(1, &of("0000000000e10004", "first"), b"run");
     other.expect_answer(1, AnswerKind::Crashed);
 }
--- a/crates/server/tests/program/leases.rs
+++ b/crates/server/tests/program/leases.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 use tulipgap_fault_injection::{OperationPhase, OperationRecord, Plan, RunOutcome, run};
 
-use crate::harness::backend::{TestBackend, config_json, spawn_backend_with, write_config};
+use crate::harness::backend::{BackendSetup, TestBackend, config_json, write_config};
 use crate::harness::edge_node::AnswerKind;
 use crate::harness::executor::{SharedExecutor, serve_executor};
 use crate::harness::store::{StoreStub, start_store};
@@ -56,7 +56,7 @@
 
 /// Plays it until, after the last fault, both leases have seen acts again; no promise may break on
 /// the way.
-fn holds(what: &str, faults: &str) -> RunOutcome {
+fn run_until_operations_resume(what: &str, faults: &str) -> RunOutcome {
     let (plan, folder) = (plan(faults), tempfile::tempdir().unwrap());
     let (from, met) = (Cell::new(None), Cell::new(false));
     let enough = |out: &RunOutcome| {
@@ -104,7 +104,7 @@
         .zip([4, 7, 10, 13, 16])
         .map(|(of, at)| stop(of, at))
         .collect();
-    let outcome = holds("stopped", &all);
+    let outcome = run_until_operations_resume("stopped", &all);
     assert!(
         outcome.tokens["one"] >= 2,
         "the lease went on to others: {:?}",
@@ -121,7 +121,7 @@
         )
     };
     let cuts = cut("a-1", 3, false) + &cut("b-1", 9, true) + &cut("c-1", 15, false);
-    holds(
+    run_until_operations_resume(
         "cut off",
         &(cuts
             + "crash {\n at = 12\n of = \"a-2\"\n back = 13\n}\nlinks {\n from = 3\n to = 20\n loss = 0.1\n delay_ms = 20\n twice = 0.1\n}\n"),
@@ -134,7 +134,7 @@
         format!("crash {{\n at = {at}\n of = \"{of}\"\n back = {back}\n}}\n")
     };
     let all = ["a-1", "b-1", "c-1"].map(|of| kill(of, 4, 5)).concat();
-    holds("killed", &(all + &kill("a-1", 9, 15) + &kill("b-1", 9, 16)));
+    run_until_operations_resume("killed", &(all + &kill("a-1", 9, 15) + &kill("b-1", 9, 16)));
 }
 
 #[test]
@@ -187,10 +187,10 @@
           back = 25
         }
     "#;
-    holds("disks and clocks", text);
+    run_until_operations_resume("disks and clocks", text);
 }
 
-fn asked(socket: &Path, request: &str) -> Value {
+fn ask_control_socket(socket: &Path, request: &str) -> Value {
     let mut stream = UnixStream::connect(socket).unwrap();
     stream.write_all(format!("{request}\n").as_bytes()).unwrap();
     let mut line = String::new();
@@ -202,18 +202,18 @@
 /// the token before, or nothing where no voter leads just now.
 fn move_lease(socket: &Path, held: &Value) -> Option<(&'static str, Value)> {
     let stale = r#"{"do":"revoke","lease":"one","token":999}"#;
-    let refused = asked(socket, stale);
+    let refused = ask_control_socket(socket, stale);
     let why = refused["error"].as_str().unwrap();
     // Where no voter leads just now it is asked again later.
     if why.contains("no voter") {
         return None;
     }
     assert!(why.contains("nobody holds it"), "{refused}");
-    assert!(asked(socket, r#"{"do":"hop"}"#)["error"].is_string());
+    assert!(ask_control_socket(socket, r#"{"do":"hop"}"#)["error"].is_string());
     let to = if held["by"] == "b-2" { "c-1" } else { "b-2" };
     let token = &held["token"];
     // That it came to pass is seen by who holds it: an answer may be lost, and the word said twice.
-    asked(
+    ask_control_socket(
         socket,
         &format!(r#"{{"do":"transfer","lease":"one","token":{token},"to":"{to}"}}"#),
     );
@@ -225,8 +225,8 @@
 fn operators_see_move_and_revoke_leases() {
     let (plan, folder) = (plan(""), tempfile::tempdir().unwrap());
     let at = |member: &str| folder.path().join(member).join("control");
-    let drains = |member: &str| {
-        let own = asked(&at(member), r#"{"do":"own"}"#);
+    let has_drain_lease = |member: &str| {
+        let own = ask_control_socket(&at(member), r#"{"do":"own"}"#);
         let rows = own["wanted"].as_array().unwrap();
         rows.iter()
             .any(|row| row["lease"].as_str().unwrap().starts_with("drain/") && row["held"] == true)
@@ -238,7 +238,7 @@
         if out.operations < 5 {
             return false;
         }
-        let shown = asked(&socket, r#"{"do":"leases","lease":"one"}"#);
+        let shown = ask_control_socket(&socket, r#"{"do":"leases","lease":"one"}"#);
         let held = shown["leases"][0]["held"][0].clone();
         match step.get() {
             0 if held["token"].is_u64() => {
@@ -253,7 +253,7 @@
                     held["token"].as_u64() > before.borrow()[1].as_u64(),
                     "tokens only grow"
                 );
-                let taken = asked(
+                let taken = ask_control_socket(
                     &socket,
                     r#"{"do":"take","lease":"mine","term_ms":2000,"places":1}"#,
                 );
@@ -261,7 +261,7 @@
                 step.set(2);
             }
             2 => {
-                let own = asked(&socket, r#"{"do":"own"}"#);
+                let own = ask_control_socket(&socket, r#"{"do":"own"}"#);
                 let mine = own["wanted"]
                     .as_array()
                     .unwrap()
@@ -269,32 +269,35 @@
                     .find(|row| row["lease"] == "mine")
                     .cloned();
                 if mine.is_some_and(|mine| mine["held"] == true) {
-                    asked(&socket, r#"{"do":"release","lease":"mine"}"#);
+                    ask_control_socket(&socket, r#"{"do":"release","lease":"mine"}"#);
                     step.set(3);
                 }
             }
             3 => {
-                let shown = asked(&socket, r#"{"do":"leases","lease":"mine"}"#);
+                let shown = ask_control_socket(&socket, r#"{"do":"leases","lease":"mine"}"#);
                 if shown["leases"].as_array().is_some_and(Vec::is_empty) {
-                    let members = asked(&socket, r#"{"do":"members"}"#);
+                    let members = ask_control_socket(&socket, r#"{"do":"members"}"#);
                     assert_eq!(members["members"].as_array().unwrap().len(), 5, "{members}");
-                    assert_eq!(asked(&socket, r#"{"do":"drain"}"#)["lease"], "drain/a");
+                    assert_eq!(
+                        ask_control_socket(&socket, r#"{"do":"drain"}"#)["lease"],
+                        "drain/a"
+                    );
                     step.set(4);
                 }
             }
-            // One of a zone drains at a time, another zone's do not wait for it, and who waits is
+            // One of a zone has_drain_lease at a time, another zone's do not wait for it, and who waits is
             // next.
-            4 if drains("a-1") => {
-                asked(&at("a-2"), r#"{"do":"drain"}"#);
-                asked(&at("c-1"), r#"{"do":"drain"}"#);
+            4 if has_drain_lease("a-1") => {
+                ask_control_socket(&at("a-2"), r#"{"do":"drain"}"#);
+                ask_control_socket(&at("c-1"), r#"{"do":"drain"}"#);
                 step.set(5);
             }
-            5 if drains("c-1") => {
-                assert!(drains("a-1") && !drains("a-2"));
-                asked(&socket, r#"{"do":"release","lease":"drain/a"}"#);
+            5 if has_drain_lease("c-1") => {
+                assert!(has_drain_lease("a-1") && !has_drain_lease("a-2"));
+                ask_control_socket(&socket, r#"{"do":"release","lease":"drain/a"}"#);
                 step.set(6);
             }
-            6 if drains("a-2") => step.set(7),
+            6 if has_drain_lease("a-2") => step.set(7),
             _ => {}
         }
         step.get() == 7
@@ -381,7 +384,7 @@
     let mut child = start(&settings(""));
     wait_until("it listens", || UnixStream::connect(at("control")).is_ok());
     send_garbage(&host);
-    let members = asked(&at("control"), r#"{"do":"members"}"#);
+    let members = ask_control_socket(&at("control"), r#"{"do":"members"}"#);
     assert_eq!(
         members["members"].as_array().map(Vec::len),
         Some(1),
@@ -423,28 +426,20 @@
         );
         let settings_file = folder.path().join(format!("{name}.hcl"));
         std::fs::write(&settings_file, settings).unwrap();
-        let kernel = serve_executor(SharedExecutor::default(), host);
-        let told = config_json(host).replace(
-            &format!("\"store\":\"{host}:7700\""),
-            &format!("\"store\":\"{away}:7700\""),
-        );
-        let file = write_config(host, &told);
-        let child = spawn_backend_with(&file, Some(&settings_file));
-        let backend = TestBackend {
-            host: host.clone(),
-            kernel,
-            store: StoreStub::default(),
-            child,
-            file,
-        };
-        backend.wait_until_serving();
-        backend
+        let executor = serve_executor(SharedExecutor::default(), host);
+        BackendSetup::with_peers(host.clone(), executor, StoreStub::default())
+            .change(
+                &format!("\"store\":\"{host}:7700\""),
+                &format!("\"store\":\"{away}:7700\""),
+            )
+            .settings(Some(&settings_file))
+            .start()
     };
     let backends = [start(0), start(1), start(2)];
     let control = |at: usize| folder.path().join(format!("m{at}.control"));
     // Who publishes a verdict, as each sees it.
     let verdicts = |at: usize| -> Vec<String> {
-        let told = asked(&control(at), r#"{"do":"members"}"#);
+        let told = ask_control_socket(&control(at), r#"{"do":"members"}"#);
         let rows = told["members"].as_array().unwrap().iter();
         rows.filter(|row| row["facts"]["store"].is_string())
             .map(|row| row["name"].to_string())
@@ -454,7 +449,7 @@
     let calls = |backend: &TestBackend| {
         number.set(number.get() + 1);
         let mut edge = backend.connect();
-        edge.request(1, &format!("{:016x}", 0xc000 + number.get()), b"call");
+        edge.send_request(1, &format!("{:016x}", 0xc000 + number.get()), b"call");
         edge.expect_answer(1, AnswerKind::Answer)
             .contains(b"richer")
     };
--- a/crates/server/tests/program/listener_close.rs
+++ b/crates/server/tests/program/listener_close.rs
@@ -5,7 +5,9 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use crate::harness::backend::{TestBackend, spawn_backend, stand_with_changes, start_backend};
+use crate::harness::backend::{
+    TestBackend, spawn_program, start_backend, start_backend_with_changes,
+};
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, request_fields};
 use crate::harness::{LONG_TIMEOUT, wait_until};
 
@@ -18,14 +20,14 @@
         backend.signal("TERM");
         wait_until("it is told", || {
             let mut edge = backend.connect();
-            edge.call(1, "probe", b"\0");
+            edge.send_call(1, "probe", b"\0");
             edge.read_answer()
                 .is_some_and(|answer| answer.bytes.ends_with(b"\x02\0\x03\0\0\0"))
         });
         backend.signal("STOP");
         let mut edges: Vec<EdgeConnection> = (0..8).map(|_| backend.connect()).collect();
         for (at, edge) in (0..).zip(&mut edges) {
-            edge.request(1, &format!("00000000bac{round:01x}{at:04x}"), b"run");
+            edge.send_request(1, &format!("00000000bac{round:01x}{at:04x}"), b"run");
         }
         // The grace is over in any case when it goes on: what is forced is the order, and not the
         // time.
@@ -61,7 +63,7 @@
             let stream = TcpStream::connect_timeout(&address, LONG_TIMEOUT).unwrap();
             stream.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
             let mut edge = EdgeConnection { stream };
-            let message = edge.message(1, &request_fields(id, "20.0"), b"run");
+            let message = edge.encode_request(1, &request_fields(id, "20.0"), b"run");
             let written = edge.stream.write_all(&message).is_ok();
             // It may be asked to leave first.
             match edge.read_answer().and_then(|answer| {
@@ -109,17 +111,21 @@
 
 /// Drains backends with an open request; every connection, once it is asked to leave, does `then`
 /// with the address.
-fn at_drain_notifications(id_prefix: &str, connections: usize, then: impl Fn(SocketAddr) + Sync) {
+fn run_at_drain_notifications(
+    id_prefix: &str,
+    connections: usize,
+    then: impl Fn(SocketAddr) + Sync,
+) {
     for round in 0..3u32 {
         let mut backend = start_backend();
         let address = format!("{}:6565", backend.host).parse().unwrap();
         let mut edges: Vec<EdgeConnection> = (0..connections).map(|_| backend.connect()).collect();
         // What is open keeps the connections, and the backend, from ending.
         for (at, edge) in (0u32..).zip(&mut edges) {
-            edge.request(1, &format!("{id_prefix}{round:02x}{at:02x}"), b"hang");
+            edge.send_request(1, &format!("{id_prefix}{round:02x}{at:02x}"), b"hang");
         }
         wait_until("they run or are queued", || {
-            !backend.kernel.lock().unwrap().runs.is_empty()
+            !backend.executor().runs.is_empty()
         });
         backend.signal("TERM");
         std::thread::scope(|scope| {
@@ -140,7 +146,7 @@
 
 /// Whether a connect gets in; one that does not must be refused, within the time in which the
 /// system sends no second packet.
-fn gets_in(address: SocketAddr) -> bool {
+fn is_connect_accepted(address: SocketAddr) -> bool {
     match TcpStream::connect_timeout(&address, std::time::Duration::from_millis(800)) {
         Ok(_) => true,
         Err(error) => {
@@ -160,8 +166,8 @@
 /// alone, however slow the program is.
 #[test]
 fn a_connect_as_the_listener_closes_does_not_hang() {
-    at_drain_notifications("0000000000ed", 6, |address| {
-        wait_until("refused", || !gets_in(address))
+    run_at_drain_notifications("0000000000ed", 6, |address| {
+        wait_until("refused", || !is_connect_accepted(address))
     });
 }
 
@@ -171,8 +177,8 @@
 /// in.
 #[test]
 fn an_edge_node_that_is_asked_to_leave_is_refused_at_once() {
-    at_drain_notifications("0000000000ef", 16, |address| {
-        assert!(!gets_in(address), "it got in")
+    run_at_drain_notifications("0000000000ef", 16, |address| {
+        assert!(!is_connect_accepted(address), "it got in")
     });
 }
 
@@ -187,13 +193,15 @@
     std::thread::scope(|scope| {
         for _ in 0..THREADS {
             scope.spawn(|| {
-                let mut backend =
-                    stand_with_changes(&[(r#""drain_grace":1000.0"#, r#""drain_grace":50.0"#)]);
+                let mut backend = start_backend_with_changes(&[(
+                    r#""drain_grace":1000.0"#,
+                    r#""drain_grace":50.0"#,
+                )]);
                 for _ in 0..STARTS_PER_THREAD {
                     lost.lock()
                         .unwrap()
                         .extend(resets_at_shutdown(&mut backend, CALLERS));
-                    backend.child = spawn_backend(&backend.file);
+                    backend.child = spawn_program(&backend.config_file);
                     backend.wait_until_serving();
                 }
             });
@@ -236,7 +244,7 @@
         stream.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
         let mut edge = EdgeConnection { stream };
         // The write fails where the connection was reset before; the read then tells the same.
-        let _ = edge.stream.write_all(&edge.health_check(1));
+        let _ = edge.stream.write_all(&edge.encode_health_check(1));
         if let Err(error) = edge.stream.read(&mut [0]) {
             resets.push(format!("read: {error}"));
         }
--- a/crates/server/tests/program/load.rs
+++ b/crates/server/tests/program/load.rs
@@ -30,7 +30,7 @@
 }
 
 /// One edge node that sends one request after the other to one member, each to be answered once.
-fn edge(load: &Load, member: &MemberEndpoints, at: usize, killed: bool) {
+fn run_edge_node(load: &Load, member: &MemberEndpoints, at: usize, killed: bool) {
     let mut number = 0u64;
     while !load.over.load(Ordering::Relaxed) {
         let Ok(stream) = TcpStream::connect(member.listen) else {
@@ -43,7 +43,7 @@
             number += 1;
             let (id, sequence) = (format!("{at:04x}{number:012x}"), number as u32);
             let from = Instant::now();
-            edge.request(sequence, &id, b"run");
+            edge.send_request(sequence, &id, b"run");
             load.sent.fetch_add(1, Ordering::Relaxed);
             let answer = match edge.read_answer() {
                 Some(answer) if answer.kind == AnswerKind::NoMore => edge.read_answer(),
@@ -135,17 +135,17 @@
 fn each_request_is_answered_and_run_once_while_links_break_and_processes_die() {
     let plan = Plan::parse(PLAN).unwrap_or_else(|error| panic!("{error}"));
     let (folder, load) = (tempfile::tempdir().unwrap(), Arc::new(Load::default()));
-    let kernels: Mutex<Vec<SharedExecutor>> = Mutex::default();
+    let executors: Mutex<Vec<SharedExecutor>> = Mutex::default();
     let begins = |members: &[MemberEndpoints]| {
         for (at, member) in members.iter().enumerate() {
-            kernels.lock().unwrap().push(serve_executor(
+            executors.lock().unwrap().push(serve_executor(
                 SharedExecutor::default(),
                 &member.executor.ip().to_string(),
             ));
             for lane in 0..2 {
                 let (load, member) = (load.clone(), member.clone());
                 std::thread::spawn(move || {
-                    edge(&load, &member, at * 2 + lane, member.name == "c-1")
+                    run_edge_node(&load, &member, at * 2 + lane, member.name == "c-1")
                 });
             }
         }
@@ -173,8 +173,8 @@
     assert_eq!(outcome.violation, None);
     assert_eq!(*load.wrong.lock().unwrap(), Vec::<String>::new());
     // Each has effects, so that it must never run twice.
-    for kernel in kernels.lock().unwrap().iter() {
-        let twice: Vec<String> = kernel
+    for executor in executors.lock().unwrap().iter() {
+        let twice: Vec<String> = executor
             .lock()
             .unwrap()
             .ends
--- a/crates/server/tests/program/malformed_messages.rs
+++ b/crates/server/tests/program/malformed_messages.rs
@@ -9,9 +9,9 @@
 
 /// Each of these gets its exception, and the connection goes on.
 fn send_invalid_requests(edge: &mut EdgeConnection) {
-    edge.call(2, "drop_tables", b"\0");
+    edge.send_call(2, "drop_tables", b"\0");
     edge.expect_answer(2, AnswerKind::Exception);
-    edge.call(3, "process", b"\x0d\0\x01\x0b\x0b\x7f\xff\xff\xff");
+    edge.send_call(3, "process", b"\x0d\0\x01\x0b\x0b\x7f\xff\xff\xff");
     edge.expect_answer(3, AnswerKind::Exception);
     for (sequence, name, value) in [
         (4, "kind", "pag"),
@@ -20,14 +20,14 @@
         (7, "need", "-1"),
         (8, "req", "short"),
     ] {
-        edge.process(
+        edge.send_request_with_fields(
             sequence,
             &request_fields_with("00000000000000d2", name, value),
             b"run",
         );
         edge.expect_answer(sequence, AnswerKind::Exception);
     }
-    edge.request(10, "00000000000000d4", b"run");
+    edge.send_request(10, "00000000000000d4", b"run");
     edge.expect_answer(10, AnswerKind::Answer);
 }
 
@@ -36,28 +36,21 @@
 fn reuse_ids_and_sequences(backend: &TestBackend) {
     let mut other = backend.connect();
     for (sequence, id) in [(1, "00000000000000d1"), (2, "00000000000000d4")] {
-        other.request(sequence, id, b"run");
+        other.send_request(sequence, id, b"run");
         other.expect_answer(sequence, AnswerKind::Exception);
     }
-    other.request(3, "00000000000000d7", b"hang");
+    other.send_request(3, "00000000000000d7", b"hang");
     for id in 0..7 {
-        other.request(3, &format!("00000000000001d{id}"), b"run");
+        other.send_request(3, &format!("00000000000001d{id}"), b"run");
         other.expect_answer(3, AnswerKind::Exception);
     }
-    other.request(4, "00000000000000d8", b"run");
+    other.send_request(4, "00000000000000d8", b"run");
     wait_until("it runs", || {
-        backend
-            .kernel
-            .lock()
-            .unwrap()
-            .runs
-            .contains_key("00000000000000d7")
+        backend.executor().runs.contains_key("00000000000000d7")
     });
     backend
-        .kernel
-        .lock()
-        .unwrap()
-        .end("00000000000000d7", "success", b"the last");
+        .executor()
+        .end_run("00000000000000d7", "success", b"the last");
     assert!(
         other
             .expect_answer(3, AnswerKind::Answer)
@@ -70,7 +63,7 @@
 fn a_hostile_peer_harms_only_itself() {
     let backend = start_backend();
     let mut edge = backend.connect();
-    edge.request(1, "00000000000000d1", b"hang");
+    edge.send_request(1, "00000000000000d1", b"hang");
     send_invalid_requests(&mut edge);
     reuse_ids_and_sequences(&backend);
     // A withdrawal is not known here, and can't be answered.
@@ -82,7 +75,7 @@
         ("ts", "99999999999999"),
         ("level", "1"),
     ] {
-        other.process(
+        other.send_request_with_fields(
             1,
             &request_fields_with("00000000000000d9", name, value),
             b"run",
@@ -90,7 +83,7 @@
         other.expect_answer(1, AnswerKind::Exception);
     }
     let mut other = backend.connect();
-    other.oneway(1, "giveUp");
+    other.send_oneway(1, "giveUp");
     assert!(other.read_answer().is_none(), "closed");
     // After what is no frame nothing is read there any more, but what is open is answered.
     edge.stream.write_all(&[0xff; 64]).unwrap();
@@ -104,10 +97,8 @@
         assert!(other.read_answer().is_none(), "closed");
     }
     backend
-        .kernel
-        .lock()
-        .unwrap()
-        .end("00000000000000d1", "success", b"all the same");
+        .executor()
+        .end_run("00000000000000d1", "success", b"all the same");
     assert!(
         edge.expect_answer(1, AnswerKind::Answer)
             .contains(b"all the same")
@@ -120,16 +111,11 @@
     assert!(other.read_answer().is_none(), "closed");
     // A connection cut off takes its request along, and others are served.
     let mut cut = backend.connect();
-    cut.request(1, "00000000000000d5", b"hang");
+    cut.send_request(1, "00000000000000d5", b"hang");
     wait_until("it runs", || {
-        backend
-            .kernel
-            .lock()
-            .unwrap()
-            .runs
-            .contains_key("00000000000000d5")
+        backend.executor().runs.contains_key("00000000000000d5")
     });
     let mut edge = backend.connect();
-    edge.request(1, "00000000000000d6", b"run");
+    edge.send_request(1, "00000000000000d6", b"run");
     edge.expect_answer(1, AnswerKind::Answer);
 }
--- a/crates/server/tests/program/membership.rs
+++ b/crates/server/tests/program/membership.rs
@@ -7,7 +7,7 @@
 
 use tulipgap_fault_injection::{Plan, RunOutcome, run};
 
-fn agree_again(what: &str, faults: &str) {
+fn assert_views_converge(what: &str, faults: &str) {
     let zone = |zone: &str| format!("members {{\n zone = \"{zone}\"\n count = 3\n}}\n");
     let zones = ["north", "west", "south"].map(zone).concat();
     let checks = "check {\n held_dead = 60\n known = 90\n agree = 150\n}\n";
@@ -40,7 +40,7 @@
 #[test]
 fn a_zone_cut_off_while_members_of_both_halves_die_and_come_back() {
     let cuts = cut("north", "west", 5, 17, "") + &cut("north", "south", 5, 17, "");
-    agree_again(
+    assert_views_converge(
         "halves",
         &(cuts
             + &crash("north-1", 8.0, 12)
@@ -51,7 +51,7 @@
 
 #[test]
 fn three_killed_within_a_second_come_back() {
-    agree_again(
+    assert_views_converge(
         "killed",
         &(crash("north-1", 5.0, 18) + &crash("west-1", 5.4, 18) + &crash("south-3", 5.9, 19)),
     );
@@ -63,5 +63,5 @@
     let slow = "links {\n from = 5\n to = 20\n of = \"south-2\"\n delay_ms = 300\n}\n";
     let one_way = cut("north-1", "west-1", 5, 20, " one_way = true\n");
     let flapping = cut("north-2", "south-1", 5, 20, " flap = 1.5\n");
-    agree_again("links", &(one_way + &flapping + stop + slow));
+    assert_views_converge("links", &(one_way + &flapping + stop + slow));
 }
--- a/crates/server/tests/program/peer_moves.rs
+++ b/crates/server/tests/program/peer_moves.rs
@@ -15,32 +15,32 @@
 
 impl TestBackend {
     /// It moves its peers, as `told` says with these ports elsewhere.
-    fn moves(&self, there: &str, ports: &[u16]) {
+    fn move_peers(&self, there: &str, ports: &[u16]) {
         let mut text = config_json(&self.host);
         for port in ports {
             text = text.replace(&format!("{}:{port}", self.host), &format!("{there}:{port}"));
         }
-        std::fs::write(&self.file, text).unwrap();
+        std::fs::write(&self.config_file, text).unwrap();
         self.signal("HUP");
     }
 
     /// The same, and the announce service with them: its first report there shows that the others
     /// were told before.
-    fn has_moved(&self, there: &str, ports: &[u16]) {
+    fn move_peers_and_wait(&self, there: &str, ports: &[u16]) {
         let announce = std::net::UdpSocket::bind((there, 7946)).unwrap();
         announce.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
-        self.moves(there, &[ports, &[7946]].concat());
+        self.move_peers(there, &[ports, &[7946]].concat());
         announce.recv(&mut [0; 64]).unwrap();
     }
 }
 
 /// A place where a connect hangs: something listens there, and its backlog is full.
-struct Hanging {
+struct FullBacklog {
     _listener: Socket,
     _waiting: Vec<Socket>,
 }
 
-fn hanging(host: &str, port: u16) -> Hanging {
+fn fill_backlog(host: &str, port: u16) -> FullBacklog {
     let address: std::net::SocketAddr = format!("{host}:{port}").parse().unwrap();
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     listener.bind(&address.into()).unwrap();
@@ -53,7 +53,7 @@
             socket.connect_timeout(&address.into(), std::time::Duration::from_millis(300));
         waiting.push(socket);
         if connected.is_err() {
-            return Hanging {
+            return FullBacklog {
                 _listener: listener,
                 _waiting: waiting,
             };
@@ -66,18 +66,16 @@
 fn peers_move_on_sighup() {
     let backend = start_backend();
     let mut edge = backend.connect();
-    edge.request(1, "0000000000000aa1", b"hang");
-    edge.request(2, "0000000000000aa2", b"hang");
-    wait_until("both run", || {
-        backend.kernel.lock().unwrap().runs.len() == 2
-    });
+    edge.send_request(1, "0000000000000aa1", b"hang");
+    edge.send_request(2, "0000000000000aa2", b"hang");
+    wait_until("both run", || backend.executor().runs.len() == 2);
     // A file half written changes nothing.
-    std::fs::write(&backend.file, "{\"name\":").unwrap();
+    std::fs::write(&backend.config_file, "{\"name\":").unwrap();
     backend.signal("HUP");
-    edge.request(3, "0000000000000aa3", b"run");
+    edge.send_request(3, "0000000000000aa3", b"run");
     edge.expect_answer(3, AnswerKind::Answer);
     let there = unique_address();
-    serve_executor(backend.kernel.clone(), &there);
+    serve_executor(backend.executor.clone(), &there);
     let store = start_store(&there);
     let announce = std::net::UdpSocket::bind((&there[..], 7946)).unwrap();
     announce.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
@@ -88,24 +86,20 @@
             &format!("{there}:{port}"),
         );
     }
-    std::fs::write(&backend.file, text).unwrap();
+    std::fs::write(&backend.config_file, text).unwrap();
     for _ in 0..3 {
         backend.signal("HUP");
     }
     // Runs continue, calls are made there, and there it is reported.
-    wait_until("the link moves", || {
-        backend.kernel.lock().unwrap().link_count == 2
-    });
+    wait_until("the link moves", || backend.executor().link_count == 2);
     backend
-        .kernel
-        .lock()
-        .unwrap()
-        .end("0000000000000aa1", "success", b"all the same");
+        .executor()
+        .end_run("0000000000000aa1", "success", b"all the same");
     assert!(
         edge.expect_answer(1, AnswerKind::Answer)
             .contains(b"all the same")
     );
-    edge.request(4, "0000000000000aa4", b"call");
+    edge.send_request(4, "0000000000000aa4", b"call");
     assert!(
         edge.expect_answer(4, AnswerKind::Answer)
             .contains(b"richer")
@@ -124,23 +118,15 @@
     backend.signal("TERM");
     backend.signal("HUP");
     backend
-        .kernel
-        .lock()
-        .unwrap()
-        .end("0000000000000aa2", "success", b"in the end");
+        .executor()
+        .end_run("0000000000000aa2", "success", b"in the end");
     while !edge
         .read_answer()
         .expect("an answer")
         .contains(b"in the end")
     {}
     assert!(
-        backend
-            .kernel
-            .lock()
-            .unwrap()
-            .ends
-            .values()
-            .all(|&ends| ends == 1),
+        backend.executor().ends.values().all(|&ends| ends == 1),
         "run again"
     );
 }
@@ -151,33 +137,27 @@
 fn an_executor_that_moves_while_a_connect_hangs_is_found() {
     let backend = start_backend();
     let mut edge = backend.connect();
-    edge.request(1, "0000000000fe0001", b"hang");
-    wait_until("it runs", || {
-        !backend.kernel.lock().unwrap().runs.is_empty()
-    });
+    edge.send_request(1, "0000000000fe0001", b"hang");
+    wait_until("it runs", || !backend.executor().runs.is_empty());
     let (nowhere, there) = (unique_address(), unique_address());
-    let _hanging = hanging(&nowhere, 7300);
-    backend.moves(&nowhere, &[7300]);
+    let _full_backlog = fill_backlog(&nowhere, 7300);
+    backend.move_peers(&nowhere, &[7300]);
     // It has left where it was, so the connect hangs by now or is about to.
     wait_until("it leaves", || {
-        let kernel = backend.kernel.lock().unwrap();
+        let executor = backend.executor();
         let mut one = [0];
-        let link = kernel.link.as_ref().unwrap().try_clone().unwrap();
+        let link = executor.link.as_ref().unwrap().try_clone().unwrap();
         link.set_nonblocking(true).unwrap();
         let left = matches!(link.peek(&mut one), Ok(0));
         link.set_nonblocking(false).unwrap();
         left
     });
-    serve_executor(backend.kernel.clone(), &there);
-    backend.moves(&there, &[7300]);
-    wait_until("the link moves on", || {
-        backend.kernel.lock().unwrap().link_count == 2
-    });
+    serve_executor(backend.executor.clone(), &there);
+    backend.move_peers(&there, &[7300]);
+    wait_until("the link moves on", || backend.executor().link_count == 2);
     backend
-        .kernel
-        .lock()
-        .unwrap()
-        .end("0000000000fe0001", "success", b"all the same");
+        .executor()
+        .end_run("0000000000fe0001", "success", b"all the same");
     assert!(
         edge.expect_answer(1, AnswerKind::Answer)
             .contains(b"all the same")
@@ -190,38 +170,28 @@
 fn an_executor_that_moves_back_during_the_farewell_is_connected_again() {
     let backend = start_backend();
     let mut edge = backend.connect();
-    edge.request(1, "0000000000ff0001", b"hang");
-    wait_until("it runs", || {
-        !backend.kernel.lock().unwrap().runs.is_empty()
-    });
+    edge.send_request(1, "0000000000ff0001", b"hang");
+    wait_until("it runs", || !backend.executor().runs.is_empty());
     let elsewhere = unique_address();
     {
         // The executor answers nothing while this is held.
-        let _held = backend.kernel.lock().unwrap();
-        backend.moves(&elsewhere, &[7300]);
+        let _held = backend.executor();
+        backend.move_peers(&elsewhere, &[7300]);
         std::thread::sleep(std::time::Duration::from_millis(30));
-        backend.moves(&elsewhere, &[]);
+        backend.move_peers(&elsewhere, &[]);
         std::thread::sleep(std::time::Duration::from_millis(30));
     }
-    edge.request(2, "0000000000ff0002", b"run");
+    edge.send_request(2, "0000000000ff0002", b"run");
     edge.expect_answer(2, AnswerKind::Answer);
     backend
-        .kernel
-        .lock()
-        .unwrap()
-        .end("0000000000ff0001", "success", b"all the same");
+        .executor()
+        .end_run("0000000000ff0001", "success", b"all the same");
     assert!(
         edge.expect_answer(1, AnswerKind::Answer)
             .contains(b"all the same")
     );
     assert!(
-        backend
-            .kernel
-            .lock()
-            .unwrap()
-            .ends
-            .values()
-            .all(|&ends| ends == 1),
+        backend.executor().ends.values().all(|&ends| ends == 1),
         "run again"
     );
 }
@@ -233,23 +203,23 @@
     let backend = start_backend_with_sockets(32);
     let mut edge = backend.connect();
     let (nowhere, there) = (unique_address(), unique_address());
-    let _hanging = hanging(&nowhere, 7700);
-    backend.has_moved(&nowhere, &[7700]);
+    let _full_backlog = fill_backlog(&nowhere, 7700);
+    backend.move_peers_and_wait(&nowhere, &[7700]);
     // More than may be open at once; each is given up in time.
     for sequence in 1..9 {
-        edge.request(sequence, &format!("0000000000fd{sequence:04x}"), b"call");
+        edge.send_request(sequence, &format!("0000000000fd{sequence:04x}"), b"call");
     }
     for _ in 1..9 {
         assert!(!edge.read_answer().expect("an answer").contains(b"richer"));
     }
     assert_eq!(backend.store.calls.load(Ordering::Acquire), 0);
     let store = start_store(&there);
-    backend.has_moved(&there, &[7700]);
+    backend.move_peers_and_wait(&there, &[7700]);
     wait_until("calls are made there", || {
         let mut edge = backend.connect();
-        edge.request(
+        edge.send_request(
             1,
-            &format!("0000000000fd{:04x}", store_id(&backend)),
+            &format!("0000000000fd{:04x}", unused_id(&backend)),
             b"call",
         );
         edge.expect_answer(1, AnswerKind::Answer)
@@ -259,8 +229,8 @@
 }
 
 /// A number that no request of this backend has had.
-fn store_id(backend: &TestBackend) -> u32 {
-    0x1000 + backend.kernel.lock().unwrap().ends.len() as u32
+fn unused_id(backend: &TestBackend) -> u32 {
+    0x1000 + backend.executor().ends.len() as u32
 }
 
 /// A reply comes over a connection to where the store was, with another call waiting for a place:
@@ -268,28 +238,25 @@
 #[test]
 fn a_connection_to_the_stores_old_address_gets_no_further_call() {
     let backend = start_backend_with_sockets(32);
-    backend.store.plan(&["", "", "", "", "", "", "", ""]);
+    backend
+        .store
+        .plan_replies(&["", "", "", "", "", "", "", ""]);
     let mut edge = backend.connect();
     for sequence in 1..5 {
-        edge.request(sequence, &format!("0000000000fc{sequence:04x}"), b"call");
+        edge.send_request(sequence, &format!("0000000000fc{sequence:04x}"), b"call");
     }
     let most = 32 / 8;
     wait_until("all places are taken", || {
-        backend.store.open.lock().unwrap().len() == most
+        backend.store.unanswered_calls.lock().unwrap().len() == most
     });
-    edge.request(5, "0000000000fc0005", b"call");
+    edge.send_request(5, "0000000000fc0005", b"call");
     wait_until("it stands at its call", || {
-        backend
-            .kernel
-            .lock()
-            .unwrap()
-            .runs
-            .contains_key("0000000000fc0005")
+        backend.executor().runs.contains_key("0000000000fc0005")
     });
     let there = unique_address();
     let store = start_store(&there);
-    backend.has_moved(&there, &[7700]);
-    let open = std::mem::take(&mut *backend.store.open.lock().unwrap());
+    backend.move_peers_and_wait(&there, &[7700]);
+    let open = std::mem::take(&mut *backend.store.unanswered_calls.lock().unwrap());
     for (id, mut stream) in open {
         let _ = stream.write_all(format!("{id} OK 4\r\ngood\r\n").as_bytes());
     }
@@ -311,38 +278,33 @@
 #[test]
 fn a_call_that_waits_as_the_store_goes_is_skipped_at_once() {
     let backend = start_backend_with_sockets(32);
-    backend.store.plan(&["", "", "", ""]);
+    backend.store.plan_replies(&["", "", "", ""]);
     let mut edge = backend.connect();
     for sequence in 1..5 {
-        edge.request(sequence, &format!("0000000000ee{sequence:04x}"), b"call");
+        edge.send_request(sequence, &format!("0000000000ee{sequence:04x}"), b"call");
     }
     wait_until("all places are taken", || {
-        backend.store.open.lock().unwrap().len() == 32 / 8
+        backend.store.unanswered_calls.lock().unwrap().len() == 32 / 8
     });
-    edge.request(5, "0000000000ee0005", b"call");
+    edge.send_request(5, "0000000000ee0005", b"call");
     wait_until("it stands at its call", || {
-        backend
-            .kernel
-            .lock()
-            .unwrap()
-            .runs
-            .contains_key("0000000000ee0005")
+        backend.executor().runs.contains_key("0000000000ee0005")
     });
     // Its wish to call is heard before the end of what runs behind it.
-    edge.request(6, "0000000000ee0006", b"run");
+    edge.send_request(6, "0000000000ee0006", b"run");
     edge.expect_answer(6, AnswerKind::Answer);
     let text = config_json(&backend.host).replace("1024", "32");
     let store = format!(r#""store":"{}:7700","#, backend.host);
     assert!(text.contains(&store));
-    std::fs::write(&backend.file, text.replace(&store, "")).unwrap();
+    std::fs::write(&backend.config_file, text.replace(&store, "")).unwrap();
     backend.signal("HUP");
     // The four others still wait for their replies then.
     assert!(
         edge.expect_answer(5, AnswerKind::Answer)
             .contains(b"poorer")
     );
-    assert_eq!(backend.store.left.load(Ordering::Acquire), 0);
-    for (id, mut stream) in std::mem::take(&mut *backend.store.open.lock().unwrap()) {
+    assert_eq!(backend.store.closed_connections.load(Ordering::Acquire), 0);
+    for (id, mut stream) in std::mem::take(&mut *backend.store.unanswered_calls.lock().unwrap()) {
         let _ = stream.write_all(format!("{id} OK 4\r\ngood\r\n").as_bytes());
     }
     for _ in 1..5 {
@@ -357,20 +319,20 @@
     let there = unique_address();
     let others = serve_executor(SharedExecutor::default(), &there);
     let other = config_json(&there).replace("\"n3\"", "\"n4\"");
-    std::fs::write(&backend.file, other).unwrap();
+    std::fs::write(&backend.config_file, other).unwrap();
     backend.signal("HUP");
     // A file that is gone, then one that is ours again with a setting changed: taken in that order.
-    std::fs::remove_file(&backend.file).unwrap();
+    std::fs::remove_file(&backend.config_file).unwrap();
     backend.signal("HUP");
     std::fs::write(
-        &backend.file,
+        &backend.config_file,
         config_json(&there).replace("\"n3\"", "\"n4\""),
     )
     .unwrap();
     backend.signal("HUP");
     let mut edge = backend.connect();
     for sequence in 1..40 {
-        edge.request(sequence, &format!("0000000000fb{sequence:04x}"), b"run");
+        edge.send_request(sequence, &format!("0000000000fb{sequence:04x}"), b"run");
         assert!(
             edge.expect_answer(sequence, AnswerKind::Answer)
                 .contains(format!("fb{sequence:04x}").as_bytes())
@@ -382,5 +344,5 @@
         0,
         "spoken to another's kernel"
     );
-    assert_eq!(backend.kernel.lock().unwrap().link_count, 1);
+    assert_eq!(backend.executor().link_count, 1);
 }
--- a/crates/server/tests/program/recording.rs
+++ b/crates/server/tests/program/recording.rs
@@ -6,12 +6,14 @@
 
 use tulipgap_trace::{Item, Loss, Outcome, Reason, Record, TraceReader};
 
-use crate::harness::backend::{config_json, spawn_backend_with, start_backend_with, write_config};
+use crate::harness::backend::{
+    config_json, spawn_program_with_settings, start_backend_with_settings, write_config,
+};
 use crate::harness::edge_node::{AnswerKind, request_fields, request_fields_with};
 use crate::harness::{LONG_TIMEOUT, unique_address, wait_until};
 
 /// A folder for a recording, and the configuration that names it.
-pub(crate) fn recorded(seal_after: &str) -> (tempfile::TempDir, PathBuf) {
+pub(crate) fn recording_settings(seal_after: &str) -> (tempfile::TempDir, PathBuf) {
     let folder = tempfile::tempdir().unwrap();
     let settings = folder.path().join("tulipgap.hcl");
     let text = format!(
@@ -22,12 +24,12 @@
     (folder, settings)
 }
 
-struct Read {
+struct RecordingFile {
     records: Vec<Record>,
     losses: Vec<Loss>,
 }
 
-fn files(folder: &Path) -> Vec<Read> {
+fn read_files(folder: &Path) -> Vec<RecordingFile> {
     let mut paths: Vec<PathBuf> = std::fs::read_dir(folder.join("trace"))
         .unwrap()
         .map(|entry| entry.unwrap().path())
@@ -35,7 +37,7 @@
     paths.sort();
     let mut all = Vec::new();
     for path in paths {
-        let mut read = Read {
+        let mut read = RecordingFile {
             records: Vec::new(),
             losses: Vec::new(),
         };
@@ -56,8 +58,8 @@
 }
 
 /// Records in whole files without losses.
-pub(crate) fn count(folder: &Path) -> usize {
-    let files = files(folder);
+pub(crate) fn count_records(folder: &Path) -> usize {
+    let files = read_files(folder);
     assert!(files.iter().all(|file| file.losses.is_empty()));
     files.iter().map(|file| file.records.len()).sum()
 }
@@ -79,20 +81,20 @@
 
 #[test]
 fn the_complete_life_of_each_request_is_recorded() {
-    let (folder, settings) = recorded("200ms");
-    let mut backend = start_backend_with(1024, Some(&settings));
+    let (folder, settings) = recording_settings("200ms");
+    let mut backend = start_backend_with_settings(1024, Some(&settings));
     let mut edge = backend.connect();
-    edge.request(1, "00000000000000a1", b"run");
+    edge.send_request(1, "00000000000000a1", b"run");
     edge.expect_answer(1, AnswerKind::Answer);
-    edge.request(2, "00000000000000a2", b"call");
+    edge.send_request(2, "00000000000000a2", b"call");
     edge.expect_answer(2, AnswerKind::Answer);
-    edge.process(
+    edge.send_request_with_fields(
         3,
         &request_fields_with("00000000000000a3", "ms", "60000.00"),
         b"run",
     );
     edge.expect_answer(3, AnswerKind::Rejected);
-    edge.request(4, "00000000000000a4", b"unknown");
+    edge.send_request(4, "00000000000000a4", b"unknown");
     edge.expect_answer(4, AnswerKind::Crashed);
     let mut marked = request_fields("00000000000000a5", "20.0");
     marked.extend([
@@ -100,39 +102,29 @@
         ("subject", "7f3a9c21e0b4d655".to_owned()),
     ]);
     marked.push(("opkey", "some key".to_owned()));
-    edge.process(5, &marked, b"run");
+    edge.send_request_with_fields(5, &marked, b"run");
     edge.expect_answer(5, AnswerKind::Answer);
     // One whose caller goes.
     let mut other = backend.connect();
-    other.request(1, "00000000000000a6", b"hang");
+    other.send_request(1, "00000000000000a6", b"hang");
     wait_until("it runs", || {
-        backend
-            .kernel
-            .lock()
-            .unwrap()
-            .runs
-            .contains_key("00000000000000a6")
+        backend.executor().runs.contains_key("00000000000000a6")
     });
     // An answer that is never read makes the end of the connection a reset.
-    other.request(2, "00000000000000a7", b"run");
+    other.send_request(2, "00000000000000a7", b"run");
     wait_until("an answer has come", || {
         other.stream.peek(&mut [0; 16]).is_ok_and(|count| count > 0)
     });
     drop(other);
     wait_until("its run is stopped", || {
-        backend
-            .kernel
-            .lock()
-            .unwrap()
-            .ends
-            .contains_key("00000000000000a6")
+        backend.executor().ends.contains_key("00000000000000a6")
     });
     backend.signal("TERM");
     assert!(backend.wait_for_exit().success());
 
-    let mut files = files(folder.path());
+    let mut files = read_files(folder.path());
     assert_eq!(files.len(), 1);
-    let Read { records, losses } = files.remove(0);
+    let RecordingFile { records, losses } = files.remove(0);
     assert_eq!(losses, []);
     let by_id: BTreeMap<u64, &Record> = records.iter().map(|record| (record.id, record)).collect();
     assert_eq!(by_id.len(), 7);
@@ -146,7 +138,7 @@
     assert_eq!(told[3], (Outcome::Failed, Reason::CANCELLED));
     assert_eq!(told[5].0, Outcome::Abandoned);
     assert_times_in_order(&records);
-    // The work that the kernel told.
+    // The work that the executor told.
     assert_eq!(of(1).work, Some(1500));
     assert_eq!(
         (of(2).calls, of(2).first_call.is_some(), of(1).calls),
@@ -163,15 +155,15 @@
 /// Killed outright under load, and started again on the same folder.
 #[test]
 fn what_was_recorded_survives_a_kill() {
-    let (folder, settings) = recorded("200ms");
-    let mut backend = start_backend_with(1024, Some(&settings));
+    let (folder, settings) = recording_settings("200ms");
+    let mut backend = start_backend_with_settings(1024, Some(&settings));
     let mut sequence = 0;
     let mut answered = 0;
     for start in 0..2u64 {
         let mut edge = backend.connect();
         for number in 0..300u64 {
             sequence += 1;
-            edge.request(sequence, &format!("{:016x}", start * 1000 + number), b"run");
+            edge.send_request(sequence, &format!("{:016x}", start * 1000 + number), b"run");
             edge.expect_answer(sequence, AnswerKind::Answer);
         }
         answered += 300;
@@ -179,20 +171,20 @@
         let began = std::time::Instant::now();
         loop {
             sequence += 1;
-            edge.request(
+            edge.send_request(
                 sequence,
                 &format!("{:016x}", (start + 10) * 100_000 + u64::from(sequence)),
                 b"run",
             );
             edge.expect_answer(sequence, AnswerKind::Answer);
-            let early = |file: &Read| {
+            let early = |file: &RecordingFile| {
                 file.records
                     .iter()
                     .filter(|record| record.id < 2000)
                     .count()
             };
             if sequence % 100 == 0
-                && files(folder.path()).iter().map(early).sum::<usize>() == answered
+                && read_files(folder.path()).iter().map(early).sum::<usize>() == answered
             {
                 break;
             }
@@ -202,11 +194,11 @@
         backend.child.wait().unwrap();
         sequence = 0;
         if start == 0 {
-            backend.child = spawn_backend_with(&backend.file, Some(&settings));
+            backend.child = spawn_program_with_settings(&backend.config_file, Some(&settings));
             backend.wait_until_serving();
         }
     }
-    let files = files(folder.path());
+    let files = read_files(folder.path());
     assert_eq!(files.len(), 2, "the second start begins a file of its own");
     let mut ids = HashSet::new();
     for file in &files {
@@ -222,13 +214,13 @@
 
 #[test]
 fn a_folder_that_takes_nothing_harms_no_request() {
-    let (folder, settings) = recorded("200ms");
+    let (folder, settings) = recording_settings("200ms");
     // A file stands where the folder should be.
     std::fs::write(folder.path().join("trace"), "in the way").unwrap();
-    let mut backend = start_backend_with(1024, Some(&settings));
+    let mut backend = start_backend_with_settings(1024, Some(&settings));
     let mut edge = backend.connect();
     for sequence in 1..=50 {
-        edge.request(sequence, &format!("{sequence:016x}"), b"run");
+        edge.send_request(sequence, &format!("{sequence:016x}"), b"run");
         edge.expect_answer(sequence, AnswerKind::Answer);
     }
     backend.signal("TERM");
--- a/crates/server/tests/program/restart.rs
+++ b/crates/server/tests/program/restart.rs
@@ -1,6 +1,6 @@
 //! A process that is killed and started again under the same name and address.
 
-use crate::harness::backend::{spawn_backend, start_backend};
+use crate::harness::backend::{spawn_program, start_backend};
 use crate::harness::edge_node::AnswerKind;
 use crate::harness::wait_until;
 
@@ -11,9 +11,9 @@
     let mut backend = start_backend();
     let mut edge = backend.connect();
     for (sequence, body) in (1..).zip([&b"hang"[..], b"hang", b"call", b"run"]) {
-        edge.request(sequence, &format!("0000000000fa{sequence:04x}"), body);
+        edge.send_request(sequence, &format!("0000000000fa{sequence:04x}"), body);
     }
-    wait_until("two run", || backend.kernel.lock().unwrap().runs.len() >= 2);
+    wait_until("two run", || backend.executor().runs.len() >= 2);
     backend.child.kill().unwrap();
     backend.child.wait().unwrap();
     let answered: Vec<u32> = std::iter::from_fn(|| edge.read_answer())
@@ -25,50 +25,39 @@
     );
     // Notices count from 1 again; those of the former life come first.
     {
-        let mut kernel = backend.kernel.lock().unwrap();
-        kernel.link = None;
-        kernel.notices.clear();
-        kernel.end("0000000000fa0001", "success", b"of the former life");
-        kernel.notice(
+        let mut executor = backend.executor();
+        executor.link = None;
+        executor.notices.clear();
+        executor.end_run("0000000000fa0001", "success", b"of the former life");
+        executor.send_notice(
             "IOREQ",
             "0000000000fa0002".into(),
             b"a call of the former life",
         );
     }
-    backend.child = spawn_backend(&backend.file);
+    backend.child = spawn_program(&backend.config_file);
     backend.wait_until_serving();
     backend
-        .kernel
-        .lock()
-        .unwrap()
+        .executor()
         .send_line("EINVAL SCHED 0000000000fa0003\r\nEINVAL PREEMPT 0000000000fa0001\r\n".into());
     let mut edge = backend.connect();
-    edge.request(1, "0000000000fa0009", b"hang");
+    edge.send_request(1, "0000000000fa0009", b"hang");
     wait_until("it runs", || {
-        backend
-            .kernel
-            .lock()
-            .unwrap()
-            .runs
-            .contains_key("0000000000fa0009")
+        backend.executor().runs.contains_key("0000000000fa0009")
     });
     // The id of one of the former life, whose run ends just now.
     backend
-        .kernel
-        .lock()
-        .unwrap()
-        .end("0000000000fa0002", "success", b"of the former life");
-    edge.request(2, "0000000000fa0001", b"run");
+        .executor()
+        .end_run("0000000000fa0002", "success", b"of the former life");
+    edge.send_request(2, "0000000000fa0001", b"run");
     let answer = edge.expect_answer(2, AnswerKind::Answer);
     assert!(
         answer.contains(b"page \0 0000000000fa0001"),
         "another life's result"
     );
     backend
-        .kernel
-        .lock()
-        .unwrap()
-        .end("0000000000fa0009", "success", b"its own");
+        .executor()
+        .end_run("0000000000fa0009", "success", b"its own");
     assert!(
         edge.expect_answer(1, AnswerKind::Answer)
             .contains(b"its own")
--- a/crates/server/tests/program/serving.rs
+++ b/crates/server/tests/program/serving.rs
@@ -8,19 +8,19 @@
 fn it_serves_calls_rejects_and_drains() {
     let mut backend = start_backend();
     let mut edge = backend.connect();
-    edge.request(1, "00000000000000a1", b"hang");
-    edge.request(2, "00000000000000a2", b"run");
+    edge.send_request(1, "00000000000000a1", b"hang");
+    edge.send_request(2, "00000000000000a2", b"run");
     // Answers come in any order, the result byte for byte, the free value with it.
     let done = edge.expect_answer(2, AnswerKind::Answer);
     assert!(done.contains(b"page \0 00000000000000a2") && done.contains(b"signal"));
-    edge.request(3, "00000000000000a3", b"call");
+    edge.send_request(3, "00000000000000a3", b"call");
     assert!(
         edge.expect_answer(3, AnswerKind::Answer)
             .contains(b"richer")
     );
-    assert_eq!(backend.kernel.lock().unwrap().replies, [b"what is called"]);
+    assert_eq!(backend.executor().replies, [b"what is called"]);
     // More work than can be in time.
-    edge.process(
+    edge.send_request_with_fields(
         4,
         &request_fields_with("00000000000000a4", "ms", "60000.00"),
         b"run",
@@ -29,14 +29,14 @@
     // A hint beyond all reason may be an honest one: such requests are turned away, and the
     // connection goes on.
     for sequence in 5..20 {
-        edge.process(
+        edge.send_request_with_fields(
             sequence,
             &request_fields_with(&format!("000000000000a5{sequence:02}"), "ms", "900000.00"),
             b"run",
         );
         edge.expect_answer(sequence, AnswerKind::Rejected);
     }
-    edge.call(20, "probe", b"\0");
+    edge.send_call(20, "probe", b"\0");
     edge.expect_answer(20, AnswerKind::Answer);
 
     backend.signal("TERM");
@@ -60,9 +60,9 @@
     for (at, edge) in edges.iter_mut().enumerate() {
         for sequence in 0..31 {
             let id = format!("{at:08x}{sequence:08x}");
-            edge.process(sequence, &request_fields(&id, "0.5"), &[7; 2048]);
+            edge.send_request_with_fields(sequence, &request_fields(&id, "0.5"), &[7; 2048]);
         }
-        edge.call(31, "probe", b"\0");
+        edge.send_call(31, "probe", b"\0");
     }
     // A check is read behind the requests before it.
     for edge in &mut edges {
--- a/crates/server/tests/program/slow_clients.rs
+++ b/crates/server/tests/program/slow_clients.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use crate::harness::PROMPT;
-use crate::harness::backend::{start_backend, was_run};
+use crate::harness::backend::start_backend;
 use crate::harness::edge_node::{
-    AnswerKind, EdgeConnection, request_fields, slow_reader, slowest_answer_while,
+    AnswerKind, EdgeConnection, connect_slow_reader, request_fields, slowest_answer_while,
 };
 use crate::harness::executor::large_result;
 
@@ -19,7 +19,7 @@
     let messages: Vec<Vec<u8>> = (0u32..)
         .zip(&senders)
         .map(|(at, edge)| {
-            edge.message(
+            edge.encode_request(
                 1,
                 &request_fields(&format!("000000000b01{at:04x}"), "20.0"),
                 b"run",
@@ -42,9 +42,9 @@
         assert!(slowest < PROMPT, "{slowest:?}");
     });
     for edge in &mut senders {
-        assert!(edge.is_closed());
+        assert!(edge.wait_until_closed());
     }
-    assert!((0u32..100).all(|at| !was_run(&backend, &format!("000000000b01{at:04x}"))));
+    assert!((0u32..100).all(|at| !backend.was_run(&format!("000000000b01{at:04x}"))));
 }
 
 /// A hundred connections that read nothing for a while, and then slowly, get each of their answers
@@ -53,14 +53,15 @@
 fn a_hundred_slow_readers_get_their_answers_and_hold_up_nobody_else() {
     const REQUESTS: u32 = 12;
     let backend = start_backend();
-    let mut readers: Vec<EdgeConnection> = (0..100).map(|_| slow_reader(&backend)).collect();
+    let mut readers: Vec<EdgeConnection> =
+        (0..100).map(|_| connect_slow_reader(&backend)).collect();
     let running = AtomicBool::new(true);
     let mut served = 0;
     std::thread::scope(|scope| {
         let other = scope.spawn(|| slowest_answer_while(&backend, &running, "0b040000"));
         for sequence in 1..=REQUESTS {
             for (at, edge) in readers.iter_mut().enumerate() {
-                edge.request(sequence, &format!("000b03{at:02x}{sequence:08x}"), b"large");
+                edge.send_request(sequence, &format!("000b03{at:02x}{sequence:08x}"), b"large");
             }
         }
         std::thread::sleep(Duration::from_millis(500));
@@ -99,9 +100,9 @@
     let mut slow = backend.connect();
     let mut edge = backend.connect();
     for sequence in 1..400 {
-        slow.request(sequence, &format!("{sequence:016x}"), b"run");
+        slow.send_request(sequence, &format!("{sequence:016x}"), b"run");
         if sequence % 40 == 0 {
-            edge.request(sequence, &format!("{sequence:015x}e"), b"run");
+            edge.send_request(sequence, &format!("{sequence:015x}e"), b"run");
             edge.expect_answer(sequence, AnswerKind::Answer);
         }
     }
--- a/crates/server/tests/program/socket_options.rs
+++ b/crates/server/tests/program/socket_options.rs
@@ -13,7 +13,7 @@
 fn every_connection_has_nodelay() {
     let backend = start_backend();
     let mut edge = backend.connect();
-    edge.request(1, "000000000a0e0001", b"call");
+    edge.send_request(1, "000000000a0e0001", b"call");
     assert!(
         edge.expect_answer(1, AnswerKind::Answer)
             .contains(b"richer")
--- a/crates/server/tests/program/startup.rs
+++ b/crates/server/tests/program/startup.rs
@@ -3,7 +3,7 @@
 use std::net::{TcpListener, TcpStream, UdpSocket};
 use std::time::{Duration, Instant};
 
-use crate::harness::backend::{TestBackend, config_json, spawn_backend, write_config};
+use crate::harness::backend::{BackendSetup, TestBackend, spawn_program};
 use crate::harness::edge_node::{AnswerKind, EdgeConnection};
 use crate::harness::executor::{SharedExecutor, serve_executor, serve_executor_link};
 use crate::harness::store::{StoreStub, start_store};
@@ -82,11 +82,11 @@
             Presence::Present
         }
     };
-    let kernel = SharedExecutor::default();
+    let executor = SharedExecutor::default();
     match presence_of(Peer::Executor) {
         Presence::Absent => {}
-        Presence::Slow => listen_late(kernel.clone(), &host),
-        Presence::Present => _ = serve_executor(kernel.clone(), &host),
+        Presence::Slow => serve_executor_late(executor.clone(), &host),
+        Presence::Present => _ = serve_executor(executor.clone(), &host),
     }
     let mut silent_store = None;
     let store = match presence_of(Peer::Store) {
@@ -102,16 +102,8 @@
         Presence::Absent => None,
         Presence::Slow | Presence::Present => Some(UdpSocket::bind((&host[..], 7946)).unwrap()),
     };
-    let file = write_config(&host, &config_json(&host));
     let mut begin = Instant::now();
-    let child = spawn_backend(&file);
-    let mut backend = TestBackend {
-        host,
-        kernel,
-        store,
-        child,
-        file,
-    };
+    let mut backend = BackendSetup::with_peers(host, executor, store).spawn();
     let may_serve = presence_of(Peer::Executor) != Presence::Absent;
     let mut times = Vec::new();
     loop {
@@ -122,7 +114,7 @@
         backend.child.kill().unwrap();
         backend.child.wait().unwrap();
         begin = Instant::now();
-        backend.child = spawn_backend(&backend.file);
+        backend.child = spawn_program(&backend.config_file);
     }
     if peer == Peer::Registry && presence == Presence::Present {
         let registry = registry.as_ref().unwrap();
@@ -165,19 +157,19 @@
     stream.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
     let mut edge = EdgeConnection { stream };
     let id = format!("{:016x}", begin.elapsed().as_nanos());
-    edge.request(1, &id, b"run");
+    edge.send_request(1, &id, b"run");
     edge.read_answer().map(|answer| answer.kind)
 }
 
 /// An executor that accepts a link at once and answers it a second later.
-fn listen_late(kernel: SharedExecutor, host: &str) {
+fn serve_executor_late(executor: SharedExecutor, host: &str) {
     let listener = TcpListener::bind((host, 7300)).unwrap();
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let kernel = kernel.clone();
+            let executor = executor.clone();
             std::thread::spawn(move || {
                 std::thread::sleep(Duration::from_secs(1));
-                serve_executor_link(&kernel, stream);
+                serve_executor_link(&executor, stream);
             });
         }
     });
--- a/crates/server/tests/program/store_calls.rs
+++ b/crates/server/tests/program/store_calls.rs
@@ -9,9 +9,7 @@
 
 use socket2::SockRef;
 
-use crate::harness::backend::{
-    TestBackend, config_json, spawn_backend, start_backend, write_config,
-};
+use crate::harness::backend::{BackendSetup, TestBackend, start_backend};
 use crate::harness::edge_node::AnswerKind;
 use crate::harness::executor::{SharedExecutor, serve_executor};
 use crate::harness::store::StoreStub;
@@ -20,19 +18,19 @@
 #[test]
 fn calls_are_skipped_while_the_store_is_down() {
     let backend = start_backend();
-    backend.store.down.store(true, Ordering::Release);
+    backend.store.is_down.store(true, Ordering::Release);
     let mut edge = backend.connect();
     for sequence in 1..4 {
-        edge.request(sequence, &format!("00000000000000c{sequence}"), b"call");
+        edge.send_request(sequence, &format!("00000000000000c{sequence}"), b"call");
         assert!(
             edge.expect_answer(sequence, AnswerKind::Answer)
                 .contains(b"poorer")
         );
     }
-    backend.store.down.store(false, Ordering::Release);
+    backend.store.is_down.store(false, Ordering::Release);
     wait_until("calls are made again", || {
         let mut edge = backend.connect();
-        edge.request(
+        edge.send_request(
             1,
             &format!(
                 "{:016x}",
@@ -48,15 +46,15 @@
 #[test]
 fn a_call_that_is_not_answered_times_out() {
     let backend = start_backend();
-    backend.store.plan(&[""; 9]);
+    backend.store.plan_replies(&[""; 9]);
     let mut edge = backend.connect();
-    edge.request(1, "00000000000000c9", b"call");
+    edge.send_request(1, "00000000000000c9", b"call");
     assert!(
         edge.expect_answer(1, AnswerKind::Answer)
             .contains(b"poorer")
     );
     wait_until("its connection is left", || {
-        backend.store.left.load(Ordering::Acquire) > 0
+        backend.store.closed_connections.load(Ordering::Acquire) > 0
     });
 }
 
@@ -74,15 +72,26 @@
     .enumerate()
     {
         let other = format!("00000000000cc{at:02}0");
-        backend.store.plan(&["", spoilt, spoilt, spoilt]);
-        edge.request(1, &other, b"call");
+        backend.store.plan_replies(&["", spoilt, spoilt, spoilt]);
+        edge.send_request(1, &other, b"call");
         wait_until("it is open", || {
-            backend.store.open.lock().unwrap().contains_key(&other)
+            backend
+                .store
+                .unanswered_calls
+                .lock()
+                .unwrap()
+                .contains_key(&other)
         });
-        edge.request(2, &format!("00000000000cc{at:02}1"), b"call");
+        edge.send_request(2, &format!("00000000000cc{at:02}1"), b"call");
         edge.expect_answer(2, AnswerKind::Answer);
-        backend.store.plan.lock().unwrap().clear();
-        let mut open = backend.store.open.lock().unwrap().remove(&other).unwrap();
+        backend.store.planned_replies.lock().unwrap().clear();
+        let mut open = backend
+            .store
+            .unanswered_calls
+            .lock()
+            .unwrap()
+            .remove(&other)
+            .unwrap();
         open.write_all(format!("{other} OK 4\r\ngood\r\n").as_bytes())
             .unwrap();
         assert!(
@@ -91,32 +100,29 @@
         );
     }
     // More than belongs to it: a reply to nobody ahead, a second copy behind.
-    backend.store.plan(&[
+    backend.store.plan_replies(&[
         "f OK 1\r\nx\r\nID OK 3\r\nown\r\nID OK 3\r\nown\r\n",
         "ID BUSY\r\n",
     ]);
-    edge.request(3, "00000000000ccaa0", b"call");
+    edge.send_request(3, "00000000000ccaa0", b"call");
     assert!(
         edge.expect_answer(3, AnswerKind::Answer)
             .contains(b"richer")
     );
-    edge.request(4, "00000000000ccaa1", b"call");
+    edge.send_request(4, "00000000000ccaa1", b"call");
     assert!(
         edge.expect_answer(4, AnswerKind::Answer)
             .contains(b"poorer")
     );
-    assert_eq!(
-        backend.kernel.lock().unwrap().replies.last().unwrap(),
-        b"own"
-    );
+    assert_eq!(backend.executor().replies.last().unwrap(), b"own");
 }
 
 #[test]
 fn a_reply_lost_with_the_link_is_replaced_by_a_skip() {
     let backend = start_backend();
     let mut edge = backend.connect();
-    backend.kernel.lock().unwrap().loses_link_at_reply = true;
-    edge.request(1, "0000000000000ac1", b"call");
+    backend.executor().loses_link_at_reply = true;
+    edge.send_request(1, "0000000000000ac1", b"call");
     // It may have arrived, so it is not said again; a skip names its call.
     assert!(
         edge.expect_answer(1, AnswerKind::Answer)
@@ -149,43 +155,34 @@
             let _ = stream.shutdown(Shutdown::Write);
         }
     });
-    let kernel = serve_executor(SharedExecutor::default(), &host);
-    let file = write_config(&host, &config_json(&host));
-    let child = spawn_backend(&file);
-    let backend = TestBackend {
-        host,
-        kernel,
-        store: StoreStub::default(),
-        child,
-        file,
-    };
-    backend.wait_until_serving();
+    let executor = serve_executor(SharedExecutor::default(), &host);
+    let backend = BackendSetup::with_peers(host, executor, StoreStub::default()).start();
     let mut edge = backend.connect();
     let mut richer = 0;
     for turn in 0..150u32 {
-        edge.request(turn + 1, &format!("0000000000f7{turn:04x}"), b"call");
+        edge.send_request(turn + 1, &format!("0000000000f7{turn:04x}"), b"call");
         let answer = edge.expect_answer(turn + 1, AnswerKind::Answer);
         richer += u32::from(answer.contains(b"richer"));
         assert!(answer.contains(b"richer") || answer.contains(b"poorer"));
     }
     assert!(richer > 50, "{richer} of 150");
-    let kernel = backend.kernel.lock().unwrap();
+    let executor = backend.executor();
     assert!(
-        kernel.replies.iter().all(|reply| reply == b"own"),
+        executor.replies.iter().all(|reply| reply == b"own"),
         "a reply of its own"
     );
-    assert!(kernel.ends.values().all(|&ends| ends == 1));
+    assert!(executor.ends.values().all(|&ends| ends == 1));
 }
 
 /// A call's reply and the reset behind it backend in the buffer before the backend reads either:
 /// the reply counts.
 #[test]
 fn a_store_reply_that_stands_before_a_reset_is_used() {
-    let (backend, calls) = stand_with_own_store();
+    let (backend, calls) = start_backend_with_test_store();
     let mut edge = backend.connect();
     for turn in 0..8u32 {
         let id = format!("000000000a0b{turn:04x}");
-        edge.request(turn + 1, &id, b"call");
+        edge.send_request(turn + 1, &id, b"call");
         let call = calls.recv_timeout(LONG_TIMEOUT).unwrap();
         assert_eq!(call.id, id);
         backend.signal("STOP");
@@ -207,9 +204,7 @@
     }
     assert!(
         backend
-            .kernel
-            .lock()
-            .unwrap()
+            .executor()
             .replies
             .iter()
             .all(|reply| reply == b"own")
@@ -223,7 +218,7 @@
 }
 
 /// A backend whose store hands each call to the test.
-fn stand_with_own_store() -> (TestBackend, std::sync::mpsc::Receiver<Call>) {
+fn start_backend_with_test_store() -> (TestBackend, std::sync::mpsc::Receiver<Call>) {
     let host = unique_address();
     let listener = TcpListener::bind((&host[..], 7700)).unwrap();
     let (sender, calls) = std::sync::mpsc::channel();
@@ -249,17 +244,8 @@
             }
         }
     });
-    let kernel = serve_executor(SharedExecutor::default(), &host);
-    let file = write_config(&host, &config_json(&host));
-    let child = spawn_backend(&file);
-    let backend = TestBackend {
-        host,
-        kernel,
-        store: StoreStub::default(),
-        child,
-        file,
-    };
-    backend.wait_until_serving();
+    let executor = serve_executor(SharedExecutor::default(), &host);
+    let backend = BackendSetup::with_peers(host, executor, StoreStub::default()).start();
     (backend, calls)
 }
 
@@ -268,7 +254,7 @@
 #[test]
 fn a_store_reply_that_breaks_off_anywhere_is_no_reply() {
     const BODY: &str = "a reply";
-    let (backend, calls) = stand_with_own_store();
+    let (backend, calls) = start_backend_with_test_store();
     let whole_length = format!("{:016x} OK {}\r\n{BODY}\r\n", 0, BODY.len()).len();
     let done = Arc::new(AtomicBool::new(false));
     let finished = done.clone();
@@ -299,16 +285,19 @@
             break;
         }
         assert!(sequence < 2000, "the store is called");
-        edge.request(sequence, &format!("000000000a0d{sequence:04x}"), b"call");
+        edge.send_request(sequence, &format!("000000000a0d{sequence:04x}"), b"call");
         let answer = edge.expect_answer(sequence, AnswerKind::Answer);
         assert!(answer.contains(b"richer") || answer.contains(b"poorer"));
     }
     store.join().unwrap();
-    let kernel = backend.kernel.lock().unwrap();
-    assert!(!kernel.replies.is_empty());
+    let executor = backend.executor();
+    assert!(!executor.replies.is_empty());
     assert!(
-        kernel.replies.iter().all(|reply| reply == BODY.as_bytes()),
+        executor
+            .replies
+            .iter()
+            .all(|reply| reply == BODY.as_bytes()),
         "part of a reply"
     );
-    assert!(kernel.ends.values().all(|&ends| ends == 1));
+    assert!(executor.ends.values().all(|&ends| ends == 1));
 }
