--- /dev/null
+++ b/crates/server/tests/program/cancellation.rs
@@ -0,0 +1,120 @@
+//! Callers that cancel requests, where the settings announce that they do.
+
+use std::collections::HashMap;
+use std::io::Write;
+
+use crate::harness::backend::{BackendSetup, TestBackend, config_json, spawn_program};
+use crate::harness::edge_node::{AnswerKind, EdgeConnection, encode_string, request_fields};
+use crate::harness::wait_until;
+
+impl EdgeConnection {
+    fn encode_cancellation(&self, sequence: u32) -> Vec<u8> {
+        let head = [
+            &b"\x80\x01\0\x04"[..],
+            &encode_string(b"giveUp"),
+            &0u32.to_be_bytes(),
+        ]
+        .concat();
+        encode_string(&[&head[..], b"\x08\0\x01", &sequence.to_be_bytes(), b"\0"].concat())
+    }
+
+    fn cancel(&mut self, sequence: u32) {
+        let message = self.encode_cancellation(sequence);
+        self.stream.write_all(&message).unwrap();
+    }
+}
+
+fn start_backend_that_sees_cancellations() -> TestBackend {
+    BackendSetup::new()
+        .change(r#""cores":4"#, r#""cores":4,"cancel_seen":true"#)
+        .spawn()
+}
+
+/// Runs end just as their callers give up: whichever comes first, there is one answer or none.
+fn cancel_as_runs_end(backend: &TestBackend, edge: &mut EdgeConnection) {
+    for turn in 0..30u32 {
+        let id = format!("0000000000f5{turn:04x}");
+        edge.send_request(100 + turn, &id, b"hang");
+        wait_until("it runs", || backend.executor().runs.contains_key(&id));
+        if turn % 2 == 0 {
+            backend.executor().end_run(&id, "success", b"crossing");
+            edge.cancel(100 + turn);
+        } else {
+            edge.cancel(100 + turn);
+            backend.executor().end_run(&id, "success", b"crossing");
+        }
+    }
+}
+
+/// Ends the runs that are left, stops the backend and starts it with settings that tell nothing of
+/// cancellations.
+fn restart_without_cancellations(backend: &mut TestBackend) {
+    backend.signal("TERM");
+    let left: Vec<String> = backend.executor().runs.keys().cloned().collect();
+    for id in left {
+        backend.executor().end_run(&id, "interrupted", b"");
+    }
+    assert_eq!(backend.wait_for_exit().code(), Some(0));
+    std::fs::write(&backend.config_file, config_json(&backend.host)).unwrap();
+    backend.child = spawn_program(&backend.config_file);
+    backend.wait_until_serving();
+}
+
+/// Callers say that they give up, where the settings tell so. It was taken for garbage: the
+/// connection was left, and the requests that came over it meanwhile were lost with it.
+#[test]
+fn a_cancellation_affects_its_own_request_alone() {
+    let mut backend = start_backend_that_sees_cancellations();
+    backend.wait_until_serving();
+    let mut edge = backend.connect();
+    edge.send_request(1, "0000000000f40001", b"hang");
+    edge.send_request(2, "0000000000f40002", b"hang");
+    wait_until("both run", || backend.executor().runs.len() == 2);
+    edge.cancel(1);
+    // Stopped, which this executor answers; then nobody is owed an answer to it.
+    wait_until("it is stopped", || {
+        backend.executor().ends.contains_key("0000000000f40001")
+    });
+    // Of what is over, was never there, or comes twice.
+    for sequence in [1, 77, 1] {
+        edge.cancel(sequence);
+    }
+    cancel_as_runs_end(&backend, &mut edge);
+    // In one piece with what is withdrawn: that is not run for nobody.
+    let mut both = edge.encode_request(200, &request_fields("0000000000f60001", "20.0"), b"hang");
+    both.extend(edge.encode_cancellation(200));
+    edge.stream.write_all(&both).unwrap();
+    backend
+        .executor()
+        .end_run("0000000000f40002", "success", b"all the same");
+    let mut seen = HashMap::new();
+    loop {
+        let answer = edge.read_answer().expect("the connection goes on");
+        *seen.entry(answer.sequence).or_insert(0) += 1;
+        if answer.sequence == 2 {
+            assert!(answer.contains(b"all the same"));
+            break;
+        }
+    }
+    edge.send_request(300, "0000000000f70001", b"run");
+    let last = std::iter::from_fn(|| edge.read_answer()).find(|answer| answer.sequence == 300);
+    assert!(last.is_some_and(|answer| answer.kind == AnswerKind::Answer));
+    {
+        let executor = backend.executor();
+        let ran = |id: &str| executor.runs.contains_key(id) || executor.ends.contains_key(id);
+        assert!(
+            ran("0000000000f70001") && !ran("0000000000f60001"),
+            "run for nobody"
+        );
+    }
+    assert!(
+        seen.values().all(|&count| count == 1) && !seen.contains_key(&1),
+        "{seen:?}"
+    );
+    // Without that setting it is no message, as before.
+    drop(edge);
+    restart_without_cancellations(&mut backend);
+    let mut edge = backend.connect();
+    edge.cancel(1);
+    assert!(edge.read_answer().is_none(), "closed");
+}
