--- a/crates/server/src/cluster/voter_thread.rs
+++ b/crates/server/src/cluster/voter_thread.rs
@@ -7,7 +7,9 @@
 use std::time::Duration;
 
 use parking_lot::Mutex;
-use tulipgap_consensus::{Action, DurableVoter, Event, VoterError, VoterPhase, VoterStatus};
+use tulipgap_consensus::{
+    Action, DurableVoter, Event, Notice, VoterError, VoterPhase, VoterStatus,
+};
 use tulipgap_peer_protocol::Message;
 use tulipgap_write_ahead_log::Disk;
 
@@ -138,9 +140,30 @@
                     .send(&to, Message::LeaseList { request, leases });
             }
             Action::SetTimer { at } => self.timer.set_earliest(at),
-            Action::Notice(notice) => log::info!("voter {notice}"),
+            Action::Notice(notice) => log_notice(&notice),
             // The durable voter has carried these out itself.
             Action::AppendRecord(_) | Action::WriteSnapshot(_) | Action::WriteIdentity(_) => {}
         }
     }
 }
+
+/// Logs a change of the voter's state.
+fn log_notice(notice: &Notice) {
+    match notice {
+        Notice::Bootstrapped { voters } => {
+            log::info!("voter bootstrapped voters={}", voters.join(","));
+        }
+        Notice::BecameLeader { term } => log::info!("voter became leader term={term}"),
+        Notice::LostLeadership => log::info!("voter lost leadership"),
+        Notice::NotAMember => log::info!("voter is not a member reason=folder_not_bootstrapped"),
+        Notice::RolledBack { own, observed } => log::info!(
+            "voter was rolled back to an older state term={} index={} observed_term={} \
+             observed_index={}",
+            own.term,
+            own.index,
+            observed.term,
+            observed.index
+        ),
+        Notice::InvalidData(error) => log::info!("voter received invalid data error=\"{error}\""),
+    }
+}
--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -1,7 +1,6 @@
 //! The file that `LB_CONFIG` names: who this backend is, where its peers are, its limits and its
 //! settings; and what of it may change while the backend runs.
 
-use std::fmt;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -45,20 +44,8 @@
     pub(crate) store: Option<SocketAddr>,
 }
 
-impl fmt::Display for PeerAddresses {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let or_none =
-            |address: Option<SocketAddr>| address.map_or("none".to_owned(), |a| a.to_string());
-        let (registry, store) = (or_none(self.registry), or_none(self.store));
-        write!(
-            f,
-            "kernel={} announce={registry} store={store}",
-            self.executor
-        )
-    }
-}
-
 impl PeerAddresses {
+    /// The keys of the file that a reload takes.
     const KEYS: [&str; 3] = ["kernel", "announce", "store"];
 }
 
--- a/crates/server/src/invariant.rs
+++ b/crates/server/src/invariant.rs
@@ -18,7 +18,7 @@
 pub(crate) fn violated(what: &str) {
     debug_assert!(false, "invariant violated: {what}");
     if VIOLATIONS.pass().is_some() {
-        log::error!("invariant violated: {what}");
+        log::error!("invariant violated condition=\"{what}\"");
     }
 }
 
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -112,7 +112,7 @@
     );
     if let Some(tracer) = tracer {
         tracer.finish();
-        ::log::info!("{}", tracer.summary());
+        tracer.log_summary();
     }
     ::log::logger().flush();
     Ok(())
@@ -159,7 +159,7 @@
 ) {
     let server = match Server::start(&config, listener, tracer, admission, cluster.as_ref()) {
         Ok(server) => server,
-        Err(error) => return ::log::error!("{error}"),
+        Err(error) => return ::log::error!("backend not started error=\"{error}\""),
     };
     let notice = signals.wait_for_shutdown(config, path, &server);
     server.drain(notice, cluster);
--- a/crates/server/src/net/executor/link.rs
+++ b/crates/server/src/net/executor/link.rs
@@ -47,10 +47,10 @@
                 state.output.take().is_some()
             };
             match end {
-                Ok(()) => log::info!("kernel link: moves to {}", self.address.get()),
+                Ok(()) => log::info!("executor link moving address={}", self.address.get()),
                 Err(error) => {
                     if let Some(count) = LINK_FAILURES.pass() {
-                        log::warn!("kernel link: {error} ({count} so far)");
+                        log::warn!("executor link failed error=\"{error}\" count={count}");
                     }
                     // One that was up can be had again at once; so can one where the executor has
                     // moved to.
@@ -127,7 +127,8 @@
                 uptime,
             } => {
                 if self.registry.start(is_cold, uptime) {
-                    log::info!("kernel up: {state} since {} ms", uptime.as_millis());
+                    let uptime_ms = uptime.as_millis();
+                    log::info!("executor up state={state} uptime_ms={uptime_ms}");
                 }
                 // Its reply comes behind all missed notices.
                 output.send(&[query("SYSINFO", barrier).as_bytes()]);
@@ -177,7 +178,9 @@
             } => {
                 if let Some(count) = REFUSALS.pass() {
                     let arguments = arguments.join(" ");
-                    log::warn!("the kernel did not carry out {word} {arguments} ({count} so far)");
+                    log::warn!(
+                        "executor refused command={word} arguments=\"{arguments}\" count={count}"
+                    );
                 }
                 if let Some(id) = id {
                     self.command_refused(&command, id, output);
@@ -187,7 +190,8 @@
                 if self.is_new(notice)
                     && let Some(count) = REMARKS.pass()
                 {
-                    log::info!("the kernel remarks: {} ({count} so far)", words.join(" "));
+                    let text = words.join(" ");
+                    log::info!("executor remark text=\"{text}\" count={count}");
                 }
             }
         }
--- a/crates/server/src/net/executor/resync.rs
+++ b/crates/server/src/net/executor/resync.rs
@@ -81,10 +81,7 @@
             return;
         };
         if !lost.is_empty() {
-            log::warn!(
-                "kernel link: {} runs may have ended unheard and count as broken",
-                lost.len()
-            );
+            log::warn!("executor runs lost count={}", lost.len());
         }
         for id in lost {
             let (outcome, result) = (Outcome::ConnectionLost, Bytes::default());
--- a/crates/server/src/net/frontend/connection.rs
+++ b/crates/server/src/net/frontend/connection.rs
@@ -188,7 +188,7 @@
         });
         // Cut off: nobody waits for what was open here.
         if let Err(error) = end {
-            log::debug!("a connection broke: {error}");
+            log::debug!("connection failed error=\"{error}\"");
             let open_requests = connection.open_requests.lock();
             let ids: Vec<RequestId> = open_requests
                 .values()
@@ -374,7 +374,7 @@
         };
         let Err(error) = handled else { return true };
         if let Some(count) = MALFORMED_MESSAGES.pass() {
-            log::warn!("{method}: {error} ({count} so far)");
+            log::warn!("message rejected method={method:?} error=\"{error}\" count={count}");
         }
         self.notify(Event::ProtocolViolation {
             connection: connection.id,
--- a/crates/server/src/net/frontend/listener.rs
+++ b/crates/server/src/net/frontend/listener.rs
@@ -120,7 +120,7 @@
 
     fn accept_failed(&self, error: &io::Error, listener: &TcpListener) {
         if let Some(count) = ACCEPT_FAILURES.pass() {
-            log::warn!("accept: {error} ({count} so far)");
+            log::warn!("accept failed error=\"{error}\" count={count}");
         }
         let error = accept_error(error);
         self.notify(Event::AcceptFailed { error });
@@ -144,7 +144,7 @@
         drop(listener.inner().accept());
         *self.spare_descriptor.lock() = open_spare_descriptor();
         if let Some(count) = REJECTED_CONNECTIONS.pass() {
-            log::warn!("no descriptor is left, a connection is refused ({count} so far)");
+            log::warn!("connection rejected reason=no_descriptor count={count}");
         }
     }
 
@@ -182,7 +182,9 @@
                 // Unread, at once: its owner sees the end of the connection and can go elsewhere.
                 drop(stream);
                 if let Some(count) = REJECTED_CONNECTIONS.pass() {
-                    log::warn!("a connection of {address} is refused: {reason:?} ({count} so far)");
+                    log::warn!(
+                        "connection rejected address={address} reason={reason:?} count={count}"
+                    );
                 }
             }
         }
@@ -201,7 +203,7 @@
     match socket.bind_device_by_index_v4(NO_INTERFACE) {
         Ok(()) => Instant::now() + HANDSHAKE_TIMEOUT,
         Err(error) => {
-            log::warn!("new connections cannot be refused before the listener closes: {error}");
+            log::warn!("listener cannot refuse new connections error=\"{error}\"");
             Instant::now()
         }
     }
--- a/crates/server/src/net/frontend/mod.rs
+++ b/crates/server/src/net/frontend/mod.rs
@@ -22,7 +22,6 @@
 #[cfg(test)]
 mod tests;
 
-use std::fmt;
 use std::hash::RandomState;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -198,7 +197,7 @@
     }
 }
 
-/// Counts for the log.
+/// What the frontend has counted since the start, and the connections that are open now.
 pub(crate) struct FrontendSummary {
     connections: usize,
     malformed_messages: u64,
@@ -206,18 +205,18 @@
     invariants_violated: u64,
 }
 
-impl fmt::Display for FrontendSummary {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+impl FrontendSummary {
+    pub(crate) fn log(&self) {
         let FrontendSummary {
             connections,
             malformed_messages,
             rejected_without_memory,
             invariants_violated,
         } = self;
-        write!(
-            f,
-            "connections open={connections} malformed_messages={malformed_messages} \
-             rejected_without_memory={rejected_without_memory} invariants_violated={invariants_violated}"
-        )
+        log::info!(
+            "frontend summary connections={connections} malformed_messages={malformed_messages} \
+             rejected_without_memory={rejected_without_memory} \
+             invariants_violated={invariants_violated}"
+        );
     }
 }
--- a/crates/server/src/net/frontend/request.rs
+++ b/crates/server/src/net/frontend/request.rs
@@ -121,7 +121,7 @@
         self.registry
             .record_unregistered(&request.incoming, Reason::NO_CAPACITY);
         if let Some(count) = REJECTED_WITHOUT_MEMORY.pass() {
-            log::warn!("no memory for another request ({count} so far)");
+            log::warn!("request rejected reason=no_memory count={count}");
         }
         let fields = self.retry_after_fields();
         // The first attempt of a duplicate may have run, so it may not be rejected.
@@ -192,7 +192,7 @@
             }
             RegisterError::KeyReused => {
                 if let Some(count) = MALFORMED_MESSAGES.pass() {
-                    log::warn!("process: a key that is known, with another body ({count} so far)");
+                    log::warn!("request rejected reason=key_reused count={count}");
                 }
                 self.notify(Event::ProtocolViolation {
                     connection: connection.id,
--- a/crates/server/src/net/registration.rs
+++ b/crates/server/src/net/registration.rs
@@ -72,7 +72,7 @@
     {
         *socket = None;
         if let Some(count) = SEND_FAILURES.pass() {
-            log::warn!("announce: {error} ({count} so far)");
+            log::warn!("registration send failed error=\"{error}\" count={count}");
         }
     }
 }
--- a/crates/server/src/net/store/connection.rs
+++ b/crates/server/src/net/store/connection.rs
@@ -52,7 +52,7 @@
         if let Err(error) = end
             && let Some(count) = CONNECTION_FAILURES.pass()
         {
-            log::warn!("store: {error} ({count} so far)");
+            log::warn!("store connection failed error=\"{error}\" count={count}");
         }
     }
 
@@ -94,7 +94,7 @@
             Received::Stray => {
                 *stray_replies += 1;
                 if let Some(count) = STRAY_REPLIES.pass() {
-                    log::warn!("store: a reply to no call ({count} so far)");
+                    log::warn!("store reply ignored reason=no_such_call count={count}");
                 }
                 if *stray_replies > MAX_STRAY_REPLIES {
                     return Err(protocol_error("too many replies to no call"));
--- a/crates/server/src/net/store/mod.rs
+++ b/crates/server/src/net/store/mod.rs
@@ -140,7 +140,7 @@
         if outcome == pool::AbandonedCall::Unanswered
             && let Some(count) = CALL_TIMEOUTS.pass()
         {
-            log::warn!("store: no reply in time ({count} so far)");
+            log::warn!("store call timed out count={count}");
         }
         outcome.into()
     }
--- a/crates/server/src/requests/metrics.rs
+++ b/crates/server/src/requests/metrics.rs
@@ -1,7 +1,5 @@
 //! Counts of requests by what became of them.
 
-use std::fmt;
-
 /// What became of requests since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct RequestCounts {
@@ -14,8 +12,8 @@
     pub(super) open: usize,
 }
 
-impl fmt::Display for RequestCounts {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+impl RequestCounts {
+    pub(crate) fn log(&self) {
         let RequestCounts {
             received,
             completed,
@@ -24,10 +22,9 @@
             abandoned,
             open,
         } = self;
-        write!(
-            f,
-            "requests received={received} completed={completed} rejected={rejected} failed={failed} \
-             abandoned={abandoned} open={open}"
-        )
+        log::info!(
+            "requests summary received={received} completed={completed} rejected={rejected} \
+             failed={failed} abandoned={abandoned} open={open}"
+        );
     }
 }
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -57,11 +57,11 @@
         admission: Option<&ConnectionLimitsConfig>,
         cluster: Option<&Cluster>,
     ) -> Result<Arc<Self>, tulipgap_connection_limits::ConfigError> {
-        let steering = describe_steering(config.steering);
         ::log::info!(
-            "{} listens on {}; callers are steered {steering}",
+            "backend started name={} address={} caller_feedback={}",
             config.name,
-            config.listen
+            config.listen,
+            caller_feedback(config.steering)
         );
         let registry = Arc::new(RequestRegistry::new(
             config.controller.clone(),
@@ -123,18 +123,20 @@
             self.frontend.sweep();
             self.store.sweep();
             if sweep.is_multiple_of(SWEEPS_PER_SUMMARY) {
-                ::log::info!(
-                    "so far {}; {}",
-                    self.registry.counts(),
-                    self.frontend.summary()
-                );
+                self.log_summary();
                 if let Some(tracer) = self.registry.tracer() {
-                    ::log::info!("{}", tracer.summary());
+                    tracer.log_summary();
                 }
             }
         }
     }
 
+    /// Logs what became of requests since the start, and the counters of the frontend.
+    fn log_summary(&self) {
+        self.registry.counts().log();
+        self.frontend.summary().log();
+    }
+
     fn registration(&self) -> Registration {
         if self.is_draining.load(Ordering::Acquire) {
             Registration::Deregister
@@ -155,11 +157,8 @@
     /// Drains after the notice that came at `notice`, and returns once everything is answered and
     /// closed, or shortly before the termination.
     pub(crate) fn drain(&self, notice: Instant, cluster: Option<Cluster>) {
-        let counts = self.registry.counts();
-        ::log::info!(
-            "notice to leave; so far {counts}; {}",
-            self.frontend.summary()
-        );
+        ::log::info!("shutdown notice received");
+        self.log_summary();
         if let Some(cluster) = &cluster {
             cluster.start_drain();
         }
@@ -183,19 +182,17 @@
             );
         }
         let took = notice.elapsed().as_millis();
-        ::log::info!(
-            "left after {took} ms; {}; {}",
-            self.registry.counts(),
-            self.frontend.summary()
-        );
+        ::log::info!("drain finished elapsed_ms={took}");
+        self.log_summary();
     }
 }
 
-fn describe_steering(steering: Steering) -> &'static str {
+/// By what callers learn how much to send here, as the log names it.
+fn caller_feedback(steering: Steering) -> &'static str {
     match steering {
-        Steering::FeedbackValue => "by the value on answers",
-        Steering::EndpointList => "by health, which the list follows",
-        Steering::Both => "by the value on answers and by health, which the list follows",
-        Steering::RetryAfterOnly => "by the wait on what is turned away alone",
+        Steering::FeedbackValue => "feedback_value",
+        Steering::EndpointList => "health",
+        Steering::Both => "feedback_value,health",
+        Steering::RetryAfterOnly => "retry_after",
     }
 }
--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -1,5 +1,6 @@
 //! Signals: SIGTERM and SIGINT are the shutdown notice, SIGHUP reloads the configuration.
 
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, channel, sync_channel};
@@ -7,7 +8,7 @@
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
-use crate::config::{Reloaded, ServerConfig};
+use crate::config::{PeerAddresses, Reloaded, ServerConfig};
 use crate::server::Server;
 
 /// The signals that this process has asked for; they wait until somebody takes them.
@@ -59,16 +60,27 @@
                 peers,
                 needs_restart,
             }) => {
-                ::log::info!("configuration reloaded: {peers}");
+                log_reloaded(&peers);
                 if !needs_restart.is_empty() {
                     ::log::warn!(
-                        "configuration reloaded: needs_restart={}",
+                        "configuration change ignored needs_restart={}",
                         needs_restart.join(",")
                     );
                 }
                 server.move_peers(peers);
             }
-            Err(error) => ::log::error!("configuration not reloaded: {error}"),
+            Err(error) => ::log::error!("configuration not reloaded error=\"{error}\""),
         }
     }
 }
+
+fn log_reloaded(peers: &PeerAddresses) {
+    let or_none =
+        |address: Option<SocketAddr>| address.map_or("none".to_owned(), |a| a.to_string());
+    ::log::info!(
+        "configuration reloaded executor={} service_registry={} store={}",
+        peers.executor,
+        or_none(peers.registry),
+        or_none(peers.store)
+    );
+}
--- a/crates/server/src/trace.rs
+++ b/crates/server/src/trace.rs
@@ -162,23 +162,23 @@
         let storage = DirectoryStorage::new(Path::new(&tracing.folder), server, tracing.sync);
         let recorder = Recorder::start(storage, recording, |error| {
             if let Some(count) = DISK_FAILURES.pass() {
-                log::warn!("trace: {error} ({count} so far)");
+                log::warn!("recording failed error=\"{error}\" count={count}");
             }
         })?;
         Ok(Tracer { recorder })
     }
 
-    /// Records missing so far, and failures of the disk, for the log.
-    pub(crate) fn summary(&self) -> String {
+    /// Logs how many records are missing so far, and how often the disk has failed.
+    pub(crate) fn log_summary(&self) {
         let status = self.recorder.status();
         let (missing, failures) = (status.missing_records, status.storage_failures);
-        format!("trace: {missing} records missing, {failures} failures of the disk")
+        log::info!("recording summary missing_records={missing} storage_failures={failures}");
     }
 
     /// Ends the recording.
     pub(crate) fn finish(&self) {
         if !self.recorder.finish(FLUSH_TIMEOUT) {
-            log::warn!("trace: the disk does not let it end");
+            log::warn!("recording not ended reason=flush_timeout");
         }
     }
 
--- a/crates/server/tests/program/recording.rs
+++ b/crates/server/tests/program/recording.rs
@@ -236,7 +236,7 @@
     let mut log = String::new();
     std::io::Read::read_to_string(&mut backend.child.stderr.take().unwrap(), &mut log).unwrap();
     assert!(
-        log.contains("trace: ") && log.contains("50 records missing"),
+        log.contains("recording summary missing_records=50 "),
         "{log}"
     );
 }
