--- a/crates/server/src/net/frontend/codec.rs
+++ b/crates/server/src/net/frontend/codec.rs
@@ -1,8 +1,10 @@
-//! Messages of edge nodes and the replies to them, in framed strict binary Thrift. A codec, no I/O.
-//! The method names and words of the wire appear here alone.
+//! Messages of edge nodes and the replies to them, in framed strict binary Thrift. A codec without
+//! I/O. The method names and the keys of replies are spelled here alone, those of requests in
+//! `parse`.
 
 use std::borrow::Cow;
 use std::sync::LazyLock;
+use std::time::Duration;
 
 use thrift::protocol::{
     TBinaryInputProtocol, TBinaryOutputProtocol, TFieldIdentifier, TInputProtocol, TMapIdentifier,
@@ -12,12 +14,22 @@
 
 /// The longest frame that is read.
 pub(super) const MAX_FRAME_BYTES: usize = 16 * 1024;
-/// The length of a frame stands before it in so many bytes.
+/// The bytes before a frame that give its length.
 pub(super) const FRAME_HEADER_BYTES: usize = 4;
-/// How deep unknown fields may nest; each level takes of a coroutine's small stack.
+/// How deep unknown fields may nest, in levels. Each level takes space of a coroutine's small stack.
 const MAX_SKIP_DEPTH: i8 = 8;
+/// The fields that one request may have.
 const MAX_FIELDS: usize = 64;
 
+/// The method that has a request processed.
+pub(super) const PROCESS: &str = "process";
+/// The method of health checks.
+pub(super) const HEALTH_CHECK: &str = "probe";
+/// The method with which a caller cancels a request.
+const CANCEL: &str = "giveUp";
+/// The method of the drain notification.
+const DRAIN_NOTIFICATION: &str = "noMore";
+
 /// Lengths in a message are checked against these before anything is allocated.
 static LIMITS: LazyLock<TConfiguration> = LazyLock::new(|| {
     let limits = TConfiguration::builder()
@@ -36,6 +48,21 @@
 /// A field of a reply: its key and its value.
 pub(super) type ReplyField = (&'static str, String);
 
+/// The field that carries the feedback value.
+pub(super) fn feedback_field(value: f64) -> ReplyField {
+    ("signal", format!("{value:.4}"))
+}
+
+/// The field that says how long a rejected caller should stay away.
+pub(super) fn retry_after_field(wait: Duration) -> ReplyField {
+    ("holdoff", format!("{:.0}", wait.as_secs_f64() * 1e3))
+}
+
+/// The field that says that a rejected request should not be retried on another server.
+pub(super) fn no_retry_other_server_field() -> ReplyField {
+    ("nomore", "1".to_owned())
+}
+
 /// What an edge node calls.
 #[derive(Debug, PartialEq)]
 pub(super) enum Call {
@@ -46,7 +73,7 @@
     HealthCheck {
         deep: bool,
     },
-    /// Nobody waits for the answer to that message any more.
+    /// The caller no longer waits for the reply to the message of this sequence number.
     Cancel {
         sequence: i32,
     },
@@ -94,7 +121,7 @@
     Exception(&'a CallError),
 }
 
-/// The length of the first frame, if it is there as a whole.
+/// The length of the first frame in bytes, once the input holds all of it.
 pub(super) fn frame_length(input: &[u8]) -> Result<Option<usize>, InvalidFrameLength> {
     let Some(header) = input.first_chunk::<FRAME_HEADER_BYTES>() else {
         return Ok(None);
@@ -117,10 +144,10 @@
         TMessageType::Reply | TMessageType::Exception => return None,
     };
     let call = match head.name.as_str() {
-        "giveUp" if is_oneway => cancel(&mut protocol),
+        CANCEL if is_oneway => cancel(&mut protocol),
         _ if is_oneway => Err(CallError::InvalidMessageType),
-        "process" => process(&mut protocol),
-        "probe" => health_check(&mut protocol),
+        PROCESS => process(&mut protocol),
+        HEALTH_CHECK => health_check(&mut protocol),
         _ => Err(CallError::UnknownMethod),
     };
     let call = match call {
@@ -258,9 +285,12 @@
 
 /// The frame that asks an edge node to send nothing more on a connection.
 pub(super) fn encode_drain_notification(sequence: i32) -> Vec<u8> {
-    framed("noMore", TMessageType::OneWay, sequence, |protocol| {
-        protocol.write_field_stop()
-    })
+    framed(
+        DRAIN_NOTIFICATION,
+        TMessageType::OneWay,
+        sequence,
+        |protocol| protocol.write_field_stop(),
+    )
 }
 
 type Output<'a> = TBinaryOutputProtocol<&'a mut Vec<u8>>;
@@ -271,14 +301,14 @@
     sequence: i32,
     write: impl FnOnce(&mut Output) -> thrift::Result<()>,
 ) -> Vec<u8> {
-    let mut bytes = vec![0; 4];
+    let mut bytes = vec![0; FRAME_HEADER_BYTES];
     let mut protocol = TBinaryOutputProtocol::new(&mut bytes, true);
     let written = protocol
         .write_message_begin(&TMessageIdentifier::new(method, kind, sequence))
         .and_then(|()| write(&mut protocol));
     crate::invariant!(written.is_ok(), "a message can be written to memory");
-    let length = (bytes.len() - 4) as u32;
-    bytes[..4].copy_from_slice(&length.to_be_bytes());
+    let length = (bytes.len() - FRAME_HEADER_BYTES) as u32;
+    bytes[..FRAME_HEADER_BYTES].copy_from_slice(&length.to_be_bytes());
     bytes
 }
 
--- a/crates/server/src/net/frontend/connection.rs
+++ b/crates/server/src/net/frontend/connection.rs
@@ -1,39 +1,31 @@
-//! One connection from an edge node: reading its messages, and when it closes.
+//! One connection from an edge node, as all coroutines see it: what is open on it, its output, and
+//! whether it is to close.
 
 use std::collections::HashMap;
-use std::io;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
 use may::net::TcpStream;
 use parking_lot::Mutex;
-use tulipgap_connection_limits::{CloseReason, ConnectionId, Event};
+use tulipgap_connection_limits::{CloseReason, ConnectionId};
 
-use super::codec::{self, Call, CallError, Message, Reply};
-use super::{Frontend, MALFORMED_MESSAGES};
-use crate::clock;
-use crate::log::LogLimit;
-use crate::net::spawn;
+use super::codec::{self, Reply};
 use crate::net::stream::{BufferedStream, Output, SendOutcome};
-use crate::requests::{RequestEvent, RequestId};
+use crate::requests::RequestId;
 
-/// Open requests that one connection carries by the protocol.
+/// Requests that the protocol allows to be open on one connection.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// Bytes of answers that a slow reader may leave unread before nothing more is read from it. What
-/// is open then comes on top, so the buffer holds all that can become due.
+/// Bytes of replies that a slow reader may leave unread before nothing more is read from it. The
+/// replies to its open requests may follow these, so the output buffer is larger.
 const MAX_UNREAD_BYTES: usize = 4 * 1024;
-const MAX_ANSWER_BYTES: usize = 4608;
-const MAX_OUTPUT_BYTES: usize = MAX_UNREAD_BYTES + (MAX_OPEN_REQUESTS + 1) * MAX_ANSWER_BYTES;
+/// The longest reply, in bytes: the longest result, the reply's fields and the framing.
+const MAX_REPLY_BYTES: usize = 4608;
+/// The output buffer of a connection, in bytes: unread replies, those of all open requests, and a
+/// drain notification.
+const MAX_OUTPUT_BYTES: usize = MAX_UNREAD_BYTES + (MAX_OPEN_REQUESTS + 1) * MAX_REPLY_BYTES;
+/// The input buffer of a connection, in bytes: the longest frame.
 const MAX_INPUT_BYTES: usize = codec::MAX_FRAME_BYTES + codec::FRAME_HEADER_BYTES;
-/// What is read from one connection before others have their turn: messages, and reads of a
-/// buffer's room.
-const MAX_STEPS_PER_TURN: usize = 64;
-const TURN_PAUSE: Duration = Duration::from_millis(1);
-/// Malformed messages after which a connection closes.
-const MAX_MALFORMED_MESSAGES: usize = 8;
-
-static MESSAGE_TIMEOUTS: LogLimit = LogLimit::new();
 
 /// The stream of a connection that was accepted.
 pub(super) fn new_stream(stream: TcpStream) -> BufferedStream {
@@ -47,13 +39,13 @@
     pub(super) is_cancelled: bool,
 }
 
-/// One connection, as others than its own coroutine see it.
+/// One connection, shared by its session, its requests and the connection table.
 pub(super) struct Connection {
     pub(super) id: ConnectionId,
     pub(super) output: Arc<Output>,
     /// Its open requests, by the sequence number of their message.
     pub(super) open_requests: Mutex<HashMap<i32, OpenRequest>>,
-    /// Health checks under way.
+    /// Health checks that are not answered yet.
     pub(super) open_checks: AtomicUsize,
     pub(super) accepted_at: Instant,
     /// The edge node is to be asked to send nothing more here.
@@ -83,6 +75,12 @@
         self.open_requests.lock().len() + self.open_checks.load(Ordering::Acquire)
     }
 
+    /// Whether another message may be read: the protocol's limit on open requests and the bound on
+    /// unread replies keep what one connection takes of the memory bounded.
+    pub(super) fn has_room(&self) -> bool {
+        self.open() < MAX_OPEN_REQUESTS && self.output.buffered_bytes() < MAX_UNREAD_BYTES
+    }
+
     /// Whether nothing is open and nothing waits to be sent.
     pub(super) fn is_done(&self) -> bool {
         self.open() == 0 && self.output.buffered_bytes() == 0
@@ -94,6 +92,21 @@
         self.output.wake();
     }
 
+    /// Whether the edge node is to be asked to close this connection.
+    pub(super) fn close_is_requested(&self) -> bool {
+        self.close_is_requested.load(Ordering::Acquire)
+    }
+
+    /// Whether it closes as soon as nothing on it is open.
+    pub(super) fn is_closing(&self) -> bool {
+        self.is_closing.load(Ordering::Acquire)
+    }
+
+    /// Whether a message took too long.
+    pub(super) fn has_timed_out(&self) -> bool {
+        self.has_timed_out.load(Ordering::Acquire)
+    }
+
     /// Closes it as soon as nothing on it is open.
     pub(super) fn close(&self, reason: CloseReason) {
         if reason == CloseReason::MessageTimeout {
@@ -108,9 +121,9 @@
             .send(&[&codec::encode_reply(method, sequence, reply)]);
     }
 
-    /// Replies to what was open and removes it, in one step for whoever asks whether something is
-    /// open: between the two a connection that is to close, or that its edge node closed behind its
-    /// request, would look done and close without the reply.
+    /// Replies to a request or health check and removes it, under the lock that `open` takes. In two
+    /// steps, a connection that is to close, or that its edge node has closed behind its request,
+    /// would look done in between and close without the reply.
     pub(super) fn conclude(
         &self,
         method: &str,
@@ -123,279 +136,10 @@
         let outcome = self.output.try_send(&[&frame]);
         remove(&mut open_requests);
         drop(open_requests);
-        // The buffer holds all that can become due; if it should not, what is due waits for its
-        // room.
+        // The buffer is large enough for the replies to everything open. If it should be full all
+        // the same, this reply waits for space.
         if outcome == SendOutcome::Full {
             self.output.send(&[&frame]);
         }
     }
 }
-
-/// A connection in the hands of its own coroutine.
-struct Session<'a> {
-    frontend: &'a Arc<Frontend>,
-    connection: &'a Arc<Connection>,
-    stream: &'a mut BufferedStream,
-    /// After something that is no message nothing more is read, but what is open is answered.
-    is_readable: bool,
-    /// The limiter knows that a message has begun.
-    has_begun_message: bool,
-    drain_notification_is_sent: bool,
-    malformed_messages: usize,
-}
-
-/// What one turn of a session has read.
-struct Turn {
-    steps: usize,
-    /// The last read may have left something to read.
-    has_more: bool,
-}
-
-impl Turn {
-    fn is_used_up(&self) -> bool {
-        self.steps >= MAX_STEPS_PER_TURN
-    }
-}
-
-impl Frontend {
-    /// Serves a connection from its opening to its end.
-    pub(super) fn serve(
-        self: &Arc<Self>,
-        mut stream: BufferedStream,
-        connection: &Arc<Connection>,
-    ) {
-        let mut session = Session {
-            frontend: self,
-            connection,
-            stream: &mut stream,
-            is_readable: true,
-            has_begun_message: false,
-            drain_notification_is_sent: false,
-            malformed_messages: 0,
-        };
-        let end = session.run();
-        // Closed before its place is another's.
-        drop(stream);
-        self.decide(|limiter, now, actions| {
-            limiter.handle_event(
-                now,
-                Event::Closed {
-                    connection: connection.id,
-                },
-                actions,
-            );
-            self.connections.lock().remove(connection.id.0);
-        });
-        // Cut off: nobody waits for what was open here.
-        if let Err(error) = end {
-            log::debug!("connection failed error=\"{error}\"");
-            let open_requests = connection.open_requests.lock();
-            let ids: Vec<RequestId> = open_requests
-                .values()
-                .map(|request| request.id.clone())
-                .collect();
-            drop(open_requests);
-            for id in ids {
-                self.registry.report(&id, RequestEvent::CallerGone);
-            }
-        }
-    }
-}
-
-impl Session<'_> {
-    /// Moves bytes until the edge node has closed and everything is answered, or the connection
-    /// breaks.
-    fn run(&mut self) -> io::Result<()> {
-        loop {
-            self.send_drain_notification();
-            self.stream.flush()?;
-            let turn = self.read_messages()?;
-            let is_closing = self.check_input(&turn);
-            if self.finish(is_closing) {
-                return Ok(());
-            }
-            if turn.is_used_up() {
-                clock::sleep(TURN_PAUSE)
-            } else {
-                self.stream.wait()
-            }
-        }
-    }
-
-    /// Asks the edge node to leave, where that is wanted; where the buffer is full, the next turn
-    /// asks.
-    fn send_drain_notification(&mut self) {
-        if !self.drain_notification_is_sent
-            && self.connection.close_is_requested.load(Ordering::Acquire)
-        {
-            let outcome = self
-                .stream
-                .output
-                .try_send(&[&codec::encode_drain_notification(0)]);
-            self.drain_notification_is_sent = outcome == SendOutcome::Queued;
-        }
-    }
-
-    fn has_room(&self) -> bool {
-        self.connection.open() < MAX_OPEN_REQUESTS
-            && self.stream.output.buffered_bytes() < MAX_UNREAD_BYTES
-    }
-
-    fn may_read(&self, turn: &Turn) -> bool {
-        self.is_readable && self.has_room() && !turn.is_used_up()
-    }
-
-    /// Reads and handles what has come, for one turn.
-    fn read_messages(&mut self) -> io::Result<Turn> {
-        let mut turn = Turn {
-            steps: 0,
-            has_more: self.is_readable,
-        };
-        while turn.has_more && self.may_read(&turn) {
-            turn.has_more = self.stream.read()?;
-            turn.steps += 1;
-            while self.may_read(&turn) {
-                let Ok(length) = codec::frame_length(self.stream.input.contiguous()) else {
-                    self.is_readable = false;
-                    break;
-                };
-                let Some(length) = length else { break };
-                turn.steps += 1;
-                self.handle_frame(length);
-            }
-        }
-        Ok(turn)
-    }
-
-    fn handle_frame(&mut self, length: usize) {
-        let end = codec::FRAME_HEADER_BYTES + length;
-        let message =
-            codec::decode(&self.stream.input.contiguous()[codec::FRAME_HEADER_BYTES..end]);
-        self.stream.input.consume(end);
-        self.has_begun_message = false;
-        self.frontend.notify(Event::MessageCompleted {
-            connection: self.connection.id,
-        });
-        let Some(message) = message else {
-            self.is_readable = false;
-            return;
-        };
-        let is_oneway = message.is_oneway;
-        if !self.frontend.handle_message(self.connection, message) {
-            self.malformed_messages += 1;
-            self.is_readable = !is_oneway && self.malformed_messages <= MAX_MALFORMED_MESSAGES;
-        }
-    }
-
-    /// Ends the reading where a message takes too long, and tells the limiter of one that has
-    /// begun. Returns whether the connection is to close.
-    fn check_input(&mut self, turn: &Turn) -> bool {
-        let has_partial_message = self.is_readable
-            && !turn.is_used_up()
-            && self.stream.input.len() > 0
-            && self.has_room();
-        if has_partial_message && !std::mem::replace(&mut self.has_begun_message, true) {
-            self.frontend.notify(Event::MessageStarted {
-                connection: self.connection.id,
-            });
-        }
-        let is_closing = self.connection.is_closing.load(Ordering::Acquire);
-        let has_timed_out = self.connection.has_timed_out.load(Ordering::Acquire);
-        let is_cut_short = has_partial_message && is_closing && self.connection.open() == 0;
-        if self.is_readable && (has_timed_out || is_cut_short) {
-            self.is_readable = false;
-            if let Some(count) = MESSAGE_TIMEOUTS.pass() {
-                log::warn!("connection closing reason=message_timeout count={count}");
-            }
-        } else if turn.has_more
-            && !self.is_readable
-            && let Some(count) = MALFORMED_MESSAGES.pass()
-        {
-            log::warn!("connection closing reason=malformed_message count={count}");
-        }
-        is_closing
-    }
-
-    /// Whether the connection can close now; then it is left so that nothing on its way to the edge
-    /// node is lost.
-    fn finish(&mut self, is_closing: bool) -> bool {
-        if !self.connection.is_done() {
-            return false;
-        }
-        if self.stream.is_read_closed {
-            return true;
-        }
-        if !self.is_readable {
-            self.stream.drain_before_close();
-            return true;
-        }
-        // What has come is read first.
-        if !is_closing || self.stream.input.len() > 0 {
-            return false;
-        }
-        // What still crosses the close would reset the connection, and answers on their way with
-        // it.
-        if self.stream.has_unacknowledged_output() {
-            self.stream.drain_before_close();
-        }
-        true
-    }
-}
-
-impl Frontend {
-    /// Handles a message; returns whether it was well-formed.
-    fn handle_message(self: &Arc<Self>, connection: &Arc<Connection>, message: Message) -> bool {
-        let Message {
-            method,
-            sequence,
-            is_oneway,
-            call,
-        } = message;
-        let handled = match call {
-            Ok(Call::Process { fields, body }) => {
-                self.handle_request(connection, sequence, &fields, body)
-            }
-            Ok(Call::HealthCheck { deep }) => {
-                connection.open_checks.fetch_add(1, Ordering::AcqRel);
-                self.notify(Event::RequestStarted {
-                    connection: connection.id,
-                });
-                let (frontend, connection) = (self.clone(), connection.clone());
-                spawn(move || frontend.answer_health_check(&connection, sequence, deep));
-                Ok(())
-            }
-            // It may cross the answer: then nothing is open there any more.
-            Ok(Call::Cancel { sequence }) if self.names.callers_cancel => {
-                self.cancel(connection, sequence);
-                Ok(())
-            }
-            Ok(Call::Cancel { .. }) => Err(CallError::InvalidMessageType),
-            Err(error) => Err(error),
-        };
-        let Err(error) = handled else { return true };
-        if let Some(count) = MALFORMED_MESSAGES.pass() {
-            log::warn!("message rejected method={method:?} error=\"{error}\" count={count}");
-        }
-        self.notify(Event::ProtocolViolation {
-            connection: connection.id,
-        });
-        if !is_oneway {
-            connection.reply(&method, sequence, &Reply::Exception(&error));
-        }
-        false
-    }
-
-    fn cancel(&self, connection: &Connection, sequence: i32) {
-        let id = connection
-            .open_requests
-            .lock()
-            .get_mut(&sequence)
-            .map(|request| {
-                request.is_cancelled = true;
-                request.id.clone()
-            });
-        if let Some(id) = id {
-            self.registry.report(&id, RequestEvent::CallerGone);
-        }
-    }
-}
--- /dev/null
+++ b/crates/server/src/net/frontend/connection_table.rs
@@ -0,0 +1,180 @@
+//! The connection table: every connection that was accepted and has not closed, and the limiter
+//! that decides on them.
+//!
+//! The limiter decides and its actions are carried out under one lock. Between the two, a
+//! connection could close and its index go to another one, which would then be closed in its
+//! place.
+
+use std::net::IpAddr;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use may::net::TcpStream;
+use parking_lot::Mutex;
+use slab::Slab;
+use tulipgap_connection_limits::{
+    AcceptError, Action, CloseReason, ConnectionId, Event, Limiter, RejectReason,
+};
+
+use super::connection::{Connection, new_stream};
+use crate::log::LogLimit;
+use crate::net::stream::BufferedStream;
+
+static EVICTIONS: LogLimit = LogLimit::new();
+
+/// Whether the next connection may be accepted.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum Admission {
+    Accept,
+    /// A connection is about to close and to leave its place.
+    WaitForClose,
+    /// No place is free, and none is about to be.
+    Wait,
+}
+
+/// A connection in the table, and the stream that serves it.
+pub(super) struct Admitted {
+    pub(super) stream: BufferedStream,
+    pub(super) connection: Arc<Connection>,
+}
+
+/// A connection that the limiter has rejected. Its stream is unread.
+pub(super) struct Rejected {
+    pub(super) stream: TcpStream,
+    pub(super) reason: RejectReason,
+}
+
+/// All connections from edge nodes. It owns the limiter that decides on them.
+pub(super) struct ConnectionTable {
+    pub(super) connections: Mutex<Slab<Arc<Connection>>>,
+    pub(super) limiter: Mutex<Limiter>,
+    /// When the limiter's clock stood at zero.
+    started_at: Instant,
+    /// Nothing is accepted before this time of the limiter's clock.
+    accepting_paused_until: Mutex<Duration>,
+    /// The idle timeout that the limiter applies.
+    idle_timeout: Mutex<Duration>,
+}
+
+impl ConnectionTable {
+    pub(super) fn new(limiter: Limiter) -> Self {
+        ConnectionTable {
+            connections: Mutex::new(Slab::new()),
+            limiter: Mutex::new(limiter),
+            started_at: Instant::now(),
+            accepting_paused_until: Mutex::default(),
+            idle_timeout: Mutex::default(),
+        }
+    }
+
+    /// Notifies the limiter of what happened to a connection.
+    pub(super) fn notify(&self, event: Event) {
+        self.decide(|limiter, now, actions| limiter.handle_event(now, event, actions));
+    }
+
+    /// Asks the limiter whether another connection may be accepted.
+    pub(super) fn may_accept(&self) -> Admission {
+        self.decide(|limiter, now, actions| {
+            match (limiter.may_accept(now, actions), actions.is_empty()) {
+                (true, _) => Admission::Accept,
+                (false, false) => Admission::WaitForClose,
+                (false, true) => Admission::Wait,
+            }
+        })
+    }
+
+    /// Adds a connection that was accepted, unless the limiter rejects it.
+    pub(super) fn admit(&self, stream: TcpStream, address: IpAddr) -> Result<Admitted, Rejected> {
+        self.decide(|limiter, now, actions| {
+            let mut connections = self.connections.lock();
+            let id = ConnectionId(connections.vacant_key());
+            let accepted = Event::Accepted {
+                connection: id,
+                address,
+            };
+            limiter.handle_event(now, accepted, actions);
+            let rejected = actions.iter().find_map(|action| match action {
+                Action::Reject { reason, .. } => Some(*reason),
+                _ => None,
+            });
+            if let Some(reason) = rejected {
+                return Err(Rejected { stream, reason });
+            }
+            let stream = new_stream(stream);
+            let connection = Arc::new(Connection::new(id, stream.output.clone()));
+            connections.insert(connection.clone());
+            Ok(Admitted { stream, connection })
+        })
+    }
+
+    /// Removes a connection whose stream is closed.
+    pub(super) fn remove(&self, id: ConnectionId) {
+        self.decide(|limiter, now, actions| {
+            limiter.handle_event(now, Event::Closed { connection: id }, actions);
+            self.connections.lock().remove(id.0);
+        });
+    }
+
+    /// Notifies the limiter of an accept that failed.
+    pub(super) fn accept_failed(&self, error: AcceptError) {
+        self.notify(Event::AcceptFailed { error });
+    }
+
+    /// How long accepting is still paused, by the limiter's decision on failed accepts.
+    pub(super) fn accepting_pause(&self) -> Duration {
+        let paused_until = *self.accepting_paused_until.lock();
+        paused_until.saturating_sub(self.started_at.elapsed())
+    }
+
+    /// Lets time pass for connections: idle ones are asked to close, and those that take too long
+    /// are closed.
+    pub(super) fn sweep(&self, idle_timeout: Duration) {
+        if std::mem::replace(&mut *self.idle_timeout.lock(), idle_timeout) != idle_timeout {
+            let timeout = idle_timeout;
+            self.notify(Event::SetIdleTimeout { timeout });
+        }
+        self.notify(Event::TimerExpired);
+    }
+
+    /// The number of connections.
+    pub(super) fn len(&self) -> usize {
+        self.connections.lock().len()
+    }
+
+    fn decide<T>(&self, decide: impl FnOnce(&mut Limiter, Duration, &mut Vec<Action>) -> T) -> T {
+        let mut limiter = self.limiter.lock();
+        let mut actions = Vec::new();
+        let decision = decide(&mut limiter, self.started_at.elapsed(), &mut actions);
+        if !actions.is_empty() {
+            self.apply(&actions);
+        }
+        decision
+    }
+
+    fn apply(&self, actions: &[Action]) {
+        let connections = self.connections.lock();
+        for action in actions {
+            match *action {
+                Action::RequestClose { connection } => {
+                    if let Some(connection) = connections.get(connection.0) {
+                        connection.request_close();
+                    }
+                }
+                Action::Close { connection, reason } => {
+                    if let Some(connection) = connections.get(connection.0) {
+                        connection.close(reason);
+                    }
+                    if reason == CloseReason::Evicted
+                        && let Some(count) = EVICTIONS.pass()
+                    {
+                        log::warn!("connection closing reason=evicted count={count}");
+                    }
+                }
+                Action::PauseAccepting { until } => *self.accepting_paused_until.lock() = until,
+                // A new connection is served or rejected where it is admitted; the periodic sweep
+                // fires the timers.
+                Action::Serve { .. } | Action::Reject { .. } | Action::SetTimer { .. } => {}
+            }
+        }
+    }
+}
--- a/crates/server/src/net/frontend/health.rs
+++ b/crates/server/src/net/frontend/health.rs
@@ -1,32 +1,71 @@
-//! Health checks.
+//! Health checks. A shallow one reports the controller's verdict; a deep one also has the executor do
+//! a piece of work, so that it notices an executor which hangs.
 
+use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
 use tulipgap_connection_limits::Event;
 
-use super::Frontend;
-use super::codec::Reply;
+use super::codec::{self, Reply};
 use super::connection::Connection;
+use super::connection_table::ConnectionTable;
+use crate::net::executor::ExecutorClient;
+use crate::net::spawn;
+use crate::requests::RequestRegistry;
 
-/// The longest that a deep check waits for its work.
+/// How long a deep check waits for its work.
 const DEEP_CHECK_TIMEOUT: Duration = Duration::from_secs(2);
 
-impl Frontend {
-    /// Answers a health check; a deep one has work done, for a bounded time.
-    pub(super) fn answer_health_check(&self, connection: &Connection, sequence: i32, deep: bool) {
+/// Answers health checks.
+pub(super) struct HealthChecks {
+    registry: Arc<RequestRegistry>,
+    executor: Arc<ExecutorClient>,
+    table: Arc<ConnectionTable>,
+}
+
+impl HealthChecks {
+    pub(super) fn new(
+        registry: Arc<RequestRegistry>,
+        executor: Arc<ExecutorClient>,
+        table: Arc<ConnectionTable>,
+    ) -> Arc<Self> {
+        Arc::new(HealthChecks {
+            registry,
+            executor,
+            table,
+        })
+    }
+
+    /// Starts a coroutine for a health check.
+    pub(super) fn handle(
+        self: &Arc<Self>,
+        connection: &Arc<Connection>,
+        sequence: i32,
+        is_deep: bool,
+    ) {
+        connection.open_checks.fetch_add(1, Ordering::AcqRel);
+        self.table.notify(Event::RequestStarted {
+            connection: connection.id,
+        });
+        let (checks, connection) = (self.clone(), connection.clone());
+        spawn(move || checks.answer(&connection, sequence, is_deep));
+    }
+
+    fn answer(&self, connection: &Connection, sequence: i32, is_deep: bool) {
         let is_healthy =
-            self.registry.is_healthy() && (!deep || self.executor.does_work(DEEP_CHECK_TIMEOUT));
-        let fields: Vec<_> = self.feedback_field().into_iter().collect();
+            self.registry.is_healthy() && (!is_deep || self.executor.does_work(DEEP_CHECK_TIMEOUT));
+        let feedback = self.registry.feedback().map(codec::feedback_field);
+        let fields: Vec<_> = feedback.into_iter().collect();
         let reply = Reply::Result {
             body: &[],
             fields: &fields,
             succeeded: is_healthy,
         };
-        connection.conclude("probe", sequence, &reply, |_| {
+        connection.conclude(codec::HEALTH_CHECK, sequence, &reply, |_| {
             connection.open_checks.fetch_sub(1, Ordering::AcqRel);
         });
-        self.notify(Event::RequestFinished {
+        self.table.notify(Event::RequestFinished {
             connection: connection.id,
             is_answered: false,
         });
--- a/crates/server/src/net/frontend/mod.rs
+++ b/crates/server/src/net/frontend/mod.rs
@@ -1,43 +1,61 @@
-//! The frontend: connections from edge nodes, and the requests and health checks that come over
-//! them.
+//! The frontend: connections from edge nodes, and the requests and health checks that they send.
+//!
+//! [`Frontend`] owns the parts and routes between them; a part never refers to the frontend.
 //!
 //! | file | job |
 //! | --- | --- |
 //! | `listener` | accepting connections, and closing the listener without losing one |
-//! | `connection` | one connection: reading messages, and when it closes |
+//! | `connection_table` | all connections, and the limiter that decides on them |
+//! | `connection` | one connection, as all coroutines see it |
+//! | `session` | the coroutine of a connection: reading, writing, and its end |
+//! | `closing` | the rule by which a connection closes |
 //! | `request` | the life of a request, from its registration to its response |
+//! | `memory` | the limit on open requests |
 //! | `parse` | the fields of a request |
 //! | `health` | health checks |
-//! | `recent_ids` | ids that came before |
+//! | `recent_ids` | the ids of the last requests |
+//! | `summary` | what is counted, for the log |
 //! | `codec` | the messages on the wire |
 
+mod closing;
 mod codec;
 mod connection;
+mod connection_table;
 mod health;
 mod listener;
+mod memory;
 mod parse;
 mod recent_ids;
 mod request;
+mod session;
+mod summary;
 
 #[cfg(test)]
 mod tests;
 
-use std::hash::RandomState;
+use std::net::IpAddr;
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
-use parking_lot::Mutex;
-use slab::Slab;
-use tulipgap_connection_limits::{Action, CloseReason, Event, Limiter};
+use may::net::{TcpListener, TcpStream};
+use tulipgap_connection_limits::{Event, Limiter};
 use tulipgap_settings::Names;
 
+use self::codec::{Call, Message, Reply};
 use self::connection::Connection;
-use self::listener::ListenerState;
-use self::recent_ids::RecentIds;
+use self::connection_table::{Admitted, ConnectionTable, Rejected};
+use self::health::HealthChecks;
+use self::listener::Acceptor;
+use self::memory::MemoryLimit;
+use self::parse::RequestParser;
+use self::request::{Peers, RequestHandler};
+use self::session::{MessageHandler, Session};
+use self::summary::{FrontendSummary, MALFORMED_MESSAGES, REJECTED_WITHOUT_MEMORY};
 use super::executor::ExecutorClient;
 use super::store::StoreClient;
+use super::stream::BufferedStream;
 use crate::invariant;
-use crate::log::LogLimit;
+use crate::net::spawn;
 use crate::requests::RequestRegistry;
 
 /// Descriptors that are reserved for the executor, the log and the runtime.
@@ -45,47 +63,22 @@
 /// How long a connection may take to its first message, and a message from its first byte to its
 /// last.
 pub(crate) const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How much longer than an edge node this server keeps an unused connection.
+/// How much longer this server keeps an unused connection than an edge node does. An edge node may
+/// send on a connection that this server closes, so the edge node closes it first.
 pub(crate) const IDLE_MARGIN: Duration = Duration::from_secs(2);
-/// What one open request takes at most: its coroutine's stack as far as it is touched, body and
-/// result.
-const OPEN_REQUEST_KB: f64 = 24.0;
-/// The fraction of this process's memory that open requests may take; what comes beyond is rejected
-/// unregistered.
-const OPEN_REQUESTS_MEMORY_FRACTION: f64 = 0.45;
-
-static MALFORMED_MESSAGES: LogLimit = LogLimit::new();
-static REJECTED_WITHOUT_MEMORY: LogLimit = LogLimit::new();
-static EVICTIONS: LogLimit = LogLimit::new();
-
-/// All connections from edge nodes. It owns the connection table and the limiter that decides on
-/// it.
+
+/// The frontend of this server. It owns the parts and routes messages to them.
 pub(crate) struct Frontend {
     registry: Arc<RequestRegistry>,
-    executor: Arc<ExecutorClient>,
-    store: Arc<StoreClient>,
-    names: Names,
-    /// All connections that were accepted and have not closed.
-    connections: Mutex<Slab<Arc<Connection>>>,
-    limiter: Mutex<Limiter>,
-    /// When the limiter's clock stood at zero.
-    started_at: Instant,
-    /// Nothing is accepted before this time of that clock.
-    accepting_paused_until: Mutex<Duration>,
-    /// The idle timeout that the limiter knows.
-    idle_timeout: Mutex<Duration>,
-    /// A descriptor that is given up to accept and close one connection when no other is left.
-    spare_descriptor: Mutex<Option<std::fs::File>>,
-    /// Connections beyond the limits are rejected, instead of waiting in the backlog.
-    rejects_connections: bool,
-    max_open_requests: usize,
-    /// Hashes bodies; nobody can make up another body with the same hash.
-    body_hasher: RandomState,
-    recent_ids: Mutex<RecentIds>,
-    listener: Mutex<ListenerState>,
+    table: Arc<ConnectionTable>,
+    acceptor: Acceptor,
+    requests: Arc<RequestHandler>,
+    health_checks: Arc<HealthChecks>,
 }
 
 impl Frontend {
+    /// A frontend whose open requests may take a fraction of `memory_mb` megabytes. Connections
+    /// beyond the limits wait in the backlog, or are rejected with `rejects_connections`.
     pub(crate) fn new(
         registry: Arc<RequestRegistry>,
         executor: Arc<ExecutorClient>,
@@ -95,101 +88,94 @@
         rejects_connections: bool,
         memory_mb: f64,
     ) -> Arc<Self> {
-        let max_open_requests =
-            memory_mb * OPEN_REQUESTS_MEMORY_FRACTION * 1024.0 / OPEN_REQUEST_KB;
-        Arc::new(Frontend {
-            registry,
+        let table = Arc::new(ConnectionTable::new(limiter));
+        let health_checks = HealthChecks::new(registry.clone(), executor.clone(), table.clone());
+        let callers_may_cancel = names.callers_cancel;
+        let is_recording = registry.tracer().is_some();
+        let parser = RequestParser::new(names, registry.client_timeouts(), is_recording);
+        let peers = Peers {
+            registry: registry.clone(),
             executor,
             store,
-            names,
-            connections: Mutex::new(Slab::new()),
-            limiter: Mutex::new(limiter),
-            started_at: Instant::now(),
-            accepting_paused_until: Mutex::default(),
-            idle_timeout: Mutex::default(),
-            spare_descriptor: Mutex::new(listener::open_spare_descriptor()),
-            rejects_connections,
-            max_open_requests: max_open_requests as usize,
-            body_hasher: RandomState::new(),
-            recent_ids: Mutex::default(),
-            listener: Mutex::default(),
+        };
+        let memory_limit = MemoryLimit::new(memory_mb);
+        let requests = RequestHandler::new(
+            peers,
+            table.clone(),
+            parser,
+            memory_limit,
+            callers_may_cancel,
+        );
+        Arc::new(Frontend {
+            registry,
+            acceptor: Acceptor::new(table.clone(), rejects_connections),
+            table,
+            requests,
+            health_checks,
         })
     }
 
-    /// Lets the limiter decide, and carries its actions out under the same lock, so that no action
-    /// meets another connection of the same index.
-    fn decide<T>(&self, decide: impl FnOnce(&mut Limiter, Duration, &mut Vec<Action>) -> T) -> T {
-        let mut limiter = self.limiter.lock();
-        let mut actions = Vec::new();
-        let decision = decide(&mut limiter, self.started_at.elapsed(), &mut actions);
-        if !actions.is_empty() {
-            self.apply(&actions);
-        }
-        decision
+    /// Accepts connections until [`Frontend::close`] is called and the backlog is empty.
+    pub(crate) fn accept(self: Arc<Self>, listener: TcpListener) {
+        self.acceptor
+            .run(listener, |stream, address| self.accepted(stream, address));
     }
 
-    /// Tells the limiter what happened to a connection.
-    fn notify(&self, event: Event) {
-        self.decide(|limiter, now, actions| limiter.handle_event(now, event, actions));
+    /// A connection was accepted: it is added to the table and served by a coroutine of its own, or
+    /// closed unread where the limiter rejects it, so that its owner can go to another server at
+    /// once.
+    fn accepted(self: &Arc<Self>, stream: TcpStream, address: IpAddr) {
+        match self.table.admit(stream, address) {
+            Ok(Admitted { stream, connection }) => {
+                let frontend = self.clone();
+                spawn(move || frontend.serve(stream, &connection));
+            }
+            Err(Rejected { stream, reason }) => {
+                drop(stream);
+                listener::log_rejection(address, reason);
+            }
+        }
     }
 
-    fn apply(&self, actions: &[Action]) {
-        let connections = self.connections.lock();
-        for action in actions {
-            match *action {
-                Action::RequestClose { connection } => {
-                    if let Some(connection) = connections.get(connection.0) {
-                        connection.request_close();
-                    }
-                }
-                Action::Close { connection, reason } => {
-                    if let Some(connection) = connections.get(connection.0) {
-                        connection.close(reason);
-                    }
-                    if reason == CloseReason::Evicted
-                        && let Some(count) = EVICTIONS.pass()
-                    {
-                        log::warn!("connection closing reason=evicted count={count}");
-                    }
-                }
-                Action::PauseAccepting { until } => *self.accepting_paused_until.lock() = until,
-                // A new connection is served or rejected where it is accepted; timers fire with the
-                // sweep.
-                Action::Serve { .. } | Action::Reject { .. } | Action::SetTimer { .. } => {}
-            }
+    /// Serves a connection from its opening to its end.
+    fn serve(&self, mut stream: BufferedStream, connection: &Arc<Connection>) {
+        let end = Session::new(&self.table, self, connection, &mut stream).run();
+        // The descriptor is free before the table counts it as free.
+        drop(stream);
+        self.table.remove(connection.id);
+        if let Err(error) = end {
+            log::debug!("connection failed error=\"{error}\"");
+            self.requests.report_callers_gone(connection);
         }
     }
 
-    /// Lets time pass for connections: idle ones are asked to close, those that take too long are
-    /// closed.
+    /// Lets time pass for connections: idle ones are asked to close, and those that take too long
+    /// are closed.
     pub(crate) fn sweep(&self) {
-        let timeout = self.registry.idle_timeout().saturating_add(IDLE_MARGIN);
-        if std::mem::replace(&mut *self.idle_timeout.lock(), timeout) != timeout {
-            self.notify(Event::SetIdleTimeout { timeout });
-        }
-        self.notify(Event::TimerExpired);
+        let idle_timeout = self.registry.idle_timeout().saturating_add(IDLE_MARGIN);
+        self.table.sweep(idle_timeout);
     }
 
-    /// Closes the listener once every connection in its backlog is accepted, and asks all edge
-    /// nodes to leave. New connections are refused first: an edge node that is asked to leave
-    /// connects anew at once. While the accepting coroutine waits for its turn these connections
-    /// would fill the backlog, and the system would drop the first packets of others.
+    /// Closes the listener once every connection in its backlog is accepted, and sends drain
+    /// notifications to all edge nodes. New connections are refused first: an edge node that is
+    /// notified connects again at once. While the accepting coroutine waits for its turn these
+    /// connections would fill the backlog, and the system would drop the first packets of others.
     pub(crate) fn close(&self) {
-        self.listener.lock().close();
-        self.notify(Event::Drain);
+        self.acceptor.close();
+        self.table.notify(Event::Drain);
     }
 
-    /// Whether no connection is open, and none can come any more.
+    /// Whether no connection is open, and none can be accepted any more.
     pub(crate) fn is_over(&self) -> bool {
-        // In this order: what is accepted stands among the connections before the listener counts
-        // as closed.
-        self.listener.lock().is_closed() && self.connections.lock().is_empty()
+        // In this order: each connection that was accepted is in the table before the listener
+        // counts as closed.
+        self.acceptor.is_closed() && self.table.len() == 0
     }
 
     /// What is counted here, for the log.
     pub(crate) fn summary(&self) -> FrontendSummary {
         FrontendSummary {
-            connections: self.connections.lock().len(),
+            connections: self.table.len(),
             malformed_messages: MALFORMED_MESSAGES.count(),
             rejected_without_memory: REJECTED_WITHOUT_MEMORY.count(),
             invariants_violated: invariant::violations(),
@@ -197,26 +183,35 @@
     }
 }
 
-/// What the frontend has counted since the start, and the connections that are open now.
-pub(crate) struct FrontendSummary {
-    connections: usize,
-    malformed_messages: u64,
-    rejected_without_memory: u64,
-    invariants_violated: u64,
-}
-
-impl FrontendSummary {
-    pub(crate) fn log(&self) {
-        let FrontendSummary {
-            connections,
-            malformed_messages,
-            rejected_without_memory,
-            invariants_violated,
-        } = self;
-        log::info!(
-            "frontend summary connections={connections} malformed_messages={malformed_messages} \
-             rejected_without_memory={rejected_without_memory} \
-             invariants_violated={invariants_violated}"
-        );
+impl MessageHandler for Frontend {
+    fn handle_message(&self, connection: &Arc<Connection>, message: Message) -> bool {
+        let Message {
+            method,
+            sequence,
+            is_oneway,
+            call,
+        } = message;
+        let handled = match call {
+            Ok(Call::Process { fields, body }) => {
+                self.requests.handle(connection, sequence, &fields, body)
+            }
+            Ok(Call::HealthCheck { deep }) => {
+                self.health_checks.handle(connection, sequence, deep);
+                Ok(())
+            }
+            Ok(Call::Cancel { sequence }) => self.requests.cancel(connection, sequence),
+            Err(error) => Err(error),
+        };
+        let Err(error) = handled else { return true };
+        if let Some(count) = MALFORMED_MESSAGES.pass() {
+            log::warn!("message rejected method={method:?} error=\"{error}\" count={count}");
+        }
+        self.table.notify(Event::ProtocolViolation {
+            connection: connection.id,
+        });
+        if !is_oneway {
+            connection.reply(&method, sequence, &Reply::Exception(&error));
+        }
+        false
     }
 }
--- a/crates/server/src/net/frontend/parse.rs
+++ b/crates/server/src/net/frontend/parse.rs
@@ -1,20 +1,20 @@
-//! The fields of a request. The keys on the wire are spelled here and nowhere else.
+//! Reading the fields of a request. The keys of requests are spelled here and nowhere else.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+use tulipgap::HandlerIndex;
+use tulipgap_settings::Names;
 use tulipgap_trace::hash_text;
 
-use super::Frontend;
 use super::codec::{CallError, Fields};
 use crate::requests::{ClassName, IdempotencyKey, IncomingRequest};
 use crate::trace::TraceContext;
 
-/// By how much the timestamp of a request may lie before the opening of its connection, or after
-/// now.
+/// How far the timestamp of a request may lie before its connection was accepted, or after now.
 const TIMESTAMP_SLACK: Duration = Duration::from_secs(1);
-/// The memory that a request may ask for, in kilobytes, is below this.
+/// The memory that a request may ask for is below this, in kilobytes.
 const MEMORY_LIMIT_KB: f64 = 2000.0;
-/// A request's work counts at most this multiple of the time that its client waits.
+/// The limit on the work that a request announces, as a multiple of its client timeout.
 const MAX_WORK_FACTOR: f64 = 2.0;
 
 /// What the fields of a request say.
@@ -85,9 +85,9 @@
         .filter(|_| id.len() == 16 && !id.starts_with('+'))
 }
 
-/// The timestamp of a request that came over a connection accepted at `accepted_at`. Impossible
-/// ones are refused: they would steer what others get, because the mean time unread is measured by
-/// them.
+/// The timestamp of a request from a connection that was accepted at `accepted_at`. The controller
+/// measures by timestamps how long requests were unread, so a caller with an impossible one could
+/// have the requests of others rejected. Such a request is malformed.
 fn parse_timestamp(fields: &FieldReader, accepted_at: Instant) -> Result<Duration, CallError> {
     let arrived = fields
         .required("ts")?
@@ -102,9 +102,29 @@
     Ok(arrived)
 }
 
-impl Frontend {
-    /// Parses the fields of a request that came over a connection accepted at `accepted_at`.
-    pub(super) fn parse_request(
+/// Parses the fields of requests. It owns the names that the settings declare.
+pub(super) struct RequestParser {
+    names: Names,
+    /// How long clients wait, by handler.
+    client_timeouts: Vec<Duration>,
+    /// Requests are recorded, so what only the recording needs is parsed as well.
+    is_recording: bool,
+}
+
+impl RequestParser {
+    pub(super) fn new(names: Names, client_timeouts: Vec<Duration>, is_recording: bool) -> Self {
+        RequestParser {
+            names,
+            client_timeouts,
+            is_recording,
+        }
+    }
+
+    /// Parses the fields of a request from a connection that was accepted at `accepted_at`.
+    ///
+    /// # Errors
+    /// [`CallError::Malformed`] with the first field that is missing or invalid.
+    pub(super) fn parse(
         &self,
         fields: &Fields,
         accepted_at: Instant,
@@ -132,9 +152,9 @@
         let queued_kb = fields
             .number("need")?
             .filter(|&kb| kb > 0.0 && kb < MEMORY_LIMIT_KB);
-        // An estimate is rough, and at times far more than anybody waits for: rejected for it, but
-        // not as malformed.
-        let client_timeout = self.registry.client_timeout(handler);
+        // An estimate is rough, and at times far more than any client waits for. Such a request may
+        // be rejected for it, but it is not malformed.
+        let client_timeout = self.client_timeout(handler);
         let max_work = client_timeout.mul_f64(MAX_WORK_FACTOR);
         let estimated_work = fields.milliseconds("ms")?.map(|work| work.min(max_work));
         if fields.number("level")?.is_some_and(|level| level >= 1.0) {
@@ -142,16 +162,15 @@
         }
         let idempotency_key = fields.non_empty("opkey").map(IdempotencyKey::from);
         let trace = self
-            .registry
-            .tracer()
-            .map(|_| trace_context(&fields, number, idempotency_key.as_deref()));
+            .is_recording
+            .then(|| trace_context(&fields, number, idempotency_key.as_deref()));
         let incoming = IncomingRequest {
             id: id.into(),
             handler,
             tenant,
             age: Duration::ZERO,
-            // None waits longer than its handler's clients do: taken at its word, it would be owed
-            // an answer for ever.
+            // No client waits longer than its handler's timeout. With a longer wait, the request
+            // would be owed an answer, and take memory, for as long as its caller likes to state.
             client_wait: fields
                 .milliseconds("timeout")?
                 .map(|wait| wait.min(client_timeout)),
@@ -169,6 +188,11 @@
             arrived,
         })
     }
+
+    fn client_timeout(&self, handler: HandlerIndex) -> Duration {
+        let timeout = self.client_timeouts.get(handler);
+        timeout.copied().unwrap_or(Duration::MAX)
+    }
 }
 
 fn trace_context(fields: &FieldReader, number: u64, key: Option<&str>) -> TraceContext {
--- a/crates/server/src/net/frontend/request.rs
+++ b/crates/server/src/net/frontend/request.rs
@@ -1,40 +1,53 @@
-//! The life of a request: from its reading and registration, through the commands for it, to its
-//! response and the end of its run.
+//! The life of a request: it is parsed and registered, the commands for it are carried out, and it is
+//! answered, until its run has ended.
 
 use std::cell::Cell;
-use std::hash::BuildHasher;
+use std::hash::{BuildHasher, RandomState};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use parking_lot::Mutex;
 use tulipgap_connection_limits::Event;
 use tulipgap_trace::Reason;
 
-use super::codec::{CallError, Fields, Reply, ReplyField};
+use super::codec::{self, CallError, Fields, Reply, ReplyField};
 use super::connection::{Connection, OpenRequest};
-use super::parse::{ParsedRequest, unix_now};
-use super::{Frontend, MALFORMED_MESSAGES, REJECTED_WITHOUT_MEMORY};
+use super::connection_table::ConnectionTable;
+use super::memory::MemoryLimit;
+use super::parse::{ParsedRequest, RequestParser, unix_now};
+use super::recent_ids::RecentIds;
+use super::summary::{MALFORMED_MESSAGES, REJECTED_WITHOUT_MEMORY};
 use crate::invariant;
+use crate::net::executor::ExecutorClient;
 use crate::net::spawn;
+use crate::net::store::StoreClient;
 use crate::requests::{
-    Bytes, ClassName, Command, RegisterError, RequestEvent, RequestId, Response, Ticket,
+    Bytes, ClassName, Command, RegisterError, RequestEvent, RequestId, RequestRegistry, Response,
+    Ticket,
 };
 
-/// The longest body of a request.
+/// The longest body of a request, in bytes.
 const MAX_BODY_BYTES: usize = 2048;
+/// The fields that a reply may have.
+const MAX_REPLY_FIELDS: usize = 3;
 
-/// A request's place on its connection. It is removed once the request is answered, or when this is
-/// dropped because nobody is there to answer.
+/// The reply that a request's connection waits for. The request leaves its connection's open requests
+/// once it is answered, or when this is dropped without a reply.
 pub(super) struct PendingReply<'a> {
-    frontend: &'a Frontend,
+    table: &'a ConnectionTable,
     connection: &'a Connection,
     sequence: i32,
     is_concluded: Cell<bool>,
 }
 
 impl<'a> PendingReply<'a> {
-    pub(super) fn new(frontend: &'a Frontend, connection: &'a Connection, sequence: i32) -> Self {
+    pub(super) fn new(
+        table: &'a ConnectionTable,
+        connection: &'a Connection,
+        sequence: i32,
+    ) -> Self {
         PendingReply {
-            frontend,
+            table,
             connection,
             sequence,
             is_concluded: Cell::new(false),
@@ -47,12 +60,13 @@
             "a request is answered once on its connection"
         );
         self.connection
-            .conclude("process", self.sequence, reply, |open_requests| {
+            .conclude(codec::PROCESS, self.sequence, reply, |open_requests| {
                 open_requests.remove(&self.sequence);
             });
-        // The standing of a client grows with what was served, and not with what was rejected.
+        // The reputation of a client grows with the requests that were served, and not with those
+        // that were rejected.
         let is_answered = matches!(reply, Reply::Result { .. });
-        self.frontend.notify(Event::RequestFinished {
+        self.table.notify(Event::RequestFinished {
             connection: self.connection.id,
             is_answered,
         });
@@ -60,14 +74,15 @@
 }
 
 impl Drop for PendingReply<'_> {
-    /// Concluded without a reply; a coroutine that panics owes one all the same.
+    /// Concludes without a reply. Where the coroutine panics, its caller gets a failure: it would
+    /// otherwise wait until its timeout.
     fn drop(&mut self) {
         if !self.is_concluded.get() && std::thread::panicking() {
             self.send(&Reply::Failed { fields: &[] });
         } else if !self.is_concluded.replace(true) {
             self.connection.open_requests.lock().remove(&self.sequence);
             let connection = self.connection.id;
-            self.frontend.notify(Event::RequestFinished {
+            self.table.notify(Event::RequestFinished {
                 connection,
                 is_answered: false,
             });
@@ -76,23 +91,75 @@
     }
 }
 
-impl Frontend {
+/// Processes requests. It owns what requests are checked against; the registry owns those that are
+/// open.
+pub(super) struct RequestHandler {
+    registry: Arc<RequestRegistry>,
+    executor: Arc<ExecutorClient>,
+    store: Arc<StoreClient>,
+    table: Arc<ConnectionTable>,
+    parser: RequestParser,
+    memory_limit: MemoryLimit,
+    /// Callers may cancel their requests.
+    callers_may_cancel: bool,
+    /// Hashes bodies. Its keys are random, so that no caller can construct another body with the
+    /// same hash.
+    body_hasher: RandomState,
+    pub(super) recent_ids: Mutex<RecentIds>,
+}
+
+/// The parts of a backend that process requests.
+pub(super) struct Peers {
+    pub(super) registry: Arc<RequestRegistry>,
+    pub(super) executor: Arc<ExecutorClient>,
+    pub(super) store: Arc<StoreClient>,
+}
+
+impl RequestHandler {
+    pub(super) fn new(
+        peers: Peers,
+        table: Arc<ConnectionTable>,
+        parser: RequestParser,
+        memory_limit: MemoryLimit,
+        callers_may_cancel: bool,
+    ) -> Arc<Self> {
+        let Peers {
+            registry,
+            executor,
+            store,
+        } = peers;
+        Arc::new(RequestHandler {
+            registry,
+            executor,
+            store,
+            table,
+            parser,
+            memory_limit,
+            callers_may_cancel,
+            body_hasher: RandomState::new(),
+            recent_ids: Mutex::default(),
+        })
+    }
+
     /// Checks a request and starts a coroutine for it.
-    pub(super) fn handle_request(
+    ///
+    /// # Errors
+    /// [`CallError::Malformed`] where a field, the sequence number, the body or the id is invalid.
+    pub(super) fn handle(
         self: &Arc<Self>,
         connection: &Arc<Connection>,
         sequence: i32,
         fields: &Fields,
         body: Vec<u8>,
     ) -> Result<(), CallError> {
-        let request = self.parse_request(fields, connection.accepted_at)?;
+        let request = self.parser.parse(fields, connection.accepted_at)?;
         if connection.open_requests.lock().contains_key(&sequence) {
             return Err(CallError::Malformed("a sequence that is open".into()));
         }
         if body.len() > MAX_BODY_BYTES {
             return Err(CallError::Malformed("a body too long".into()));
         }
-        if self.registry.open() >= self.max_open_requests {
+        if !self.memory_limit.admits(self.registry.open()) {
             self.reject_without_memory(connection, sequence, &request);
             return Ok(());
         }
@@ -104,11 +171,11 @@
             is_cancelled: false,
         };
         connection.open_requests.lock().insert(sequence, open);
-        self.notify(Event::RequestStarted {
+        self.table.notify(Event::RequestStarted {
             connection: connection.id,
         });
-        let (frontend, connection) = (self.clone(), connection.clone());
-        spawn(move || frontend.process(&connection, sequence, request, body.into()));
+        let (handler, connection) = (self.clone(), connection.clone());
+        spawn(move || handler.process(&connection, sequence, request, body.into()));
         Ok(())
     }
 
@@ -124,12 +191,13 @@
             log::warn!("request rejected reason=no_memory count={count}");
         }
         let fields = self.retry_after_fields();
-        // The first attempt of a duplicate may have run, so it may not be rejected.
+        // The first attempt of a duplicate may have run. A rejection says that nothing has, so the
+        // duplicate fails instead.
         let reply = match self.registry.is_duplicate(&request.incoming) {
             true => Reply::Failed { fields: &[] },
             false => Reply::Rejected { fields: &fields },
         };
-        connection.reply("process", sequence, &reply);
+        connection.reply(codec::PROCESS, sequence, &reply);
     }
 
     /// Processes a request until its run has ended.
@@ -142,14 +210,14 @@
         } = request;
         let id = incoming.id.clone();
         let at_most_once = self.registry.runs_at_most_once(incoming.handler);
-        // A clock that was set back makes it zero.
+        // Where the clock was set back, the age is zero.
         incoming.age = unix_now().saturating_sub(arrived);
         // The client's wait is as it was when the request arrived.
         incoming.client_wait = incoming
             .client_wait
             .map(|wait| wait.saturating_sub(incoming.age));
-        // Cancelled in the very read that brought it, as where much stands unread: it would be run
-        // for nobody.
+        // Where much input is unread, a request and its cancellation may be read together, before
+        // the request is registered. It would be run although its caller is gone.
         if connection
             .open_requests
             .lock()
@@ -159,11 +227,11 @@
             incoming.client_wait = Some(Duration::ZERO);
         }
         incoming.body_hash = self.body_hasher.hash_one(&body);
-        let pending = PendingReply::new(self, connection, sequence);
+        let pending = PendingReply::new(&self.table, connection, sequence);
         match self.registry.register(incoming) {
             Ok(ticket) => {
                 let run = Run {
-                    frontend: self,
+                    handler: self,
                     id: &id,
                     class: &class,
                     body: &body,
@@ -194,7 +262,7 @@
                 if let Some(count) = MALFORMED_MESSAGES.pass() {
                     log::warn!("request rejected reason=key_reused count={count}");
                 }
-                self.notify(Event::ProtocolViolation {
+                self.table.notify(Event::ProtocolViolation {
                     connection: connection.id,
                 });
                 pending.send(&Reply::Exception(&CallError::Malformed(
@@ -204,18 +272,48 @@
         }
     }
 
-    /// The field that carries the feedback value with every answer.
-    pub(super) fn feedback_field(&self) -> Option<ReplyField> {
-        self.registry
-            .feedback()
-            .map(|value| ("signal", format!("{value:.4}")))
+    /// Cancels the request of this sequence number. Where it was answered before, nothing is open
+    /// there any more, and the cancellation has no effect.
+    ///
+    /// # Errors
+    /// [`CallError::InvalidMessageType`] where callers may not cancel.
+    pub(super) fn cancel(&self, connection: &Connection, sequence: i32) -> Result<(), CallError> {
+        if !self.callers_may_cancel {
+            return Err(CallError::InvalidMessageType);
+        }
+        let id = connection
+            .open_requests
+            .lock()
+            .get_mut(&sequence)
+            .map(|request| {
+                request.is_cancelled = true;
+                request.id.clone()
+            });
+        if let Some(id) = id {
+            self.registry.report(&id, RequestEvent::CallerGone);
+        }
+        Ok(())
+    }
+
+    /// Reports that the callers of a connection's open requests are gone: it has failed, so no reply
+    /// can reach them.
+    pub(super) fn report_callers_gone(&self, connection: &Connection) {
+        let open_requests = connection.open_requests.lock();
+        let ids: Vec<RequestId> = open_requests
+            .values()
+            .map(|request| request.id.clone())
+            .collect();
+        drop(open_requests);
+        for id in ids {
+            self.registry.report(&id, RequestEvent::CallerGone);
+        }
     }
 
-    /// When to come back, for what is rejected before the controller has seen it.
+    /// The retry-after field of requests that are rejected before the controller decides on them.
     fn retry_after_fields(&self) -> Vec<ReplyField> {
         self.registry
             .max_retry_after()
-            .map(retry_after_field)
+            .map(codec::retry_after_field)
             .into_iter()
             .collect()
     }
@@ -223,7 +321,7 @@
 
 /// A registered request, as its coroutine carries out its commands.
 struct Run<'a> {
-    frontend: &'a Frontend,
+    handler: &'a RequestHandler,
     id: &'a RequestId,
     class: &'a ClassName,
     body: &'a Bytes,
@@ -233,18 +331,18 @@
 impl Run<'_> {
     /// Carries out one command after the other until there are no more.
     fn carry_out(&self, ticket: &Ticket, pending: &PendingReply) {
-        let Frontend {
+        let RequestHandler {
             registry,
             executor,
             store,
             ..
-        } = self.frontend;
+        } = self.handler;
         let mut calls = 0;
         let mut call_deadline = None;
         loop {
             let Some(command) = ticket.next_command(call_deadline) else {
-                // The call had its time; it may still have had its effect, unless it never left
-                // this process.
+                // The call has timed out. It may have had its effect, unless it never left this
+                // process.
                 call_deadline = None;
                 let outcome = store.give_up(self.id, calls);
                 registry.report(
@@ -276,15 +374,15 @@
                 Command::Finish => break,
             }
         }
-        // A run that ended while its call was in flight.
+        // The run has ended while its call was in flight.
         if call_deadline.is_some() {
             store.give_up(self.id, calls);
         }
     }
 
     fn respond(&self, pending: &PendingReply, response: &Response) {
-        let mut fields = Vec::with_capacity(3);
-        fields.extend(self.frontend.feedback_field());
+        let mut fields = Vec::with_capacity(MAX_REPLY_FIELDS);
+        fields.extend(self.handler.registry.feedback().map(codec::feedback_field));
         match response {
             Response::Completed(result) => {
                 pending.send(&Reply::Result {
@@ -298,15 +396,10 @@
                 retry_after,
                 retry_other_server,
             } => {
-                fields.extend(retry_after.map(retry_after_field));
-                fields.extend((!retry_other_server).then(|| ("nomore", "1".to_owned())));
+                fields.extend(retry_after.map(codec::retry_after_field));
+                fields.extend((!retry_other_server).then(codec::no_retry_other_server_field));
                 pending.send(&Reply::Rejected { fields: &fields });
             }
         }
     }
 }
-
-/// The field that tells a caller how long to stay away.
-fn retry_after_field(wait: Duration) -> ReplyField {
-    ("holdoff", format!("{:.0}", wait.as_secs_f64() * 1e3))
-}
--- /dev/null
+++ b/crates/server/src/net/frontend/session.rs
@@ -0,0 +1,211 @@
+//! The session of a connection: its own coroutine, which moves bytes between the socket and the
+//! buffers, decodes messages and hands them to their handler.
+
+use std::io;
+use std::sync::Arc;
+use std::time::Duration;
+
+use tulipgap_connection_limits::Event;
+
+use super::closing::{CloseStep, ConnectionState, close_step};
+use super::codec::{self, Message};
+use super::connection::Connection;
+use super::connection_table::ConnectionTable;
+use super::summary::MALFORMED_MESSAGES;
+use crate::clock;
+use crate::log::LogLimit;
+use crate::net::stream::{BufferedStream, SendOutcome};
+
+/// Messages, and reads from the socket, after which a session pauses. An edge node that sends
+/// without a pause would otherwise keep the only worker thread from all other connections.
+const MAX_STEPS_PER_TURN: usize = 64;
+/// The pause of a session that has used up its turn.
+const TURN_PAUSE: Duration = Duration::from_millis(1);
+/// Malformed messages that are answered before nothing more is read from a connection.
+const MAX_MALFORMED_MESSAGES: usize = 8;
+
+static MESSAGE_TIMEOUTS: LogLimit = LogLimit::new();
+
+/// What handles the messages of a connection.
+pub(super) trait MessageHandler {
+    /// Handles a message, and returns whether it was well-formed.
+    fn handle_message(&self, connection: &Arc<Connection>, message: Message) -> bool;
+}
+
+/// A connection in the hands of its own coroutine.
+pub(super) struct Session<'a, H> {
+    table: &'a ConnectionTable,
+    handler: &'a H,
+    connection: &'a Arc<Connection>,
+    stream: &'a mut BufferedStream,
+    /// False after bytes that are no message: nothing more is read, and what is open is answered.
+    is_readable: bool,
+    /// The limiter is notified that a message has begun.
+    has_begun_message: bool,
+    drain_notification_is_sent: bool,
+    malformed_messages: usize,
+}
+
+/// What one turn of a session has read.
+struct Turn {
+    /// Messages that were handled, and reads from the socket.
+    steps: usize,
+    /// The socket may have more to read.
+    has_more: bool,
+}
+
+impl Turn {
+    fn is_used_up(&self) -> bool {
+        self.steps >= MAX_STEPS_PER_TURN
+    }
+}
+
+impl<'a, H: MessageHandler> Session<'a, H> {
+    pub(super) fn new(
+        table: &'a ConnectionTable,
+        handler: &'a H,
+        connection: &'a Arc<Connection>,
+        stream: &'a mut BufferedStream,
+    ) -> Self {
+        Session {
+            table,
+            handler,
+            connection,
+            stream,
+            is_readable: true,
+            has_begun_message: false,
+            drain_notification_is_sent: false,
+            malformed_messages: 0,
+        }
+    }
+
+    /// Moves bytes until the edge node has closed and everything is answered, or this side closes.
+    ///
+    /// # Errors
+    /// The error with which the connection has failed.
+    pub(super) fn run(&mut self) -> io::Result<()> {
+        loop {
+            self.send_drain_notification();
+            self.stream.flush()?;
+            let turn = self.read_messages()?;
+            let is_closing = self.check_input(&turn);
+            if self.finish(is_closing) {
+                return Ok(());
+            }
+            if turn.is_used_up() {
+                clock::sleep(TURN_PAUSE)
+            } else {
+                self.stream.wait()
+            }
+        }
+    }
+
+    /// Sends the drain notification, once the connection is to close. Where the buffer is full, the
+    /// next turn sends it.
+    fn send_drain_notification(&mut self) {
+        if !self.drain_notification_is_sent && self.connection.close_is_requested() {
+            let outcome = self
+                .stream
+                .output
+                .try_send(&[&codec::encode_drain_notification(0)]);
+            self.drain_notification_is_sent = outcome == SendOutcome::Queued;
+        }
+    }
+
+    fn may_read(&self, turn: &Turn) -> bool {
+        self.is_readable && self.connection.has_room() && !turn.is_used_up()
+    }
+
+    /// Reads and handles messages, for one turn.
+    fn read_messages(&mut self) -> io::Result<Turn> {
+        let mut turn = Turn {
+            steps: 0,
+            has_more: self.is_readable,
+        };
+        while turn.has_more && self.may_read(&turn) {
+            turn.has_more = self.stream.read()?;
+            turn.steps += 1;
+            while self.may_read(&turn) {
+                let Ok(length) = codec::frame_length(self.stream.input.contiguous()) else {
+                    self.is_readable = false;
+                    break;
+                };
+                let Some(length) = length else { break };
+                turn.steps += 1;
+                self.handle_frame(length);
+            }
+        }
+        Ok(turn)
+    }
+
+    fn handle_frame(&mut self, length: usize) {
+        let end = codec::FRAME_HEADER_BYTES + length;
+        let message =
+            codec::decode(&self.stream.input.contiguous()[codec::FRAME_HEADER_BYTES..end]);
+        self.stream.input.consume(end);
+        self.has_begun_message = false;
+        self.table.notify(Event::MessageCompleted {
+            connection: self.connection.id,
+        });
+        let Some(message) = message else {
+            self.is_readable = false;
+            return;
+        };
+        let is_oneway = message.is_oneway;
+        if !self.handler.handle_message(self.connection, message) {
+            self.malformed_messages += 1;
+            self.is_readable = !is_oneway && self.malformed_messages <= MAX_MALFORMED_MESSAGES;
+        }
+    }
+
+    /// Stops reading where a message takes too long, and notifies the limiter of one that has begun.
+    /// Returns whether the connection is to close.
+    fn check_input(&mut self, turn: &Turn) -> bool {
+        let has_partial_message = self.is_readable
+            && !turn.is_used_up()
+            && self.stream.input.len() > 0
+            && self.connection.has_room();
+        if has_partial_message && !std::mem::replace(&mut self.has_begun_message, true) {
+            self.table.notify(Event::MessageStarted {
+                connection: self.connection.id,
+            });
+        }
+        let is_closing = self.connection.is_closing();
+        let has_timed_out = self.connection.has_timed_out();
+        let is_cut_short = has_partial_message && is_closing && self.connection.open() == 0;
+        if self.is_readable && (has_timed_out || is_cut_short) {
+            self.is_readable = false;
+            if let Some(count) = MESSAGE_TIMEOUTS.pass() {
+                log::warn!("connection closing reason=message_timeout count={count}");
+            }
+        } else if turn.has_more
+            && !self.is_readable
+            && let Some(count) = MALFORMED_MESSAGES.pass()
+        {
+            log::warn!("connection closing reason=malformed_message count={count}");
+        }
+        is_closing
+    }
+
+    /// Whether the session ends here.
+    fn finish(&mut self, is_closing: bool) -> bool {
+        let state = ConnectionState {
+            is_done: self.connection.is_done(),
+            is_read_closed: self.stream.is_read_closed,
+            is_readable: self.is_readable,
+            is_closing,
+            has_unhandled_input: self.stream.input.len() > 0,
+        };
+        match close_step(&state) {
+            CloseStep::StayOpen => return false,
+            CloseStep::Close => {}
+            CloseStep::Drain => self.stream.drain_before_close(),
+            CloseStep::DrainUnacknowledged => {
+                if self.stream.has_unacknowledged_output() {
+                    self.stream.drain_before_close();
+                }
+            }
+        }
+        true
+    }
+}
--- a/crates/server/src/net/frontend/tests.rs
+++ b/crates/server/src/net/frontend/tests.rs
@@ -39,7 +39,15 @@
     let limiter = Limiter::new(config, 7).unwrap();
     let frontend = Frontend::new(registry, executor, store, names, limiter, false, 48.0);
     frontend.accepted(TcpStream::connect(address).unwrap(), address.ip());
-    let connection = frontend.connections.lock().iter().next().unwrap().1.clone();
+    let connection = frontend
+        .table
+        .connections
+        .lock()
+        .iter()
+        .next()
+        .unwrap()
+        .1
+        .clone();
     let mut edge = listener.accept().unwrap().0;
     edge.set_read_timeout(Some(Duration::from_secs(30)))
         .unwrap();
@@ -49,14 +57,14 @@
             is_cancelled: false,
         };
         connection.open_requests.lock().insert(sequence, open);
-        frontend.notify(Event::RequestStarted {
+        frontend.table.notify(Event::RequestStarted {
             connection: connection.id,
         });
         let failed = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-            let _pending = PendingReply::new(&frontend, &connection, sequence);
+            let _pending = PendingReply::new(&frontend.table, &connection, sequence);
             let _locked = (
-                frontend.recent_ids.lock(),
-                frontend.limiter.lock(),
+                frontend.requests.recent_ids.lock(),
+                frontend.table.limiter.lock(),
                 connection.open_requests.lock(),
             );
             panic!("a fault, as this test plays it");
--- a/crates/server/src/requests/registry.rs
+++ b/crates/server/src/requests/registry.rs
@@ -186,12 +186,10 @@
         self.config.max_retry_after
     }
 
-    /// How long the clients of a handler wait.
-    pub(crate) fn client_timeout(&self, handler: HandlerIndex) -> Duration {
-        self.config
-            .handlers
-            .get(handler)
-            .map_or(Duration::MAX, |handler| handler.client_timeout)
+    /// How long clients wait, by handler.
+    pub(crate) fn client_timeouts(&self) -> Vec<Duration> {
+        let handlers = self.config.handlers.iter();
+        handlers.map(|handler| handler.client_timeout).collect()
     }
 
     /// Whether requests of a handler may run at most once.
