--- a/crates/server/src/net/executor/gauges.rs
+++ b/crates/server/src/net/executor/gauges.rs
@@ -1,13 +1,13 @@
-//! The executor's last reading of its gauges, for timers whose own reading does not come in time.
+//! The executor's last reading of its gauges, for timers whose own reading is not received in time.
 
 use std::time::{Duration, Instant};
 
 use crate::requests::Gauges;
 
-/// How long a reading stands in for one that does not come.
+/// How long a reading is used in place of one that is not received.
 pub(super) const MAX_GAUGES_AGE: Duration = Duration::from_millis(500);
 
-/// The last reading and when it came.
+/// The last reading and when it was received.
 #[derive(Default)]
 pub(super) struct LastGauges(Option<(Instant, Gauges)>);
 
@@ -20,8 +20,8 @@
         self.at(Instant::now())
     }
 
-    /// The reading that counts at `now`: none where the last one is old. Cores are not idle because
-    /// a link broke.
+    /// The reading that counts at `now`: none where the last one is old. While a link is broken, an
+    /// old reading of idle cores would have the controller admit more.
     pub(super) fn at(&self, now: Instant) -> Gauges {
         let recent = self
             .0
--- a/crates/server/src/net/executor/link.rs
+++ b/crates/server/src/net/executor/link.rs
@@ -1,5 +1,5 @@
-//! One link to the executor after the other: opening, reading, and leaving one when the executor
-//! moves.
+//! Links to the executor, one after the other: opening a link, reading from it, resynchronizing the
+//! runs on it, and leaving it when the executor moves.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,22 +8,24 @@
 
 use may::sync::Blocker;
 
-use super::protocol::{Command, Message, RefusedCommand, has_body, open, query};
+use super::ExecutorClient;
+use super::protocol::{Command, Message, Query, RefusedCommand, has_body, open};
 use super::queries::Reply;
 use super::resync::Delivery;
-use super::{ExecutorClient, LinkState};
 use crate::clock;
 use crate::log::LogLimit;
 use crate::net::connect::connect;
 use crate::net::lines::Line;
 use crate::net::spawn;
-use crate::net::stream::{BufferedStream, MAX_LINE_BUFFER_BYTES, Output, protocol_error};
-use crate::requests::{Bytes, Gauges, Outcome, RequestEvent};
+use crate::net::stream::{
+    BUFFER_FULL_PAUSE, BufferedStream, MAX_LINE_BUFFER_BYTES, Output, SendOutcome, protocol_error,
+};
+use crate::requests::{Bytes, Gauges, Outcome, RequestEvent, RequestId};
 
 /// The pause between two attempts to reach the executor.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
-/// How long a link that is left may take to show that everything sent over it has arrived.
-const FAREWELL_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long a link that is left may take to confirm that everything sent over it has arrived.
+const FINAL_QUERY_TIMEOUT: Duration = Duration::from_millis(100);
 
 static REMARKS: LogLimit = LogLimit::new();
 static REFUSALS: LogLimit = LogLimit::new();
@@ -40,22 +42,16 @@
                     address,
                 )
             });
-            let was_up = {
-                let mut state = self.state.lock();
-                state.link = None;
-                state.queries.abandon_all();
-                state.output.take().is_some()
-            };
+            let was_up = self.state.lock().close_link();
             match end {
                 Ok(()) => log::info!("executor link moving address={}", self.address.get()),
                 Err(error) => {
                     if let Some(count) = LINK_FAILURES.pass() {
                         log::warn!("executor link failed error=\"{error}\" count={count}");
                     }
-                    // One that was up can be had again at once; so can one where the executor has
-                    // moved to.
-                    if !was_up && self.address.get() == address {
-                        clock::sleep(RECONNECT_PAUSE);
+                    let has_moved = self.address.get() != address;
+                    if let Some(pause) = reconnect_pause(was_up, has_moved) {
+                        clock::sleep(pause);
                     }
                 }
             }
@@ -69,21 +65,21 @@
         let (last_notice, barrier) = {
             let mut state = self.state.lock();
             state.link = Some(output.clone());
-            // Commands on the link before may have been lost with it: this reply shows nothing of
-            // them.
+            // Commands on the link before may be lost with it, so the reply to this query confirms
+            // none of them.
             (
-                state.last_notice,
+                state.notices.last(),
                 state.queries.open(Arc::new(Blocker::new(true)), 0),
             )
         };
         output.send(&[open(last_notice).as_bytes()]);
-        let mut farewell = None;
+        let mut final_query = None;
         loop {
             link.read_lines(has_body, |line| self.handle_line(line, barrier, &output))?;
-            // Once its farewell is said, it is left even where the executor has moved back
-            // meanwhile: nothing is sent over it any more.
-            if farewell.is_some() || self.address.get() != address {
-                let tag = *farewell.get_or_insert_with(|| self.say_farewell(&output));
+            // Nothing is sent over a link after its final query, so it is left even where the
+            // executor has moved back.
+            if final_query.is_some() || self.address.get() != address {
+                let tag = *final_query.get_or_insert_with(|| self.send_final_query(&output));
                 if tag.is_none_or(|tag| self.state.lock().queries.is_over(tag)) {
                     return Ok(());
                 }
@@ -92,11 +88,10 @@
         }
     }
 
-    /// Nothing more is sent over this link: commands wait for the next one. Asks once more for the
-    /// gauges, because the reply shows that everything before has arrived and nothing counts as
-    /// lost; where it does not come soon, the link is left all the same. Returns the tag of that
-    /// question.
-    fn say_farewell(self: &Arc<Self>, output: &Arc<Output>) -> Option<u64> {
+    /// Ends the sending over this link: commands wait for the next one. A final query for the gauges
+    /// has the executor confirm everything sent before, so that no run counts as lost; without a
+    /// reply in time, the link is left all the same. Returns the tag of that query.
+    fn send_final_query(self: &Arc<Self>, output: &Arc<Output>) -> Option<u64> {
         let mut state = self.state.lock();
         state.output.take()?;
         let commands_before = state.commands_sent;
@@ -104,10 +99,10 @@
             .queries
             .open(Arc::new(Blocker::new(true)), commands_before);
         drop(state);
-        output.try_send(&[query("SYSINFO", tag).as_bytes()]);
+        output.try_send(&[Query::Gauges.encode(tag).as_bytes()]);
         let (client, output) = (self.clone(), output.clone());
         spawn(move || {
-            clock::sleep(FAREWELL_TIMEOUT);
+            clock::sleep(FINAL_QUERY_TIMEOUT);
             client.state.lock().queries.close(tag);
             output.wake();
         });
@@ -130,8 +125,8 @@
                     let uptime_ms = uptime.as_millis();
                     log::info!("executor up state={state} uptime_ms={uptime_ms}");
                 }
-                // Its reply comes behind all missed notices.
-                output.send(&[query("SYSINFO", barrier).as_bytes()]);
+                // Its reply follows all missed notices.
+                output.send(&[Query::Gauges.encode(barrier).as_bytes()]);
             }
             Message::RunFinished {
                 notice,
@@ -141,35 +136,32 @@
                 result,
             } => {
                 if self.is_new(notice) {
-                    self.run_finished(
-                        id,
-                        RequestEvent::RunFinished {
-                            outcome,
-                            result,
-                            work,
-                        },
-                    );
+                    let event = RequestEvent::RunFinished {
+                        outcome,
+                        result,
+                        work,
+                    };
+                    self.run_finished(id, event);
                 }
             }
             Message::CallReached { notice, id, body } => {
                 if self.is_new(notice) {
-                    if let Some(run) = self.state.lock().runs.get_mut(id) {
-                        (run.delivery, run.call) = (Delivery::Confirmed, notice);
-                    }
-                    self.registry
-                        .report(id, RequestEvent::CallReached { call: notice, body });
+                    self.call_reached(id, notice, body);
                 }
             }
             Message::Gauges { tag, values } => {
-                self.answered(tag, Reply::Gauges(self.read_gauges(values)));
+                let gauges = self.read_gauges(values);
+                self.state.lock().answer(tag, Reply::Gauges(gauges));
                 if tag == barrier {
                     self.state.lock().queries.close(tag);
-                    // In a coroutine of its own, as this one must drain what it adds.
+                    // In a coroutine of its own, as this one must write what it sends.
                     let (client, output) = (self.clone(), output.clone());
                     spawn(move || client.resync(&output));
                 }
             }
-            Message::Worked { tag, succeeded } => self.answered(tag, Reply::Worked(succeeded)),
+            Message::Worked { tag, succeeded } => {
+                self.state.lock().answer(tag, Reply::Worked(succeeded));
+            }
             Message::CommandRefused {
                 command,
                 id,
@@ -200,7 +192,15 @@
 
     /// Whether a notice was not read before.
     fn is_new(&self, notice: u64) -> bool {
-        self.state.lock().is_new(notice)
+        self.state.lock().notices.is_new(notice)
+    }
+
+    fn call_reached(&self, id: &str, notice: u64, body: Bytes) {
+        if let Some(run) = self.state.lock().runs.get_mut(id) {
+            (run.delivery, run.call) = (Delivery::Confirmed, notice);
+        }
+        let event = RequestEvent::CallReached { call: notice, body };
+        self.registry.report(id, event);
     }
 
     fn run_finished(&self, id: &str, event: RequestEvent) {
@@ -210,7 +210,7 @@
 
     fn command_refused(&self, command: &RefusedCommand, id: &str, output: &Output) {
         match command {
-            // Nothing was run, so this shows nothing of how runs do here.
+            // Nothing was run, so this is no failed run.
             RefusedCommand::Start => {
                 let (outcome, result) = (Outcome::NotStarted, Bytes::default());
                 self.run_finished(
@@ -222,7 +222,7 @@
                     },
                 );
             }
-            // The run waits where it waited, and nothing else can be sent to it.
+            // The run still waits for its call, and no other command can resume it.
             RefusedCommand::Resume => drop(output.try_send(&[&Command::Cancel.encode(id)])),
             RefusedCommand::Other => {}
         }
@@ -238,19 +238,63 @@
         gauges
     }
 
-    fn answered(&self, tag: u64, reply: Reply) {
-        let mut state = self.state.lock();
-        if let Some(commands) = state.queries.answer(tag, reply) {
-            state.commands_arrived = state.commands_arrived.max(commands);
+    /// Resynchronizes the runs once all missed notices were read from a link (`resync` has the rule):
+    /// reports those that are lost, and sends commands again that may be lost.
+    pub(super) fn resync(&self, output: &Arc<Output>) {
+        let Some(resync) = self.state.lock().activate(output) else {
+            return;
+        };
+        if !resync.lost.is_empty() {
+            log::warn!("executor runs lost count={}", resync.lost.len());
+        }
+        for id in resync.lost {
+            let event = RequestEvent::RunFinished {
+                outcome: Outcome::ConnectionLost,
+                result: Bytes::default(),
+                work: None,
+            };
+            self.registry.report(&id, event);
+        }
+        for id in resync.resend {
+            if !self.resend(&id, output) {
+                return;
+            }
         }
     }
-}
 
-impl LinkState {
-    fn is_new(&mut self, notice: u64) -> bool {
-        let is_new = notice > self.last_notice;
-        self.notices_are_missing |= notice > self.last_notice + 1;
-        self.last_notice = self.last_notice.max(notice);
-        is_new
+    /// Sends the last command for a run again, unless another coroutine has sent one since. Returns
+    /// false where the link has ended.
+    fn resend(&self, id: &RequestId, output: &Output) -> bool {
+        loop {
+            // Under the lock, so that commands arrive in the order of their positions. A command
+            // that waits for space has no position yet: the reply to a query that overtook it would
+            // show it as arrived.
+            let mut state = self.state.lock();
+            let position = state.commands_sent + 1;
+            let unsent = state
+                .runs
+                .get_mut(id)
+                .filter(|run| run.delivery == Delivery::NotSent);
+            let Some(run) = unsent else { return true };
+            let (command, last_command) = run.repeated_command();
+            match output.try_send(&[&command.encode(id)]) {
+                SendOutcome::Full => {}
+                SendOutcome::Closed => return false,
+                SendOutcome::Queued => {
+                    (run.last_command, run.delivery) = (last_command, Delivery::Sent(position));
+                    state.commands_sent = position;
+                    return true;
+                }
+            }
+            drop(state);
+            clock::sleep(BUFFER_FULL_PAUSE);
+        }
     }
 }
+
+/// The pause before the next attempt to open a link. A link that was up can be opened again at once,
+/// and so can one to an executor that has moved; after any other failure a pause keeps the attempts
+/// from taking the processor.
+fn reconnect_pause(was_up: bool, has_moved: bool) -> Option<Duration> {
+    (!was_up && !has_moved).then_some(RECONNECT_PAUSE)
+}
--- a/crates/server/src/net/executor/mod.rs
+++ b/crates/server/src/net/executor/mod.rs
@@ -1,17 +1,29 @@
-//! The executor, the peer which runs requests (the protocol page calls it the kernel): one link,
-//! kept open. A link that breaks is opened again from the last notice that was read; commands that
-//! may have been lost on the way are then sent once more, where that is safe.
+//! The executor, the peer which runs requests: one link, kept open. A link that breaks is opened
+//! again from the last notice that was read; commands that may be lost are then sent again, where
+//! that is safe.
+//!
+//! | file | job |
+//! | --- | --- |
+//! | `mod` | commands and queries |
+//! | `link` | opening a link, reading from it, and leaving it when the executor moves |
+//! | `state` | what is known of the link and of the runs on it |
+//! | `resync` | the rule by which a new link affects runs |
+//! | `notices` | the sequence of notices |
+//! | `queries` | open queries |
+//! | `gauges` | the last reading of the gauges |
+//! | `protocol` | the messages on the wire |
 
 mod gauges;
 mod link;
+mod notices;
 mod protocol;
 mod queries;
 mod resync;
+mod state;
 
 #[cfg(test)]
 mod tests;
 
-use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -19,18 +31,18 @@
 use may::sync::Blocker;
 use parking_lot::Mutex;
 
-use self::gauges::LastGauges;
-use self::protocol::{Command, query};
-use self::queries::{Queries, Reply};
+use self::protocol::{Command, Query};
+use self::queries::Reply;
 use self::resync::{Delivery, LastCommand, Run};
-use super::stream::{BUFFER_FULL_PAUSE, Output, SendOutcome};
+use self::state::LinkState;
+use super::stream::{BUFFER_FULL_PAUSE, SendOutcome};
 use crate::clock;
 use crate::config::CurrentAddress;
 use crate::requests::{Bytes, ClassName, Gauges, RequestId, RequestRegistry};
 
-/// The longest that a timer waits for its gauges. While the machine stands still none come, and the
-/// controller learns that from a timer that is late; longer than this, what is due could be
-/// answered too late.
+/// How long a timer waits for its gauges. While the executor hangs it sends none, and the controller
+/// learns that from a timer that is late. With a longer wait, a request could be answered after its
+/// deadline.
 const GAUGES_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// The client side of the link to the executor. It owns what was sent to the executor about each
@@ -43,24 +55,6 @@
     state: Mutex<LinkState>,
 }
 
-#[derive(Default)]
-struct LinkState {
-    /// The link that takes commands, from the moment that all missed notices were read.
-    output: Option<Arc<Output>>,
-    /// The open link.
-    link: Option<Arc<Output>>,
-    last_notice: u64,
-    /// Notices are missing, so a run of which nothing was heard may have ended.
-    notices_are_missing: bool,
-    runs: HashMap<RequestId, Run>,
-    queries: Queries,
-    /// Commands sent so far; a command's position is its number among them.
-    commands_sent: u64,
-    /// Commands up to this position are known to have arrived.
-    commands_arrived: u64,
-    last_gauges: LastGauges,
-}
-
 impl ExecutorClient {
     pub(crate) fn new(
         address: SocketAddr,
@@ -76,7 +70,7 @@
         })
     }
 
-    /// The executor listens there from now on.
+    /// Moves the link to the address at which the executor listens from now on.
     pub(crate) fn move_to(&self, address: SocketAddr) {
         if self.address.set(address)
             && let Some(link) = self.state.lock().link.clone()
@@ -107,8 +101,8 @@
         });
     }
 
-    /// Cancels a run. The controller repeats it until the run has ended, so a lost cancellation
-    /// does no harm.
+    /// Cancels a run. The controller repeats the cancellation until the run has ended, so one that is
+    /// lost does no harm.
     pub(crate) fn cancel(&self, id: &RequestId) {
         self.send(id, &Command::Cancel, |_, _| ());
     }
@@ -135,10 +129,10 @@
         });
     }
 
-    /// The gauges now; where the executor does not answer soon, its last reading unless that is
+    /// The gauges now; where the executor does not answer in time, its last reading unless that is
     /// old.
     pub(crate) fn gauges(&self) -> Gauges {
-        match self.query("SYSINFO", GAUGES_TIMEOUT) {
+        match self.query(Query::Gauges, GAUGES_TIMEOUT) {
             Some(Reply::Gauges(gauges)) => {
                 self.state.lock().last_gauges.set(gauges);
                 gauges
@@ -147,13 +141,13 @@
         }
     }
 
-    /// Whether work gets done within that time.
+    /// Whether the executor gets a piece of work done within that time.
     pub(crate) fn does_work(&self, within: Duration) -> bool {
-        matches!(self.query("POST", within), Some(Reply::Worked(true)))
+        matches!(self.query(Query::Work, within), Some(Reply::Worked(true)))
     }
 
-    /// Sends a command and has `record` note how: where there is no link it is not sent, and is
-    /// sent once there is one if it still matters.
+    /// Sends a command, and has `record` note how far it has come. Without a link it is not sent; the
+    /// next link sends it if its run is still open.
     fn send(&self, id: &str, command: &Command, record: impl FnOnce(&mut LinkState, Delivery)) {
         let bytes = command.encode(id);
         loop {
@@ -167,9 +161,8 @@
                 SendOutcome::Full => {}
                 SendOutcome::Closed => return record(&mut state, Delivery::NotSent),
                 SendOutcome::Queued => {
-                    state.commands_sent += 1;
-                    let position = state.commands_sent;
-                    return record(&mut state, Delivery::Sent(position));
+                    let delivery = state.count_command();
+                    return record(&mut state, delivery);
                 }
             }
             drop(state);
@@ -177,15 +170,15 @@
         }
     }
 
-    fn query(&self, word: &str, within: Duration) -> Option<Reply> {
+    fn query(&self, query: Query, within: Duration) -> Option<Reply> {
         let waiter = Arc::new(Blocker::new(true));
         let tag = {
             let mut state = self.state.lock();
             let output = state.output.clone()?;
             let commands_before = state.commands_sent;
             let tag = state.queries.open(waiter.clone(), commands_before);
-            // Full: the reply would come too late anyway.
-            if output.try_send(&[query(word, tag).as_bytes()]) != SendOutcome::Queued {
+            // Where the buffer is full, the reply would be too late anyway.
+            if output.try_send(&[query.encode(tag).as_bytes()]) != SendOutcome::Queued {
                 state.queries.close(tag);
                 return None;
             }
--- a/crates/server/src/net/executor/protocol.rs
+++ b/crates/server/src/net/executor/protocol.rs
@@ -1,5 +1,5 @@
 //! The executor's protocol: commands as they are written, notices as they are read. The words of
-//! the protocol page appear here alone. A codec, no I/O.
+//! the protocol page appear here alone. A codec without I/O.
 
 use std::time::Duration;
 
@@ -32,9 +32,22 @@
     line(format_args!("OPEN {last_notice}"))
 }
 
-/// A question by its word, `SYSINFO` or `POST`, and its tag.
-pub(super) fn query(word: &str, tag: u64) -> String {
-    line(format_args!("{word} {tag}"))
+/// A question to the executor, which it answers with the tag of the question.
+#[derive(Clone, Copy)]
+pub(super) enum Query {
+    /// What its gauges read.
+    Gauges,
+    /// Whether it gets a piece of work done.
+    Work,
+}
+
+impl Query {
+    pub(super) fn encode(self, tag: u64) -> String {
+        match self {
+            Query::Gauges => line(format_args!("SYSINFO {tag}")),
+            Query::Work => line(format_args!("POST {tag}")),
+        }
+    }
 }
 
 /// Whether a body follows the line of these words.
@@ -42,9 +55,11 @@
     matches!(words[0], "REAP" | "IOREQ")
 }
 
-/// What the executor says. Notices are numbered; the other lines answer the link's own.
+/// A message of the executor. Notices are numbered; the other messages answer queries and commands.
 pub(super) enum Message<'a> {
+    /// The executor is up; the first message on a link.
     Booted {
+        /// It is warming up.
         is_cold: bool,
         state: &'a str,
         uptime: Duration,
@@ -81,7 +96,7 @@
     },
 }
 
-/// Which command was not carried out, as far as that makes a difference.
+/// Which command was refused, as far as that makes a difference.
 pub(super) enum RefusedCommand {
     Start,
     /// A reply, or a skipped call.
@@ -161,7 +176,7 @@
         "failure" => Outcome::Failed,
         "interrupted" => Outcome::Cancelled,
         "nothing" => Outcome::NotStarted,
-        // It has ended in a way that is not known here.
+        // The run has ended in a way that this version does not know.
         _ => Outcome::ConnectionLost,
     }
 }
--- a/crates/server/src/net/executor/queries.rs
+++ b/crates/server/src/net/executor/queries.rs
@@ -1,5 +1,5 @@
-//! Questions to the executor that it answers by their tag. A reply also shows that every command
-//! sent before its question has arrived.
+//! Open queries to the executor, which it answers by their tags. A reply also shows that every command
+//! sent before its query has arrived.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,27 +15,27 @@
     Worked(bool),
 }
 
-struct Query {
+struct OpenQuery {
     waiter: Arc<Blocker>,
-    /// Commands sent before it.
+    /// The number of commands that were sent before it.
     commands_before: u64,
     reply: Option<Reply>,
 }
 
-/// The open questions of one link. Each is closed by whoever waits for it, or with its link.
+/// The open queries of one link. Each is closed by the coroutine that waits for it, or with its link.
 #[derive(Default)]
 pub(super) struct Queries {
-    open: HashMap<u64, Query>,
+    open: HashMap<u64, OpenQuery>,
     last_tag: u64,
 }
 
 impl Queries {
-    /// Opens a question and returns its tag.
+    /// Opens a query and returns its tag.
     pub(super) fn open(&mut self, waiter: Arc<Blocker>, commands_before: u64) -> u64 {
         self.last_tag += 1;
         self.open.insert(
             self.last_tag,
-            Query {
+            OpenQuery {
                 waiter,
                 commands_before,
                 reply: None,
@@ -44,12 +44,12 @@
         self.last_tag
     }
 
-    /// Closes a question and returns its reply, if one came.
+    /// Closes a query and returns its reply, if there is one.
     pub(super) fn close(&mut self, tag: u64) -> Option<Reply> {
         self.open.remove(&tag).and_then(|query| query.reply)
     }
 
-    /// Stores a reply. Returns how many commands it shows to have arrived, unless its question is
+    /// Stores a reply. Returns how many commands it shows to have arrived, unless its query is
     /// closed.
     pub(super) fn answer(&mut self, tag: u64, reply: Reply) -> Option<u64> {
         let query = self.open.get_mut(&tag)?;
@@ -58,14 +58,14 @@
         Some(query.commands_before)
     }
 
-    /// Whether a question is answered, or will not be.
+    /// Whether a query is answered, or will not be.
     pub(super) fn is_over(&self, tag: u64) -> bool {
         self.open
             .get(&tag)
             .is_none_or(|query| query.reply.is_some())
     }
 
-    /// The link has ended: nothing that was asked over it is answered any more.
+    /// The link has ended: none of its queries will be answered.
     pub(super) fn abandon_all(&mut self) {
         for query in std::mem::take(&mut self.open).into_values() {
             query.waiter.unpark();
