--- a/crates/server/src/net/registration.rs
+++ b/crates/server/src/net/registration.rs
@@ -1,4 +1,9 @@
 //! Registration with the service registry, from which edge nodes learn of this backend.
+//!
+//! A datagram may be lost, and is not repeated by itself. A heartbeat that is lost is made good by
+//! the next one, sent every `HEARTBEAT_INTERVAL`; a deregistration has none that follows it, so it
+//! is sent `DEREGISTRATION_ATTEMPTS` times. Without either, edge nodes would not send to a backend
+//! that serves, or go on sending to one that has left.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,27 +15,27 @@
 use crate::config::CurrentAddress;
 use crate::log::LogLimit;
 
-/// The interval of heartbeats. A backend is taken off the list 3 s after its last one. Where a
-/// quarter of the datagrams are lost, all of the 19 in such a span are with a probability of one in
-/// 10^11; at an interval of 700 ms it would be one in 256.
+/// The interval of heartbeats. The service registry removes a backend 3 s after its last heartbeat.
+/// With a quarter of the datagrams lost, all 19 within 3 s are lost with a probability of 10^-11; at
+/// an interval of 700 ms it would be one in 256.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
-/// How often the deregistration is sent, because nothing is sent again afterwards.
+/// How many times the deregistration is sent.
 const DEREGISTRATION_ATTEMPTS: usize = 3;
 
 static SEND_FAILURES: LogLimit = LogLimit::new();
 
-/// What the service registry is to learn.
+/// What the service registry is to be notified of.
 pub(crate) enum Registration {
-    /// Nothing yet.
+    /// The executor has not started: nothing is sent.
     NotYet,
-    /// This backend serves.
+    /// This backend serves: heartbeats are sent.
     Serving,
-    /// This backend leaves.
+    /// This backend drains: the deregistration is sent.
     Deregister,
 }
 
-/// Sends heartbeats while `registration` yields that this backend serves; deregisters once it
-/// leaves, and returns.
+/// Sends heartbeats while `registration` returns [`Registration::Serving`]; deregisters once this
+/// backend drains, and returns.
 pub(crate) fn run(
     address: &CurrentAddress<Option<SocketAddr>>,
     name: &str,
@@ -40,11 +45,11 @@
     loop {
         match (address.get(), registration()) {
             (Some(address), Registration::Serving) => {
-                send(&mut socket, address, &format!("announce {name} true"));
+                send(&mut socket, address, &heartbeat(name));
             }
             (Some(address), Registration::Deregister) => {
                 for _ in 0..DEREGISTRATION_ATTEMPTS {
-                    send(&mut socket, address, &format!("announce {name} false"));
+                    send(&mut socket, address, &deregistration(name));
                 }
                 return;
             }
@@ -54,7 +59,15 @@
     }
 }
 
-/// Sends one datagram. A lost one is made good by the next; a socket that fails is replaced.
+fn heartbeat(name: &str) -> String {
+    format!("announce {name} true")
+}
+
+fn deregistration(name: &str) -> String {
+    format!("announce {name} false")
+}
+
+/// Sends one datagram. A socket that fails is replaced with the next one.
 fn send(socket: &mut Option<UdpSocket>, address: SocketAddr, text: &str) {
     let any: SocketAddr = if address.is_ipv4() {
         ([0, 0, 0, 0], 0).into()
@@ -66,7 +79,7 @@
         None => UdpSocket::bind(any)
             .and_then(|new| socket.insert(new).send_to(text.as_bytes(), address)),
     };
-    // Refused: nobody listened to the datagram before.
+    // `ConnectionRefused` says that the datagram before found no listener.
     if let Err(error) = sent
         && error.kind() != io::ErrorKind::ConnectionRefused
     {
--- a/crates/server/src/net/store/connection.rs
+++ b/crates/server/src/net/store/connection.rs
@@ -16,9 +16,10 @@
 use crate::net::stream::{BufferedStream, protocol_error};
 use crate::requests::Bytes;
 
-/// What a connection buffers at most, each way: one call, and one reply with what comes beside it.
+/// The buffers of a connection, in bytes each way: one call, or one reply, and as much again for stray
+/// replies.
 const MAX_BUFFER_BYTES: usize = 2 * (MAX_LINE_BYTES + MAX_BODY_BYTES);
-/// Stray replies that are ignored while the right one is awaited.
+/// Stray replies in a row that are ignored; with one more the connection closes.
 const MAX_STRAY_REPLIES: usize = 8;
 
 static CONNECTION_FAILURES: LogLimit = LogLimit::new();
@@ -26,7 +27,7 @@
 
 impl StoreClient {
     pub(super) fn run(self: &Arc<Self>, address: SocketAddr, id: ConnectionId) {
-        // With its call given up, or the store elsewhere, it is not wanted any more.
+        // The connection is no longer wanted once its call is given up or the store has moved.
         let is_wanted = || self.pool.lock().is_wanted(id) && self.address.get() == Some(address);
         let stream = connect(address, is_wanted);
         match &stream {
@@ -38,7 +39,7 @@
         let lost = {
             let mut pool = self.pool.lock();
             let lost = pool.remove(id);
-            // Its place in the pool is free for a call that waits.
+            // Its place in the pool is free for a call that is queued.
             if let Some(address) = self.address.get()
                 && let Some(call) = pool.next_waiting()
             {
--- a/crates/server/src/net/store/mod.rs
+++ b/crates/server/src/net/store/mod.rs
@@ -1,6 +1,12 @@
 //! The store, the dependency that runs call: a bounded pool of connections, each with one open call
-//! at a time, so that a spoilt reply costs its own call only. The connection used last is taken
-//! first, and idle ones are closed before the store closes them.
+//! at a time. Idle connections are closed before the store closes them.
+//!
+//! | file | job |
+//! | --- | --- |
+//! | `mod` | calls, and moving when the store moves |
+//! | `pool` | placing calls on connections |
+//! | `connection` | the coroutine of one connection |
+//! | `protocol` | the messages on the wire |
 
 mod connection;
 mod pool;
@@ -13,7 +19,7 @@
 
 use parking_lot::Mutex;
 
-use self::pool::{Call, ConnectionPool};
+use self::pool::{Call, ConnectionPool, Placement};
 use super::spawn;
 use crate::config::CurrentAddress;
 use crate::log::LogLimit;
@@ -35,7 +41,7 @@
 }
 
 impl StoreClient {
-    /// A client with at most so many connections.
+    /// A client with at most `max_connections` connections.
     pub(crate) fn new(
         address: Option<SocketAddr>,
         registry: Arc<RequestRegistry>,
@@ -69,7 +75,8 @@
         self.refused_in_a_row.store(0, Ordering::Relaxed);
     }
 
-    /// Whether calls fail here without being attempted.
+    /// Suspends calls while the store is down, or resumes them. A suspended call fails without being
+    /// attempted.
     pub(crate) fn set_suspended(&self, is_down: bool) {
         if self.is_suspended.swap(is_down, Ordering::AcqRel) != is_down {
             if is_down {
@@ -80,13 +87,13 @@
         }
     }
 
-    /// The store listens there from now on: open calls get their replies where they were made, new
-    /// ones go there.
+    /// Moves to the address at which the store listens from now on: open calls get their replies where
+    /// they were made, and new ones go to the new address.
     pub(crate) fn move_to(&self, address: Option<SocketAddr>) {
         if self.address.set(address) {
             self.sweep();
         }
-        // There is no store any more: calls that wait for a connection are not made.
+        // Without a store, calls that wait for a connection fail.
         if address.is_none() {
             let waiting = self.pool.lock().take_waiting();
             for call in waiting {
@@ -117,12 +124,10 @@
         };
         let mut pool = self.pool.lock();
         pool.close_idle(Some(address));
-        if let Some(connection) = pool.take_idle(id) {
-            pool.assign(connection, call);
-        } else if pool.len() < self.max_connections {
-            self.open(&mut pool, address, call);
-        } else {
-            pool.wait(call);
+        match pool.place(id, self.max_connections) {
+            Placement::Idle(connection) => pool.assign(connection, call),
+            Placement::NewConnection => self.open(&mut pool, address, call),
+            Placement::Queue => pool.enqueue(call),
         }
     }
 
@@ -132,9 +137,9 @@
         spawn(move || client.run(address, connection));
     }
 
-    /// Gives up the call of this number of a request, and returns what is known of it then. Its
-    /// connection is closed: that gives the call up at the store, and nothing that still comes can
-    /// be taken for the reply to another.
+    /// Gives up the call of this number of a request, and returns its outcome as far as it is known.
+    /// Its connection is closed, which cancels the call at the store, and keeps a late reply from
+    /// being taken for the reply to another call.
     pub(crate) fn give_up(&self, id: &RequestId, number: usize) -> Outcome {
         let outcome = self.pool.lock().give_up(id, number);
         if outcome == pool::AbandonedCall::Unanswered
@@ -145,7 +150,7 @@
         outcome.into()
     }
 
-    /// Closes connections that are idle for long, or that lead to where the store is no more.
+    /// Closes connections that are idle for long, or that lead to an earlier address of the store.
     pub(crate) fn sweep(&self) {
         let address = self.address.get();
         self.pool.lock().close_idle(address);
--- a/crates/server/src/net/store/pool.rs
+++ b/crates/server/src/net/store/pool.rs
@@ -1,5 +1,9 @@
-//! The pool's bookkeeping: which connections are open, idle or busy with which call, and which
-//! calls wait.
+//! The pool: which connections are open, idle or busy with which call, and which calls wait.
+//!
+//! Each connection carries one call at a time, so that a malformed reply costs its own call only.
+//! Calls are placed by one rule, [`ConnectionPool::place`]: on the idle connection that was used
+//! last, or else on a new one while the pool has fewer than its limit, or else in the queue. A
+//! connection never carries two calls of the same request in a row ([`may_carry`]).
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -9,8 +13,8 @@
 use crate::net::stream::{Output, SendOutcome};
 use crate::requests::{Outcome, RequestId};
 
-/// The store closes connections that are idle for 10 s, or sooner; they are closed before, so that
-/// few calls meet that.
+/// How long an idle connection is kept. The store closes connections that are idle for 10 s, or
+/// sooner, and a call that crosses such a close is lost; so they are closed here first.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The number of a connection; numbers are not reused.
@@ -23,16 +27,16 @@
     pub(super) bytes: Vec<u8>,
 }
 
-/// One connection, as others than its own coroutine see it.
+/// One connection, as the pool sees it; its coroutine owns the stream.
 struct PooledConnection {
     /// Its output, once it is open.
     output: Option<Arc<Output>>,
     address: SocketAddr,
     call: Option<Call>,
-    /// The request of its last call: a duplicate of that reply must not pass for a new one.
+    /// The request of its last call.
     last_request: Option<RequestId>,
     last_used: Instant,
-    /// It is to close: its call was given up, or it was idle.
+    /// It is to close: its call was given up, it was idle, or the store has moved.
     is_closing: bool,
 }
 
@@ -45,7 +49,7 @@
     }
 }
 
-/// What a call was like when it was given up.
+/// How far a call had come when it was given up.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum AbandonedCall {
     /// It had not left this process.
@@ -75,6 +79,24 @@
     Closed,
 }
 
+/// Where a call is placed.
+pub(super) enum Placement {
+    /// On this connection, which is open and idle.
+    Idle(ConnectionId),
+    /// On a connection that is to be opened.
+    NewConnection,
+    /// In the queue, until a connection is free.
+    Queue,
+}
+
+/// Whether a connection may carry a call of `request`. A store that sends the reply to a call twice
+/// would otherwise have the second one taken for the reply to the next call of the same request:
+/// replies are told apart by the request alone. The price is another connection for that call.
+fn may_carry(last_request: Option<&RequestId>, request: &RequestId) -> bool {
+    last_request != Some(request)
+}
+
+/// The connections to the store, and the calls on them.
 #[derive(Default)]
 pub(super) struct ConnectionPool {
     connections: HashMap<ConnectionId, PooledConnection>,
@@ -82,17 +104,13 @@
     idle: Vec<ConnectionId>,
     /// The connection on which a request's call is open.
     open_calls: HashMap<RequestId, ConnectionId>,
-    /// Calls for which no connection was free. Its bound is that of open requests: each has one
-    /// call at a time.
+    /// Calls for which no connection was free. Each open request has one call at a time, so the limit
+    /// on open requests bounds the queue.
     waiting: VecDeque<Call>,
     last_id: ConnectionId,
 }
 
 impl ConnectionPool {
-    pub(super) fn len(&self) -> usize {
-        self.connections.len()
-    }
-
     /// Adds a connection that is about to be opened for this call.
     pub(super) fn insert(&mut self, address: SocketAddr, call: Call) -> ConnectionId {
         self.last_id += 1;
@@ -109,11 +127,25 @@
         self.last_id
     }
 
-    /// Takes the idle connection that was used last, but for other requests than this one.
-    pub(super) fn take_idle(&mut self, request: &RequestId) -> Option<ConnectionId> {
-        let is_other =
-            |id: &ConnectionId| self.connections[id].last_request.as_ref() != Some(request);
-        let position = self.idle.iter().rposition(is_other)?;
+    /// Decides where a call of `request` is placed, in a pool of at most `max_connections`. A
+    /// connection that is chosen is no longer idle.
+    pub(super) fn place(&mut self, request: &RequestId, max_connections: usize) -> Placement {
+        if let Some(connection) = self.take_idle(request) {
+            Placement::Idle(connection)
+        } else if self.connections.len() < max_connections {
+            Placement::NewConnection
+        } else {
+            Placement::Queue
+        }
+    }
+
+    /// Takes the connection that was used last of those that may carry a call of `request`.
+    fn take_idle(&mut self, request: &RequestId) -> Option<ConnectionId> {
+        let is_suitable = |id: &ConnectionId| {
+            let connection = &self.connections[id];
+            may_carry(connection.last_request.as_ref(), request)
+        };
+        let position = self.idle.iter().rposition(is_suitable)?;
         Some(self.idle.remove(position))
     }
 
@@ -128,25 +160,28 @@
             .as_ref()
             .map(|output| output.try_send(&[&call.bytes]));
         connection.call = Some(call);
-        // It has ended, or holds what it should not; its end reports the call.
+        // Where the connection has ended or its buffer is full, its end reports the call as lost.
         if added != Some(SendOutcome::Queued) {
             connection.close();
         }
     }
 
-    /// Lets a call wait for a connection.
-    pub(super) fn wait(&mut self, call: Call) {
+    /// Queues a call until a connection is free.
+    pub(super) fn enqueue(&mut self, call: Call) {
         self.waiting.push_back(call);
     }
 
+    /// The call that waits longest.
     pub(super) fn next_waiting(&mut self) -> Option<Call> {
         self.waiting.pop_front()
     }
 
+    /// All calls that wait.
     pub(super) fn take_waiting(&mut self) -> VecDeque<Call> {
         std::mem::take(&mut self.waiting)
     }
 
+    /// Gives up the call of this number of a request, and closes its connection.
     pub(super) fn give_up(&mut self, request: &RequestId, number: usize) -> AbandonedCall {
         let is_it = |call: &Call| call.request == *request && call.number == number;
         if let Some(position) = self.waiting.iter().position(is_it) {
@@ -171,7 +206,8 @@
         }
     }
 
-    /// Closes connections that were idle for long, or that lead elsewhere than to this address.
+    /// Closes connections that were idle for `IDLE_TIMEOUT`, and idle ones to another address than
+    /// `address`.
     pub(super) fn close_idle(&mut self, address: Option<SocketAddr>) {
         let ConnectionPool {
             connections, idle, ..
@@ -234,7 +270,7 @@
         connection.last_used = Instant::now();
         connection.last_request = Some(call.request.clone());
         let stays = Some(connection.address) == current;
-        // It leads to where the store is no more: its end opens another one for what waits.
+        // The store has moved. The end of this connection opens a new one for a call that waits.
         if !stays {
             connection.close();
         }
@@ -242,7 +278,7 @@
         let next = self
             .waiting
             .iter()
-            .position(|next| next.request != call.request)
+            .position(|next| may_carry(Some(&call.request), &next.request))
             .filter(|_| stays);
         match next.and_then(|position| self.waiting.remove(position)) {
             Some(next) => self.assign(id, next),
@@ -257,7 +293,7 @@
     pub(super) fn remove(&mut self, id: ConnectionId) -> Option<(RequestId, Outcome)> {
         let connection = self.connections.remove(&id)?;
         let call = connection.call?;
-        // What had not begun to leave has not run.
+        // A call of which no byte was written has not run.
         let is_unsent = connection
             .output
             .is_none_or(|output| output.buffered_bytes() >= call.bytes.len());
--- a/crates/server/src/requests/idempotency.rs
+++ b/crates/server/src/requests/idempotency.rs
@@ -1,4 +1,11 @@
-//! Idempotency keys: what duplicates of a keyed request are answered with, and for how long.
+//! Idempotency keys: with which response duplicates of a keyed request are answered, and for how
+//! long.
+//!
+//! The failure: a caller whose reply is lost sends its request again, and the request has its effect
+//! twice. The guard: the controller has a key remembered for a retention; a request with that key
+//! that reached the machine within it is a duplicate, and gets the response of the first. A request
+//! may be read up to the longest client timeout after it reached the machine, so the entry is kept
+//! that much longer. The price is the memory for keys and results.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -8,9 +15,9 @@
 
 /// One remembered key.
 struct KeyEntry {
-    /// What reaches the machine later is no duplicate.
+    /// A request that reaches the machine later is no duplicate.
     window_ends_at: Duration,
-    /// When the entry may be removed: what reached the machine within the window may be read late.
+    /// When the entry may be removed: after the window by the longest delay of a read.
     expires_at: Duration,
     /// The hash of the body of the request that holds the key.
     body_hash: u64,
@@ -29,15 +36,15 @@
     }
 }
 
-/// The keys that are remembered. Its bound is what the controller admits within a window; every
-/// entry has an expiry.
+/// The keys that are remembered. Their number is bounded by the requests that the controller admits
+/// within a retention; every entry expires.
 pub(super) struct IdempotencyKeys {
     entries: HashMap<IdempotencyKey, KeyEntry>,
-    /// Expiries in their order, so that not every entry is looked at each time.
+    /// The expiries in their order, so that expiring visits due entries only.
     expiries: BTreeSet<(Duration, IdempotencyKey)>,
-    /// How late a request may be read that can still be run.
+    /// How long after it reached the machine a request may be read and still be run.
     max_read_delay: Duration,
-    /// Keys with a response that their coalesced requests have not received.
+    /// Keys whose coalesced requests are to be answered, if there is a response.
     settled: Vec<IdempotencyKey>,
 }
 
@@ -109,8 +116,8 @@
         }
     }
 
-    /// The request that holds the key has not run and will not. Duplicates that wait already are
-    /// answered before the key goes.
+    /// The request that holds the key has not run and will not. Duplicates that already wait are
+    /// answered before the key is removed.
     pub(super) fn forget(&mut self, key: &IdempotencyKey, owner: usize) {
         if let Some(entry) = self.owned_by(key, owner) {
             (entry.window_ends_at, entry.expires_at) = (Duration::ZERO, Duration::ZERO);
@@ -118,14 +125,14 @@
         }
     }
 
-    /// A duplicate no longer waits; its index may be reused by a request that did not join.
+    /// A duplicate no longer waits. Its index may be reused by a request that is no duplicate.
     pub(super) fn leave(&mut self, key: &IdempotencyKey, duplicate: usize) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.coalesced.retain(|&other| other != duplicate);
         }
     }
 
-    /// Removes the keys whose time is over; one with waiting duplicates is removed once they are
+    /// Removes the keys that have expired. A key with waiting duplicates is removed once they are
     /// answered.
     pub(super) fn expire(&mut self, now: Duration) {
         while self
--- a/crates/server/src/requests/open_request.rs
+++ b/crates/server/src/requests/open_request.rs
@@ -1,5 +1,4 @@
-//! One open request: how far it has come, the commands for its coroutine and what is recorded of
-//! it.
+//! One open request: its state, the commands for its coroutine and its recording.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -14,7 +13,7 @@
     pub(super) id: RequestId,
     pub(super) commands: VecDeque<Command>,
     pub(super) waiter: Arc<Blocker>,
-    /// Its final response is among its commands, or was.
+    /// Its final response is queued among its commands, or was.
     pub(super) is_answered: bool,
     pub(super) is_caller_gone: bool,
     /// A run of it was started.
@@ -23,8 +22,9 @@
     pub(super) is_released: bool,
     /// Its coroutine has ended before it was released.
     pub(super) is_detached: bool,
-    /// The call that it waits for, with its number within the run.
+    /// The call that its run waits for: the number of the call within the run, and its body.
     pub(super) call: Option<(u64, Bytes)>,
+    /// The call is in flight.
     pub(super) is_calling: bool,
     /// Its idempotency key within its tenant and handler.
     pub(super) key: Option<IdempotencyKey>,
--- a/crates/server/src/requests/registry.rs
+++ b/crates/server/src/requests/registry.rs
@@ -1,4 +1,5 @@
-//! The registry as connections, the executor link, the store client and the clock see it.
+//! The interface of the registry, which connections, the executor link, the store client and the
+//! clock call.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,14 +17,14 @@
 use crate::clock;
 use crate::trace::{RequestTrace, Tracer};
 
-/// The pause between two looks whether the controller has started.
+/// How often it is checked whether the controller has started.
 const NOT_STARTED_PAUSE: Duration = Duration::from_millis(20);
 
 /// Owner of all open requests and of the controller, behind one lock.
 pub(crate) struct RequestRegistry {
     config: Config,
     seed: u64,
-    pub(super) state: Mutex<RegistryState>,
+    pub(super) state: Arc<Mutex<RegistryState>>,
     tracer: Option<Arc<Tracer>>,
 }
 
@@ -33,15 +34,15 @@
         RequestRegistry {
             config,
             seed,
-            state: Mutex::new(state),
+            state: Arc::new(Mutex::new(state)),
             tracer,
         }
     }
 
-    /// The executor is up, cold or not, since `uptime`. Only the first call has an effect, and
-    /// returns true. The controller's clock starts with a cold executor, to know how warm it is;
-    /// with a warm one it starts now, because the controller then learns in its first seconds how
-    /// fast the machine is.
+    /// Starts the controller: the executor is up since `uptime`. Only the first call has an effect,
+    /// and returns true. Where the executor is cold, the controller's clock starts with the executor,
+    /// so that the controller knows how warm it is. Where it is warm, the clock starts now, because
+    /// the controller learns in its first seconds how fast the machine is.
     pub(crate) fn start(&self, starts_cold: bool, uptime: Duration) -> bool {
         let mut state = self.state.lock();
         if state.is_started() {
@@ -68,10 +69,11 @@
 
     /// Registers a request that was read. Its ticket yields its commands, the final response among
     /// them.
-    pub(crate) fn register(
-        self: &Arc<Self>,
-        incoming: IncomingRequest,
-    ) -> Result<Ticket, RegisterError> {
+    ///
+    /// # Errors
+    /// [`RegisterError`] where the controller has not started, or the request is a copy of another
+    /// one. Nothing is registered then.
+    pub(crate) fn register(&self, incoming: IncomingRequest) -> Result<Ticket, RegisterError> {
         let mut state = self.state.lock();
         if !state.is_started() {
             self.record_unregistered(&incoming, Reason::NOT_STARTED);
@@ -83,8 +85,8 @@
         let key = incoming.scoped_key();
         state.expire_keys();
         let duplicated_body = state.duplicated_body(key.as_ref(), incoming.age);
-        // A key with another body is copied or made up: whoever sends it gets no other caller's
-        // result.
+        // A key that is sent with another body was copied or made up, and its sender may not get the
+        // result of the caller that chose it.
         if duplicated_body.is_some_and(|body_hash| body_hash != incoming.body_hash) {
             return Err(RegisterError::KeyReused);
         }
@@ -104,13 +106,13 @@
         }));
         state.record_admission(index);
         Ok(Ticket {
-            registry: self.clone(),
+            state: self.state.clone(),
             index,
             waiter,
         })
     }
 
-    /// Whether an attempt of the same keyed request is open or has run: then this one may not be
+    /// Whether an attempt of the same keyed request is open or has run. Such a duplicate may not be
     /// rejected.
     pub(crate) fn is_duplicate(&self, incoming: &IncomingRequest) -> bool {
         self.state
@@ -146,13 +148,13 @@
         self.state.lock().fire_timers(gauges);
     }
 
-    /// Passes on the shutdown notice that came at `notice`; the process is terminated `termination`
-    /// after it.
+    /// Passes on the shutdown notice that was received at `notice`. The process is terminated
+    /// `termination` after it.
     pub(crate) fn shutdown_notice(&self, notice: Instant, termination: Duration) {
         self.state.lock().shutdown_notice(notice, termination);
     }
 
-    /// Whether the executor was up.
+    /// Whether the controller has started: the executor was up once.
     pub(crate) fn is_started(&self) -> bool {
         self.state.lock().is_started()
     }
@@ -162,7 +164,7 @@
         self.state.lock().feedback()
     }
 
-    /// The time after which unused connections are closed.
+    /// The time after which edge nodes are to close unused connections.
     pub(crate) fn idle_timeout(&self) -> Duration {
         self.state.lock().idle_timeout()
     }
@@ -181,7 +183,7 @@
         self.state.lock().counts()
     }
 
-    /// The longest time after which a rejected caller should come back, where callers can be told.
+    /// The longest `retry_after` that a caller may be given; none where callers are not given one.
     pub(crate) fn max_retry_after(&self) -> Option<Duration> {
         self.config.max_retry_after
     }
--- a/crates/server/src/requests/state.rs
+++ b/crates/server/src/requests/state.rs
@@ -24,14 +24,14 @@
     started_at: Instant,
 }
 
-/// A shutdown notice: when it came, and how long after it the process is terminated.
+/// A shutdown notice: when it was received, and how long after it the process is terminated.
 #[derive(Clone, Copy)]
 struct ShutdownNotice {
     received_at: Instant,
     termination: Duration,
 }
 
-/// Everything that concerns open requests; whoever holds the lock sees it whole.
+/// The state of all open requests. The registry and the tickets share it behind one lock.
 pub(super) struct RegistryState {
     running: Option<RunningController>,
     shutdown: Option<ShutdownNotice>,
@@ -70,8 +70,8 @@
             started_at,
         });
         self.decide(Event::Started);
-        // The notice may come before the executor is up: dropped, what arrives long after it would
-        // be run.
+        // The notice may be received before the executor is up. Without it, the controller would admit
+        // requests that arrive long after the drain has begun.
         self.pass_on_shutdown_notice();
     }
 
@@ -192,7 +192,8 @@
         self.pass_on_shutdown_notice();
     }
 
-    /// The grace counts from the notice, however late the controller learns of it.
+    /// Notifies the controller, if it has started. The drain grace counts from the notice, however late
+    /// the controller is notified.
     fn pass_on_shutdown_notice(&mut self) {
         if let Some(ShutdownNotice {
             received_at,
@@ -215,7 +216,7 @@
         else {
             return;
         };
-        // Nothing can become of a run that was never started.
+        // A request without a run has no events of a run.
         if !request.is_started && !matches!(event, RequestEvent::CallerGone) {
             return;
         }
@@ -231,7 +232,7 @@
                 request.is_calling = false;
                 self.decide(Event::ReachedCall { request: index });
             }
-            // A reply that crosses the end of its call is ignored.
+            // A reply that was received after its call had ended is ignored.
             RequestEvent::CallFinished { .. } if !request.is_calling => {}
             RequestEvent::CallFinished { outcome, reply } => {
                 request.is_calling = false;
@@ -413,7 +414,7 @@
     }
 
     fn release(&mut self, index: usize) {
-        // A run that ended with nothing for its caller, and that the controller left unanswered.
+        // The run has ended without a result, and the controller has left the request unanswered.
         self.respond(index, Response::Failed, Reason::CANCELLED);
         if let (Some(trace), Some(tracer)) = (self.requests[index].trace.take(), &self.tracer) {
             tracer.record(&trace, Instant::now());
--- a/crates/server/src/requests/ticket.rs
+++ b/crates/server/src/requests/ticket.rs
@@ -1,18 +1,19 @@
-//! A request's claim to its commands.
+//! The handle with which a request's coroutine takes its commands.
 
 use std::sync::Arc;
 use std::time::Instant;
 
 use may::sync::Blocker;
+use parking_lot::Mutex;
 
 use super::messages::{Command, RequestEvent};
-use super::registry::RequestRegistry;
+use super::state::RegistryState;
 use crate::clock;
 
-/// The handle of one registered request. A coroutine that drops it before the request is finished
-/// counts as a caller that is gone.
+/// The handle of one registered request. Where it is dropped before the request is finished, the
+/// request's caller counts as gone: its coroutine has ended, and nothing can answer it.
 pub(crate) struct Ticket {
-    pub(super) registry: Arc<RequestRegistry>,
+    pub(super) state: Arc<Mutex<RegistryState>>,
     pub(super) index: usize,
     pub(super) waiter: Arc<Blocker>,
 }
@@ -21,7 +22,7 @@
     /// Blocks until there is a command; `None` once `deadline` has passed without one.
     pub(crate) fn next_command(&self, deadline: Option<Instant>) -> Option<Command> {
         loop {
-            if let Some(command) = self.registry.state.lock().next_command(self.index) {
+            if let Some(command) = self.state.lock().next_command(self.index) {
                 return Some(command);
             }
             if deadline.is_some_and(|deadline| deadline <= Instant::now()) {
@@ -34,7 +35,7 @@
 
 impl Drop for Ticket {
     fn drop(&mut self) {
-        let mut state = self.registry.state.lock();
+        let mut state = self.state.lock();
         if !state.detach(self.index) {
             state.handle_event(self.index, RequestEvent::CallerGone);
         }
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -22,21 +22,21 @@
 use crate::requests::RequestRegistry;
 use crate::trace::Tracer;
 
-/// One in so many descriptors may go to the store.
+/// The store client gets at most one in this many of the descriptors.
 const STORE_DESCRIPTOR_DIVISOR: usize = 8;
-/// The interval between two looks at idle connections.
+/// How often connections are checked for idleness and timeouts.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 /// Sweeps between two summaries in the log.
 const SWEEPS_PER_SUMMARY: u32 = 300;
-/// The time before termination that edge nodes get at least to close their connections.
+/// The least time before the termination in which edge nodes may close their connections.
 const MIN_CLOSE_TIME: Duration = Duration::from_secs(1);
-/// The time before termination by which everything is to be over.
+/// The time before the termination at which a drain ends, whether or not everything is answered.
 const TERMINATION_MARGIN: Duration = Duration::from_millis(100);
-/// The pause between two looks whether everything is over.
+/// How often a drain checks whether everything is answered and closed.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The parts of a running server. Each owns its own state; this owns them, and whether the server
-/// drains.
+/// The parts of a running server. Each owns its own state; the server owns the parts, and whether it
+/// is draining.
 pub(crate) struct Server {
     registry: Arc<RequestRegistry>,
     executor: Arc<ExecutorClient>,
@@ -147,15 +147,15 @@
         }
     }
 
-    /// The peers are there from now on.
+    /// Moves the links to the addresses at which the peers are from now on.
     pub(crate) fn move_peers(&self, peers: PeerAddresses) {
         self.executor.move_to(peers.executor);
         self.store.move_to(peers.store);
         self.service_registry.set(peers.registry);
     }
 
-    /// Drains after the notice that came at `notice`, and returns once everything is answered and
-    /// closed, or shortly before the termination.
+    /// Drains after the notice that was received at `notice`, and returns once everything is answered
+    /// and closed, or shortly before the termination.
     pub(crate) fn drain(&self, notice: Instant, cluster: Option<Cluster>) {
         ::log::info!("shutdown notice received");
         self.log_summary();
@@ -164,12 +164,8 @@
         }
         self.is_draining.store(true, Ordering::Release);
         self.registry.shutdown_notice(notice, self.termination);
-        // The controller goes on admitting for a while. Once nothing that arrives may be run any
-        // more, a refused connection sends a caller elsewhere sooner than an answer could.
-        let open_until = self
-            .drain_grace
-            .min(self.termination.saturating_sub(MIN_CLOSE_TIME));
-        std::thread::sleep(open_until.saturating_sub(notice.elapsed()));
+        let accepting_time = accepting_time(self.drain_grace, self.termination);
+        std::thread::sleep(accepting_time.saturating_sub(notice.elapsed()));
         self.frontend.close();
         let is_over = || self.frontend.is_over() && self.registry.open() == 0;
         while !is_over() && notice.elapsed() + TERMINATION_MARGIN < self.termination {
@@ -187,6 +183,15 @@
     }
 }
 
+/// How long after a shutdown notice connections are still accepted. Edge nodes learn of the drain
+/// only after some time, and the controller goes on admitting for `drain_grace`; a connection that
+/// is refused in that time would be an error for its caller. Afterwards no request that arrives may
+/// be run, and a refused connection sends its caller to another server sooner than a response could.
+/// Edge nodes get `MIN_CLOSE_TIME` before the termination in any case.
+fn accepting_time(drain_grace: Duration, termination: Duration) -> Duration {
+    drain_grace.min(termination.saturating_sub(MIN_CLOSE_TIME))
+}
+
 /// By what callers learn how much to send here, as the log names it.
 fn caller_feedback(steering: Steering) -> &'static str {
     match steering {
