--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -29,9 +29,6 @@
 /// is the same.
 const MIN_SIZE_FACTOR: f64 = 1.0;
 
-/// The least number of nodes for which the limit is computed.
-const MIN_CLUSTER_SIZE: usize = 2;
-
 /// What the time limit of every suspicion of a node depends on.
 pub(crate) struct SuspicionParameters {
     /// The protocol period; [`Config::probe_interval`](crate::Config::probe_interval).
@@ -54,7 +51,7 @@
 impl SuspicionParameters {
     /// The limit with all confirmations, before it is stretched by the local health.
     fn min_timeout(&self) -> Duration {
-        let cluster_size = (self.live_members + 1).max(MIN_CLUSTER_SIZE);
+        let cluster_size = self.live_members + 1;
         let size_factor = (cluster_size as f64).log10().max(MIN_SIZE_FACTOR);
         self.probe_interval
             .mul_f64(self.suspicion_mult * size_factor)
