--- /dev/null
+++ b/crates/membership/tests/message_handling/updates_about_others.rs
@@ -0,0 +1,69 @@
+use tulipgap_membership::{Config, MAX_NAME_BYTES, MemberState, MessageBody};
+
+use crate::{joined, new_membership, node, ping, receive, update};
+
+#[test]
+fn old_update_does_not_bring_back_a_member_that_has_left() {
+    let mut membership = joined(vec![update("g", 7, 3, MemberState::Left)]);
+    receive(
+        &mut membership,
+        5,
+        "b",
+        2,
+        ping(1),
+        vec![update("g", 7, 3, MemberState::Alive)],
+    );
+    assert_eq!(membership.state("g"), Some(MemberState::Left));
+    receive(
+        &mut membership,
+        6,
+        "b",
+        2,
+        ping(2),
+        vec![update("g", 7, 4, MemberState::Alive)],
+    );
+    assert_eq!(
+        membership.state("g"),
+        Some(MemberState::Alive),
+        "its own higher incarnation does"
+    );
+}
+
+#[test]
+fn update_of_an_unknown_version_or_with_a_long_name_counts_as_an_anomaly_and_is_not_recorded() {
+    let mut unknown_version = update("s", 8, 0, MemberState::Alive);
+    unknown_version.node.version = 9;
+    let mut long_name = update("l", 9, 0, MemberState::Alive);
+    long_name.node.name = "x".repeat(MAX_NAME_BYTES + 1).into();
+    let membership = joined(vec![unknown_version, long_name]);
+    assert_eq!(
+        (membership.members().count(), membership.anomalies()),
+        (0, 2)
+    );
+}
+
+#[test]
+fn members_beyond_the_maximum_count_as_anomalies_and_are_not_recorded() {
+    let config = Config {
+        max_members: 3,
+        ..Config::default()
+    };
+    let mut membership = new_membership(config, node("a", 1)).unwrap();
+    let updates = (2..9)
+        .map(|last| update(&format!("m{last}"), last, 0, MemberState::Alive))
+        .collect();
+    receive(
+        &mut membership,
+        1,
+        "m2",
+        2,
+        MessageBody::PushPull {
+            reply_requested: false,
+        },
+        updates,
+    );
+    assert_eq!(
+        (membership.members().count(), membership.anomalies()),
+        (3, 4)
+    );
+}
