--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -14,7 +14,8 @@
 //! is no member, is tried each time, so that the halves find each other. A node that has not joined
 //! tries all of those: one that answers is enough.
 //!
-//! **Price**: messages as large as the cluster, one and a try every interval for each member.
+//! **Price**: in each interval every member sends a message as large as the cluster to a live
+//! member, and one more message to a contact that may not answer.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -18,10 +18,10 @@
 /// The range of the other members that are recorded.
 const MEMBERS_RANGE: RangeInclusive<usize> = 1..=100_000;
 
-/// What an error says of the range of an interval.
+/// How an error describes the range of an interval.
 const EXPECTED_INTERVAL: &str = "over zero and under an hour";
 
-/// What an error says of [`MULTIPLIER_RANGE`].
+/// How an error describes [`MULTIPLIER_RANGE`].
 const EXPECTED_MULTIPLIER: &str = "from 1 to 100";
 
 /// The parameters of the protocol. All members of a cluster should have the same.
--- a/crates/membership/src/dependency_probe.rs
+++ b/crates/membership/src/dependency_probe.rs
@@ -1,5 +1,5 @@
 //! Probing of a dependency that all processes of a zone share, such as a store: one process finds
-//! out that it is down and tells the others.
+//! out that it is down and notifies the others.
 //!
 //! **Decision**: which process probes (by a lease), when it publishes that the dependency is down,
 //! and whether a process fails its calls without making them.
@@ -9,8 +9,8 @@
 //! answer. The other processes fail their calls while they see a verdict that has not expired.
 //!
 //! **Failure it guards against**: every process keeps calling a dependency that is down. That shows
-//! as requests that spend their time on calls which all fail, and as a load of calls on a dependency
-//! that is about to recover.
+//! as requests that spend their time on calls which all fail, and as a load of calls on a
+//! dependency that is about to recover.
 //!
 //! **Why it holds**: the lease has one holder at a time. The holder renews its verdict, and one
 //! that is not renewed expires after [`VERDICT_TTL`], so that a prober that died blocks no calls
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,8 +1,8 @@
 //! SWIM's failure detector: in each protocol period one member is probed, directly and then through
 //! others.
 //!
-//! **Decision**: when others are asked to probe the target, which ones, and what the period's probe
-//! says of the target at its end.
+//! **Decision**: when others are asked to probe the target, which ones, and which conclusion about
+//! the target is drawn from the period's probe at its end.
 //!
 //! **When it binds**: relays are asked where the target has not answered within the probe timeout;
 //! the verdict falls at the end of the period.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -15,13 +15,19 @@
 //!   complete state is exchanged with a random member at a longer interval (push-pull).
 //! - **Reachability**: the answers of other members tell a crashed member from a cut link between
 //!   two live ones ([`Reachability`]).
+//! - **Name conflicts**: of two processes under one name all members keep the same one, and the
+//!   other stops.
 //! - **Dependency probing**: [`dependency_probe`] decides which process of a zone probes a
 //!   dependency that is down.
 //!
 //! The protocol is SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style
 //! Process Group Membership Protocol", 2002) with the three extensions of Lifeguard (Dadgar,
 //! Phillips, Currey: "Lifeguard: Local Health Awareness for More Accurate Failure Detection",
-//! 2017). `docs/design-cluster.md` has the alternatives and the measurements.
+//! 2017). `docs/design-cluster.md` has a table of the rules with their files, the alternatives and
+//! the measurements.
+//!
+//! Each rule is a module of its own: a part with its own state, or a function, which decides on
+//! named inputs. [`Membership`] owns the parts and drives them.
 //!
 //! ```
 //! use std::time::Duration;
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -26,7 +26,7 @@
 /// target does not, so that its silence speaks against the links of this node.
 const MISSING_REPORT_PENALTY: u32 = 1;
 
-/// What an update that calls this node suspect, dead or gone adds to the score, in points.
+/// What an update that calls this node suspect, dead or left adds to the score, in points.
 const REFUTATION_PENALTY: u32 = 1;
 
 /// What an answered probe takes off the score, in points.
--- a/crates/membership/src/local_node.rs
+++ b/crates/membership/src/local_node.rs
@@ -41,7 +41,7 @@
         &self.update.node.name
     }
 
-    /// Raises the incarnation above one that others have heard of; it never falls.
+    /// Raises the incarnation above one that other members know; it never falls.
     pub(crate) fn raise_incarnation_above(&mut self, known: Incarnation) {
         self.update.incarnation = known.next().max(self.update.incarnation);
     }
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -246,7 +246,7 @@
         })
     }
 
-    /// Drops the members that have been dead or gone for `retention`.
+    /// Drops the members that died or left at least `retention` ago.
     pub(crate) fn remove_expired(&mut self, now: Duration, retention: Duration) {
         self.members.retain(|_, member| {
             member.is_live() || now.saturating_sub(member.state_since) < retention
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -2,8 +2,8 @@
 //! deadlines that they set.
 //!
 //! Each part owns its state and decides on named inputs. `Membership` owns the parts, passes what
-//! one knows to another as a value, and turns their results into actions. `protocol.rs` has the steps
-//! of the protocol to which events and deadlines lead.
+//! one knows to another as a value, and turns their results into actions. `protocol.rs` has the
+//! steps of the protocol to which events and deadlines lead.
 
 mod protocol;
 
@@ -34,6 +34,7 @@
     config: Config,
     /// What this node announces of itself.
     local: LocalNode,
+    /// The records of the other members.
     members: MemberTable,
     /// Updates to be sent on other messages.
     broadcasts: BroadcastQueue,
@@ -43,8 +44,11 @@
     detector: FailureDetector,
     /// Probes on behalf of others.
     relayed_probes: RelayedProbes,
+    /// The factor by which the times of this node are stretched.
     health: LocalHealth,
+    /// When the complete state is exchanged next.
     push_pull: PushPullSchedule,
+    /// The timer that the host was asked to set.
     timer: Timer,
     /// When the next protocol period starts, on the clock of the events.
     next_probe_at: Duration,
@@ -58,7 +62,7 @@
     has_joined: bool,
     /// Whether this node has left, or has given way to another of the same name.
     is_stopped: bool,
-    /// Updates that were ignored since they were malformed or there was no room.
+    /// The number of updates that were ignored since they were malformed or the table was full.
     anomalies: u64,
 }
 
@@ -172,6 +176,8 @@
         }
     }
 
+    /// Leaves the cluster. Every live member is notified at once, since this node sends no further
+    /// message on which the update could ride.
     fn leave(&mut self) {
         self.local.leave();
         self.broadcast_local_update();
@@ -187,6 +193,8 @@
         self.actions.push(Action::NameConflict { address });
     }
 
+    /// A conflict about a name is settled first: the updates of a process that may have to stop are
+    /// not applied.
     fn handle_message(&mut self, from: SocketAddr, message: &Message) {
         if message.from == *self.local.name() {
             return self.handle_message_under_own_name(message);
--- a/crates/membership/src/membership/protocol.rs
+++ b/crates/membership/src/membership/protocol.rs
@@ -198,7 +198,7 @@
     pub(super) fn apply_update_about_self(&mut self, update: &MemberUpdate) {
         match classify(self.local.update(), update, self.has_joined) {
             UpdateAboutSelf::Settled => {}
-            UpdateAboutSelf::NameLost => self.stop_for_name_conflict(update.node.address),
+            UpdateAboutSelf::NameConceded => self.stop_for_name_conflict(update.node.address),
             UpdateAboutSelf::Ahead => {
                 self.local.raise_incarnation_above(update.incarnation);
                 self.broadcast_local_update();
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -12,8 +12,8 @@
 use crate::node::{Node, NodeName};
 
 /// The incarnation number of a member (SWIM, section 4.2). Only the member itself raises it, to
-/// refute what others say of it or to announce a change; of two updates the one with the higher
-/// incarnation holds.
+/// refute an update of others about it or to announce a change; of two updates the one with the
+/// higher incarnation holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
--- a/crates/membership/src/name_conflict.rs
+++ b/crates/membership/src/name_conflict.rs
@@ -7,7 +7,7 @@
 //! the old one is considered dead.
 //!
 //! **Failure it guards against**: two processes would answer for one member. That shows as a member
-//! whose address and metadata change to and fro, with a new incarnation each time.
+//! whose address and metadata change again and again, with a new incarnation each time.
 //!
 //! **Why it holds**: a process that has not joined yet gives way always. Of two that have joined,
 //! the order of [`NameClaim`] is the same at every member, so that all keep the same one and the
--- a/crates/membership/src/reachability.rs
+++ b/crates/membership/src/reachability.rs
@@ -82,7 +82,8 @@
         std::mem::replace(&mut self.is_directly_unreachable, false)
     }
 
-    /// Notes that the member answered a relay but not this node. Returns whether that is news.
+    /// Notes that the member answered a relay but not this node. Returns whether it was directly
+    /// reachable until now.
     pub(crate) fn record_answer_to_relay_only(&mut self) -> bool {
         !std::mem::replace(&mut self.is_directly_unreachable, true)
     }
--- a/crates/membership/src/refutation.rs
+++ b/crates/membership/src/refutation.rs
@@ -26,8 +26,8 @@
     /// It is known or out of date.
     Settled,
     /// Another process has the name and keeps it.
-    NameLost,
-    /// It calls this node suspect, dead or gone, which is to be refuted.
+    NameConceded,
+    /// It calls this node suspect, dead or left, which is to be refuted.
     Wrong,
     /// It is about a later incarnation, from before a restart: this node continues above it.
     Ahead,
@@ -43,7 +43,7 @@
     let is_other_process = update.node.address != local.node.address;
     if is_other_process && update.state.is_live() {
         return match should_give_way(local, update, has_joined) {
-            true => UpdateAboutSelf::NameLost,
+            true => UpdateAboutSelf::NameConceded,
             false => UpdateAboutSelf::Settled,
         };
     }
--- a/crates/membership/src/tests/refutation.rs
+++ b/crates/membership/src/tests/refutation.rs
@@ -21,8 +21,8 @@
 fn live_process_at_another_address_contests_the_name_and_a_dead_one_does_not() {
     let local = update("a", 5, 3, MemberState::Alive);
     let from = |last_byte, state| classify(&local, &update("a", last_byte, 3, state), true);
-    assert_eq!(from(4, MemberState::Alive), UpdateAboutSelf::NameLost);
-    assert_eq!(from(4, MemberState::Suspect), UpdateAboutSelf::NameLost);
+    assert_eq!(from(4, MemberState::Alive), UpdateAboutSelf::NameConceded);
+    assert_eq!(from(4, MemberState::Suspect), UpdateAboutSelf::NameConceded);
     assert_eq!(from(6, MemberState::Alive), UpdateAboutSelf::Settled);
     assert_eq!(from(4, MemberState::Dead), UpdateAboutSelf::Wrong);
     assert_eq!(from(4, MemberState::Left), UpdateAboutSelf::Wrong);
--- a/crates/membership/tests/message_handling/main.rs
+++ b/crates/membership/tests/message_handling/main.rs
@@ -1,5 +1,5 @@
-//! What a membership does with messages and timers, one node at a time; whole clusters are simulated
-//! by `tulipgap-fault-injection`.
+//! What a membership does with messages and timers, one node at a time; whole clusters are
+//! simulated by `tulipgap-fault-injection`.
 
 mod name_conflicts;
 mod reachability;
