--- a/crates/leases/src/client.rs
+++ b/crates/leases/src/client.rs
@@ -301,7 +301,6 @@
                 *status = LeaseStatus::Active {
                     token,
                     valid_until,
-                    since: self.now,
                     announced: false,
                 };
             }
--- a/crates/leases/src/client/wanted_lease.rs
+++ b/crates/leases/src/client/wanted_lease.rs
@@ -23,8 +23,6 @@
         token: FencingToken,
         /// When guards become stale, unless it is renewed.
         valid_until: Duration,
-        /// When it was granted.
-        since: Duration,
         /// Whether [`Action::Acquired`](crate::Action::Acquired) was returned for it.
         announced: bool,
     },
--- a/crates/server/src/cluster/tests.rs
+++ b/crates/server/src/cluster/tests.rs
@@ -183,7 +183,6 @@
     let active = |announced| LeaseStatus::Active {
         token: FencingToken(4),
         valid_until: Duration::ZERO,
-        since: Duration::ZERO,
         announced,
     };
     let statuses = [
