--- a/crates/leases/src/client.rs
+++ b/crates/leases/src/client.rs
@@ -3,12 +3,18 @@
 //!
 //! A TTL is counted from before its request was sent, by this process's own clock, and shorter by
 //! as much as that clock may be slow. So a lease ends here before anybody else is granted its slot.
+//!
+//! [`LeaseClient`] routes events to its parts and turns what they decide into actions. The parts
+//! are the status of each lease and which grants it accepts, the times of requests, the voter that
+//! is asked, and the tokens that were released. Guards are in a file of their own.
 
 mod event;
 mod guard;
 mod leader_hint;
 mod released_tokens;
 mod renewal;
+#[cfg(test)]
+mod tests;
 mod wanted_lease;
 
 use std::collections::BTreeMap;
@@ -26,12 +32,12 @@
 use leader_hint::LeaderHint;
 use released_tokens::ReleasedTokens;
 use renewal::RenewalSchedule;
-use wanted_lease::{PendingRequest, WantedLease};
+use wanted_lease::{Grant, GrantOutcome, PendingRequest, WantedLease};
 
 /// Delay before a request is sent to the voter that a hint named as leader.
 const FOLLOW_HINT_DELAY: Duration = Duration::from_millis(10);
-/// Hints in a row that are followed at once. Two voters that name each other would be asked in turn
-/// without a pause.
+/// Hints in a row that are followed at once. More would let two voters that name each other be
+/// asked in turn without a pause.
 const MAX_FOLLOWED_HINTS: u32 = 2;
 
 /// The leases that one process requests or holds. It owns their state: hosts learn of changes by
@@ -43,6 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseClient {
     owner: Owner,
+    /// The time of the latest event, by this process's clock.
     now: Duration,
     schedule: RenewalSchedule,
     leader_hint: LeaderHint,
@@ -99,33 +106,19 @@
             } => {
                 self.want(lease, spec, max_step, wait, &mut actions);
             }
-            Event::Release { lease } => {
-                if let Some(wanted) = self.leases.get_mut(&lease) {
-                    wanted.is_released = true;
-                    self.stop(&lease, LossReason::Released, &mut actions);
-                }
-            }
+            Event::Release { lease } => self.handle_release(&lease, &mut actions),
+            // A later leader may apply what an earlier run of this process requested, under an id
+            // of this run.
+            Event::Response { incarnation, .. } if incarnation != self.owner.incarnation => {}
             Event::Response {
-                incarnation,
-                request,
-                response,
+                request, response, ..
             } => {
-                // A later leader may apply what an earlier run of this process requested, under an
-                // id of this run.
-                if incarnation == self.owner.incarnation {
-                    self.handle_response(request, response, &mut actions);
-                }
+                self.handle_response(request, response, &mut actions);
             }
             Event::NotLeader { request, leader } => {
-                self.handle_not_leader(request, leader.as_deref())
-            }
-            Event::SlotAvailable { lease } => {
-                if let Some(wanted) = self.leases.get_mut(&lease)
-                    && matches!(wanted.status, LeaseStatus::Queued { .. })
-                {
-                    wanted.next_request_at = self.now;
-                }
+                self.handle_not_leader(request, leader.as_deref());
             }
+            Event::SlotAvailable { lease } => self.handle_slot_available(&lease),
             Event::TimerElapsed => self.timer_at = self.timer_at.filter(|&at| at > self.now),
         }
         self.run_due(&mut actions);
@@ -139,25 +132,28 @@
             for (lease, wanted) in &mut self.leases {
                 wanted.pending.clear();
                 wanted.next_request_at = now;
-                if let LeaseStatus::Active {
-                    token, announced, ..
-                } = wanted.status
-                {
-                    wanted.status = LeaseStatus::Requested;
-                    if announced {
-                        let reason = LossReason::ClockWentBackwards;
-                        actions.push(Action::Lost {
-                            lease: lease.clone(),
-                            token,
-                            reason,
-                        });
-                    }
-                }
+                let lost = wanted.forget_grant();
+                report_lost(lease, lost, LossReason::ClockWentBackwards, actions);
             }
         }
         self.now = now;
     }
 
+    fn handle_release(&mut self, lease: &Name, actions: &mut Vec<Action>) {
+        if let Some(wanted) = self.leases.get_mut(lease) {
+            wanted.is_released = true;
+            self.stop(lease, LossReason::Released, actions);
+        }
+    }
+
+    fn handle_slot_available(&mut self, lease: &Name) {
+        if let Some(wanted) = self.leases.get_mut(lease)
+            && matches!(wanted.status, LeaseStatus::Queued { .. })
+        {
+            wanted.next_request_at = self.now;
+        }
+    }
+
     fn want(
         &mut self,
         lease: Name,
@@ -212,10 +208,7 @@
         };
         wanted.forget_requests_up_to(request);
         wanted.followed_hints = 0;
-        let is_undecided = matches!(
-            wanted.status,
-            LeaseStatus::Requested | LeaseStatus::Queued { .. }
-        );
+        let is_undecided = wanted.is_undecided();
         match response {
             Response::Granted { token } => self.handle_grant(&lease, sent_at, token, actions),
             Response::Queued { ahead } if is_undecided => {
@@ -268,47 +261,20 @@
         };
         let usable_ttl = self.schedule.usable_ttl(wanted.spec.ttl);
         let valid_until = counted_from + usable_ttl.saturating_sub(wanted.max_step);
-        match &mut wanted.status {
-            LeaseStatus::Active {
-                token: current,
-                valid_until: until,
-                ..
-            } if *current == token => {
-                *until = valid_until.max(*until);
-            }
-            LeaseStatus::Active { token: current, .. } if *current > token => return,
-            LeaseStatus::Releasing { .. } => return,
-            status => {
-                // Its release may still be on the way, and would free the slot of whoever accepted
-                // the token again.
-                let was_released = token <= self.released.latest(lease);
-                if was_released && !self.bug.is_on(InjectedBug::ReusedReleasedToken) {
-                    return self.release(lease, token, actions);
-                }
-                if let LeaseStatus::Active {
-                    token: lost,
-                    announced: true,
-                    ..
-                } = *status
-                {
-                    let reason = LossReason::Expired;
-                    actions.push(Action::Lost {
-                        lease: lease.clone(),
-                        token: lost,
-                        reason,
-                    });
-                }
-                *status = LeaseStatus::Active {
-                    token,
-                    valid_until,
-                    announced: false,
-                };
+        let accepts_released = self.bug.is_on(InjectedBug::ReusedReleasedToken);
+        let grant = Grant {
+            token,
+            valid_until,
+            was_released: token <= self.released.latest(lease) && !accepts_released,
+        };
+        match wanted.accept_grant(grant) {
+            GrantOutcome::Ignored => return,
+            GrantOutcome::ReleasedBefore => return self.release(lease, token, actions),
+            GrantOutcome::Held { replaced } => {
+                report_lost(lease, replaced, LossReason::Expired, actions);
             }
         }
-        if let LeaseStatus::Active { announced, .. } = &mut wanted.status
-            && self.now < valid_until
-            && !std::mem::replace(announced, true)
-        {
+        if wanted.announce(self.now, valid_until) {
             actions.push(Action::Acquired {
                 lease: lease.clone(),
                 token,
@@ -343,17 +309,9 @@
             return;
         };
         match wanted.status {
-            LeaseStatus::Active {
-                token, announced, ..
-            } => {
-                wanted.status = LeaseStatus::Releasing { token };
-                if announced {
-                    actions.push(Action::Lost {
-                        lease: lease.clone(),
-                        token,
-                        reason,
-                    });
-                }
+            LeaseStatus::Active { .. } => {
+                let lost = wanted.begin_release();
+                report_lost(lease, lost, reason, actions);
             }
             LeaseStatus::Queued { .. } if wanted.is_released => {
                 self.leases.remove(lease);
@@ -425,23 +383,9 @@
         let Some(wanted) = self.leases.get_mut(lease) else {
             return;
         };
-        if let LeaseStatus::Active {
-            token,
-            valid_until,
-            announced,
-            ..
-        } = wanted.status
-            && self.now >= valid_until
-        {
-            wanted.status = LeaseStatus::Requested;
-            if announced {
-                let reason = LossReason::Expired;
-                actions.push(Action::Lost {
-                    lease: lease.clone(),
-                    token,
-                    reason,
-                });
-            }
+        if wanted.has_expired(self.now) {
+            let lost = wanted.forget_grant();
+            report_lost(lease, lost, LossReason::Expired, actions);
         }
     }
 
@@ -480,19 +424,15 @@
         if !wanted.pending.is_empty() {
             self.leader_hint.try_next();
         }
-        let (spec, wait) = (wanted.spec, wanted.wait);
-        let LeaseSpec { ttl, capacity } = spec;
-        let owner = self.owner.clone();
-        let id = self.send(
-            Command::Acquire {
-                lease: lease.clone(),
-                owner,
-                ttl,
-                capacity,
-                wait,
-            },
-            actions,
-        );
+        let LeaseSpec { ttl, capacity } = wanted.spec;
+        let command = Command::Acquire {
+            lease: lease.clone(),
+            owner: self.owner.clone(),
+            ttl,
+            capacity,
+            wait: wanted.wait,
+        };
+        let id = self.send(command, actions);
         let retry_at = self.now + self.schedule.retry_interval(ttl);
         let Some(wanted) = self.leases.get_mut(lease) else {
             return;
@@ -513,3 +453,17 @@
         }
     }
 }
+
+/// Reports that a grant ended, where the host knows of it.
+fn report_lost(
+    lease: &Name,
+    token: Option<FencingToken>,
+    reason: LossReason,
+    actions: &mut Vec<Action>,
+) {
+    actions.extend(token.map(|token| Action::Lost {
+        lease: lease.clone(),
+        token,
+        reason,
+    }));
+}
--- a/crates/leases/src/client/leader_hint.rs
+++ b/crates/leases/src/client/leader_hint.rs
@@ -1,14 +1,19 @@
-//! Which voter a client takes for the leader.
+//! Which voter a client takes for the leader: the one that a hint named, else each in turn.
+//!
+//! Only the leader grants, and it changes. A hint is followed even where it names a voter that was
+//! not configured: one that replaced another would else never be asked, and its clients would be
+//! without a lease while it leads.
 
 use crate::protocol::Name;
 
-/// Voters that a client knows, former ones included.
+/// Voters that a client knows, at most, former ones included. Bounds what hints can add.
 const MAX_KNOWN_VOTERS: usize = 16;
 
 /// The known voters and the one that requests go to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct LeaderHint {
     voters: Vec<Name>,
+    /// The position of the one that requests go to.
     target: usize,
 }
 
--- a/crates/leases/src/client/released_tokens.rs
+++ b/crates/leases/src/client/released_tokens.rs
@@ -1,10 +1,13 @@
 //! The tokens that a client has released and must not accept again.
+//!
+//! A grant may be repeated or late. Accepted after its release was sent, it would be relied on here
+//! while the release frees its slot at the voters, and two owners would act at once.
 
 use std::collections::BTreeMap;
 
 use crate::protocol::{FencingToken, Name};
 
-/// Leases whose released tokens are kept apart.
+/// Leases whose released tokens are kept apart, at most.
 const MAX_RELEASED_LEASES: usize = 4096;
 
 /// The latest released token of each lease. Beyond [`MAX_RELEASED_LEASES`] one bound stands for
--- a/crates/leases/src/client/renewal.rs
+++ b/crates/leases/src/client/renewal.rs
@@ -1,14 +1,21 @@
 //! When a client requests, renews and retries, as parts of the TTL, with jitter.
+//!
+//! A lease is renewed after a third of its usable TTL and retried after each sixth of the TTL, so
+//! three requests may fail before an owner that is alive loses its lease. The usable TTL is shorter
+//! than the TTL by as much as this clock may be slow: the lease ends here before it does for the
+//! voters. Jitter spreads clients that were all cut off at once. The price: a lease that is held
+//! costs three commands of the consensus in each TTL.
 
 use std::time::Duration;
 
 use super::Config;
 use crate::injected_bug::{BugSwitch, InjectedBug};
 
-/// A lease is renewed after a third of its TTL and retried after each sixth, so three requests may
-/// fail.
+/// Renewals in a usable TTL where each is answered.
 const RENEWALS_PER_TTL: u32 = 3;
+/// Requests in a TTL where none is answered.
 const RETRIES_PER_TTL: u32 = 6;
+/// The longest wait for a response before the next voter is asked, whatever the TTL.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// Requests in a TTL by which a queued client keeps its place.
 const QUEUE_POLLS_PER_TTL: u32 = 4;
--- a/crates/leases/src/expiry.rs
+++ b/crates/leases/src/expiry.rs
@@ -1,5 +1,15 @@
-//! Expiry of TTLs by the consensus leader. Nothing of it is replicated or stored: a new leader
-//! counts every TTL anew and in full, which can only make it wait longer.
+//! When an owner that did not renew loses its slot: once its TTL is over by any clock. The leader
+//! alone decides, and proposes it as a command.
+//!
+//! The failure to guard against is an expiry that comes too early: the former owner still acts and
+//! a second one is granted the slot. It would show as two valid guards at a time. Three things make
+//! it too late rather than too early: every TTL is counted longer by the rate that clocks may be
+//! off; a new leader counts every TTL anew and in full, as the owner may have renewed just before;
+//! and little is counted between two readings of the clock, so that a clock that jumps ahead, or a
+//! leader that was paused while renewals waited in its socket, expires nobody. The price: after a
+//! change of leader a dead owner's slot stays taken for up to two TTLs.
+//!
+//! Nothing of this is replicated or stored. The scheme is that of Gray and Cheriton (see the crate).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,10 +18,9 @@
 use crate::protocol::{Command, Incarnation, Name, Owner, RenewalNumber};
 use crate::state_machine::LeaseStateMachine;
 
-/// The most time that is counted between two readings of the clock: a clock that jumps ahead must
-/// not expire anybody, and time for which the leader was paused is not counted.
+/// The most time that is counted between two readings of the clock.
 const MAX_COUNTED_STEP: Duration = Duration::from_millis(500);
-/// An expiry that was not applied is proposed again after this.
+/// How long until an expiry that was not applied is proposed again.
 const EXPIRE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// An owner of a lease or of a place in its queue.
@@ -21,9 +30,12 @@
     owner: Owner,
 }
 
+/// When an owner's TTL is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Deadline {
+    /// The latest request of the owner.
     renewal: RenewalNumber,
+    /// In counted time.
     at: Duration,
 }
 
@@ -98,38 +110,41 @@
         }
         self.read_clock(now);
         let mut commands = Vec::new();
-        while let Some((at, owned)) = self
-            .by_time
-            .first()
-            .cloned()
-            .filter(|(at, _)| *at <= self.counted)
-        {
-            self.by_time.remove(&(at, owned.clone()));
-            let retry_at = self.counted + EXPIRE_RETRY_INTERVAL;
-            if let Some(deadline) = self.deadlines.get_mut(&owned) {
-                deadline.at = retry_at;
-                let (lease, owner) = (owned.lease.clone(), owned.owner.clone());
-                commands.push(Command::Expire {
-                    lease,
-                    owner,
-                    renewal: deadline.renewal,
-                });
-                self.by_time.insert((retry_at, owned));
-            }
+        while let Some(owned) = self.take_due() {
+            commands.extend(self.expire(owned));
         }
         commands
     }
 
+    /// Removes the soonest owner from the order of time, where its TTL is over.
+    fn take_due(&mut self) -> Option<OwnedLease> {
+        let (at, _) = self.by_time.first()?;
+        if *at > self.counted {
+            return None;
+        }
+        self.by_time.pop_first().map(|(_, owned)| owned)
+    }
+
+    /// The command that expires an owner, and the time at which it is returned again.
+    fn expire(&mut self, owned: OwnedLease) -> Option<Command> {
+        let retry_at = self.counted + EXPIRE_RETRY_INTERVAL;
+        let deadline = self.deadlines.get_mut(&owned)?;
+        deadline.at = retry_at;
+        let command = Command::Expire {
+            lease: owned.lease.clone(),
+            owner: owned.owner.clone(),
+            renewal: deadline.renewal,
+        };
+        self.by_time.insert((retry_at, owned));
+        Some(command)
+    }
+
     /// When [`due_expirations`](Self::due_expirations) should be called next, by the voter's clock.
     /// It is read at least twice in each step that counts.
     pub fn next_check_at(&self) -> Option<Duration> {
         let (deadline, _) = self.by_time.first()?;
-        Some(
-            self.clock
-                + deadline
-                    .saturating_sub(self.counted)
-                    .min(MAX_COUNTED_STEP / 2),
-        )
+        let remaining = deadline.saturating_sub(self.counted);
+        Some(self.clock + remaining.min(MAX_COUNTED_STEP / 2))
     }
 
     /// How long a TTL lasts on this clock at least by any other: the owner's clock may be slow and
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -53,6 +53,7 @@
 mod client;
 mod expiry;
 mod injected_bug;
+mod lease;
 mod protocol;
 mod state_machine;
 
@@ -61,9 +62,10 @@
 };
 pub use expiry::ExpiryTracker;
 pub use injected_bug::InjectedBug;
+pub use lease::{Lease, LeaseHolder, QueuedOwner};
 pub use protocol::{
     Command, FencingToken, Incarnation, LeaseSpec, MAX_CAPACITY, MAX_LEASE_TTL, MAX_LEASES,
     MAX_NAME_BYTES, MAX_QUEUED_OWNERS, MAX_WANTED_LEASES, MIN_LEASE_TTL, Name, Owner, RejectReason,
     RenewalNumber, RequestId, Response,
 };
-pub use state_machine::{Lease, LeaseHolder, LeaseStateMachine, QueuedOwner};
+pub use state_machine::LeaseStateMachine;
--- a/crates/leases/src/protocol.rs
+++ b/crates/leases/src/protocol.rs
@@ -12,17 +12,17 @@
 
 /// The longest name, in bytes. The shortest has one.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Leases that exist at a time.
+/// Leases that exist at a time, at most. Bounds the replicated state and its snapshots.
 pub const MAX_LEASES: usize = 20_000;
 /// The largest capacity of a lease. The smallest is one.
 pub const MAX_CAPACITY: u32 = 1000;
-/// Owners that wait for one lease.
+/// Owners that wait for one lease, at most.
 pub const MAX_QUEUED_OWNERS: usize = 1024;
-/// Leases that one client requests or holds at a time.
+/// Leases that one client requests or holds at a time, at most.
 pub const MAX_WANTED_LEASES: usize = 1024;
-/// The shortest TTL.
+/// The shortest TTL. A renewal needs a round trip and a write by a majority within a third of it.
 pub const MIN_LEASE_TTL: Duration = Duration::from_millis(200);
-/// The longest TTL.
+/// The longest TTL. The slot of a dead owner stays taken for about as long.
 pub const MAX_LEASE_TTL: Duration = Duration::from_secs(3600);
 
 /// A number that grows with each grant, over all leases, and is never reused. What is acted on
@@ -32,6 +32,14 @@
 )]
 pub struct FencingToken(pub u64);
 
+impl FencingToken {
+    /// The token of the next grant. No other place makes tokens.
+    pub(crate) fn issue_next(&mut self) -> FencingToken {
+        self.0 += 1;
+        *self
+    }
+}
+
 impl fmt::Display for FencingToken {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
--- a/crates/leases/src/state_machine.rs
+++ b/crates/leases/src/state_machine.rs
@@ -1,5 +1,5 @@
-//! The replicated state: each lease, who holds it and who waits. A command changes it in the same
-//! way on every voter, so it reads no clock and draws nothing at random.
+//! The replicated state: all leases, and the numbers that are handed out. A command changes it in
+//! the same way on every voter, so it reads no clock and draws nothing at random.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,54 +7,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::injected_bug::{BugSwitch, InjectedBug};
+use crate::lease::{Lease, SlotRequest};
 use crate::protocol::{
-    Command, FencingToken, Incarnation, LeaseSpec, MAX_LEASES, MAX_QUEUED_OWNERS, Name, Owner,
-    RejectReason, RenewalNumber, Response, is_valid_name,
+    Command, FencingToken, LeaseSpec, MAX_LEASES, Name, Owner, RejectReason, RenewalNumber,
+    Response, is_valid_name,
 };
 
-/// An owner that holds a slot.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct LeaseHolder {
-    /// Who holds it.
-    pub owner: Owner,
-    /// The fencing token of the grant.
-    pub token: FencingToken,
-    /// The number of the latest request.
-    pub renewal: RenewalNumber,
-    /// Whether the grant was revoked: it gets no further renewal.
-    pub revoked: bool,
-}
-
-/// An owner that waits for a slot.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct QueuedOwner {
-    /// Who waits. Incarnation zero stands for whichever run requests first.
-    pub owner: Owner,
-    /// The number of the latest request.
-    pub renewal: RenewalNumber,
-}
-
-/// A lease that is held or waited for.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Lease {
-    /// The spec of the first request.
-    pub spec: LeaseSpec,
-    /// The owners that hold a slot, at most as many as the capacity.
-    pub holders: Vec<LeaseHolder>,
-    /// The owners that wait; the first is served first.
-    pub queue: Vec<QueuedOwner>,
-}
-
-impl Lease {
-    fn free_slots(&self) -> usize {
-        (self.spec.capacity as usize).saturating_sub(self.holders.len())
-    }
-
-    fn is_unused(&self) -> bool {
-        self.holders.is_empty() && self.queue.is_empty()
-    }
-}
-
 /// All leases. Each voter owns a copy and changes it by [`apply`](LeaseStateMachine::apply) alone.
 ///
 /// Invariants: a lease has at most as many holders as its capacity; tokens only grow; a lease that
@@ -103,22 +61,26 @@
     /// Applies a command. It never fails: a command that can't be applied is rejected in the same
     /// way everywhere.
     pub fn apply(&mut self, command: &Command) -> Response {
-        let result = match command {
+        let result = self.try_apply(command);
+        self.remove_if_unused(command.lease());
+        result.unwrap_or_else(Response::Rejected)
+    }
+
+    fn try_apply(&mut self, command: &Command) -> Result<Response, RejectReason> {
+        match command {
             Command::Acquire {
                 lease,
                 owner,
                 ttl,
                 capacity,
                 wait,
-            } => self.acquire(
-                lease,
-                owner,
-                LeaseSpec {
+            } => {
+                let spec = LeaseSpec {
                     ttl: *ttl,
                     capacity: *capacity,
-                },
-                *wait,
-            ),
+                };
+                self.acquire(lease, owner, spec, *wait)
+            }
             Command::Release {
                 lease,
                 owner,
@@ -131,15 +93,13 @@
             } => self.expire(lease, owner, *renewal),
             Command::Revoke { lease, token } => self.revoke(lease, *token),
             Command::Transfer { lease, token, to } => self.transfer(lease, *token, to),
-        };
-        if self
-            .leases
-            .get(command.lease())
-            .is_some_and(Lease::is_unused)
-        {
-            self.leases.remove(command.lease());
         }
-        result.unwrap_or_else(Response::Rejected)
+    }
+
+    fn remove_if_unused(&mut self, name: &Name) {
+        if self.leases.get(name).is_some_and(Lease::is_unused) {
+            self.leases.remove(name);
+        }
     }
 
     fn acquire(
@@ -156,62 +116,20 @@
             return Err(RejectReason::TooManyLeases);
         }
         let renewal = self.next_renewal();
-        let unused = Lease {
-            spec,
-            holders: Vec::new(),
-            queue: Vec::new(),
-        };
-        let lease = self.leases.entry(name.clone()).or_insert(unused);
+        let lease = self
+            .leases
+            .entry(name.clone())
+            .or_insert_with(|| Lease::new(spec));
         if lease.spec != spec {
             let LeaseSpec { ttl, capacity } = lease.spec;
             return Err(RejectReason::SpecMismatch { ttl, capacity });
         }
-        if let Some(holder) = lease
-            .holders
-            .iter_mut()
-            .find(|holder| holder.owner == *owner)
-        {
-            if holder.revoked {
-                return Err(RejectReason::Revoked);
-            }
-            holder.renewal = renewal;
-            return Ok(Response::Granted {
-                token: holder.token,
-            });
-        }
-        // A restarted process takes its earlier run's place in the queue, yet not its slot.
-        let queued_at = lease
-            .queue
-            .iter()
-            .position(|queued| queued.owner.name == owner.name);
-        let ahead = queued_at.unwrap_or(lease.queue.len());
-        if ahead < lease.free_slots() {
-            if let Some(queued_at) = queued_at {
-                lease.queue.remove(queued_at);
-            }
-            self.last_token.0 += 1;
-            let token = self.last_token;
-            lease.holders.push(LeaseHolder {
-                owner: owner.clone(),
-                token,
-                renewal,
-                revoked: false,
-            });
-            return Ok(Response::Granted { token });
-        }
-        let queued = QueuedOwner {
-            owner: owner.clone(),
+        let request = SlotRequest {
+            owner,
             renewal,
+            wait,
         };
-        match queued_at {
-            Some(queued_at) => lease.queue[queued_at] = queued,
-            None if !wait => return Err(RejectReason::AtCapacity),
-            None if lease.queue.len() >= MAX_QUEUED_OWNERS => return Err(RejectReason::QueueFull),
-            None => lease.queue.push(queued),
-        }
-        Ok(Response::Queued {
-            ahead: ahead as u32,
-        })
+        lease.request_slot(request, &mut self.last_token)
     }
 
     fn release(
@@ -220,21 +138,12 @@
         owner: &Owner,
         token: Option<FencingToken>,
     ) -> Result<Response, RejectReason> {
-        let lease = self.leases.get_mut(name).ok_or(RejectReason::StaleToken)?;
-        let before = lease.holders.len() + lease.queue.len();
-        match token {
-            Some(token) => lease
-                .holders
-                .retain(|holder| holder.token != token || holder.owner != *owner),
-            None => lease.queue.retain(|queued| queued.owner != *owner),
-        }
-        if lease.holders.len() + lease.queue.len() < before {
+        let has_double_release = self.bug.is_on(InjectedBug::DoubleRelease);
+        let lease = self.lease_mut(name)?;
+        if lease.release(owner, token) {
             return Ok(Response::Done);
         }
-        if self.bug.is_on(InjectedBug::DoubleRelease)
-            && token.is_some()
-            && !lease.holders.is_empty()
-        {
+        if has_double_release && token.is_some() && !lease.holders.is_empty() {
             lease.holders.remove(0);
             return Ok(Response::Done);
         }
@@ -248,27 +157,18 @@
         renewal: RenewalNumber,
     ) -> Result<Response, RejectReason> {
         let ignores_renewal = self.bug.is_on(InjectedBug::IgnoredRenewal);
-        let lease = self.leases.get_mut(name).ok_or(RejectReason::StaleToken)?;
-        lease.holders.retain(|holder| {
-            let was_renewed = holder.renewal != renewal && !ignores_renewal;
-            holder.owner != *owner || was_renewed
-        });
-        lease
-            .queue
-            .retain(|queued| queued.owner != *owner || queued.renewal != renewal);
+        let lease = self.lease_mut(name)?;
+        lease.expire(owner, renewal, ignores_renewal);
         Ok(Response::Done)
     }
 
     fn revoke(&mut self, name: &Name, token: FencingToken) -> Result<Response, RejectReason> {
-        let lease = self.leases.get_mut(name).ok_or(RejectReason::StaleToken)?;
-        let holder = lease
-            .holders
-            .iter_mut()
-            .find(|holder| holder.token == token);
-        holder.ok_or(RejectReason::StaleToken)?.revoked = true;
+        self.lease_mut(name)?.revoke(token)?;
         Ok(Response::Done)
     }
 
+    /// Revokes a grant and queues a process first. The holder is told that its renewals are
+    /// rejected, ends what it does, and releases the slot.
     fn transfer(
         &mut self,
         name: &Name,
@@ -278,20 +178,16 @@
         if !is_valid_name(to) {
             return Err(RejectReason::Invalid);
         }
-        self.revoke(name, token)?;
+        self.lease_mut(name)?.revoke(token)?;
         let renewal = self.next_renewal();
-        let lease = self.leases.get_mut(name).ok_or(RejectReason::StaleToken)?;
-        lease.queue.retain(|queued| queued.owner.name != *to);
-        // No incarnation yet: whichever run requests the lease takes this place.
-        let owner = Owner {
-            name: to.clone(),
-            incarnation: Incarnation::default(),
-        };
-        lease.queue.insert(0, QueuedOwner { owner, renewal });
-        lease.queue.truncate(MAX_QUEUED_OWNERS);
+        self.lease_mut(name)?.queue_first(to, renewal);
         Ok(Response::Done)
     }
 
+    fn lease_mut(&mut self, name: &Name) -> Result<&mut Lease, RejectReason> {
+        self.leases.get_mut(name).ok_or(RejectReason::StaleToken)
+    }
+
     fn next_renewal(&mut self) -> RenewalNumber {
         self.last_renewal.0 += 1;
         self.last_renewal
@@ -300,13 +196,7 @@
     /// The queued owners that would be granted a slot if they requested it now.
     pub fn next_owners(&self, name: &str) -> impl Iterator<Item = &Owner> {
         let lease = self.leases.get(name);
-        lease.into_iter().flat_map(|lease| {
-            lease
-                .queue
-                .iter()
-                .take(lease.free_slots())
-                .map(|queued| &queued.owner)
-        })
+        lease.into_iter().flat_map(Lease::next_owners)
     }
 
     /// Everybody whose TTL runs, holder or queued: the owner, its latest renewal, and the TTL.
@@ -315,18 +205,6 @@
         name: &str,
     ) -> impl Iterator<Item = (&Owner, RenewalNumber, Duration)> {
         let lease = self.leases.get(name);
-        lease.into_iter().flat_map(|lease| {
-            let holders = lease
-                .holders
-                .iter()
-                .map(|holder| (&holder.owner, holder.renewal));
-            let queued = lease
-                .queue
-                .iter()
-                .map(|queued| (&queued.owner, queued.renewal));
-            holders
-                .chain(queued)
-                .map(|(owner, renewal)| (owner, renewal, lease.spec.ttl))
-        })
+        lease.into_iter().flat_map(Lease::running_ttls)
     }
 }
