--- a/crates/leases/src/expiry.rs
+++ b/crates/leases/src/expiry.rs
@@ -9,7 +9,7 @@
 //! leader that was paused while renewals waited in its socket, expires nobody. The price: after a
 //! change of leader a dead owner's slot stays taken for up to two TTLs.
 //!
-//! Nothing of this is replicated or stored. The scheme is that of Gray and Cheriton (see the crate).
+//! Nothing of this is replicated or stored. The scheme is that of Gray and Cheriton; see the crate.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/peer-protocol/src/frame.rs
+++ b/crates/peer-protocol/src/frame.rs
@@ -2,24 +2,33 @@
 
 use crate::message::Envelope;
 
-/// The version of the protocol.
+/// The version of the protocol. Frames of another one are rejected.
 pub const PROTOCOL_VERSION: u16 = 1;
-/// The length of a frame's header.
+/// The length of a frame's header, in bytes.
 pub const HEADER_BYTES: usize = HASH_OFFSET + HASH_BYTES;
-/// The longest body of a frame.
+/// The longest body of a frame, in bytes. Bounds what a peer makes this process allocate.
 pub const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// The longest frame that is sent as a datagram; a longer one goes over a stream.
+/// The longest frame that is sent as a datagram, in bytes, so that it fits into one packet of an
+/// Ethernet; a longer one goes over a stream.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// The shortest key.
+/// The shortest key, in bytes.
 pub const MIN_KEY_BYTES: usize = 16;
 
+/// What each frame begins with.
 const MAGIC: [u8; 2] = *b"tG";
+/// The length of the cluster tag, in bytes.
 const TAG_BYTES: usize = 4;
+/// The length of the keyed hash, in bytes.
 const HASH_BYTES: usize = 16;
+/// Where the version begins, in bytes from the start of a frame.
 const VERSION_OFFSET: usize = MAGIC.len();
+/// Where the cluster tag begins, in bytes from the start of a frame.
 const TAG_OFFSET: usize = VERSION_OFFSET + 2;
+/// Where the length of the body begins, in bytes from the start of a frame.
 const LENGTH_OFFSET: usize = TAG_OFFSET + TAG_BYTES;
+/// Where the checksum begins, in bytes from the start of a frame.
 const CHECKSUM_OFFSET: usize = LENGTH_OFFSET + 4;
+/// Where the keyed hash begins, in bytes from the start of a frame.
 const HASH_OFFSET: usize = CHECKSUM_OFFSET + 4;
 /// Separates the key of this use from other uses of the same secret.
 const KEY_CONTEXT: &str = "tulipgap peer frames, version 1";
--- a/crates/write-ahead-log/src/disk.rs
+++ b/crates/write-ahead-log/src/disk.rs
@@ -37,6 +37,7 @@
     open_file: Option<(String, File)>,
 }
 
+/// The file that the process which uses the directory holds locked.
 const LOCK_FILE: &str = "lock";
 /// A file that is being replaced, before it gets its name.
 const TEMPORARY_FILE: &str = "half";
--- a/crates/write-ahead-log/src/lib.rs
+++ b/crates/write-ahead-log/src/lib.rs
@@ -28,13 +28,16 @@
 //! # }
 //! ```
 
+mod corruption;
 mod disk;
 mod error;
 mod fault_injection;
 mod log;
 mod record;
+mod recovery;
 
+pub use corruption::Corruption;
 pub use disk::{Directory, Disk};
-pub use error::{Corruption, LogError};
+pub use error::LogError;
 pub use fault_injection::{DiskFaults, DiskUsage, FaultyDisk};
 pub use log::{InjectedBug, Recovered, WriteAheadLog};
--- a/crates/write-ahead-log/src/log.rs
+++ b/crates/write-ahead-log/src/log.rs
@@ -5,13 +5,17 @@
 
 use std::io;
 
+use crate::corruption::Corruption;
 use crate::disk::Disk;
-use crate::error::{Corruption, LogError};
+use crate::error::LogError;
 use crate::record::{self, Decoded, MAX_RECORD_BYTES};
+use crate::recovery::{FilePlace, scan_records};
 
+/// What the names of files with records begin with.
 const LOG_PREFIX: &str = "log-";
+/// What the names of snapshots begin with.
 const SNAPSHOT_PREFIX: &str = "state-";
-/// Files of a single record have no place in the sequence.
+/// The sequence number in files of a single record, which have no place in the sequence.
 const NO_SEQUENCE: u64 = 0;
 
 /// A bug that tests inject to show that their checks can fail. Each stands for a mistake that is
@@ -77,13 +81,12 @@
         let snapshot_sequence = log.last_sequence;
         let logs = sequence_numbers(&files, LOG_PREFIX);
         for (position, &sequence) in logs.iter().enumerate() {
-            let is_last = position + 1 == logs.len();
-            log.replay(
-                &log_file_name(sequence),
-                is_last,
+            let place = FilePlace {
+                is_last: position + 1 == logs.len(),
                 snapshot_sequence,
-                &mut recovered,
-            )?;
+                last_sequence: log.last_sequence,
+            };
+            log.replay(&log_file_name(sequence), place, &mut recovered)?;
         }
         if let Some(&latest) = logs.last() {
             log.log_file = log_file_name(latest);
@@ -196,38 +199,23 @@
         }
     }
 
-    /// Reads one log file. Records that the snapshot covers are skipped.
+    /// Reads one log file and drops a last record that was cut short.
     fn replay(
         &mut self,
         file: &str,
-        is_last: bool,
-        snapshot_sequence: u64,
+        place: FilePlace,
         recovered: &mut Recovered,
     ) -> Result<(), LogError> {
         let bytes = self.disk.read(file).map_err(LogError::io(file))?;
-        let mut offset = 0;
-        while offset < bytes.len() {
-            match record::decode(&bytes[offset..]) {
-                Decoded::Complete { sequence, payload } => {
-                    if sequence > snapshot_sequence {
-                        if sequence != self.last_sequence + 1 {
-                            return Err(corrupt(file, offset, Corruption::MissingRecord));
-                        }
-                        self.last_sequence = sequence;
-                        recovered.records.push(payload.to_vec());
-                    }
-                    offset += record::encoded_len(payload);
-                }
-                Decoded::Torn if is_last => {
-                    recovered.dropped_bytes = bytes.len() - offset;
-                    self.disk
-                        .truncate(file, offset as u64)
-                        .map_err(LogError::io(file))?;
-                    break;
-                }
-                Decoded::Torn => return Err(corrupt(file, offset, Corruption::TruncatedFile)),
-                Decoded::Corrupt(corruption) => return Err(corrupt(file, offset, corruption)),
-            }
+        let scanned = scan_records(&bytes, place)
+            .map_err(|damage| corrupt(file, damage.offset, damage.corruption))?;
+        self.last_sequence = scanned.last_sequence;
+        recovered.records.extend(scanned.payloads);
+        if let Some(offset) = scanned.torn_at {
+            recovered.dropped_bytes = bytes.len() - offset;
+            self.disk
+                .truncate(file, offset as u64)
+                .map_err(LogError::io(file))?;
         }
         Ok(())
     }
--- a/crates/write-ahead-log/src/record.rs
+++ b/crates/write-ahead-log/src/record.rs
@@ -12,17 +12,19 @@
 //! The header has a checksum of its own, so that a damaged length is not mistaken for a record that
 //! was cut short.
 
-use crate::error::Corruption;
+use crate::corruption::Corruption;
 
-/// Length, sequence number, and the two checksums.
+/// The length of a header, in bytes: length, sequence number, and the two checksums.
 const HEADER_BYTES: usize = 4 + 8 + 4 + 4;
+/// Where the header's checksum begins, in bytes from the start of a record.
 const HEADER_CHECKSUM_OFFSET: usize = 12;
+/// Where the payload's checksum begins, in bytes from the start of a record.
 const PAYLOAD_CHECKSUM_OFFSET: usize = 16;
 /// A complete record never ends in zeros, as preallocated space that was never written does.
 const END_MARKER: u8 = 0xa5;
-/// So many zeros at the end of a file are taken for space that was allocated and never written.
+/// How many zeros at the end of a file are taken for space that was allocated and never written.
 const UNWRITTEN_TAIL_BYTES: usize = 16;
-/// No payload is longer.
+/// The longest payload that is appended, in bytes. Snapshots may be longer.
 pub(crate) const MAX_RECORD_BYTES: usize = 64 * 1024 * 1024;
 
 /// What the next bytes of a file are.
@@ -41,6 +43,7 @@
     HEADER_BYTES + payload.len() + 1
 }
 
+/// The bytes of a record in a file.
 pub(crate) fn encode(sequence: u64, payload: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(encoded_len(payload));
     bytes.extend((payload.len() as u32).to_le_bytes());
@@ -52,6 +55,7 @@
     bytes
 }
 
+/// The record that a file's remaining bytes begin with.
 pub(crate) fn decode(bytes: &[u8]) -> Decoded<'_> {
     let Some(header) = bytes.first_chunk::<HEADER_BYTES>() else {
         return Decoded::Torn;
