--- a/crates/fault-injection/src/lease_simulation/mod.rs
+++ b/crates/fault-injection/src/lease_simulation/mod.rs
@@ -27,12 +27,13 @@
 pub use injected_bugs::InjectedBugs;
 pub use outcome::{LeaseInvariant, LeaseOutcome, LeaseViolation};
 
+/// How often the invariants are checked, in simulated time.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Between two reads of who holds a lease.
+/// How often some member reads who holds a lease, in simulated time.
 const READ_INTERVAL: Duration = Duration::from_millis(700);
-/// Members start within this time.
+/// The time within which all members start, in seconds.
 const START_SPREAD_SECONDS: f64 = 0.2;
-/// How long a disk fault lasts where the plan does not say.
+/// How long a disk fault lasts where the plan does not say, in seconds.
 const DEFAULT_DISK_FAULT_SECONDS: f64 = 5.0;
 
 /// What happens to a member's machine, or on it.
@@ -100,6 +101,7 @@
 
 impl Simulation for LeaseSimulation<'_> {
     type Event = SimulationEvent;
+    /// See [`CHECK_INTERVAL`].
     const CHECK_INTERVAL: Duration = CHECK_INTERVAL;
 
     fn scheduler(&mut self) -> &mut Scheduler<SimulationEvent> {
@@ -208,21 +210,12 @@
                 repaired_at,
                 fault,
             } => {
-                let faults = match fault {
-                    DiskFault::Full => DiskFaults {
-                        is_full: true,
-                        ..DiskFaults::default()
-                    },
-                    DiskFault::SyncFails => DiskFaults {
-                        next_sync_fails: true,
-                        ..DiskFaults::default()
-                    },
-                };
                 let repaired_at = repaired_at.unwrap_or(*at + DEFAULT_DISK_FAULT_SECONDS);
                 for member in matching(&self.members, target) {
-                    self.schedule_at(*at, member, SimulationEvent::SetDiskFaults(faults));
-                    let repair = SimulationEvent::SetDiskFaults(DiskFaults::default());
-                    self.schedule_at(repaired_at, member, repair);
+                    let broken = SimulationEvent::SetDiskFaults(disk_faults(*fault));
+                    self.schedule_at(*at, member, broken);
+                    let repaired = SimulationEvent::SetDiskFaults(DiskFaults::default());
+                    self.schedule_at(repaired_at, member, repaired);
                 }
             }
             Fault::ReplaceVoter { at, old, new } => {
@@ -253,3 +246,16 @@
         self.outcome
     }
 }
+
+fn disk_faults(fault: DiskFault) -> DiskFaults {
+    match fault {
+        DiskFault::Full => DiskFaults {
+            is_full: true,
+            ..DiskFaults::default()
+        },
+        DiskFault::SyncFails => DiskFaults {
+            next_sync_fails: true,
+            ..DiskFaults::default()
+        },
+    }
+}
--- a/crates/fault-injection/src/lease_simulation/processes.rs
+++ b/crates/fault-injection/src/lease_simulation/processes.rs
@@ -14,13 +14,14 @@
 use crate::plan::{DirectoryAfterCrash, Fault, MemberIndex};
 use crate::scheduler::ProcessGeneration;
 
-/// How far clocks may differ in rate, and the jitter of pauses, both in thousandths.
+/// How far clocks may be off in rate, as the clients are configured, in thousandths.
 const MAX_CLOCK_DRIFT_PERMILLE: u32 = 50;
+/// The jitter of the clients' pauses, in thousandths of a pause.
 const JITTER_PERMILLE: u32 = 250;
-/// Events that wait for a paused process, as in a socket's buffer.
+/// Events that wait for a paused process, at most, as in a socket's buffer.
 const MAX_PENDING_EVENTS: usize = 2000;
-/// Timers are set by clocks of another rate; this covers the rounding, so that none expires before
-/// its time.
+/// How much later a timer elapses by true time. Timers are set by clocks of another rate; this
+/// covers the rounding, so that none elapses before its time.
 const TIMER_ROUNDING: Duration = Duration::from_nanos(10);
 
 /// A lease under which a client has a guard; the lease itself may have ended meanwhile.
--- a/crates/fault-injection/src/membership_simulation/mod.rs
+++ b/crates/fault-injection/src/membership_simulation/mod.rs
@@ -19,8 +19,9 @@
 
 pub use outcome::{DetectionTimes, MembershipBug, MembershipOutcome};
 
+/// How often the invariants are checked, in simulated time.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Members start within this time.
+/// The time within which all members start, in seconds.
 const START_SPREAD_SECONDS: f64 = 0.2;
 
 enum SimulationEvent {
@@ -73,6 +74,7 @@
 
 impl Simulation for MembershipSimulation<'_> {
     type Event = SimulationEvent;
+    /// See [`CHECK_INTERVAL`].
     const CHECK_INTERVAL: Duration = CHECK_INTERVAL;
 
     fn scheduler(&mut self) -> &mut Scheduler<SimulationEvent> {
--- a/crates/fault-injection/src/membership_simulation/processes.rs
+++ b/crates/fault-injection/src/membership_simulation/processes.rs
@@ -14,9 +14,11 @@
 use crate::plan::{Member, MemberIndex, seed_members};
 use crate::scheduler::ProcessGeneration;
 
-/// Messages that wait for a paused process, as in a socket's buffer.
+/// Messages that wait for a paused process, at most, as in a socket's buffer.
 const MAX_PENDING_MESSAGES: usize = 1000;
+/// The port of each member.
 const PORT: u16 = 7100;
+/// Members whose addresses differ in the last byte alone.
 const MEMBERS_PER_SUBNET: usize = 250;
 
 /// When a process died, and after how long each observer had detected it.
--- a/crates/fault-injection/src/plan/network.rs
+++ b/crates/fault-injection/src/plan/network.rs
@@ -1,13 +1,19 @@
-//! What the faults of a plan do to messages between two members.
+//! What the faults of a plan do to messages between two members: whether a link is cut, and how
+//! many copies of a message arrive when. Where several faults degrade one link, the worst of each
+//! quality counts.
 
 use std::time::Duration;
 
 use super::{Fault, Member, Plan};
 
-/// How long a message takes where links are not degraded: the shortest and the longest.
+/// The shortest time that a message takes, in seconds, where links are not degraded.
 const MIN_LATENCY_SECONDS: f64 = 0.0002;
+/// The longest time that a message takes, in seconds, where links are not degraded.
 const MAX_LATENCY_SECONDS: f64 = 0.002;
 
+/// The shortest delay that is drawn, as a fraction of the mean; the longest is one more.
+const MIN_DELAY_FRACTION: f64 = 0.5;
+
 /// How links from one member to another are degraded at some time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct LinkQuality {
@@ -27,7 +33,7 @@
 
     /// Draws the delay beside the usual latency, in seconds.
     pub(crate) fn draw_delay(&self, rng: &mut fastrand::Rng) -> f64 {
-        self.delay * (0.5 + rng.f64())
+        self.delay * (MIN_DELAY_FRACTION + rng.f64())
     }
 
     /// Draws whether a message is lost.
--- a/crates/fault-injection/src/plan/validation.rs
+++ b/crates/fault-injection/src/plan/validation.rs
@@ -1,4 +1,5 @@
-//! What plans can be played.
+//! Which plans can be played: the limits of each value, checked before a run begins. A value beyond
+//! them would make a run that never ends, or one whose outcome says nothing.
 
 use std::ops::RangeInclusive;
 
@@ -8,18 +9,25 @@
 
 use super::{Bounds, Fault, Member, Plan, PlanError, PlannedLease, TimeWindow};
 
-/// The most members of one run.
+/// Members of one run, at most.
 const MAX_MEMBERS: usize = 2000;
-/// The longest run.
+/// The longest run, in seconds.
 const MAX_LENGTH_SECONDS: f64 = 3600.0;
+/// The longest name of a zone, in bytes.
 const MAX_ZONE_NAME_BYTES: usize = 40;
+/// Fractions of messages.
 const FRACTION: RangeInclusive<f64> = 0.0..=1.0;
+/// Delays beside the usual latency, in milliseconds.
 const DELAY_MS: RangeInclusive<f64> = 0.0..=60_000.0;
+/// Seconds that a clock shows for each true second.
 const CLOCK_RATE: RangeInclusive<f64> = 0.5..=2.0;
+/// How long a flapping link stays cut or open, in seconds.
 const FLAP_SECONDS: RangeInclusive<f64> = 0.01..=3600.0;
+/// TTLs of leases, in seconds.
 const TTL_SECONDS: RangeInclusive<f64> = MIN_LEASE_TTL.as_secs_f64()..=MAX_LEASE_TTL.as_secs_f64();
+/// Capacities of leases.
 const CAPACITY: RangeInclusive<u32> = 1..=MAX_CAPACITY;
-/// The largest part of a TTL that one operation may take.
+/// The largest fraction of a TTL that one operation may take.
 const MAX_OPERATION_FRACTION: f64 = 0.25;
 
 fn ensure(is_valid: bool, location: impl Into<String>, expected: &str) -> Result<(), PlanError> {
@@ -59,7 +67,8 @@
             ensure(
                 lease.is_valid(&members),
                 format!("lease[{index}]"),
-                "needs a name of 1 to 64 bytes, a term from 0.2 s, places from 1, a step up to a quarter of the term",
+                "needs a name of 1 to 64 bytes, a TTL (`term`) from 0.2 s, a capacity (`places`) from 1, \
+                 operations (`step`) of up to a quarter of the TTL",
             )?;
         }
         self.bounds.validate()
--- a/crates/fault-injection/src/processes/addresses.rs
+++ b/crates/fault-injection/src/processes/addresses.rs
@@ -5,20 +5,28 @@
 
 use crate::plan::MemberIndex;
 
+/// The port on which a member serves requests.
 const FRONTEND_PORT: u16 = 6565;
+/// The port at which a member looks for its executor.
 const EXECUTOR_PORT: u16 = 7300;
+/// The port on which a member hears other members.
 const PEER_PORT: u16 = 7100;
+/// The port to which operations under leases are reported.
 const HISTORY_PORT: u16 = 7000;
-/// Bound for as long as a run owns its network.
+/// The port that is bound for as long as a run owns its network.
 const CLAIM_PORT: u16 = 7099;
 /// The proxy from one member to another listens on the first one's address, on this port plus the
 /// other's index.
 const FIRST_PROXY_PORT: u16 = 8000;
-/// Hosts of a run's network: 1 claims it, members have 10 and on.
+/// The host of a run's network whose address claims the network.
 const CLAIM_HOST: u8 = 1;
+/// The host of the first member; the others have those after it.
 const FIRST_MEMBER_HOST: usize = 10;
+/// The host to which operations under leases are reported.
 const HISTORY_HOST: usize = 210;
+/// The host that sends delayed datagrams.
 const DELAYED_SENDER_HOST: usize = 211;
+/// Random networks that are tried before a run gives up.
 const CLAIM_ATTEMPTS: u32 = 200;
 
 /// A network of 256 loopback addresses that no other run on this machine uses. Dropping it gives
--- a/crates/fault-injection/src/processes/configuration.rs
+++ b/crates/fault-injection/src/processes/configuration.rs
@@ -9,7 +9,9 @@
 use super::process::MemberProcess;
 use crate::plan::{MemberIndex, Plan, PlannedLease, seed_members};
 
+/// The file in a run's directory that holds the key.
 const KEY_FILE: &str = "key";
+/// The key that the processes of each run share.
 const KEY: &[u8] = b"of this run alone, and no secret";
 
 /// Writes the key that the processes of a run share.
--- a/crates/fault-injection/src/processes/history.rs
+++ b/crates/fault-injection/src/processes/history.rs
@@ -16,12 +16,15 @@
 use crate::history_checker::{HistoryChecker, OperationError};
 use crate::plan::{Plan, PlannedLease};
 
+/// How often the listener looks for a new stream.
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(1);
-/// The words of the protocol: a report is `PHASE LEASE TOKEN MEMBER` in one line, and so is its
-/// response.
+/// The phase of an operation that begins. A report is one line, `PHASE LEASE TOKEN MEMBER`.
 const BEGIN: &str = "begin";
+/// The phase of an operation that ends.
 const END: &str = "end";
+/// The response to a report that is accepted. The word is that of the protocol.
 const ACCEPTED: &[u8] = b"taken\n";
+/// The response to a report whose token is stale. The word is that of the protocol.
 const REJECTED: &[u8] = b"old\n";
 
 /// A line that a process reports.
--- a/crates/fault-injection/src/processes/mod.rs
+++ b/crates/fault-injection/src/processes/mod.rs
@@ -31,7 +31,7 @@
 use schedule::Schedule;
 use views::ViewPoller;
 
-/// Between two looks at the schedule and the processes.
+/// How often the schedule and the processes are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why a run could not be played to its end.
--- a/crates/fault-injection/src/processes/process.rs
+++ b/crates/fault-injection/src/processes/process.rs
@@ -12,15 +12,21 @@
 use super::schedule::FaultAction;
 use crate::plan::{DirectoryAfterCrash, DiskFault, Member, PlannedLease};
 
-/// Names in a process's directory. While the file of a disk fault is there, the process's disk
-/// fails that way.
+/// The directory of the voter's log, in a process's directory.
 const JOURNAL: &str = "journal";
+/// The older copy of that directory, from which a crash may roll it back.
 const JOURNAL_BACKUP: &str = "older";
+/// The control socket of a process.
 const CONTROL_SOCKET: &str = "control";
+/// What a process is configured with by its platform.
 const CONFIG_FILE: &str = "config.json";
+/// The settings of a process.
 const SETTINGS_FILE: &str = "settings.hcl";
+/// While this file is there, the process's disk is full.
 const DISK_FULL_FILE: &str = "full";
+/// While this file is there, the next sync of the process's disk fails.
 const SYNC_FAILS_FILE: &str = "fails";
+/// How much of a response on the control socket is read, in bytes.
 const MAX_CONTROL_RESPONSE_BYTES: usize = 256;
 
 /// A member's process. Owns the child; dropping it kills the child.
--- a/crates/fault-injection/src/processes/proxy.rs
+++ b/crates/fault-injection/src/processes/proxy.rs
@@ -13,13 +13,15 @@
 
 use crate::plan::{LinkQuality, Member, MemberIndex, Plan};
 
-/// Between two looks for a new stream, and whether a partition is over.
+/// How often a proxy looks for a new stream, and whether a partition is over.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The longest wait of a proxy, after which it looks whether the run is over.
+/// The longest wait of a proxy before it looks whether the run is over.
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// A part of a stream that is lost arrives so much later, as after a retransmission.
+/// How much later a part of a stream arrives that is lost, as after a retransmission.
 const RETRANSMISSION_DELAY: Duration = Duration::from_millis(200);
+/// The longest datagram that a proxy passes on, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
+/// How much of a stream a proxy reads at a time, in bytes.
 const STREAM_BUFFER_BYTES: usize = 16_384;
 
 /// The network between the processes of a run, which all proxies share: the plan, and whether the
--- a/crates/fault-injection/src/processes/views.rs
+++ b/crates/fault-injection/src/processes/views.rs
@@ -16,8 +16,11 @@
 use crate::invariants::{MembershipChecker, Observation};
 use crate::plan::{MemberIndex, Plan};
 
+/// How often all processes are asked for their views.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// How long the response of one process is waited for.
 const POLL_TIMEOUT: Duration = Duration::from_millis(400);
+/// The command on the control socket that asks for a process's view.
 const MEMBERS_COMMAND: &[u8] = b"{\"do\":\"members\"}\n";
 
 /// What each member considers the others to be. Owns the checker of the membership's invariants.
--- a/crates/fault-injection/src/scheduler.rs
+++ b/crates/fault-injection/src/scheduler.rs
@@ -60,7 +60,7 @@
 pub(crate) trait Simulation {
     type Event;
 
-    /// Between two checks of the invariants.
+    /// How often the invariants are checked, in simulated time.
     const CHECK_INTERVAL: Duration;
 
     fn scheduler(&mut self) -> &mut Scheduler<Self::Event>;
@@ -95,7 +95,9 @@
 pub(crate) struct Fingerprint(u64);
 
 impl Fingerprint {
+    /// The hash of nothing, as FNV-1a defines it for 64 bits.
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    /// The multiplier, as FNV-1a defines it for 64 bits.
     const PRIME: u64 = 0x0100_0000_01b3;
 
     pub(crate) fn new() -> Self {
