--- a/crates/server/src/clock.rs
+++ b/crates/server/src/clock.rs
@@ -1,7 +1,8 @@
-//! Deadlines of coroutines. A thread of its own keeps them and wakes whoever waits. may's own
-//! timers are not used: once there were waits of over 1024 different spans, it frees lists of them
-//! that are still referred to. Then an assertion of its queue fails, its thread is gone, and no
-//! wait ever ends.
+//! Deadlines of coroutines. A thread keeps them and wakes the coroutines that wait.
+//!
+//! The timers of the runtime `may` are not used. After waits of over 1,024 different durations it
+//! frees lists of waiters that are still in use; then an assertion of its queue fails, its timer
+//! thread ends, and no wait ever ends. It shows as a server whose connections all hang.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, LazyLock, Weak};
@@ -11,7 +12,7 @@
 use may::sync::Blocker;
 use parking_lot::{Condvar, Mutex, MutexGuard};
 
-/// Something that can be woken, also if it was woken before.
+/// A waiter that can be woken, also one that was woken before.
 pub(crate) trait Wake: Send + Sync {
     fn wake(&self);
 }
@@ -28,7 +29,7 @@
     }
 }
 
-/// The waiters by deadline and then by order; one that is gone is skipped.
+/// The waiters by deadline, and by the order of their calls. A waiter that was dropped is skipped.
 #[derive(Default)]
 struct Deadlines {
     waiters: BTreeMap<(Instant, u64), Weak<dyn Wake>>,
@@ -84,7 +85,7 @@
     }
 }
 
-/// Wakes a waiter at that time, unless it is gone by then.
+/// Wakes a waiter at that time, unless it is dropped by then.
 pub(crate) fn wake_at<W: Wake + 'static>(at: Instant, waiter: &Arc<W>) {
     let waiter: Weak<W> = Arc::downgrade(waiter);
     CLOCK.wake(at, waiter);
@@ -95,7 +96,7 @@
     if let Some(deadline) = deadline {
         wake_at(deadline, waiter);
     }
-    // The caller looks at what it waits for, and at the clock.
+    // An error says that it was woken early; the caller checks what it waits for.
     let _ = waiter.park(None);
 }
 
--- a/crates/server/src/cluster/admin.rs
+++ b/crates/server/src/cluster/admin.rs
@@ -104,7 +104,7 @@
         self.pending.next_attempt_at()
     }
 
-    /// Sends the commands that wait once more, where their time has come.
+    /// Sends the commands again whose next attempt is due.
     pub(crate) fn retry_due(&mut self, node: &LocalNode, now: Duration) {
         self.pending.retry_due(now, node.router());
     }
@@ -126,8 +126,8 @@
             .complete(request, Ok(AdminResponse::leases(leases)));
     }
 
-    /// A voter that does not lead has rejected a command. Where it knows no leader the next attempt
-    /// comes in its time.
+    /// A voter that does not lead has rejected a command. Where it knows no leader, the next
+    /// attempt is made when it is due.
     pub(crate) fn handle_not_leader(
         &mut self,
         node: &LocalNode,
--- a/crates/server/src/cluster/clock.rs
+++ b/crates/server/src/cluster/clock.rs
@@ -9,8 +9,8 @@
 /// The longest wait of a thread that has no timer before that.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// Time since the process joined, including the time that the machine was suspended: a lease's TTL
-/// goes on meanwhile.
+/// Time since the process joined, including the time for which the machine was suspended, because
+/// the TTL of a lease goes on in that time.
 #[derive(Clone, Copy)]
 pub(crate) struct ClusterClock {
     start: Duration,
@@ -28,7 +28,7 @@
 }
 
 impl ClusterClock {
-    /// A clock that starts at zero and goes at that rate.
+    /// A clock that starts at zero and runs at that rate.
     pub(crate) fn start(rate: f64) -> Self {
         ClusterClock {
             start: boot_time(),
@@ -41,7 +41,7 @@
         boot_time().saturating_sub(self.start).mul_f64(self.rate)
     }
 
-    /// How long a thread may wait until that time, [`MAX_WAIT`] at the most, in the machine's time.
+    /// How long a thread may wait until that time, at most [`MAX_WAIT`], in the machine's time.
     pub(crate) fn wait_until(&self, at: Option<Duration>) -> Duration {
         at.map_or(MAX_WAIT, |at| self.time_until(at).min(MAX_WAIT))
     }
@@ -51,7 +51,7 @@
     }
 }
 
-/// The earliest of the times that were set and have not come yet.
+/// A timer. Of several times that are set, it keeps the earliest.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Timer {
     at: Option<Duration>,
--- a/crates/server/src/cluster/event_loop.rs
+++ b/crates/server/src/cluster/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop of the cluster: it takes what other threads hand to it, and hands it to the state
-//! machines.
+//! The event loop of the cluster: it takes the inputs of other threads, and passes them to the
+//! state machines.
 
 use std::ops::ControlFlow;
 use std::sync::mpsc::{Receiver, SyncSender};
--- a/crates/server/src/cluster/input.rs
+++ b/crates/server/src/cluster/input.rs
@@ -47,6 +47,7 @@
     },
     /// Another voter is to lead, where this one does.
     TransferLeadership,
-    /// Leave the cluster and end the loop. The sender is notified once the others have been told.
+    /// Leave the cluster and end the loop. The sender is notified once the messages to the other
+    /// members are queued.
     Shutdown(SyncSender<()>),
 }
--- a/crates/server/src/cluster/lease_handle.rs
+++ b/crates/server/src/cluster/lease_handle.rs
@@ -77,7 +77,7 @@
     }
 
     fn carry_out(&self, actions: Vec<Action>) {
-        // Once the event loop has ended there is nobody left to tell.
+        // Once the event loop has ended, the process is ending and has released its leases.
         let _ = self.inputs.send(Input::LeaseActions(actions));
     }
 }
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -63,11 +63,11 @@
 use self::voter_thread::VoterHandle;
 use crate::net::store::StoreClient;
 
-/// Descriptors beside the streams: datagrams, listeners, the voter's files and the control socket.
+/// Descriptors besides the streams: datagrams, listeners, the voter's files and the control socket.
 const OTHER_DESCRIPTORS: usize = 8;
 /// Descriptors that are reserved for the cluster.
 pub(crate) const DESCRIPTORS: usize = MAX_STREAMS + OTHER_DESCRIPTORS;
-/// How much longer pauses of the lease client are at random, in thousandths.
+/// The random part of the lease client's pauses, in thousandths of a pause.
 const RETRY_JITTER_PERMILLE: u32 = 250;
 /// How long the end of the process waits for the event loop to leave the cluster.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
@@ -107,7 +107,8 @@
             return;
         };
         let leases = self.leases.clone();
-        // On a thread of its own, as nothing may delay the drain, whatever the event loop does.
+        // On a thread of its own: the call waits while the event loop's queue is full, and that may
+        // not delay the drain.
         if let Err(error) = spawn_thread("drain", move || drain.acquire(&leases)) {
             log::warn!("drain lease not requested error=\"{error}\"");
         }
@@ -148,7 +149,8 @@
     listen: SocketAddr,
     codec: FrameCodec,
     clock: ClusterClock,
-    /// Drawn with each start, so that nothing is taken for what an earlier run has requested.
+    /// Drawn at each start, so that responses to an earlier run are told apart from those to this
+    /// one.
     incarnation: Incarnation,
     seed: u64,
     voters: Vec<Name>,
--- a/crates/server/src/cluster/peer_links.rs
+++ b/crates/server/src/cluster/peer_links.rs
@@ -1,7 +1,7 @@
 //! Links to the other processes of a cluster: datagrams for messages that may be lost, streams for
 //! those that must arrive or are long. Each link is used one way, by the process that opened it.
 //! Links have threads of their own, and none of them runs on the worker of the requests; a slow
-//! peer fills its own queue and nobody else's.
+//! peer fills its own queue alone.
 
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -21,7 +21,7 @@
 use super::threads::spawn_thread;
 use crate::log::LogLimit;
 
-/// Frames that wait for one peer; beyond, the newest are dropped.
+/// Frames that may wait for one peer. Beyond them, the newest are dropped.
 const MAX_QUEUED_FRAMES: usize = 256;
 /// Streams that this process opens.
 const MAX_OUTGOING_STREAMS: usize = 24;
@@ -29,10 +29,10 @@
 const MAX_INCOMING_STREAMS: usize = 32;
 /// Streams that are open at a time, in both directions.
 pub(crate) const MAX_STREAMS: usize = MAX_OUTGOING_STREAMS + MAX_INCOMING_STREAMS;
-/// A stream without a frame for so long is closed. Those of voters never are; others are opened now
-/// and then.
+/// How long a stream without a frame is kept open. Streams between voters always carry heartbeats;
+/// others are used rarely.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// A peer that sends or reads nothing in the middle of a frame for so long has stalled.
+/// How long a peer may pause in the middle of a frame before its stream is closed.
 const STALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a connect may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -40,18 +40,18 @@
 const MIN_RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
 /// The longest pause after a stream has failed.
 const MAX_RECONNECT_BACKOFF: Duration = Duration::from_secs(2);
-/// Datagrams that are read before other threads have their turn.
+/// Datagrams that are read before the thread yields to others.
 const DATAGRAMS_PER_YIELD: u32 = 32;
-/// As long as any datagram.
+/// The buffer for a datagram, in bytes: the longest that UDP allows.
 const DATAGRAM_BUFFER_BYTES: usize = 64 * 1024;
 /// The pause after a datagram could not be read.
 const DATAGRAM_ERROR_PAUSE: Duration = Duration::from_millis(1);
 /// The pause after a stream could not be accepted.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(20);
 
-/// Of all links together: lines about rejected frames in the log.
+/// Limits the log lines about rejected frames, of all links together.
 static REJECTED_FRAMES: LogLimit = LogLimit::new();
-/// Of all links together: lines about streams that failed in the log.
+/// Limits the log lines about failed streams, of all links together.
 static FAILED_STREAMS: LogLimit = LogLimit::new();
 
 /// What [`PeerLinks::open`] needs.
@@ -262,7 +262,7 @@
                 log_failed_stream(to, &error);
                 std::thread::sleep(backoff.mul_f64(0.5 + 0.5 * fastrand::f64()));
                 backoff = (backoff * 2).min(MAX_RECONNECT_BACKOFF);
-                // Frames that were queued meanwhile are out of date.
+                // Frames that were queued during the pause are out of date.
                 while queue.try_recv().is_ok() {}
             }
         }
--- a/crates/server/src/cluster/pending_requests.rs
+++ b/crates/server/src/cluster/pending_requests.rs
@@ -10,11 +10,11 @@
 use super::control_protocol::{AdminError, AdminResult};
 use super::message_router::MessageRouter;
 
-/// A command that no leader has responded to by then has failed.
+/// How long a command waits for the response of a leader before it fails.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// The time between two attempts.
+/// The pause between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
-/// Commands that wait at a time.
+/// The limit on commands that wait at a time.
 const MAX_PENDING_REQUESTS: usize = 64;
 /// Ids of operators' requests are greater than this; those of the lease client never are.
 const ID_BASE: RequestId = RequestId(1 << 62);
@@ -28,7 +28,8 @@
     expires_at: Duration,
     /// When it is sent to the next voter.
     next_attempt_at: Duration,
-    /// Attempts without a hint who leads. Each goes to the next voter.
+    /// Attempts, each to the next voter. A command that is sent to a reported leader does not
+    /// count.
     attempts: usize,
 }
 
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Sends the commands whose time has come to the next voter each.
+    /// Sends each command that is due to its next voter.
     pub(crate) fn retry_due(&mut self, now: Duration, router: &MessageRouter) {
         let is_due = |request: &PendingRequest| request.next_attempt_at <= now;
         let due: Vec<RequestId> = self
--- a/crates/server/src/cluster/store_probe.rs
+++ b/crates/server/src/cluster/store_probe.rs
@@ -17,14 +17,14 @@
 
 /// The key of the metadata under which the verdict is published.
 const VERDICT_KEY: &str = "store";
-/// The time between two looks at the store's connections.
+/// How often the store's connections are checked for refusals.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
-/// How long the event loop may take to read the verdicts of others. Without them the probe goes by
-/// what it sees itself.
+/// How long the event loop may take to read the verdicts of others. Without them, this process
+/// decides by its own connections alone.
 const VERDICT_READ_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a probe may take. It is the longest step under the lease on probing.
+/// How long a probe may take: the longest step under the lease on probing.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// One process probes; another takes over this long after it has died.
+/// The lease on probing. One process probes, and another takes over within this TTL of its death.
 const PROBE_LEASE: LeaseSpec = LeaseSpec {
     ttl: Duration::from_secs(4),
     capacity: 1,
@@ -46,7 +46,7 @@
     wants_lease: bool,
     /// Where the lease is held.
     guard: Option<ScopedGuard>,
-    /// Of a probe that the prober does not know of yet.
+    /// The outcome of the last probe, until the prober has received it.
     last_outcome: Option<ProbeOutcome>,
 }
 
--- a/crates/server/src/cluster/threads.rs
+++ b/crates/server/src/cluster/threads.rs
@@ -4,9 +4,9 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
 
-/// The stack of a thread.
+/// The stack of a thread, in bytes.
 const STACK_BYTES: usize = 256 * 1024;
-/// Items that are taken from a queue in one go: one write of a voter serves them all.
+/// Items that are taken from a queue at a time. A voter makes them durable with one write.
 const MAX_BATCH: usize = 256;
 
 /// Starts a thread with a small stack.
@@ -21,9 +21,9 @@
         .map(|_| ())
 }
 
-/// Waits up to `timeout` for one item, and yields it with those that are queued behind it, up to
-/// [`MAX_BATCH`] of them. The batch is empty where none came in time; there is none once all
-/// senders are gone.
+/// Waits up to `timeout` for one item, and returns it with those that are queued behind it, up to
+/// [`MAX_BATCH`] of them. The batch is empty where no item was received in time; `None` once all
+/// senders are dropped.
 pub(crate) fn receive_batch<T>(
     receiver: &Receiver<T>,
     timeout: Duration,
--- a/crates/server/src/cluster/voter_thread.rs
+++ b/crates/server/src/cluster/voter_thread.rs
@@ -48,8 +48,8 @@
         Ok(VoterHandle { events, status })
     }
 
-    /// Hands the voter an event. A voter whose disk hangs holds nobody up: the event is dropped
-    /// where its queue is full, and whoever sent it retries.
+    /// Hands the voter an event. Where the queue is full because its disk hangs, the event is
+    /// dropped, so that the event loop never waits for the disk; the event's sender retries.
     pub(crate) fn send(&self, event: Event) {
         let _ = self.events.try_send(event);
     }
--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -1,5 +1,5 @@
-//! The file that `LB_CONFIG` names: who this backend is, where its peers are, its limits and its
-//! settings; and what of it may change while the backend runs.
+//! The file that `LB_CONFIG` names: the name of this backend, the addresses of its peers, its
+//! limits and its settings. Only the addresses may change while the backend runs.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -32,7 +32,7 @@
     settings: Settings,
 }
 
-/// Where the peers are. They may move while the backend runs.
+/// The addresses of the peers. They may change while the backend runs.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 pub(crate) struct PeerAddresses {
     /// The executor.
@@ -49,7 +49,8 @@
     const KEYS: [&str; 3] = ["kernel", "announce", "store"];
 }
 
-/// Where a peer is now. Its owner is whoever talks to that peer; reloading the file sets it.
+/// The current address of a peer. It is owned by the client of that peer; a reload of the file sets
+/// it.
 pub(crate) struct CurrentAddress<T>(Mutex<T>);
 
 impl<T: Copy + PartialEq> CurrentAddress<T> {
@@ -80,11 +81,11 @@
     pub(crate) controller: Config,
     pub(crate) names: Names,
     pub(crate) steering: Steering,
-    /// The file as it was, to find out later what of it has changed.
+    /// The entries of the file, with which those of a reload are compared.
     entries: Map<String, Value>,
 }
 
-/// What a reload of the file brings.
+/// What a reload of the file has changed.
 pub(crate) struct Reloaded {
     pub(crate) peers: PeerAddresses,
     /// Other keys that have changed; they take effect at a restart.
@@ -191,8 +192,11 @@
         })
     }
 
-    /// Reads the file again. A file that is invalid as a whole, or that is of another backend,
-    /// changes nothing: that backend's executor would be taken for this one's.
+    /// Reads the file again. A file that is invalid, or that is of another backend, changes
+    /// nothing: this backend would send its requests to the other one's executor.
+    ///
+    /// # Errors
+    /// [`ConfigError`] where the file can't be used.
     pub(crate) fn reload(&self, path: Option<&Path>) -> Result<Reloaded, ConfigError> {
         let new = Self::read(path)?;
         if (&new.name, new.listen) != (&self.name, self.listen) {
--- a/crates/server/src/connection_limits.rs
+++ b/crates/server/src/connection_limits.rs
@@ -10,18 +10,22 @@
 use crate::config::ServerConfig;
 use crate::net::frontend::{IDLE_MARGIN, MESSAGE_TIMEOUT, RESERVED_DESCRIPTORS};
 
-/// How long a client's standing takes to lose half of its value, where that is not configured.
+/// The half-life of a client's reputation, where it is not configured.
 const DEFAULT_HALF_LIFE: Duration = Duration::from_secs(600);
-/// The limits of an address, where they are not configured, are for at least so many callers.
+/// The least number of callers among which the limits of an address divide the capacity, where they
+/// are not configured.
 const MIN_CALLERS: u32 = 4;
-/// The connections that an address may have at least, where that is not configured.
+/// The default limit on the connections of an address, as a multiple of the equal share of a
+/// caller.
+const SHARE_FACTOR: usize = 2;
+/// The least limit on the connections of an address, where it is not configured.
 const MIN_CONNECTIONS_PER_ADDRESS: usize = 4;
-/// The connections that an address may open at once at least, where that is not configured.
+/// The least limit on the connections that an address may open at once, where it is not configured.
 const MIN_CONNECTION_RATE: u32 = 8;
 
-/// The limits of this server. Without the block `admission`, new connections wait in the backlog
-/// for a place and none is limited by its address. What the block leaves out follows from the
-/// places and the number of callers.
+/// The limits of this server. Without the block `admission`, connections beyond the descriptors
+/// wait in the backlog, and none is limited by its address. Limits that the block leaves out follow
+/// from the capacity and the number of callers.
 pub(crate) fn limiter_config(
     config: &ServerConfig,
     store_connections: usize,
@@ -65,8 +69,8 @@
     admission: &ConnectionLimitsConfig,
     default: Config,
 ) -> Config {
-    // As many as all callers could have each, with room for twice that; never all of it.
-    let share = 2 * places / config.controller.callers.max(MIN_CALLERS) as usize;
+    // Twice the equal share of a caller, and never all of the capacity.
+    let share = SHARE_FACTOR * places / config.controller.callers.max(MIN_CALLERS) as usize;
     let all_but_one = places.max(MIN_CONNECTIONS_PER_ADDRESS + 1) - 1;
     let per_address = share.clamp(MIN_CONNECTIONS_PER_ADDRESS, all_but_one) as u32;
     let per_network = (places as u32).max(1);
--- a/crates/server/src/log.rs
+++ b/crates/server/src/log.rs
@@ -1,6 +1,6 @@
 //! The logger behind the `log` crate: a line on standard error for each record, with the time since
-//! the start. A thread of its own writes, so that a log which nobody reads stops no server: lines
-//! are dropped then.
+//! the start. A thread writes the lines. Where standard error is a pipe that is not read, the
+//! thread blocks and lines are dropped; the server goes on.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,7 +11,7 @@
 
 /// Lines that may wait to be written.
 const MAX_WAITING_LINES: usize = 256;
-/// The longest that the end of the program waits for its last lines.
+/// How long the end of the program waits for its last lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
 enum Entry {
@@ -53,7 +53,7 @@
 fn write(entries: &Receiver<Entry>) {
     for entry in entries {
         if let Entry::Line(line) = entry {
-            // There is nowhere else to report that standard error is gone.
+            // An error of standard error can be reported nowhere.
             let _ = std::io::stderr().write_all(line.as_bytes());
         }
     }
@@ -81,21 +81,21 @@
 pub(crate) struct LogLimit(AtomicU64);
 
 impl LogLimit {
-    /// Lines that are all logged.
+    /// The first lines of a kind, which are all logged.
     const FIRST: u64 = 20;
-    /// Behind them one in so many is.
+    /// After the first lines, one in this many is logged.
     const INTERVAL: u64 = 1000;
 
     pub(crate) const fn new() -> Self {
         LogLimit(AtomicU64::new(0))
     }
 
-    /// How often it happened so far.
+    /// The number of events so far.
     pub(crate) fn count(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 
-    /// Counts it, and returns the count if it is to be logged.
+    /// Counts an event, and returns the count if the event is to be logged.
     pub(crate) fn pass(&self) -> Option<u64> {
         let count = self.0.fetch_add(1, Ordering::Relaxed) + 1;
         (count <= LogLimit::FIRST || count.is_multiple_of(LogLimit::INTERVAL)).then_some(count)
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,6 +1,6 @@
 //! `tulipgapd`: one backend. It reads the file that `LB_CONFIG` names, serves until SIGTERM,
-//! answers everything that it has read, and exits with 0. What it cannot start with is one line on
-//! standard error and exit code 2. SIGHUP has it read again where its peers are.
+//! answers everything that it has read, and exits with 0. Where it cannot start, it writes one line
+//! to standard error and exits with 2. On SIGHUP it reads the addresses of its peers again.
 
 mod clock;
 mod cluster;
@@ -28,9 +28,9 @@
 use signals::Signals;
 use trace::Tracer;
 
-/// A coroutine's stack in words; only what is touched takes memory.
+/// The stack of a coroutine, in words of 8 bytes. Only the pages that are used take memory.
 const STACK_WORDS: usize = 8 * 1024;
-/// Stacks that are kept for reuse.
+/// The number of stacks that are kept for reuse.
 const MAX_POOLED_STACKS: usize = 256;
 
 /// One backend. LB_CONFIG names the JSON file that tells it who it is, where its peers are, its
@@ -67,7 +67,7 @@
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    // Before anything else: a signal that nobody has asked for ends the program.
+    // Before anything else: a signal that is not handled yet ends the program.
     let signals = Signals::register();
     log::start(std::env::var("LB_LOG").ok().as_deref());
     match run(&args, signals) {
@@ -88,7 +88,8 @@
         .map(tulipgap_config::read)
         .transpose()?
         .unwrap_or_default();
-    // One core is shared with others: one worker, which sleeps while there is nothing to do.
+    // The server shares one core with other processes, so it has one worker, which sleeps while it
+    // has nothing to do.
     may::config()
         .set_workers(1)
         .set_stack_size(STACK_WORDS)
--- a/crates/server/src/net/connect.rs
+++ b/crates/server/src/net/connect.rs
@@ -27,9 +27,9 @@
         .map_err(|_| io::ErrorKind::OutOfMemory.into())
 }
 
-/// Connects, within `CONNECT_TIMEOUT` and only while the connection is wanted. The system would go on
-/// trying for two minutes: where a peer moves while a connect to its old address hangs, it would not
-/// be reached at its new one until then.
+/// Connects, within `CONNECT_TIMEOUT` and only while the connection is wanted. The system would go
+/// on trying for two minutes: where a peer moves while a connect to its old address hangs, it would
+/// not be reached at its new one until then.
 ///
 /// # Errors
 /// The system's error, `TimedOut`, or an error of its own where the connection is no longer wanted.
--- a/crates/server/src/net/executor/link.rs
+++ b/crates/server/src/net/executor/link.rs
@@ -88,9 +88,9 @@
         }
     }
 
-    /// Ends the sending over this link: commands wait for the next one. A final query for the gauges
-    /// has the executor confirm everything sent before, so that no run counts as lost; without a
-    /// reply in time, the link is left all the same. Returns the tag of that query.
+    /// Ends the sending over this link: commands wait for the next one. A final query for the
+    /// gauges has the executor confirm everything sent before, so that no run counts as lost;
+    /// without a reply in time, the link is left all the same. Returns the tag of that query.
     fn send_final_query(self: &Arc<Self>, output: &Arc<Output>) -> Option<u64> {
         let mut state = self.state.lock();
         state.output.take()?;
@@ -238,8 +238,8 @@
         gauges
     }
 
-    /// Resynchronizes the runs once all missed notices were read from a link (`resync` has the rule):
-    /// reports those that are lost, and sends commands again that may be lost.
+    /// Resynchronizes the runs once all missed notices were read from a link (`resync` has the
+    /// rule): reports those that are lost, and sends commands again that may be lost.
     pub(super) fn resync(&self, output: &Arc<Output>) {
         let Some(resync) = self.state.lock().activate(output) else {
             return;
@@ -292,9 +292,9 @@
     }
 }
 
-/// The pause before the next attempt to open a link. A link that was up can be opened again at once,
-/// and so can one to an executor that has moved; after any other failure a pause keeps the attempts
-/// from taking the processor.
+/// The pause before the next attempt to open a link. A link that was up can be opened again at
+/// once, and so can one to an executor that has moved; after any other failure a pause keeps the
+/// attempts from taking the processor.
 fn reconnect_pause(was_up: bool, has_moved: bool) -> Option<Duration> {
     (!was_up && !has_moved).then_some(RECONNECT_PAUSE)
 }
--- a/crates/server/src/net/executor/mod.rs
+++ b/crates/server/src/net/executor/mod.rs
@@ -40,9 +40,9 @@
 use crate::config::CurrentAddress;
 use crate::requests::{Bytes, ClassName, Gauges, RequestId, RequestRegistry};
 
-/// How long a timer waits for its gauges. While the executor hangs it sends none, and the controller
-/// learns that from a timer that is late. With a longer wait, a request could be answered after its
-/// deadline.
+/// How long a timer waits for its gauges. While the executor hangs it sends none, and the
+/// controller learns that from a timer that is late. With a longer wait, a request could be
+/// answered after its deadline.
 const GAUGES_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// The client side of the link to the executor. It owns what was sent to the executor about each
@@ -101,8 +101,8 @@
         });
     }
 
-    /// Cancels a run. The controller repeats the cancellation until the run has ended, so one that is
-    /// lost does no harm.
+    /// Cancels a run. The controller repeats the cancellation until the run has ended, so one that
+    /// is lost does no harm.
     pub(crate) fn cancel(&self, id: &RequestId) {
         self.send(id, &Command::Cancel, |_, _| ());
     }
@@ -146,8 +146,8 @@
         matches!(self.query(Query::Work, within), Some(Reply::Worked(true)))
     }
 
-    /// Sends a command, and has `record` note how far it has come. Without a link it is not sent; the
-    /// next link sends it if its run is still open.
+    /// Sends a command, and has `record` note how far it has come. Without a link it is not sent;
+    /// the next link sends it if its run is still open.
     fn send(&self, id: &str, command: &Command, record: impl FnOnce(&mut LinkState, Delivery)) {
         let bytes = command.encode(id);
         loop {
--- a/crates/server/src/net/executor/queries.rs
+++ b/crates/server/src/net/executor/queries.rs
@@ -1,5 +1,5 @@
-//! Open queries to the executor, which it answers by their tags. A reply also shows that every command
-//! sent before its query has arrived.
+//! Open queries to the executor, which it answers by their tags. A reply also shows that every
+//! command sent before its query has arrived.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -22,7 +22,8 @@
     reply: Option<Reply>,
 }
 
-/// The open queries of one link. Each is closed by the coroutine that waits for it, or with its link.
+/// The open queries of one link. Each is closed by the coroutine that waits for it, or with its
+/// link.
 #[derive(Default)]
 pub(super) struct Queries {
     open: HashMap<u64, OpenQuery>,
--- a/crates/server/src/net/executor/resync.rs
+++ b/crates/server/src/net/executor/resync.rs
@@ -1,18 +1,18 @@
 //! What becomes of each run when a link to the executor is replaced: the rule of resynchronization.
 //!
-//! The failure: a link breaks with commands and notices on their way. A command that was lost leaves
-//! its run waiting until its deadline; a command that is sent twice can run a request twice, or
-//! resume the wrong call. How it shows: requests that time out after each break of the link, and
+//! The failure: a link breaks with commands and notices on their way. A command that was lost
+//! leaves its run waiting until its deadline; a command that is sent twice can run a request twice,
+//! or resume the wrong call. How it shows: requests that time out after each break of the link, and
 //! effects that happen twice.
 //!
 //! The rule, once all missed notices are read:
-//! - What is known to have arrived is not sent again. A notice about a run confirms the last command
-//!   for it, and the reply to a query confirms each command before that query.
+//! - What is known to have arrived is not sent again. A notice about a run confirms the last
+//!   command for it, and the reply to a query confirms each command before that query.
 //! - What may be lost is sent again. Starting a run that is running has no effect, and a skip names
 //!   its call. A reply could meet the next call of its run, so the call is skipped instead, which
 //!   has no effect where the reply has arrived.
-//! - Where notices are missing, because the executor keeps only so many, a run whose end was not
-//!   read may have ended. It counts as lost, and nothing is sent for it.
+//! - Where notices are missing, because the executor keeps a limited number, a run whose end was
+//!   not read may have ended. It counts as lost, and nothing is sent for it.
 //! - A run may end behind the notices that were read and before its start arrives again: it would
 //!   run a second time. One that may run at most once counts as lost, where its start was sent.
 //!
@@ -63,7 +63,7 @@
     Lost,
 }
 
-/// What the rule goes by beside the run.
+/// The inputs of the rule besides the run.
 #[derive(Clone, Copy)]
 pub(super) struct ResyncFacts {
     /// Commands up to this position are known to have arrived.
--- a/crates/server/src/net/frontend/closing.rs
+++ b/crates/server/src/net/frontend/closing.rs
@@ -7,7 +7,7 @@
 //! where bytes may still cross the close, it is drained first (the write side is shut down, and
 //! input is read and dropped). The price is up to a second before its place is free.
 
-/// What the decision goes by.
+/// The inputs of the decision.
 pub(super) struct ConnectionState {
     /// Nothing is open, and nothing waits to be written.
     pub(super) is_done: bool,
--- a/crates/server/src/net/frontend/codec.rs
+++ b/crates/server/src/net/frontend/codec.rs
@@ -16,7 +16,8 @@
 pub(super) const MAX_FRAME_BYTES: usize = 16 * 1024;
 /// The bytes before a frame that give its length.
 pub(super) const FRAME_HEADER_BYTES: usize = 4;
-/// How deep unknown fields may nest, in levels. Each level takes space of a coroutine's small stack.
+/// How deep unknown fields may nest, in levels. Each level takes space of a coroutine's small
+/// stack.
 const MAX_SKIP_DEPTH: i8 = 8;
 /// The fields that one request may have.
 const MAX_FIELDS: usize = 64;
--- a/crates/server/src/net/frontend/connection.rs
+++ b/crates/server/src/net/frontend/connection.rs
@@ -121,9 +121,9 @@
             .send(&[&codec::encode_reply(method, sequence, reply)]);
     }
 
-    /// Replies to a request or health check and removes it, under the lock that `open` takes. In two
-    /// steps, a connection that is to close, or that its edge node has closed behind its request,
-    /// would look done in between and close without the reply.
+    /// Replies to a request or health check and removes it, under the lock that `open` takes. In
+    /// two steps, a connection that is to close, or that its edge node has closed behind its
+    /// request, would look done in between and close without the reply.
     pub(super) fn conclude(
         &self,
         method: &str,
--- a/crates/server/src/net/frontend/health.rs
+++ b/crates/server/src/net/frontend/health.rs
@@ -1,5 +1,5 @@
-//! Health checks. A shallow one reports the controller's verdict; a deep one also has the executor do
-//! a piece of work, so that it notices an executor which hangs.
+//! Health checks. A shallow one reports the controller's verdict; a deep one also has the executor
+//! do a piece of work, so that it notices an executor which hangs.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
--- a/crates/server/src/net/frontend/listener.rs
+++ b/crates/server/src/net/frontend/listener.rs
@@ -190,8 +190,8 @@
 ///
 /// The listener is bound to a network interface that does not exist, so no new handshake finds it,
 /// and the system answers as for a port without a listener. A filter would drop the first packet
-/// instead, and its caller would hang until the packet is sent again. Where the system does not know the
-/// option, connections that come between the last accept and the close are reset.
+/// instead, and its caller would hang until the packet is sent again. Where the system does not
+/// know the option, connections that come between the last accept and the close are reset.
 fn refuse_new_connections(listener: &TcpListener) -> Instant {
     let socket = SockRef::from(listener.inner());
     match socket.bind_device_by_index_v4(NO_INTERFACE) {
@@ -203,8 +203,8 @@
     }
 }
 
-/// Opens the descriptor that is given up when none is left. Without it, the next connection waits in
-/// the backlog instead of being rejected at once.
+/// Opens the descriptor that is given up when none is left. Without it, the next connection waits
+/// in the backlog instead of being rejected at once.
 fn open_spare_descriptor() -> Option<File> {
     File::open("/dev/null").ok()
 }
--- a/crates/server/src/net/frontend/memory.rs
+++ b/crates/server/src/net/frontend/memory.rs
@@ -6,8 +6,8 @@
 //! rejected unregistered, at the cost of one reply. The price: such a request is rejected whatever
 //! its priority.
 
-/// What one open request takes at most, in kilobytes: its coroutine's stack as far as it is touched,
-/// body and result.
+/// What one open request takes at most, in kilobytes: its coroutine's stack as far as it is
+/// touched, body and result.
 const OPEN_REQUEST_KB: f64 = 24.0;
 /// The fraction of this process's memory that open requests may take.
 const OPEN_REQUESTS_MEMORY_FRACTION: f64 = 0.45;
--- a/crates/server/src/net/frontend/request.rs
+++ b/crates/server/src/net/frontend/request.rs
@@ -1,5 +1,5 @@
-//! The life of a request: it is parsed and registered, the commands for it are carried out, and it is
-//! answered, until its run has ended.
+//! The life of a request: it is parsed and registered, the commands for it are carried out, and it
+//! is answered, until its run has ended.
 
 use std::cell::Cell;
 use std::hash::{BuildHasher, RandomState};
@@ -31,8 +31,8 @@
 /// The fields that a reply may have.
 const MAX_REPLY_FIELDS: usize = 3;
 
-/// The reply that a request's connection waits for. The request leaves its connection's open requests
-/// once it is answered, or when this is dropped without a reply.
+/// The reply that a request's connection waits for. The request leaves its connection's open
+/// requests once it is answered, or when this is dropped without a reply.
 pub(super) struct PendingReply<'a> {
     table: &'a ConnectionTable,
     connection: &'a Connection,
@@ -295,8 +295,8 @@
         Ok(())
     }
 
-    /// Reports that the callers of a connection's open requests are gone: it has failed, so no reply
-    /// can reach them.
+    /// Reports that the callers of a connection's open requests are gone: it has failed, so no
+    /// reply can reach them.
     pub(super) fn report_callers_gone(&self, connection: &Connection) {
         let open_requests = connection.open_requests.lock();
         let ids: Vec<RequestId> = open_requests
--- a/crates/server/src/net/frontend/session.rs
+++ b/crates/server/src/net/frontend/session.rs
@@ -158,8 +158,8 @@
         }
     }
 
-    /// Stops reading where a message takes too long, and notifies the limiter of one that has begun.
-    /// Returns whether the connection is to close.
+    /// Stops reading where a message takes too long, and notifies the limiter of one that has
+    /// begun. Returns whether the connection is to close.
     fn check_input(&mut self, turn: &Turn) -> bool {
         let has_partial_message = self.is_readable
             && !turn.is_used_up()
--- a/crates/server/src/net/lines.rs
+++ b/crates/server/src/net/lines.rs
@@ -1,12 +1,13 @@
-//! Lines of words that end in CR LF, of which some are followed by a body. A codec alone, no I/O.
+//! Lines of words that end in CR LF, some of them followed by a body. A codec without I/O.
 
 use std::fmt::Write;
 
-/// The longest line without its body, and the longest body.
+/// The longest line without its body, in bytes.
 pub(crate) const MAX_LINE_BYTES: usize = 4096;
+/// The longest body, in bytes.
 pub(crate) const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// What a peer that keeps to its protocol never sends.
+/// Input that violates the protocol.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub(crate) enum LineError {
     #[error("a line too long")]
@@ -19,17 +20,20 @@
     UnterminatedBody,
 }
 
-/// One line, and the body that came with it.
+/// One line, and the body that follows it.
 #[derive(Debug, PartialEq)]
 pub(crate) struct Line<'a> {
     pub(crate) words: Vec<&'a str>,
     pub(crate) body: &'a [u8],
-    /// How many bytes of the input it took.
+    /// The bytes of the input that line and body take.
     pub(crate) used: usize,
 }
 
-/// The first line of the input, once it is there as a whole. `has_body` tells from the words
-/// whether a body follows, of the length that the last word gives.
+/// The first line of the input, once the input holds all of it. `has_body` says, by the words of a
+/// line, whether a body follows; the last word is the body's length in bytes.
+///
+/// # Errors
+/// [`LineError`] where the input does not begin with a line.
 pub(crate) fn next(
     input: &[u8],
     has_body: impl Fn(&[&str]) -> bool,
--- a/crates/server/src/net/registration.rs
+++ b/crates/server/src/net/registration.rs
@@ -16,8 +16,8 @@
 use crate::log::LogLimit;
 
 /// The interval of heartbeats. The service registry removes a backend 3 s after its last heartbeat.
-/// With a quarter of the datagrams lost, all 19 within 3 s are lost with a probability of 10^-11; at
-/// an interval of 700 ms it would be one in 256.
+/// With a quarter of the datagrams lost, all 19 within 3 s are lost with a probability of 10^-11;
+/// at an interval of 700 ms it would be one in 256.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 /// How many times the deregistration is sent.
 const DEREGISTRATION_ATTEMPTS: usize = 3;
--- a/crates/server/src/net/ring_buffer.rs
+++ b/crates/server/src/net/ring_buffer.rs
@@ -3,7 +3,7 @@
 
 use std::io::{self, IoSlice, Read, Write};
 
-/// The capacity that an empty buffer keeps, and the smallest one.
+/// The smallest capacity of a buffer, in bytes.
 const MIN_CAPACITY: usize = 4096;
 
 /// A bounded queue of bytes.
@@ -86,7 +86,7 @@
         &self.bytes[self.head..self.head + self.len]
     }
 
-    /// Drops so many bytes from the front.
+    /// Drops this many bytes from the front, or all where there are fewer.
     pub(crate) fn consume(&mut self, count: usize) {
         let count = count.min(self.len);
         self.len -= count;
--- a/crates/server/src/net/store/connection.rs
+++ b/crates/server/src/net/store/connection.rs
@@ -16,8 +16,8 @@
 use crate::net::stream::{BufferedStream, protocol_error};
 use crate::requests::Bytes;
 
-/// The buffers of a connection, in bytes each way: one call, or one reply, and as much again for stray
-/// replies.
+/// The buffers of a connection, in bytes each way: one call, or one reply, and as much again for
+/// stray replies.
 const MAX_BUFFER_BYTES: usize = 2 * (MAX_LINE_BYTES + MAX_BODY_BYTES);
 /// Stray replies in a row that are ignored; with one more the connection closes.
 const MAX_STRAY_REPLIES: usize = 8;
--- a/crates/server/src/net/store/mod.rs
+++ b/crates/server/src/net/store/mod.rs
@@ -75,8 +75,8 @@
         self.refused_in_a_row.store(0, Ordering::Relaxed);
     }
 
-    /// Suspends calls while the store is down, or resumes them. A suspended call fails without being
-    /// attempted.
+    /// Suspends calls while the store is down, or resumes them. A suspended call fails without
+    /// being attempted.
     pub(crate) fn set_suspended(&self, is_down: bool) {
         if self.is_suspended.swap(is_down, Ordering::AcqRel) != is_down {
             if is_down {
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Moves to the address at which the store listens from now on: open calls get their replies where
-    /// they were made, and new ones go to the new address.
+    /// Moves to the address at which the store listens from now on: open calls get their replies
+    /// where they were made, and new ones go to the new address.
     pub(crate) fn move_to(&self, address: Option<SocketAddr>) {
         if self.address.set(address) {
             self.sweep();
@@ -137,9 +137,9 @@
         spawn(move || client.run(address, connection));
     }
 
-    /// Gives up the call of this number of a request, and returns its outcome as far as it is known.
-    /// Its connection is closed, which cancels the call at the store, and keeps a late reply from
-    /// being taken for the reply to another call.
+    /// Gives up the call of this number of a request, and returns its outcome as far as it is
+    /// known. Its connection is closed, which cancels the call at the store, and keeps a late reply
+    /// from being taken for the reply to another call.
     pub(crate) fn give_up(&self, id: &RequestId, number: usize) -> Outcome {
         let outcome = self.pool.lock().give_up(id, number);
         if outcome == pool::AbandonedCall::Unanswered
--- a/crates/server/src/net/store/pool.rs
+++ b/crates/server/src/net/store/pool.rs
@@ -104,8 +104,8 @@
     idle: Vec<ConnectionId>,
     /// The connection on which a request's call is open.
     open_calls: HashMap<RequestId, ConnectionId>,
-    /// Calls for which no connection was free. Each open request has one call at a time, so the limit
-    /// on open requests bounds the queue.
+    /// Calls for which no connection was free. Each open request has one call at a time, so the
+    /// limit on open requests bounds the queue.
     waiting: VecDeque<Call>,
     last_id: ConnectionId,
 }
--- a/crates/server/src/net/stream.rs
+++ b/crates/server/src/net/stream.rs
@@ -1,4 +1,4 @@
-//! A connection with a bounded buffer each way, as all peers of a backend use it.
+//! A connection with a bounded buffer each way. All peers of a backend are connected by it.
 
 use std::io;
 use std::net::Shutdown;
@@ -15,19 +15,21 @@
 use super::ring_buffer::RingBuffer;
 use crate::clock;
 
-/// The buffers of a peer that speaks lines hold so much each way.
+/// The buffers of a peer whose protocol is lines, in bytes each way.
 pub(crate) const MAX_LINE_BUFFER_BYTES: usize = 256 * 1024;
-/// How long a coroutine that finds a full buffer leaves it to drain.
+/// The pause of a coroutine that finds a full output buffer.
 pub(crate) const BUFFER_FULL_PAUSE: Duration = Duration::from_millis(5);
-/// How often it is polled whether a peer has closed before this side does, and the pause in
-/// between: 1 s in all.
+/// How many times a connection that drains is checked for its peer's close: 1 s in all.
 const MAX_DRAIN_POLLS: usize = 200;
+/// The pause between two of these checks.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Reads of up to 4 KB that are dropped meanwhile.
+/// Reads of up to 4 KB whose bytes are dropped while a connection drains.
 const MAX_DRAIN_READS: usize = 256;
+/// Reads after one check. The others wait until the peer has had time to read.
+const MAX_READS_PER_DRAIN_POLL: usize = MAX_DRAIN_READS / 8;
 
-/// The output of a connection. Any coroutine may add to it; the connection's own one moves the
-/// bytes, so what is added at one time goes out in one call.
+/// The output of a connection. Any coroutine may add to it; the connection's own coroutine writes
+/// the bytes, so that what several add is written in one system call.
 pub(crate) struct Output {
     pub(super) buffer: Mutex<RingBuffer>,
     waker: WaitIoWaker,
@@ -76,10 +78,10 @@
     }
 }
 
-/// A connection in the hands of its own coroutine.
+/// A connection, as its own coroutine sees it.
 pub(crate) struct BufferedStream {
     stream: TcpStream,
-    /// What is to be written, also by others.
+    /// What is to be written; shared with other coroutines.
     pub(crate) output: Arc<Output>,
     /// What was read and not consumed.
     pub(crate) input: RingBuffer,
@@ -89,7 +91,7 @@
 
 impl BufferedStream {
     pub(crate) fn new(stream: TcpStream, max_input_bytes: usize, max_output_bytes: usize) -> Self {
-        // A socket that does not take this works all the same, slower.
+        // A socket without this option works, with longer delays.
         let _ = stream.set_nodelay(true);
         let output = Output {
             buffer: Mutex::new(RingBuffer::new(max_output_bytes)),
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Writes what waits, as far as the peer takes it.
+    /// Writes what waits, as far as the socket takes it without blocking.
     pub(crate) fn flush(&mut self) -> io::Result<()> {
         let mut buffer = self.output.buffer.lock();
         while buffer.len() > 0 {
@@ -137,7 +139,11 @@
         }
     }
 
-    /// Writes what waits, and takes all lines that have come; an error once the peer has closed.
+    /// Writes what waits, and hands all lines that were received to `take`.
+    ///
+    /// # Errors
+    /// The first error of the connection, its protocol or `take`; `UnexpectedEof` once the peer has
+    /// closed.
     pub(crate) fn read_lines(
         &mut self,
         has_body: impl Fn(&[&str]) -> bool,
@@ -170,13 +176,14 @@
         result == 0 && bytes > 0
     }
 
-    /// Lets the peer read all that was written before this closes: what it still sends is read and
-    /// dropped, for a socket closed with bytes unread would cut off the answers on their way.
+    /// Lets the peer read all that was written before this side closes: what it still sends is read
+    /// and dropped, because the system resets a socket that is closed with bytes unread, and the
+    /// reset drops replies on their way.
     pub(crate) fn drain_before_close(&mut self) {
         let _ = self.stream.shutdown(Shutdown::Write);
         let mut reads = 0;
         for _ in 0..MAX_DRAIN_POLLS {
-            let turn = reads + MAX_DRAIN_READS / 8;
+            let turn = reads + MAX_READS_PER_DRAIN_POLL;
             while reads < turn {
                 self.input.consume(usize::MAX);
                 match self.read() {
@@ -185,7 +192,7 @@
                     Err(_) => return,
                 }
             }
-            // A peer that sends without end has had its chance to read.
+            // A peer that goes on sending has had time to read.
             if self.is_read_closed || reads >= MAX_DRAIN_READS {
                 return;
             }
@@ -193,7 +200,7 @@
         }
     }
 
-    /// Blocks until the socket is ready for something new or somebody wakes this.
+    /// Blocks until the socket is ready again or another coroutine wakes this one.
     pub(crate) fn wait(&self) {
         self.stream.wait_io();
     }
@@ -202,7 +209,7 @@
 impl Drop for BufferedStream {
     fn drop(&mut self) {
         self.output.is_closed.store(true, Ordering::Release);
-        // Closed already, mostly.
+        // An error says that it is closed already.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
--- a/crates/server/src/requests/idempotency.rs
+++ b/crates/server/src/requests/idempotency.rs
@@ -1,11 +1,11 @@
 //! Idempotency keys: with which response duplicates of a keyed request are answered, and for how
 //! long.
 //!
-//! The failure: a caller whose reply is lost sends its request again, and the request has its effect
-//! twice. The guard: the controller has a key remembered for a retention; a request with that key
-//! that reached the machine within it is a duplicate, and gets the response of the first. A request
-//! may be read up to the longest client timeout after it reached the machine, so the entry is kept
-//! that much longer. The price is the memory for keys and results.
+//! The failure: a caller whose reply is lost sends its request again, and the request has its
+//! effect twice. The guard: the controller has a key remembered for a retention; a request with
+//! that key that reached the machine within it is a duplicate, and gets the response of the first.
+//! A request may be read up to the longest client timeout after it reached the machine, so the
+//! entry is kept that much longer. The price is the memory for keys and results.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
--- a/crates/server/src/requests/messages.rs
+++ b/crates/server/src/requests/messages.rs
@@ -25,20 +25,20 @@
     pub(crate) id: RequestId,
     pub(crate) handler: HandlerIndex,
     pub(crate) tenant: Option<TenantIndex>,
-    /// The time since it reached the machine.
+    /// How long ago it reached the machine.
     pub(crate) age: Duration,
-    /// The time that its caller still waits, where it says so.
+    /// How long its caller still waits, where the request states it.
     pub(crate) client_wait: Option<Duration>,
-    /// The work that its caller expects, where it says so.
+    /// The work that its caller expects, where the request states it.
     pub(crate) estimated_work: Option<Duration>,
     /// The memory that it takes while it is queued, in kilobytes.
     pub(crate) queued_kb: f64,
     pub(crate) is_retry: bool,
     /// The idempotency key that its caller chose.
     pub(crate) idempotency_key: Option<IdempotencyKey>,
-    /// The hash of its body: a duplicate has the same.
+    /// The hash of its body; that of a duplicate is equal.
     pub(crate) body_hash: u64,
-    /// What a recording needs beside the above, where there is one.
+    /// What only a recording needs, where there is one.
     pub(crate) trace: Option<TraceContext>,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// What a request's coroutine has to do next.
+/// What a request's coroutine is to do next.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Command {
     /// Start its run.
@@ -101,7 +101,7 @@
     RunFinished {
         outcome: Outcome,
         result: Bytes,
-        /// How long the run took, where the executor says so.
+        /// How long the run took, where the executor states it.
         work: Option<Duration>,
     },
     CallReached {
--- a/crates/server/src/requests/metrics.rs
+++ b/crates/server/src/requests/metrics.rs
@@ -1,13 +1,13 @@
-//! Counts of requests by what became of them.
+//! Counts of requests by their outcome.
 
-/// What became of requests since the start.
+/// The requests since the start, by their outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct RequestCounts {
     pub(super) received: u64,
     pub(super) completed: u64,
     pub(super) rejected: u64,
     pub(super) failed: u64,
-    /// Their callers were gone first.
+    /// Those whose callers were gone before their final response.
     pub(super) abandoned: u64,
     pub(super) open: usize,
 }
--- a/crates/server/src/requests/registry.rs
+++ b/crates/server/src/requests/registry.rs
@@ -40,9 +40,9 @@
     }
 
     /// Starts the controller: the executor is up since `uptime`. Only the first call has an effect,
-    /// and returns true. Where the executor is cold, the controller's clock starts with the executor,
-    /// so that the controller knows how warm it is. Where it is warm, the clock starts now, because
-    /// the controller learns in its first seconds how fast the machine is.
+    /// and returns true. Where the executor is cold, the controller's clock starts with the
+    /// executor, so that the controller knows how warm it is. Where it is warm, the clock starts
+    /// now, because the controller learns in its first seconds how fast the machine is.
     pub(crate) fn start(&self, starts_cold: bool, uptime: Duration) -> bool {
         let mut state = self.state.lock();
         if state.is_started() {
@@ -85,8 +85,8 @@
         let key = incoming.scoped_key();
         state.expire_keys();
         let duplicated_body = state.duplicated_body(key.as_ref(), incoming.age);
-        // A key that is sent with another body was copied or made up, and its sender may not get the
-        // result of the caller that chose it.
+        // A key that is sent with another body was copied or made up, and its sender may not get
+        // the result of the caller that chose it.
         if duplicated_body.is_some_and(|body_hash| body_hash != incoming.body_hash) {
             return Err(RegisterError::KeyReused);
         }
--- a/crates/server/src/requests/state.rs
+++ b/crates/server/src/requests/state.rs
@@ -70,8 +70,8 @@
             started_at,
         });
         self.decide(Event::Started);
-        // The notice may be received before the executor is up. Without it, the controller would admit
-        // requests that arrive long after the drain has begun.
+        // The notice may be received before the executor is up. Without it, the controller would
+        // admit requests that arrive long after the drain has begun.
         self.pass_on_shutdown_notice();
     }
 
@@ -192,8 +192,8 @@
         self.pass_on_shutdown_notice();
     }
 
-    /// Notifies the controller, if it has started. The drain grace counts from the notice, however late
-    /// the controller is notified.
+    /// Notifies the controller, if it has started. The drain grace counts from the notice, however
+    /// late the controller is notified.
     fn pass_on_shutdown_notice(&mut self) {
         if let Some(ShutdownNotice {
             received_at,
--- a/crates/server/src/requests/timers.rs
+++ b/crates/server/src/requests/timers.rs
@@ -3,8 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Times, on the controller's clock, at which it wants an event. Timers for the same time count
-/// once.
+/// Times on the controller's clock at which it is to be called. Timers for one time count as one.
 #[derive(Default)]
 pub(super) struct Timers {
     due: BTreeSet<Duration>,
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -35,8 +35,8 @@
 /// How often a drain checks whether everything is answered and closed.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The parts of a running server. Each owns its own state; the server owns the parts, and whether it
-/// is draining.
+/// The parts of a running server. Each owns its own state; the server owns the parts, and whether
+/// it is draining.
 pub(crate) struct Server {
     registry: Arc<RequestRegistry>,
     executor: Arc<ExecutorClient>,
@@ -154,8 +154,8 @@
         self.service_registry.set(peers.registry);
     }
 
-    /// Drains after the notice that was received at `notice`, and returns once everything is answered
-    /// and closed, or shortly before the termination.
+    /// Drains after the notice that was received at `notice`, and returns once everything is
+    /// answered and closed, or shortly before the termination.
     pub(crate) fn drain(&self, notice: Instant, cluster: Option<Cluster>) {
         ::log::info!("shutdown notice received");
         self.log_summary();
@@ -186,8 +186,8 @@
 /// How long after a shutdown notice connections are still accepted. Edge nodes learn of the drain
 /// only after some time, and the controller goes on admitting for `drain_grace`; a connection that
 /// is refused in that time would be an error for its caller. Afterwards no request that arrives may
-/// be run, and a refused connection sends its caller to another server sooner than a response could.
-/// Edge nodes get `MIN_CLOSE_TIME` before the termination in any case.
+/// be run, and a refused connection sends its caller to another server sooner than a response
+/// could. Edge nodes get `MIN_CLOSE_TIME` before the termination in any case.
 fn accepting_time(drain_grace: Duration, termination: Duration) -> Duration {
     drain_grace.min(termination.saturating_sub(MIN_CLOSE_TIME))
 }
--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -11,16 +11,21 @@
 use crate::config::{PeerAddresses, Reloaded, ServerConfig};
 use crate::server::Server;
 
-/// The signals that this process has asked for; they wait until somebody takes them.
+/// The signals that this process handles. They are kept until they are read.
 pub(crate) struct Signals(signal_hook::iterator::Signals);
 
 impl Signals {
+    /// Handles these signals from now on.
+    ///
+    /// # Errors
+    /// The system's error.
     pub(crate) fn register() -> std::io::Result<Self> {
         signal_hook::iterator::Signals::new([SIGHUP, SIGTERM, SIGINT]).map(Signals)
     }
 
-    /// Blocks until the shutdown notice, and returns when it came. Reloads the configuration
-    /// meanwhile, and during the drain too, because peers may move while this server leaves.
+    /// Blocks until the shutdown notice, and returns when it was received. A thread reloads the
+    /// configuration on SIGHUP, during the drain as well, because peers may move while this server
+    /// drains.
     pub(crate) fn wait_for_shutdown(
         mut self,
         config: ServerConfig,
@@ -28,20 +33,20 @@
         server: &Arc<Server>,
     ) -> Instant {
         let (notices, first_notice) = channel();
-        // One that waits is enough: it reads what is there by then.
+        // One request that waits is enough: it reads the file as it is by then.
         let (reload_requests, requested) = sync_channel(1);
         std::thread::spawn(move || {
             for signal in &mut self.0 {
                 if signal == SIGHUP {
                     let _ = reload_requests.try_send(());
                 } else {
-                    // The first one counts; at a second nobody listens.
+                    // The first notice counts; further ones are ignored.
                     let _ = notices.send(Instant::now());
                 }
             }
         });
-        // Reading the file takes a while, for ever where it is a pipe that gives nothing: no
-        // shutdown notice waits for that.
+        // Reading the file may take long, and never ends where it is a pipe without a writer. On
+        // this thread, it would hold up a shutdown notice.
         let (path, server) = (path.map(Path::to_owned), server.clone());
         std::thread::spawn(move || reload_on_request(&requested, &config, path, &server));
         first_notice.recv().unwrap_or_else(|_| Instant::now())
--- a/crates/server/src/trace.rs
+++ b/crates/server/src/trace.rs
@@ -1,6 +1,6 @@
-//! The recording of what happens to each request, where one is configured: from what the registry
-//! saw of a request to a record. What the recorder cannot write is dropped and counted; serving
-//! never waits for it.
+//! The recording of each request, where one is configured: it turns what the registry knows of a
+//! request into a record. Records that the recorder cannot write are dropped and counted; serving
+//! never waits for the disk.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -21,7 +21,7 @@
 
 static DISK_FAILURES: LogLimit = LogLimit::new();
 
-/// What a connection knows of a request beside what is decided by.
+/// What only the recording needs to know of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TraceContext {
     pub(crate) number: u64,
@@ -32,7 +32,7 @@
     pub(crate) read: Instant,
 }
 
-/// What the registry saw of a request so far.
+/// What is known of a request so far.
 #[derive(Debug)]
 pub(crate) struct RequestTrace {
     context: TraceContext,
@@ -41,8 +41,9 @@
     is_retry: bool,
     client_wait: Option<Duration>,
     estimated_work: Option<Duration>,
-    /// When it was registered, and how long before that it had reached the machine.
+    /// When it was registered.
     registered: Instant,
+    /// How long before its registration it had reached the machine.
     age: Duration,
     pub(crate) admitted: Option<Instant>,
     pub(crate) started: Option<Instant>,
@@ -85,12 +86,12 @@
         }
     }
 
-    /// It was rejected before the controller could see it.
+    /// Notes a rejection before the controller could decide on the request.
     pub(crate) fn rejected(&mut self, reason: Reason, now: Instant) {
         (self.outcome, self.reason, self.answered) = (Outcome::Rejected, reason, Some(now));
     }
 
-    /// It has its final response, or would have had it but for a caller that is gone.
+    /// Notes the final response, which is not sent where the caller is gone.
     pub(crate) fn answered(
         &mut self,
         response: &Response,
--- a/crates/simhost/src/fields.rs
+++ b/crates/simhost/src/fields.rs
@@ -28,6 +28,9 @@
     }
 }
 
+/// The fields of most lines, for which space is reserved.
+const USUAL_FIELDS: usize = 14;
+
 /// The name=value pairs of one line.
 pub(crate) struct Fields<'a> {
     pub(crate) line: usize,
@@ -36,7 +39,7 @@
 
 impl<'a> Fields<'a> {
     pub(crate) fn parse(line: usize, mut rest: &'a str) -> Result<Self, WireError> {
-        let mut pairs = Vec::with_capacity(14);
+        let mut pairs = Vec::with_capacity(USUAL_FIELDS);
         while !rest.is_empty() {
             let Some((name, after)) = rest.split_once('=') else {
                 return Err(WireError::at(line, rest, "it is no name=value pair"));
@@ -71,6 +74,7 @@
             .ok_or_else(|| self.error(name, "it is missing"))
     }
 
+    /// The value of a field that is a whole number.
     pub(crate) fn integer(&self, name: &str) -> Result<u64, WireError> {
         let value = self.text(name)?;
         value
@@ -78,6 +82,7 @@
             .map_err(|_| self.error(name, format!("'{value}' is no whole number")))
     }
 
+    /// The value of a field, where it is given: a finite number of at least 0.
     pub(crate) fn number(&self, name: &str) -> Result<Option<f64>, WireError> {
         let Some(value) = self.find(name) else {
             return Ok(None);
@@ -88,15 +93,18 @@
         }
     }
 
+    /// The value of a field that may not be left out: a finite number of at least 0.
     pub(crate) fn required_number(&self, name: &str) -> Result<f64, WireError> {
         self.number(name)?
             .ok_or_else(|| self.error(name, "it is missing"))
     }
 
+    /// A time of `value` milliseconds, which the field of this name holds.
     pub(crate) fn time(&self, name: &str, value: f64) -> Result<Duration, WireError> {
         milliseconds(name, value).map_err(|error| self.error(name, error.to_string()))
     }
 
+    /// Whether a field is 1; it may be left out.
     pub(crate) fn flag(&self, name: &str) -> Result<bool, WireError> {
         match self.find(name) {
             None | Some("0") => Ok(false),
@@ -110,6 +118,7 @@
         self.find(name).filter(|value| !matches!(*value, "" | "0"))
     }
 
+    /// The outcome of a run or call, which the field `reason` names.
     pub(crate) fn outcome(&self) -> Result<Outcome, WireError> {
         Ok(match self.text("reason")? {
             "success" => Outcome::Succeeded,
@@ -124,6 +133,7 @@
         })
     }
 
+    /// The gauges in the field `feedback`; those that are not known are ignored.
     pub(crate) fn gauges(&self) -> Result<Gauges, WireError> {
         let mut gauges = Gauges::default();
         for pair in self
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -9,10 +9,13 @@
 #[derive(Default)]
 pub(crate) struct Host {
     backends: HashMap<u64, Backend>,
+    /// The time of the last batch, in the wire's milliseconds.
     now: Option<f64>,
+    /// A batch is open: its closing line was not read yet.
     in_batch: bool,
     /// Backends with an event in this batch, in the order of their first one.
     with_events: Vec<u64>,
+    /// The same backends, so that each is listed once.
     listed: HashSet<u64>,
 }
 
@@ -58,7 +61,7 @@
             "POWER_OFF" => {
                 self.backends.remove(&id);
             }
-            // Events of a backend that is not running have nobody to decide on them.
+            // Events of a backend that is not running are ignored.
             _ => match self.backends.get_mut(&id) {
                 Some(backend) => backend.handle_line(kind, &fields)?,
                 None => return Ok(None),
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,7 +1,9 @@
-//! `tulipgap-simhost`: hosts one controller for each backend on the simulator's wire.
+//! `tulipgap-simhost`: hosts the controllers of simulated backends, one for each, on the
+//! simulator's wire.
 //!
-//! Reads batches on standard input, answers on standard output. Input it cannot read ends it with
-//! one line on standard error and exit code 2; end of input ends it with 0.
+//! It reads batches of events from standard input and writes the controllers' actions to standard
+//! output. On invalid input it writes one line to standard error and exits with 2; at the end of
+//! the input it exits with 0.
 
 mod backend;
 mod fields;
@@ -13,13 +15,18 @@
 use fields::WireError;
 use host::Host;
 
+/// The buffer of standard output, in bytes. The reply to a batch is flushed as a whole.
+const OUTPUT_BUFFER_BYTES: usize = 64 * 1024;
+/// The exit code for invalid input.
+const INVALID_INPUT: u8 = 2;
+
 fn main() -> ExitCode {
-    let mut output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
+    let mut output = BufWriter::with_capacity(OUTPUT_BUFFER_BYTES, io::stdout().lock());
     match serve(io::stdin().lock(), &mut output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("tulipgap-simhost: {error}");
-            ExitCode::from(2)
+            ExitCode::from(INVALID_INPUT)
         }
     }
 }
