--- a/crates/server/src/cluster/peer_links.rs
+++ b/crates/server/src/cluster/peer_links.rs
@@ -36,7 +36,9 @@
 const STALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a connect may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The first pause after a stream has failed. It doubles with each further failure.
+/// By what the pause after a failed stream grows with each further failure.
+const RECONNECT_BACKOFF_FACTOR: u32 = 2;
+/// The first pause after a stream has failed.
 const MIN_RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
 /// The longest pause after a stream has failed.
 const MAX_RECONNECT_BACKOFF: Duration = Duration::from_secs(2);
@@ -261,7 +263,7 @@
             Err(error) => {
                 log_failed_stream(to, &error);
                 std::thread::sleep(backoff.mul_f64(0.5 + 0.5 * fastrand::f64()));
-                backoff = (backoff * 2).min(MAX_RECONNECT_BACKOFF);
+                backoff = (backoff * RECONNECT_BACKOFF_FACTOR).min(MAX_RECONNECT_BACKOFF);
                 // Frames that were queued during the pause are out of date.
                 while queue.try_recv().is_ok() {}
             }
--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -11,6 +11,8 @@
 use tulipgap::Config;
 use tulipgap_settings::{Names, Settings, SettingsError, Steering, milliseconds};
 
+/// The base of the seed's digits.
+const HEXADECIMAL: u32 = 16;
 /// The fewest descriptors with which a backend can serve at all.
 pub(crate) const MIN_SOCKETS: usize = 32;
 
@@ -164,7 +166,7 @@
             .validate()
             .map_err(|error| InvalidConfig::Settings(error.into()))?;
         let steering = file.settings.steering().map_err(InvalidConfig::Settings)?;
-        let Ok(seed) = u64::from_str_radix(&file.seed, 16) else {
+        let Ok(seed) = u64::from_str_radix(&file.seed, HEXADECIMAL) else {
             return Err(InvalidConfig::Seed(file.seed));
         };
         let Limits { memory_mb, sockets } = file.limits;
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -33,6 +33,9 @@
 /// The number of stacks that are kept for reuse.
 const MAX_POOLED_STACKS: usize = 256;
 
+/// The exit code where the program cannot start.
+const CANNOT_START: u8 = 2;
+
 /// One backend. LB_CONFIG names the JSON file that tells it who it is, where its peers are, its
 /// limits and the settings; LB_LOG sets the level of the log (error, warn, info, debug).
 #[derive(Parser)]
@@ -74,7 +77,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("tulipgapd: {error}");
-            ExitCode::from(2)
+            ExitCode::from(CANNOT_START)
         }
     }
 }
--- a/crates/server/src/net/frontend/codec.rs
+++ b/crates/server/src/net/frontend/codec.rs
@@ -31,6 +31,32 @@
 /// The method of the drain notification.
 const DRAIN_NOTIFICATION: &str = "noMore";
 
+/// The ids of the fields of structs on the wire.
+mod field_id {
+    /// A request: its fields.
+    pub(super) const REQUEST_FIELDS: i16 = 1;
+    /// A request: its body.
+    pub(super) const REQUEST_BODY: i16 = 2;
+    /// A health check: whether it is deep.
+    pub(super) const IS_DEEP: i16 = 1;
+    /// A cancellation: the sequence number of the request.
+    pub(super) const CANCELLED_SEQUENCE: i16 = 1;
+    /// A reply: the result.
+    pub(super) const RESULT: i16 = 0;
+    /// A reply: the rejection.
+    pub(super) const REJECTED: i16 = 1;
+    /// A reply: the failure.
+    pub(super) const FAILED: i16 = 2;
+    /// A result: its body.
+    pub(super) const RESULT_BODY: i16 = 1;
+    /// A result: its fields.
+    pub(super) const RESULT_FIELDS: i16 = 2;
+    /// A result: whether it succeeded.
+    pub(super) const SUCCEEDED: i16 = 3;
+    /// A rejection or a failure: its fields.
+    pub(super) const REPLY_FIELDS: i16 = 1;
+}
+
 /// Lengths in a message are checked against these before anything is allocated.
 static LIMITS: LazyLock<TConfiguration> = LazyLock::new(|| {
     let limits = TConfiguration::builder()
@@ -172,11 +198,11 @@
 fn process(protocol: &mut TBinaryInputProtocol<&[u8]>) -> Result<Call, CallError> {
     let (mut fields, mut body) = (None, None);
     each_field(protocol, |protocol, id, kind| match (id, kind) {
-        (1, TType::Map) => {
+        (field_id::REQUEST_FIELDS, TType::Map) => {
             fields = Some(map(protocol)?);
             Ok(true)
         }
-        (2, TType::String) => {
+        (field_id::REQUEST_BODY, TType::String) => {
             body = Some(protocol.read_bytes()?);
             Ok(true)
         }
@@ -194,7 +220,7 @@
 fn health_check(protocol: &mut TBinaryInputProtocol<&[u8]>) -> Result<Call, CallError> {
     let mut deep = false;
     each_field(protocol, |protocol, id, kind| match (id, kind) {
-        (1, TType::Bool) => {
+        (field_id::IS_DEEP, TType::Bool) => {
             deep = protocol.read_bool()?;
             Ok(true)
         }
@@ -206,7 +232,7 @@
 fn cancel(protocol: &mut TBinaryInputProtocol<&[u8]>) -> Result<Call, CallError> {
     let mut sequence = None;
     each_field(protocol, |protocol, id, kind| match (id, kind) {
-        (1, TType::I32) => {
+        (field_id::CANCELLED_SEQUENCE, TType::I32) => {
             sequence = Some(protocol.read_i32()?);
             Ok(true)
         }
@@ -270,17 +296,19 @@
             body,
             fields,
             succeeded,
-        } => result(protocol, 0, |protocol| {
-            protocol.write_field_begin(&field(TType::String, 1))?;
+        } => result(protocol, field_id::RESULT, |protocol| {
+            protocol.write_field_begin(&field(TType::String, field_id::RESULT_BODY))?;
             protocol.write_bytes(body)?;
-            write_map(protocol, 2, fields)?;
-            protocol.write_field_begin(&field(TType::Bool, 3))?;
+            write_map(protocol, field_id::RESULT_FIELDS, fields)?;
+            protocol.write_field_begin(&field(TType::Bool, field_id::SUCCEEDED))?;
             protocol.write_bool(*succeeded)
         }),
-        Reply::Rejected { fields } => {
-            result(protocol, 1, |protocol| write_map(protocol, 1, fields))
-        }
-        Reply::Failed { fields } => result(protocol, 2, |protocol| write_map(protocol, 1, fields)),
+        Reply::Rejected { fields } => result(protocol, field_id::REJECTED, |protocol| {
+            write_map(protocol, field_id::REPLY_FIELDS, fields)
+        }),
+        Reply::Failed { fields } => result(protocol, field_id::FAILED, |protocol| {
+            write_map(protocol, field_id::REPLY_FIELDS, fields)
+        }),
     })
 }
 
--- a/crates/server/src/net/frontend/parse.rs
+++ b/crates/server/src/net/frontend/parse.rs
@@ -17,6 +17,11 @@
 /// The limit on the work that a request announces, as a multiple of its client timeout.
 const MAX_WORK_FACTOR: f64 = 2.0;
 
+/// The digits of a request's id, which is a hexadecimal number.
+const ID_DIGITS: usize = 16;
+/// The base of numbers that callers write in hexadecimal digits.
+const HEXADECIMAL: u32 = 16;
+
 /// What the fields of a request say.
 pub(super) struct ParsedRequest {
     pub(super) incoming: IncomingRequest,
@@ -78,11 +83,11 @@
     CallError::Malformed(format!("{name}: missing or senseless").into())
 }
 
-/// The number behind an id of 16 hexadecimal digits.
+/// The number that an id of `ID_DIGITS` digits writes.
 fn parse_id(id: &str) -> Option<u64> {
-    u64::from_str_radix(id, 16)
+    u64::from_str_radix(id, HEXADECIMAL)
         .ok()
-        .filter(|_| id.len() == 16 && !id.starts_with('+'))
+        .filter(|_| id.len() == ID_DIGITS && !id.starts_with('+'))
 }
 
 /// The timestamp of a request from a connection that was accepted at `accepted_at`. The controller
@@ -196,7 +201,8 @@
 }
 
 fn trace_context(fields: &FieldReader, number: u64, key: Option<&str>) -> TraceContext {
-    let subject = |subject| u64::from_str_radix(subject, 16).unwrap_or_else(|_| hash_text(subject));
+    let subject =
+        |subject| u64::from_str_radix(subject, HEXADECIMAL).unwrap_or_else(|_| hash_text(subject));
     let caller = |caller: &str| caller.parse().unwrap_or_else(|_| hash_text(caller));
     TraceContext {
         number,
--- a/crates/server/src/net/lines.rs
+++ b/crates/server/src/net/lines.rs
@@ -2,6 +2,10 @@
 
 use std::fmt::Write;
 
+/// The bytes that end a line, and a body.
+const LINE_END: &[u8] = b"\r\n";
+/// The space reserved for a line that is written, in bytes; most lines are shorter.
+const USUAL_LINE_BYTES: usize = 64;
 /// The longest line without its body, in bytes.
 pub(crate) const MAX_LINE_BYTES: usize = 4096;
 /// The longest body, in bytes.
@@ -39,9 +43,9 @@
     has_body: impl Fn(&[&str]) -> bool,
 ) -> Result<Option<Line<'_>>, LineError> {
     let Some(end) = input
-        .windows(2)
+        .windows(LINE_END.len())
         .take(MAX_LINE_BYTES)
-        .position(|pair| pair == b"\r\n")
+        .position(|pair| pair == LINE_END)
     else {
         return if input.len() > MAX_LINE_BYTES {
             Err(LineError::TooLong)
@@ -51,7 +55,7 @@
     };
     let text = std::str::from_utf8(&input[..end]).map_err(|_| LineError::NotText)?;
     let words: Vec<&str> = text.split(' ').collect();
-    let after = end + 2;
+    let after = end + LINE_END.len();
     if !has_body(&words) {
         return Ok(Some(Line {
             words,
@@ -66,22 +70,24 @@
     let Some(length): Option<usize> = length else {
         return Err(LineError::InvalidLength);
     };
-    if input.len() < after + length + 2 {
+    let body_end = after + length;
+    let used = body_end + LINE_END.len();
+    if input.len() < used {
         return Ok(None);
     }
-    match &input[after + length..after + length + 2] == b"\r\n" {
-        true => Ok(Some(Line {
-            words,
-            body: &input[after..after + length],
-            used: after + length + 2,
-        })),
-        false => Err(LineError::UnterminatedBody),
+    if &input[body_end..used] != LINE_END {
+        return Err(LineError::UnterminatedBody);
     }
+    Ok(Some(Line {
+        words,
+        body: &input[after..body_end],
+        used,
+    }))
 }
 
 /// A line of these words, ready to be written.
 pub(crate) fn line(words: std::fmt::Arguments) -> String {
-    let mut text = String::with_capacity(64);
+    let mut text = String::with_capacity(USUAL_LINE_BYTES);
     let _ = text.write_fmt(words);
     text.push_str("\r\n");
     text
@@ -91,7 +97,7 @@
 pub(crate) fn line_with_body(words: std::fmt::Arguments, body: &[u8]) -> Vec<u8> {
     use std::io::Write;
 
-    let mut bytes = Vec::with_capacity(64 + body.len());
+    let mut bytes = Vec::with_capacity(USUAL_LINE_BYTES + body.len());
     // Writing to memory does not fail.
     let _ = write!(bytes, "{words} {}\r\n", body.len());
     bytes.extend_from_slice(body);
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -32,6 +32,8 @@
 const MIN_CLOSE_TIME: Duration = Duration::from_secs(1);
 /// The time before the termination at which a drain ends, whether or not everything is answered.
 const TERMINATION_MARGIN: Duration = Duration::from_millis(100);
+/// The time before the termination by which the cluster is left.
+const CLUSTER_SHUTDOWN_MARGIN: Duration = Duration::from_millis(50);
 /// How often a drain checks whether everything is answered and closed.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -174,7 +176,7 @@
         if let Some(cluster) = cluster {
             cluster.shutdown(
                 self.termination
-                    .saturating_sub(notice.elapsed() + TERMINATION_MARGIN / 2),
+                    .saturating_sub(notice.elapsed() + CLUSTER_SHUTDOWN_MARGIN),
             );
         }
         let took = notice.elapsed().as_millis();
