--- a/crates/server/src/net/executor/notices.rs
+++ b/crates/server/src/net/executor/notices.rs
@@ -29,3 +29,7 @@
         std::mem::take(&mut self.has_gap)
     }
 }
+
+#[cfg(test)]
+#[path = "notices_tests.rs"]
+mod tests;
--- a/crates/server/src/net/executor/resync.rs
+++ b/crates/server/src/net/executor/resync.rs
@@ -109,3 +109,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "resync_tests.rs"]
+mod tests;
--- a/crates/server/src/net/frontend/closing.rs
+++ b/crates/server/src/net/frontend/closing.rs
@@ -48,3 +48,7 @@
         CloseStep::DrainUnacknowledged
     }
 }
+
+#[cfg(test)]
+#[path = "closing_tests.rs"]
+mod tests;
--- a/crates/server/src/net/frontend/memory.rs
+++ b/crates/server/src/net/frontend/memory.rs
@@ -32,3 +32,7 @@
         open_requests < self.max_open_requests
     }
 }
+
+#[cfg(test)]
+#[path = "memory_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/server/src/net/frontend/memory_tests.rs
@@ -0,0 +1,12 @@
+//! The limit on open requests.
+
+use super::MemoryLimit;
+
+#[test]
+fn open_requests_are_admitted_up_to_the_limit_of_the_memory() {
+    // 0.45 of 192 MB, at 24 KB each.
+    let limit = MemoryLimit::new(192.0);
+    assert!(limit.admits(0));
+    assert!(limit.admits(3685));
+    assert!(!limit.admits(3686));
+}
--- a/crates/server/src/net/store/pool.rs
+++ b/crates/server/src/net/store/pool.rs
@@ -308,3 +308,7 @@
         ))
     }
 }
+
+#[cfg(test)]
+#[path = "pool_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/server/src/net/store/pool_tests.rs
@@ -0,0 +1,55 @@
+//! Placing calls on the connections of the pool.
+
+use std::net::SocketAddr;
+
+use super::{Call, ConnectionPool, Placement, Received};
+use crate::requests::RequestId;
+
+fn address() -> SocketAddr {
+    ([127, 0, 0, 1], 7700).into()
+}
+
+fn call(request: &str) -> Call {
+    Call {
+        request: request.into(),
+        number: 1,
+        bytes: Vec::new(),
+    }
+}
+
+/// A pool with one connection, which is idle after a call of `first`.
+fn pool_with_idle_connection() -> ConnectionPool {
+    let mut pool = ConnectionPool::default();
+    let connection = pool.insert(address(), call("first"));
+    let received = pool.received(connection, "first", Some(address()));
+    assert!(matches!(received, Received::Reply(_)));
+    pool
+}
+
+#[test]
+fn a_call_goes_to_an_idle_connection_then_to_a_new_one_then_to_the_queue() {
+    let mut pool = pool_with_idle_connection();
+    let second = RequestId::from("second");
+    assert!(matches!(pool.place(&second, 2), Placement::Idle(1)));
+    assert!(matches!(pool.place(&second, 2), Placement::NewConnection));
+    assert!(matches!(pool.place(&second, 1), Placement::Queue));
+}
+
+/// Where the store sends a reply twice, the second one would be taken for the reply to the next call
+/// of its request.
+#[test]
+fn a_connection_carries_no_two_calls_of_one_request_in_a_row() {
+    let mut pool = pool_with_idle_connection();
+    let first = RequestId::from("first");
+    assert!(matches!(pool.place(&first, 2), Placement::NewConnection));
+    assert!(matches!(pool.place(&first, 1), Placement::Queue));
+
+    let mut pool = ConnectionPool::default();
+    let connection = pool.insert(address(), call("first"));
+    pool.enqueue(call("first"));
+    pool.enqueue(call("second"));
+    pool.received(connection, "first", Some(address()));
+    let waiting = pool.take_waiting();
+    assert_eq!(waiting.len(), 1);
+    assert_eq!(&*waiting[0].request, "first");
+}
