--- a/crates/server/src/net/store/pool_tests.rs
+++ b/crates/server/src/net/store/pool_tests.rs
@@ -35,8 +35,8 @@
     assert!(matches!(pool.place(&second, 1), Placement::Queue));
 }
 
-/// Where the store sends a reply twice, the second one would be taken for the reply to the next call
-/// of its request.
+/// Where the store sends a reply twice, the second one would be taken for the reply to the next
+/// call of its request.
 #[test]
 fn a_connection_carries_no_two_calls_of_one_request_in_a_row() {
     let mut pool = pool_with_idle_connection();
--- a/crates/simhost/src/backend.rs
+++ b/crates/simhost/src/backend.rs
@@ -1,20 +1,15 @@
-//! One simulated backend: its controller, and the wire's words for the controller's events and
-//! actions.
+//! One simulated backend: its controller, and the events that wait for the end of a batch.
 
 use std::collections::HashMap;
-use std::fmt::Write;
 use std::time::Duration;
 
 use slab::Slab;
-use tulipgap::{Action, Arrival, Controller, Event, RequestIndex};
+use tulipgap::{Action, Arrival, Controller, Event};
 use tulipgap_settings::{Names, Settings};
 
+use crate::action::ActionWriter;
 use crate::fields::{Fields, WireError};
-
-/// A time in the wire's milliseconds.
-fn as_millis(time: Duration) -> f64 {
-    time.as_secs_f64() * 1e3
-}
+use crate::message::EventKind;
 
 /// A backend and the ids of the requests that its controller knows by index.
 pub(crate) struct Backend {
@@ -22,12 +17,18 @@
     started_at: f64,
     controller: Controller,
     names: Names,
+    /// The requests' ids on the wire, by index.
     ids: Slab<String>,
     indices: HashMap<String, usize>,
+    /// The events of the open batch.
     events: Vec<Event>,
 }
 
 impl Backend {
+    /// Starts a backend at `now`, in the wire's milliseconds.
+    ///
+    /// # Errors
+    /// [`WireError`] where the seed or the settings are missing or invalid.
     pub(crate) fn spawn(fields: &Fields, now: f64) -> Result<Self, WireError> {
         let seed = fields.integer("prng")?;
         let text = fields.text("facts")?;
@@ -49,42 +50,49 @@
         })
     }
 
-    /// The index of a request that the module has not ended yet.
+    /// The index of a request that the controller has not released yet.
     fn request(&self, fields: &Fields) -> Result<Option<usize>, WireError> {
         Ok(self.indices.get(fields.text("tid")?).copied())
     }
 
-    /// Queues the event of a line.
-    pub(crate) fn handle_line(&mut self, kind: &str, fields: &Fields) -> Result<(), WireError> {
+    /// Queues the event of a line. An event of a request that the controller has released is
+    /// ignored.
+    ///
+    /// # Errors
+    /// [`WireError`] where a field is missing or invalid.
+    pub(crate) fn queue_event(
+        &mut self,
+        kind: EventKind,
+        fields: &Fields,
+    ) -> Result<(), WireError> {
         let event = match kind {
-            "INCOMING" => Some(self.arrival(fields)?),
-            "GONE" => self
+            EventKind::Arrived => Some(self.arrival(fields)?),
+            EventKind::CallerGone => self
                 .request(fields)?
                 .map(|request| Event::CallerGone { request }),
-            "AT_CALL" => self
+            EventKind::ReachedCall => self
                 .request(fields)?
                 .map(|request| Event::ReachedCall { request }),
-            "DONE" => {
+            EventKind::RunFinished => {
                 let outcome = fields.outcome()?;
                 self.request(fields)?
                     .map(|request| Event::Finished { request, outcome })
             }
-            "CAME_BACK" => {
+            EventKind::CallFinished => {
                 let outcome = fields.outcome()?;
                 self.request(fields)?
                     .map(|request| Event::CallFinished { request, outcome })
             }
-            "ELAPSED" => Some(Event::TimerFired {
+            EventKind::TimerFired => Some(Event::TimerFired {
                 gauges: fields.gauges()?,
             }),
-            "SIGTERM" => {
+            EventKind::ShutdownNotice => {
                 let left = fields.time("expires_in", fields.required_number("expires_in")?)?;
                 Some(Event::ShutdownNotice {
                     since: Duration::ZERO,
                     left,
                 })
             }
-            other => return Err(WireError::at(fields.line, other, "it is no known message")),
         };
         self.events.extend(event);
         Ok(())
@@ -135,88 +143,23 @@
         }))
     }
 
-    /// Lets the controller decide on the batch's events, and writes its actions.
-    pub(crate) fn decide(&mut self, number: u64, now: f64, reply: &mut String) {
+    /// Lets the controller decide on the batch's events at `now`, in the wire's milliseconds, and
+    /// writes its actions as those of the backend with the id `backend`.
+    pub(crate) fn decide(&mut self, backend: u64, now: f64, reply: &mut String) {
         let since_start = Duration::from_secs_f64((now - self.started_at).max(0.0) / 1e3);
         for action in self.controller.handle_events(since_start, &self.events) {
-            self.write(number, &action, reply);
-        }
-        self.events.clear();
-    }
-
-    fn write(&mut self, number: u64, action: &Action, reply: &mut String) {
-        let mut line = |word: &str, request: Option<RequestIndex>, rest: std::fmt::Arguments| {
-            let _ = write!(reply, "{word} backend_id={number}");
-            if let Some(request) = request {
-                let _ = write!(reply, " tid={}", self.ids[request]);
-            }
-            let _ = reply.write_fmt(rest);
-            reply.push('\n');
-        };
-        match *action {
-            Action::Start { request } => line("EXECUTE", Some(request), format_args!("")),
-            Action::Reject {
-                request,
-                retry_after,
-                retry_other_server,
-                ..
-            } => {
-                let (wait, last) = (
-                    as_millis(retry_after.unwrap_or_default()),
-                    u8::from(!retry_other_server),
-                );
-                line(
-                    "TURN_AWAY",
-                    Some(request),
-                    format_args!(" wait={wait:.3} terminal={last}"),
-                );
-            }
-            Action::Fail { request, .. } => line("REPORT_FAILURE", Some(request), format_args!("")),
-            Action::Cancel { request } => line("YANK", Some(request), format_args!("")),
-            Action::Coalesce { request } => line("JOIN", Some(request), format_args!("")),
-            Action::RememberKey { request, retention } => {
-                line(
-                    "KEEP",
-                    Some(request),
-                    format_args!(" lifetime={:.3}", as_millis(retention)),
-                );
-            }
-            Action::ForgetKey { request } => line("EVICT", Some(request), format_args!("")),
-            Action::StartCall { request, timeout } => {
-                line(
-                    "DIAL",
-                    Some(request),
-                    format_args!(" patience={:.3}", as_millis(timeout)),
-                );
-            }
-            Action::SkipCall { request } => line("OMIT", Some(request), format_args!("")),
-            Action::SetFeedback { value } => line("SAY", None, format_args!(" amount={value:.4}")),
-            Action::SetIdleTimeout { timeout } => {
-                line(
-                    "CLOSE_IDLE",
-                    None,
-                    format_args!(" lifetime={:.3}", as_millis(timeout)),
-                );
-            }
-            Action::SetHealth { healthy } => {
-                line(
-                    "SET_HEALTH",
-                    None,
-                    format_args!(" enable={} light=1", u8::from(healthy)),
-                );
-            }
-            Action::SetTimer { at } => {
-                let at = self.started_at + as_millis(at);
-                line(
-                    "TIMER",
-                    None,
-                    format_args!(" handle=beat alarm_time={at:.3}"),
-                );
-            }
-            Action::Release { request } => {
+            let mut writer = ActionWriter {
+                backend,
+                started_at: self.started_at,
+                ids: &self.ids,
+                reply,
+            };
+            writer.write(&action);
+            if let Action::Release { request } = action {
                 let id = self.ids.remove(request);
                 self.indices.remove(&id);
             }
         }
+        self.events.clear();
     }
 }
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -1,9 +1,12 @@
-//! The lines of the wire: batches of events in, actions out.
+//! Batches: the events between the line that opens a batch and the one that closes it, and the
+//! reply with the actions of all controllers.
 
 use std::collections::{HashMap, HashSet};
 
+use crate::action::END_OF_REPLY;
 use crate::backend::Backend;
 use crate::fields::{Fields, WireError};
+use crate::message::MessageKind;
 
 /// All backends of this process, and the batch that is being read.
 #[derive(Default)]
@@ -20,60 +23,86 @@
 }
 
 impl Host {
-    /// Handles one line; returns the reply when it closes a batch.
+    /// Handles a line, and returns the reply where the line closes a batch.
+    ///
+    /// # Errors
+    /// [`WireError`] where the line is invalid, or not allowed inside or outside a batch.
     pub(crate) fn line(&mut self, number: usize, line: &str) -> Result<Option<String>, WireError> {
-        let (kind, rest) = line.split_once(' ').unwrap_or((line, ""));
+        let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
+        let kind = MessageKind::parse(word);
         if !self.in_batch {
-            if kind != "CLOCK" {
-                return Err(WireError::at(number, kind, "a batch opens with CLOCK"));
+            if kind != Some(MessageKind::OpenBatch) {
+                return Err(WireError::at(number, word, "a batch opens with CLOCK"));
             }
-            let fields = Fields::parse(number, rest)?;
-            let now = fields.required_number("t")?;
-            if self.now.is_some_and(|before| now < before) {
-                return Err(fields.error("t", "the clock went back"));
-            }
-            (self.now, self.in_batch) = (Some(now), true);
+            self.open_batch(&Fields::parse(number, rest)?)?;
             return Ok(None);
         }
+        if kind == Some(MessageKind::CloseBatch) {
+            return Ok(Some(self.close_batch()));
+        }
+        let fields = Fields::parse(number, rest)?;
+        match kind {
+            None | Some(MessageKind::OpenBatch) => {
+                return Err(WireError::at(number, word, "it is no known message"));
+            }
+            Some(kind) => self.handle_message(kind, &fields)?,
+        }
+        Ok(None)
+    }
+
+    fn open_batch(&mut self, fields: &Fields) -> Result<(), WireError> {
+        let now = fields.required_number("t")?;
+        if self.now.is_some_and(|before| now < before) {
+            return Err(fields.error("t", "the clock went back"));
+        }
+        (self.now, self.in_batch) = (Some(now), true);
+        Ok(())
+    }
+
+    /// Lets the controllers of all backends with an event decide, in the order of their first
+    /// event.
+    fn close_batch(&mut self) -> String {
+        self.in_batch = false;
+        self.listed.clear();
         let now = self.now.unwrap_or_default();
-        if kind == "OVER_TO_YOU" {
-            self.in_batch = false;
-            self.listed.clear();
-            let mut reply = String::new();
-            for number in std::mem::take(&mut self.with_events) {
-                if let Some(backend) = self.backends.get_mut(&number) {
-                    backend.decide(number, now, &mut reply);
-                }
+        let mut reply = String::new();
+        for id in std::mem::take(&mut self.with_events) {
+            if let Some(backend) = self.backends.get_mut(&id) {
+                backend.decide(id, now, &mut reply);
             }
-            reply.push_str("NEXT\n");
-            return Ok(Some(reply));
         }
-        let fields = Fields::parse(number, rest)?;
-        let id = match kind {
-            "SPAWN" | "POWER_OFF" | "INCOMING" | "GONE" | "AT_CALL" | "DONE" | "CAME_BACK"
-            | "ELAPSED" | "SIGTERM" => fields.integer("backend_id")?,
-            _ => return Err(WireError::at(number, kind, "it is no known message")),
-        };
+        reply.push_str(END_OF_REPLY);
+        reply
+    }
+
+    fn handle_message(&mut self, kind: MessageKind, fields: &Fields) -> Result<(), WireError> {
+        let id = fields.integer("backend_id")?;
         match kind {
-            "SPAWN" => {
-                self.backends.insert(id, Backend::spawn(&fields, now)?);
+            MessageKind::StartBackend => {
+                let now = self.now.unwrap_or_default();
+                self.backends.insert(id, Backend::spawn(fields, now)?);
             }
-            "POWER_OFF" => {
+            MessageKind::StopBackend => {
                 self.backends.remove(&id);
             }
             // Events of a backend that is not running are ignored.
-            _ => match self.backends.get_mut(&id) {
-                Some(backend) => backend.handle_line(kind, &fields)?,
-                None => return Ok(None),
+            MessageKind::Event(kind) => match self.backends.get_mut(&id) {
+                Some(backend) => backend.queue_event(kind, fields)?,
+                None => return Ok(()),
             },
+            // They are handled before, with the state of the batch.
+            MessageKind::OpenBatch | MessageKind::CloseBatch => {}
         }
         if self.listed.insert(id) {
             self.with_events.push(id);
         }
-        Ok(None)
+        Ok(())
     }
 
-    /// The input ended before this line.
+    /// The input has ended before this line.
+    ///
+    /// # Errors
+    /// [`WireError`] inside a batch.
     pub(crate) fn finish(&self, number: usize) -> Result<(), WireError> {
         match self.in_batch {
             true => Err(WireError::at(
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -5,9 +5,11 @@
 //! output. On invalid input it writes one line to standard error and exits with 2; at the end of
 //! the input it exits with 0.
 
+mod action;
 mod backend;
 mod fields;
 mod host;
+mod message;
 
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
