--- a/crates/server/src/net/store/connection.rs
+++ b/crates/server/src/net/store/connection.rs
@@ -8,7 +8,7 @@
 use may::net::TcpStream;
 
 use super::StoreClient;
-use super::pool::{ConnectionId, Received};
+use super::pool::ConnectionId;
 use super::protocol::{self, has_body};
 use crate::log::LogLimit;
 use crate::net::connect::connect;
@@ -59,9 +59,7 @@
 
     fn serve(&self, stream: TcpStream, id: ConnectionId) -> io::Result<()> {
         let mut link = BufferedStream::new(stream, MAX_BUFFER_BYTES, MAX_BUFFER_BYTES);
-        if !self.pool.lock().opened(id, &link.output) {
-            return Ok(());
-        }
+        self.pool.lock().opened(id, &link.output);
         let mut stray_replies = 0;
         loop {
             let end = link.read_lines(has_body, |line| {
@@ -88,11 +86,11 @@
         let (request, outcome) = protocol::reply(line).map_err(protocol_error)?;
         let received = self.pool.lock().received(id, request, self.address.get());
         match received {
-            Received::Reply(request) => {
+            Some(request) => {
                 *stray_replies = 0;
                 self.report(&request, outcome, Bytes::from(line.body));
             }
-            Received::Stray => {
+            None => {
                 *stray_replies += 1;
                 if let Some(count) = STRAY_REPLIES.pass() {
                     log::warn!("store reply ignored reason=no_such_call count={count}");
@@ -101,7 +99,6 @@
                     return Err(protocol_error("too many replies to no call"));
                 }
             }
-            Received::Closed => {}
         }
         Ok(())
     }
--- a/crates/server/src/net/store/pool.rs
+++ b/crates/server/src/net/store/pool.rs
@@ -69,16 +69,6 @@
     }
 }
 
-/// A reply as the pool sees it.
-pub(super) enum Received {
-    /// It ends the open call of its connection.
-    Reply(RequestId),
-    /// A duplicate, or a reply to nobody.
-    Stray,
-    /// Its connection is closed.
-    Closed,
-}
-
 /// Where a call is placed.
 pub(super) enum Placement {
     /// On this connection, which is open and idle.
@@ -232,16 +222,15 @@
             .is_some_and(|connection| !connection.is_closing)
     }
 
-    /// A connection is open: its first call is sent. False where it is not in the pool any more.
-    pub(super) fn opened(&mut self, id: ConnectionId, output: &Arc<Output>) -> bool {
+    /// A connection is open: its first call is sent.
+    pub(super) fn opened(&mut self, id: ConnectionId, output: &Arc<Output>) {
         let Some(connection) = self.connections.get_mut(&id) else {
-            return false;
+            return;
         };
         connection.output = Some(output.clone());
         if let Some(call) = &connection.call {
             output.try_send(&[&call.bytes]);
         }
-        true
     }
 
     /// The link of a connection has failed: nothing is given to it any more. Returns whether it was
@@ -254,19 +243,16 @@
     }
 
     /// Takes a reply for a request on a connection, and gives the connection its next call.
-    /// `current` is where the store is now.
+    /// `current` is the store's address now. Returns the request whose call the reply ends; none
+    /// where the reply is a duplicate, or no call is open for it.
     pub(super) fn received(
         &mut self,
         id: ConnectionId,
         request: &str,
         current: Option<SocketAddr>,
-    ) -> Received {
-        let Some(connection) = self.connections.get_mut(&id) else {
-            return Received::Closed;
-        };
-        let Some(call) = connection.call.take_if(|call| *call.request == *request) else {
-            return Received::Stray;
-        };
+    ) -> Option<RequestId> {
+        let connection = self.connections.get_mut(&id)?;
+        let call = connection.call.take_if(|call| *call.request == *request)?;
         connection.last_used = Instant::now();
         connection.last_request = Some(call.request.clone());
         let stays = Some(connection.address) == current;
@@ -285,7 +271,7 @@
             None if stays => self.idle.push(id),
             None => {}
         }
-        Received::Reply(call.request)
+        Some(call.request)
     }
 
     /// Removes a connection that has ended. Returns the request whose call is lost with it, and its
--- a/crates/server/src/net/store/pool_tests.rs
+++ b/crates/server/src/net/store/pool_tests.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::{Call, ConnectionPool, Placement, Received};
+use super::{Call, ConnectionPool, Placement};
 use crate::requests::RequestId;
 
 fn address() -> SocketAddr {
@@ -22,7 +22,7 @@
     let mut pool = ConnectionPool::default();
     let connection = pool.insert(address(), call("first"));
     let received = pool.received(connection, "first", Some(address()));
-    assert!(matches!(received, Received::Reply(_)));
+    assert_eq!(received.as_deref(), Some("first"));
     pool
 }
 
