--- a/crates/server/src/cluster/peer_links.rs
+++ b/crates/server/src/cluster/peer_links.rs
@@ -42,6 +42,8 @@
 const MIN_RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
 /// The longest pause after a stream has failed.
 const MAX_RECONNECT_BACKOFF: Duration = Duration::from_secs(2);
+/// The least pause after a stream has failed, as a fraction of the backoff.
+const MIN_PAUSE_FRACTION: f64 = 0.5;
 /// Datagrams that are read before the thread yields to others.
 const DATAGRAMS_PER_YIELD: u32 = 32;
 /// The buffer for a datagram, in bytes: the longest that UDP allows.
@@ -132,7 +134,8 @@
         self.dropped_frames.load(Ordering::Relaxed)
     }
 
-    /// Sends a message to an address. It may get lost.
+    /// Sends a message to an address, on a stream where the message may not be lost by the network
+    /// or is too long for a datagram. A message may be lost all the same.
     pub(crate) fn send(self: &Arc<Self>, to: SocketAddr, message: Message) {
         let needs_stream = matches!(message, Message::Voter(PeerMessage::Raft(_)));
         let frame = self.config.codec.encode(&Envelope {
@@ -145,7 +148,7 @@
         if needs_stream || frame.len() > MAX_DATAGRAM_BYTES {
             self.send_on_stream(to, frame);
         } else {
-            // Lost, as any datagram may be.
+            // A datagram that is not sent counts as one that the network has lost.
             let _ = self.udp.send_to(&frame, to);
         }
     }
@@ -180,8 +183,8 @@
                     Ok(envelope) => _ = received.try_send(envelope),
                     Err(error) => log_rejected_frame(from, &error),
                 },
-                // An earlier datagram of this process met no listener; no error that ends the
-                // socket comes here.
+                // The error says that an earlier datagram of this process found no listener. The
+                // socket goes on.
                 Err(_) => std::thread::sleep(DATAGRAM_ERROR_PAUSE),
             }
             if turn.is_multiple_of(DATAGRAMS_PER_YIELD) {
@@ -225,8 +228,7 @@
             }
             match self.config.codec.decode(&header, &body) {
                 Ok(envelope) => {
-                    // A peer that sends more than the event loop takes waits here, on its own
-                    // thread.
+                    // Where the event loop does not keep up, the thread of this peer waits.
                     if received.send(envelope).is_err() {
                         return;
                     }
@@ -237,8 +239,8 @@
     }
 }
 
-/// Waits for the next frame, which may take as long as the idle timeout. Once it has begun its
-/// bytes must follow.
+/// Waits up to the idle timeout for the next frame. Once it has begun, each of its bytes must
+/// follow within the stall timeout.
 fn read_header(stream: &mut TcpStream) -> io::Result<[u8; HEADER_BYTES]> {
     let mut header = [0; HEADER_BYTES];
     stream.set_read_timeout(Some(IDLE_TIMEOUT))?;
@@ -262,7 +264,7 @@
             }
             Err(error) => {
                 log_failed_stream(to, &error);
-                std::thread::sleep(backoff.mul_f64(0.5 + 0.5 * fastrand::f64()));
+                std::thread::sleep(reconnect_pause(backoff, fastrand::f64()));
                 backoff = (backoff * RECONNECT_BACKOFF_FACTOR).min(MAX_RECONNECT_BACKOFF);
                 // Frames that were queued during the pause are out of date.
                 while queue.try_recv().is_ok() {}
@@ -274,6 +276,13 @@
     }
 }
 
+/// The pause before a stream that has failed is opened again: a random part of the backoff, so that
+/// the processes of a cluster do not all connect at once to one that has restarted. `random` is at
+/// least 0 and under 1.
+fn reconnect_pause(backoff: Duration, random: f64) -> Duration {
+    backoff.mul_f64(MIN_PAUSE_FRACTION + (1.0 - MIN_PAUSE_FRACTION) * random)
+}
+
 fn connect(to: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect_timeout(&to, CONNECT_TIMEOUT)?;
     stream.set_nodelay(true)?;
--- a/crates/server/src/net/frontend/mod.rs
+++ b/crates/server/src/net/frontend/mod.rs
@@ -48,7 +48,7 @@
 use self::listener::Acceptor;
 use self::memory::MemoryLimit;
 use self::parse::RequestParser;
-use self::request::{Peers, RequestHandler};
+use self::request::{RequestHandler, Services};
 use self::session::{MessageHandler, Session};
 use self::summary::{FrontendSummary, MALFORMED_MESSAGES, REJECTED_WITHOUT_MEMORY};
 use super::executor::ExecutorClient;
@@ -93,14 +93,14 @@
         let callers_may_cancel = names.callers_cancel;
         let is_recording = registry.tracer().is_some();
         let parser = RequestParser::new(names, registry.client_timeouts(), is_recording);
-        let peers = Peers {
+        let services = Services {
             registry: registry.clone(),
             executor,
             store,
         };
         let memory_limit = MemoryLimit::new(memory_mb);
         let requests = RequestHandler::new(
-            peers,
+            services,
             table.clone(),
             parser,
             memory_limit,
--- a/crates/server/src/net/frontend/request.rs
+++ b/crates/server/src/net/frontend/request.rs
@@ -108,8 +108,8 @@
     pub(super) recent_ids: Mutex<RecentIds>,
 }
 
-/// The parts of a backend that process requests.
-pub(super) struct Peers {
+/// The parts of this server by which requests are processed.
+pub(super) struct Services {
     pub(super) registry: Arc<RequestRegistry>,
     pub(super) executor: Arc<ExecutorClient>,
     pub(super) store: Arc<StoreClient>,
@@ -117,17 +117,17 @@
 
 impl RequestHandler {
     pub(super) fn new(
-        peers: Peers,
+        services: Services,
         table: Arc<ConnectionTable>,
         parser: RequestParser,
         memory_limit: MemoryLimit,
         callers_may_cancel: bool,
     ) -> Arc<Self> {
-        let Peers {
+        let Services {
             registry,
             executor,
             store,
-        } = peers;
+        } = services;
         Arc::new(RequestHandler {
             registry,
             executor,
--- a/crates/server/src/requests/state.rs
+++ b/crates/server/src/requests/state.rs
@@ -33,16 +33,22 @@
 
 /// The state of all open requests. The registry and the tickets share it behind one lock.
 pub(super) struct RegistryState {
+    /// None until the executor is up.
     running: Option<RunningController>,
     shutdown: Option<ShutdownNotice>,
+    /// The open requests, by the index that the controller knows them by.
     requests: Slab<OpenRequest>,
     indices: HashMap<RequestId, usize>,
     keys: IdempotencyKeys,
     timers: Timers,
+    /// The feedback value for replies, as the controller has set it last.
     feedback: Option<f64>,
+    /// How long edge nodes may keep unused connections, as the controller has set it last.
     idle_timeout: Duration,
+    /// What health checks report, as the controller has set it last.
     is_healthy: bool,
     counts: RequestCounts,
+    /// The recording, where there is one.
     tracer: Option<Arc<Tracer>>,
 }
 
@@ -64,6 +70,7 @@
         }
     }
 
+    /// Starts the controller, whose clock stood at zero at `started_at`.
     pub(super) fn start(&mut self, controller: Controller, started_at: Instant) {
         self.running = Some(RunningController {
             controller,
@@ -117,7 +124,7 @@
             .map_or(Duration::ZERO, |running| running.started_at.elapsed())
     }
 
-    /// The time now, where a recording needs it.
+    /// The time now, read only where there is a recording.
     fn trace_time(&self) -> Option<Instant> {
         self.tracer.as_ref().map(|_| Instant::now())
     }
@@ -130,7 +137,8 @@
         index
     }
 
-    /// The controller has decided on an arrival: it was admitted unless it is answered.
+    /// Notes the admission of a request in its recording: it is admitted where the controller has
+    /// not answered it on arrival.
     pub(super) fn record_admission(&mut self, index: usize) {
         let now = self.trace_time();
         if let Some(request) = self
@@ -147,8 +155,8 @@
         self.keys.expire(self.now());
     }
 
-    /// The body hash of the remembered request that a request of this key and age duplicates, if it
-    /// does.
+    /// The body hash of the remembered request that a request with this key duplicates; none where
+    /// it is no duplicate. `age` is how long ago the request reached the machine.
     pub(super) fn duplicated_body(
         &self,
         key: Option<&IdempotencyKey>,
@@ -173,10 +181,12 @@
         is_released
     }
 
+    /// The time until the next timer is due; none before the controller has started.
     pub(super) fn until_next_timer(&self) -> Option<Duration> {
         self.timers.until_next(self.now())
     }
 
+    /// Notifies the controller where a timer is due.
     pub(super) fn fire_timers(&mut self, gauges: Gauges) {
         let now = self.now();
         if self.timers.take_due(now) {
@@ -208,6 +218,7 @@
         }
     }
 
+    /// Handles an event of an open request, and passes it to the controller.
     pub(super) fn handle_event(&mut self, index: usize, event: RequestEvent) {
         let Some(request) = self
             .requests
