--- a/crates/server/src/requests/metrics.rs
+++ b/crates/server/src/requests/metrics.rs
@@ -12,7 +12,29 @@
     pub(super) open: usize,
 }
 
+/// How a request counts once it has its final response.
+#[derive(Clone, Copy)]
+pub(super) enum FinalOutcome {
+    Completed,
+    Rejected,
+    Failed,
+    /// Its caller was gone before.
+    Abandoned,
+}
+
 impl RequestCounts {
+    /// Counts a request that has its final response.
+    pub(super) fn count(&mut self, outcome: FinalOutcome) {
+        let count = match outcome {
+            FinalOutcome::Completed => &mut self.completed,
+            FinalOutcome::Rejected => &mut self.rejected,
+            FinalOutcome::Failed => &mut self.failed,
+            FinalOutcome::Abandoned => &mut self.abandoned,
+        };
+        *count += 1;
+    }
+
+    /// Logs the counts.
     pub(crate) fn log(&self) {
         let RequestCounts {
             received,
--- a/crates/server/src/requests/open_request.rs
+++ b/crates/server/src/requests/open_request.rs
@@ -1,18 +1,23 @@
-//! One open request: its state, the commands for its coroutine and its recording.
+//! One open request. It owns how far the request has come, the commands for its coroutine and its
+//! recording; the registry's state changes a request only by these methods.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
+use std::time::{Duration, Instant};
 
 use may::sync::Blocker;
+use tulipgap::Outcome;
+use tulipgap_trace::Reason;
 
-use super::messages::{Bytes, Command, IdempotencyKey, IncomingRequest, RequestId};
+use super::messages::{Bytes, Command, IdempotencyKey, IncomingRequest, RequestId, Response};
+use super::metrics::FinalOutcome;
 use crate::trace::RequestTrace;
 
 /// A request between its registration and its release.
 pub(super) struct OpenRequest {
     pub(super) id: RequestId,
-    pub(super) commands: VecDeque<Command>,
-    pub(super) waiter: Arc<Blocker>,
+    commands: VecDeque<Command>,
+    waiter: Arc<Blocker>,
     /// Its final response is queued among its commands, or was.
     pub(super) is_answered: bool,
     pub(super) is_caller_gone: bool,
@@ -23,9 +28,9 @@
     /// Its coroutine has ended before it was released.
     pub(super) is_detached: bool,
     /// The call that its run waits for: the number of the call within the run, and its body.
-    pub(super) call: Option<(u64, Bytes)>,
+    call: Option<(u64, Bytes)>,
     /// The call is in flight.
-    pub(super) is_calling: bool,
+    is_calling: bool,
     /// Its idempotency key within its tenant and handler.
     pub(super) key: Option<IdempotencyKey>,
     pub(super) body_hash: u64,
@@ -56,6 +61,108 @@
         }
     }
 
+    /// Takes the next command for its coroutine.
+    pub(super) fn next_command(&mut self) -> Option<Command> {
+        self.commands.pop_front()
+    }
+
+    /// Notes in the recording that it is admitted, where the controller has not answered it on
+    /// arrival.
+    pub(super) fn record_admission(&mut self, now: Option<Instant>) {
+        if let Some(trace) = self.trace.as_mut().filter(|_| !self.is_answered) {
+            trace.admitted = now;
+        }
+    }
+
+    /// Starts its run, or starts it again.
+    pub(super) fn start_run(&mut self, now: Option<Instant>) {
+        self.is_started = true;
+        if let Some(trace) = &mut self.trace {
+            trace.started = trace.started.or(now);
+        }
+        self.send(Command::Start);
+    }
+
+    /// Its run has reached a call. Returns false where the run waits for a call already: it makes
+    /// one at a time, so this notice is a duplicate.
+    pub(super) fn reach_call(&mut self, call: u64, body: Bytes) -> bool {
+        if self.call.is_some() {
+            return false;
+        }
+        self.call = Some((call, body));
+        self.is_calling = false;
+        true
+    }
+
+    /// Makes the call that its run waits for, or makes it again.
+    pub(super) fn start_call(&mut self, timeout: Duration, now: Option<Instant>) {
+        if let Some(trace) = &mut self.trace {
+            trace.called = trace.called.or(now);
+            trace.calls += 1;
+        }
+        if let Some((_, body)) = self.call.clone() {
+            self.is_calling = true;
+            self.send(Command::StartCall { timeout, body });
+        }
+    }
+
+    /// Its call has ended; a reply resumes its run. Returns false where no call is in flight: a
+    /// reply that was received after its call had ended is ignored.
+    pub(super) fn finish_call(&mut self, outcome: Outcome, reply: Bytes) -> bool {
+        if !std::mem::take(&mut self.is_calling) {
+            return false;
+        }
+        if outcome == Outcome::Succeeded {
+            self.call = None;
+            self.send(Command::Resume { reply });
+        }
+        true
+    }
+
+    /// Resumes its run without the call that it waits for.
+    pub(super) fn skip_call(&mut self) {
+        if let Some(trace) = &mut self.trace {
+            trace.skipped_calls += 1;
+        }
+        if let Some((call, _)) = self.call.take() {
+            self.send(Command::SkipCall { call });
+        }
+    }
+
+    /// Notes in the recording how long its run took.
+    pub(super) fn record_work(&mut self, work: Option<Duration>) {
+        if let Some(trace) = &mut self.trace {
+            trace.work = work;
+        }
+    }
+
+    /// Answers it, and returns how it counts; none where it has a final response already. Nothing
+    /// is sent where its caller is gone.
+    pub(super) fn answer(
+        &mut self,
+        response: Response,
+        reason: Reason,
+        feedback: Option<f64>,
+        now: Option<Instant>,
+    ) -> Option<FinalOutcome> {
+        if std::mem::replace(&mut self.is_answered, true) {
+            return None;
+        }
+        if let Some(trace) = &mut self.trace {
+            trace.answered(&response, self.is_caller_gone, reason, feedback, now);
+        }
+        if self.is_caller_gone {
+            return Some(FinalOutcome::Abandoned);
+        }
+        let outcome = match response {
+            Response::Completed(_) => FinalOutcome::Completed,
+            Response::Rejected { .. } => FinalOutcome::Rejected,
+            Response::Failed => FinalOutcome::Failed,
+        };
+        self.send(Command::Respond(response));
+        Some(outcome)
+    }
+
     /// Queues a command and wakes the request's coroutine.
     pub(super) fn send(&mut self, command: Command) {
         // The controller repeats a cancellation until the run has ended.
--- a/crates/server/src/requests/state.rs
+++ b/crates/server/src/requests/state.rs
@@ -141,13 +141,8 @@
     /// not answered it on arrival.
     pub(super) fn record_admission(&mut self, index: usize) {
         let now = self.trace_time();
-        if let Some(request) = self
-            .requests
-            .get_mut(index)
-            .filter(|request| !request.is_answered)
-            && let Some(trace) = &mut request.trace
-        {
-            trace.admitted = now;
+        if let Some(request) = self.requests.get_mut(index) {
+            request.record_admission(now);
         }
     }
 
@@ -167,7 +162,7 @@
     }
 
     pub(super) fn next_command(&mut self, index: usize) -> Option<Command> {
-        self.requests[index].commands.pop_front()
+        self.requests[index].next_command()
     }
 
     /// The coroutine of a request has ended. Returns false where the request is still open.
@@ -236,34 +231,25 @@
                 request.is_caller_gone = true;
                 self.decide(Event::CallerGone { request: index });
             }
-            // A run waits for one call at a time.
-            RequestEvent::CallReached { .. } if request.call.is_some() => {}
             RequestEvent::CallReached { call, body } => {
-                request.call = Some((call, body));
-                request.is_calling = false;
-                self.decide(Event::ReachedCall { request: index });
+                if request.reach_call(call, body) {
+                    self.decide(Event::ReachedCall { request: index });
+                }
             }
-            // A reply that was received after its call had ended is ignored.
-            RequestEvent::CallFinished { .. } if !request.is_calling => {}
             RequestEvent::CallFinished { outcome, reply } => {
-                request.is_calling = false;
-                if outcome == Outcome::Succeeded {
-                    request.call = None;
-                    request.send(Command::Resume { reply });
+                if request.finish_call(outcome, reply) {
+                    self.decide(Event::CallFinished {
+                        request: index,
+                        outcome,
+                    });
                 }
-                self.decide(Event::CallFinished {
-                    request: index,
-                    outcome,
-                });
             }
             RequestEvent::RunFinished {
                 outcome,
                 result,
                 work,
             } => {
-                if let Some(trace) = &mut request.trace {
-                    trace.work = work;
-                }
+                request.record_work(work);
                 self.run_finished(index, outcome, result);
             }
         }
@@ -292,22 +278,9 @@
     fn respond(&mut self, index: usize, response: Response, reason: Reason) {
         let (now, feedback) = (self.trace_time(), self.feedback);
         let request = &mut self.requests[index];
-        if std::mem::replace(&mut request.is_answered, true) {
-            return;
-        }
-        if let Some(trace) = &mut request.trace {
-            trace.answered(&response, request.is_caller_gone, reason, feedback, now);
+        if let Some(outcome) = request.answer(response, reason, feedback, now) {
+            self.counts.count(outcome);
         }
-        if request.is_caller_gone {
-            self.counts.abandoned += 1;
-            return;
-        }
-        match response {
-            Response::Completed(_) => self.counts.completed += 1,
-            Response::Rejected { .. } => self.counts.rejected += 1,
-            Response::Failed => self.counts.failed += 1,
-        }
-        request.send(Command::Respond(response));
     }
 
     fn settle_key(&mut self, index: usize, response: Response) {
@@ -342,7 +315,10 @@
 
     fn apply(&mut self, action: Action, now: Duration) {
         match action {
-            Action::Start { request } => self.start_run(request),
+            Action::Start { request } => {
+                let now = self.trace_time();
+                self.requests[request].start_run(now);
+            }
             Action::Reject {
                 request,
                 retry_after,
@@ -381,8 +357,11 @@
                 self.forget_key(request);
                 self.settle_key(request, Response::Failed);
             }
-            Action::StartCall { request, timeout } => self.start_call(request, timeout),
-            Action::SkipCall { request } => self.skip_call(request),
+            Action::StartCall { request, timeout } => {
+                let now = self.trace_time();
+                self.requests[request].start_call(timeout, now);
+            }
+            Action::SkipCall { request } => self.requests[request].skip_call(),
             Action::SetFeedback { value } => self.feedback = Some(value),
             Action::SetIdleTimeout { timeout } => self.idle_timeout = timeout,
             Action::SetHealth { healthy } => self.is_healthy = healthy,
@@ -391,39 +370,6 @@
         }
     }
 
-    fn start_run(&mut self, index: usize) {
-        let now = self.trace_time();
-        let request = &mut self.requests[index];
-        request.is_started = true;
-        if let Some(trace) = &mut request.trace {
-            trace.started = trace.started.or(now);
-        }
-        request.send(Command::Start);
-    }
-
-    fn start_call(&mut self, index: usize, timeout: Duration) {
-        let now = self.trace_time();
-        let request = &mut self.requests[index];
-        if let Some(trace) = &mut request.trace {
-            trace.called = trace.called.or(now);
-            trace.calls += 1;
-        }
-        if let Some((_, body)) = request.call.clone() {
-            request.is_calling = true;
-            request.send(Command::StartCall { timeout, body });
-        }
-    }
-
-    fn skip_call(&mut self, index: usize) {
-        let request = &mut self.requests[index];
-        if let Some(trace) = &mut request.trace {
-            trace.skipped_calls += 1;
-        }
-        if let Some((call, _)) = request.call.take() {
-            request.send(Command::SkipCall { call });
-        }
-    }
-
     fn release(&mut self, index: usize) {
         // The run has ended without a result, and the controller has left the request unanswered.
         self.respond(index, Response::Failed, Reason::CANCELLED);
