--- a/crates/server/src/net/frontend/parse.rs
+++ b/crates/server/src/net/frontend/parse.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use tulipgap::HandlerIndex;
+use tulipgap::{HandlerIndex, TenantIndex};
 use tulipgap_settings::Names;
 use tulipgap_trace::hash_text;
 
@@ -22,6 +22,34 @@
 /// The base of numbers that callers write in hexadecimal digits.
 const HEXADECIMAL: u32 = 16;
 
+/// A level that a request states is below this.
+const MAX_LEVEL: f64 = 1.0;
+
+/// The key of the handler.
+const KEY_HANDLER: &str = "kind";
+/// The key of the tenant; empty where there is none.
+const KEY_TENANT: &str = "owner";
+/// The key of the request's id.
+const KEY_ID: &str = "req";
+/// The key of the time at which the request reached the machine, in Unix milliseconds.
+const KEY_TIMESTAMP: &str = "ts";
+/// The key of the memory that the request takes while it is queued, in kilobytes.
+const KEY_MEMORY: &str = "need";
+/// The key of the work that the caller expects, in milliseconds; 0 where it expects none.
+const KEY_WORK: &str = "ms";
+/// The key of the priority level.
+const KEY_LEVEL: &str = "level";
+/// The key of the idempotency key; empty where there is none.
+const KEY_IDEMPOTENCY: &str = "opkey";
+/// The key of the time that the caller waits, in milliseconds.
+const KEY_CLIENT_WAIT: &str = "timeout";
+/// The key that is 1 where the request is a retry.
+const KEY_IS_RETRY: &str = "resent";
+/// The key of the subject, for the recording.
+const KEY_SUBJECT: &str = "subject";
+/// The key of the caller, for the recording.
+const KEY_CALLER: &str = "via";
+
 /// What the fields of a request say.
 pub(super) struct ParsedRequest {
     pub(super) incoming: IncomingRequest,
@@ -95,14 +123,14 @@
 /// have the requests of others rejected. Such a request is malformed.
 fn parse_timestamp(fields: &FieldReader, accepted_at: Instant) -> Result<Duration, CallError> {
     let arrived = fields
-        .required("ts")?
+        .required(KEY_TIMESTAMP)?
         .parse()
         .map(Duration::from_millis)
-        .map_err(|_| invalid("ts"))?;
+        .map_err(|_| invalid(KEY_TIMESTAMP))?;
     let now = unix_now();
     let is_too_old = now.saturating_sub(arrived) > accepted_at.elapsed() + TIMESTAMP_SLACK;
     if is_too_old || arrived > now + TIMESTAMP_SLACK {
-        return Err(invalid("ts"));
+        return Err(invalid(KEY_TIMESTAMP));
     }
     Ok(arrived)
 }
@@ -135,37 +163,19 @@
         accepted_at: Instant,
     ) -> Result<ParsedRequest, CallError> {
         let fields = FieldReader(fields);
-        let class = fields.required("kind")?;
-        let &handler = self
-            .names
-            .handlers
-            .get(class)
-            .ok_or_else(|| invalid("kind"))?;
-        let tenant = match fields.non_empty("owner") {
-            None => None,
-            Some(owner) => Some(
-                *self
-                    .names
-                    .tenants
-                    .get(owner)
-                    .ok_or_else(|| invalid("owner"))?,
-            ),
-        };
-        let id = fields.required("req")?;
-        let number = parse_id(id).ok_or_else(|| invalid("req"))?;
+        let class = fields.required(KEY_HANDLER)?;
+        let handler = self.handler(class)?;
+        let tenant = self.tenant(&fields)?;
+        let id = fields.required(KEY_ID)?;
+        let number = parse_id(id).ok_or_else(|| invalid(KEY_ID))?;
         let arrived = parse_timestamp(&fields, accepted_at)?;
         let queued_kb = fields
-            .number("need")?
+            .number(KEY_MEMORY)?
             .filter(|&kb| kb > 0.0 && kb < MEMORY_LIMIT_KB);
-        // An estimate is rough, and at times far more than any client waits for. Such a request may
-        // be rejected for it, but it is not malformed.
         let client_timeout = self.client_timeout(handler);
-        let max_work = client_timeout.mul_f64(MAX_WORK_FACTOR);
-        let estimated_work = fields.milliseconds("ms")?.map(|work| work.min(max_work));
-        if fields.number("level")?.is_some_and(|level| level >= 1.0) {
-            return Err(invalid("level"));
-        }
-        let idempotency_key = fields.non_empty("opkey").map(IdempotencyKey::from);
+        let estimated_work = parse_work(&fields, client_timeout)?;
+        check_level(&fields)?;
+        let idempotency_key = fields.non_empty(KEY_IDEMPOTENCY).map(IdempotencyKey::from);
         let trace = self
             .is_recording
             .then(|| trace_context(&fields, number, idempotency_key.as_deref()));
@@ -174,14 +184,10 @@
             handler,
             tenant,
             age: Duration::ZERO,
-            // No client waits longer than its handler's timeout. With a longer wait, the request
-            // would be owed an answer, and take memory, for as long as its caller likes to state.
-            client_wait: fields
-                .milliseconds("timeout")?
-                .map(|wait| wait.min(client_timeout)),
+            client_wait: parse_client_wait(&fields, client_timeout)?,
             estimated_work,
-            queued_kb: queued_kb.ok_or_else(|| invalid("need"))?,
-            is_retry: fields.get("resent").is_some_and(|value| value == "1"),
+            queued_kb: queued_kb.ok_or_else(|| invalid(KEY_MEMORY))?,
+            is_retry: fields.get(KEY_IS_RETRY).is_some_and(|value| value == "1"),
             idempotency_key,
             body_hash: 0,
             trace,
@@ -194,12 +200,56 @@
         })
     }
 
+    fn handler(&self, class: &str) -> Result<HandlerIndex, CallError> {
+        let handler = self.names.handlers.get(class);
+        handler.copied().ok_or_else(|| invalid(KEY_HANDLER))
+    }
+
+    fn tenant(&self, fields: &FieldReader) -> Result<Option<TenantIndex>, CallError> {
+        let Some(name) = fields.non_empty(KEY_TENANT) else {
+            return Ok(None);
+        };
+        let tenant = self.names.tenants.get(name);
+        tenant.copied().map(Some).ok_or_else(|| invalid(KEY_TENANT))
+    }
+
     fn client_timeout(&self, handler: HandlerIndex) -> Duration {
         let timeout = self.client_timeouts.get(handler);
         timeout.copied().unwrap_or(Duration::MAX)
     }
 }
 
+/// The work that a request announces. An estimate is rough, and at times far more than any client
+/// waits for. Such a request may be rejected for it, but it is not malformed: the estimate counts
+/// for `MAX_WORK_FACTOR` client timeouts at most.
+fn parse_work(
+    fields: &FieldReader,
+    client_timeout: Duration,
+) -> Result<Option<Duration>, CallError> {
+    let max_work = client_timeout.mul_f64(MAX_WORK_FACTOR);
+    let work = fields.milliseconds(KEY_WORK)?;
+    Ok(work.map(|work| work.min(max_work)))
+}
+
+/// How long the caller of a request waits. No client waits longer than its handler's timeout. With
+/// a longer wait, the request would be owed an answer, and take memory, for as long as its caller
+/// likes to state.
+fn parse_client_wait(
+    fields: &FieldReader,
+    client_timeout: Duration,
+) -> Result<Option<Duration>, CallError> {
+    let wait = fields.milliseconds(KEY_CLIENT_WAIT)?;
+    Ok(wait.map(|wait| wait.min(client_timeout)))
+}
+
+/// Checks the priority level that a request states; it has no other use here.
+fn check_level(fields: &FieldReader) -> Result<(), CallError> {
+    match fields.number(KEY_LEVEL)? {
+        Some(level) if level >= MAX_LEVEL => Err(invalid(KEY_LEVEL)),
+        _ => Ok(()),
+    }
+}
+
 fn trace_context(fields: &FieldReader, number: u64, key: Option<&str>) -> TraceContext {
     let subject =
         |subject| u64::from_str_radix(subject, HEXADECIMAL).unwrap_or_else(|_| hash_text(subject));
@@ -207,8 +257,8 @@
     TraceContext {
         number,
         key: key.map(hash_text),
-        subject: fields.get("subject").map(subject),
-        caller: fields.get("via").map(caller),
+        subject: fields.get(KEY_SUBJECT).map(subject),
+        caller: fields.get(KEY_CALLER).map(caller),
         read: Instant::now(),
     }
 }
