--- a/crates/server/src/requests/tests/idempotency.rs
+++ b/crates/server/src/requests/tests/idempotency.rs
@@ -11,6 +11,9 @@
     Command, IncomingRequest, Outcome, RegisterError, RequestEvent, RequestRegistry, Response,
 };
 
+/// A duplicate that arrives while the first attempt runs is not run, and gets the first one's
+/// result. So does one that arrives later within the retention window; after the window a duplicate
+/// is run.
 #[test]
 fn duplicates_are_coalesced_and_answered_alike() {
     let registry = registry();
@@ -43,6 +46,8 @@
     assert_eq!(next_command(&fourth), Some(Command::Start));
 }
 
+/// A coalesced request whose caller is gone frees its index, and a new request reuses it. The new
+/// request must not be answered with the result that the old one waited for.
 #[test]
 fn a_reused_index_is_not_taken_for_a_coalesced_request() {
     let registry = registry();
@@ -64,6 +69,9 @@
     assert_eq!(next_command(&third), None, "it is coalesced with nothing");
 }
 
+/// Keys would fill the memory without an expiry. A key is kept for its window and a client timeout,
+/// because a duplicate that arrived within the window may be read that much later; then nothing of
+/// it is left.
 #[test]
 fn keys_are_forgotten_when_they_expire() {
     let registry = registry();
@@ -91,8 +99,9 @@
     assert_eq!(registry.state.lock().key_sizes(), (0, 0, 0));
 }
 
-/// Callers choose their keys. The map went by the key alone: another tenant's request, or one for
-/// another handler, got a result that was not its own, and never ran.
+/// Callers choose their keys. The map was looked up by the key alone: a request of another tenant,
+/// or for another handler, got a result that was not its own, and never ran. A key is now scoped to
+/// its tenant and handler.
 #[test]
 fn a_key_is_scoped_to_its_tenant_and_handler() {
     let mut config = config();
@@ -140,9 +149,9 @@
 
 /// The window counts by the arrival of an attempt at the machine. One that arrived within it and
 /// was read after its end, as after a pause of the process, was taken for a new request and ran a
-/// second time.
+/// second time. The key is now kept a client timeout longer than its window.
 #[test]
-fn a_duplicate_that_arrived_in_its_window_and_is_read_later_is_not_run() {
+fn a_duplicate_that_arrived_in_its_window_and_is_read_after_it_is_not_run() {
     let registry = registry();
     let first = registry.register(incoming("a", 1, Some("k"))).unwrap();
     assert_eq!(next_command(&first), Some(Command::Start));
@@ -175,7 +184,8 @@
 }
 
 /// A queued request was dropped with its broken connection, but its key stayed: all further
-/// attempts failed for the whole window, though nothing had run.
+/// attempts failed for the whole window, though nothing had run. The key is now forgotten together
+/// with a request that never ran.
 #[test]
 fn a_key_is_forgotten_with_its_request_that_never_ran() {
     let (registry, running) = registry_at_capacity();
@@ -198,8 +208,8 @@
     assert_eq!(next_command(&again), Some(Command::Start));
 }
 
-/// Malicious clients sent a known key with a body of their own, under an id that the executor did
-/// not know: they got the first request's result.
+/// Malicious clients sent a known key with a body of their own, and got the first request's result.
+/// A known key with another body is now an error, and nothing is run.
 #[test]
 fn a_known_key_with_another_body_gets_no_result() {
     let registry = registry();
@@ -234,8 +244,9 @@
     );
 }
 
-/// A made-up request that comes first with somebody else's key runs nothing, as the executor does
-/// not know it: the owner of that key is served all the same.
+/// A forged request comes first with somebody else's key, and the executor does not know its id.
+/// The owner's attempts failed for the window. A run that never started now frees its key, and the
+/// owner is served.
 #[test]
 fn a_key_of_a_run_that_never_started_is_free() {
     let registry = registry();
--- a/crates/server/src/requests/tests/lifecycle.rs
+++ b/crates/server/src/requests/tests/lifecycle.rs
@@ -6,6 +6,8 @@
 use super::{bytes, incoming, next_command, registry};
 use crate::requests::{Command, Outcome, RegisterError, RequestEvent, RequestRegistry, Response};
 
+/// The ordinary life of a request: it is started, makes a call and gets its reply, has a second
+/// call skipped, and completes. A second reply to the same call is ignored.
 #[test]
 fn a_request_runs_makes_calls_and_completes() {
     let registry = registry();
@@ -83,6 +85,8 @@
     assert_eq!(registry.open(), 0);
 }
 
+/// A start is warm or cold, as the executor reports it, and happens once. After a cold start the
+/// clock begins at the executor's age.
 #[test]
 fn a_warm_start_begins_the_clock_and_a_cold_one_takes_its_age() {
     for (cold, age) in [(false, Duration::ZERO), (true, ms(4000))] {
@@ -96,6 +100,8 @@
     }
 }
 
+/// A coroutine ends while its request runs. The run goes on until the executor reports its end, and
+/// until then the request counts as open.
 #[test]
 fn a_coroutine_that_ends_abandons_its_request() {
     let registry = registry();
@@ -114,8 +120,9 @@
     assert_eq!(registry.open(), 0);
 }
 
-/// A coroutine whose deadline had passed by less than a millisecond once waited for ever: calls
-/// were never given up, and timers stopped for good when the executor's link broke during a query.
+/// A coroutine whose deadline had passed by less than a millisecond waited for ever: calls were
+/// never given up, and timers stopped for good when the executor's link broke during a query. A
+/// wait now ends at once where its deadline has passed.
 #[test]
 fn a_ticket_waits_no_longer_than_its_deadline() {
     let (commands, received) = std::sync::mpsc::channel();
--- a/crates/server/src/requests/tests/model_based.rs
+++ b/crates/server/src/requests/tests/model_based.rs
@@ -53,11 +53,11 @@
     }
 }
 
-/// A case that CI once drew: the executor has not started the first request, so its key is free, a
-/// second one runs, and only then does the first one's coroutine take its command to start. The
-/// model took that for a run within the window.
+/// A case that a random run of CI found. The executor has not started the first request, so its key
+/// is free and a second one runs; only then does the first one's coroutine take its start command.
+/// The model took that for a second run within the window.
 #[test]
-fn a_command_that_is_taken_late_is_no_second_run() {
+fn a_command_taken_late_counts_as_no_second_run() {
     let (registry, mut model) = (registry(), Model::default());
     model.register(&registry, 1, 0);
     model.report(&registry, 0, 615);
@@ -148,7 +148,7 @@
     }
 }
 
-/// Every order of a few events around one key: attempts, the end of a run, its cancellation,
+/// Plays every order of a few events around one key: attempts, the end of a run, its cancellation,
 /// callers that are gone, and the end of the window. Each attempt gets one response, one runs
 /// within the window, and none is rejected after that.
 #[test]
--- a/crates/server/src/requests/tests/shutdown.rs
+++ b/crates/server/src/requests/tests/shutdown.rs
@@ -8,7 +8,8 @@
 use crate::requests::{Command, IncomingRequest, RequestRegistry, Response};
 
 /// A shutdown notice that came before the executor was up was dropped: once it was up, requests
-/// were admitted and run until the termination.
+/// were admitted and run until the termination. The notice is now kept and passed on right after
+/// the start.
 #[test]
 fn a_shutdown_notice_before_the_start_takes_effect_after_it() {
     let registry = Arc::new(RequestRegistry::new(config(), 7, None));
@@ -33,7 +34,7 @@
 }
 
 /// The grace counted from when the controller learned of the notice: where it learned late,
-/// requests ran that had arrived after the grace.
+/// requests ran that had arrived after the grace. It now counts from the signal itself.
 #[test]
 fn the_drain_grace_counts_from_the_notice_however_late_it_is_passed_on() {
     let registry = registry();
--- a/crates/server/tests/program/address_limits.rs
+++ b/crates/server/tests/program/address_limits.rs
@@ -14,7 +14,7 @@
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, request_fields};
 use crate::harness::{LONG_TIMEOUT, wait_until};
 
-/// StopOnDrop the flood, also when the test fails before.
+/// Ends the flood when it is dropped, also where the test fails before.
 struct StopOnDrop(Arc<AtomicBool>);
 
 impl Drop for StopOnDrop {
@@ -23,7 +23,7 @@
     }
 }
 
-/// Far longer than a connection that is let in takes, far shorter than one that waits for a place.
+/// Far longer than an accepted connection takes, far shorter than one that waits for a descriptor.
 const PROMPT: Duration = Duration::from_secs(5);
 
 fn settings(text: &str) -> (tempfile::TempDir, std::path::PathBuf) {
@@ -33,7 +33,7 @@
     (folder, file)
 }
 
-/// A connection from that address; `None` where the server's end of it is not to be had.
+/// A connection from that address; `None` where it cannot be established.
 fn connect_from(backend: &TestBackend, address: [u8; 4]) -> Option<EdgeConnection> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket
@@ -48,10 +48,10 @@
     Some(EdgeConnection { stream })
 }
 
-/// Sends a request, and tells whether it was answered before the connection ended.
+/// Sends a request, and returns whether it was answered before the connection ended.
 fn is_served(edge: &mut EdgeConnection, sequence: u32, id: u64) -> bool {
     use std::io::Write;
-    // What was refused may be closed before all is written.
+    // A rejected connection may be closed before the whole request is written.
     let message = edge.encode_request(
         sequence,
         &request_fields(&format!("{id:016x}"), "20.0"),
@@ -63,7 +63,7 @@
             .is_some_and(|answer| answer.kind == AnswerKind::Answer)
 }
 
-/// Has an address earn that it is known: requests done over some seconds.
+/// Makes an address a known client by requests that are completed over some seconds.
 fn become_known_client(backend: &TestBackend, address: [u8; 4], ids: &AtomicU32) {
     let mut edge = connect_from(backend, address).unwrap();
     let start = Instant::now();
@@ -80,6 +80,8 @@
     }
 }
 
+/// One address opens connections without end. Clients with a record of completed requests are still
+/// accepted and served promptly, because a fraction of the connections is kept for known clients.
 #[test]
 fn known_clients_are_accepted_while_one_address_opens_thousands() {
     let (_folder, file) = settings("  known_part = 0.5");
@@ -101,7 +103,7 @@
             while flooding.load(Ordering::Acquire) || tried < 5000 {
                 tried += 1;
                 held.extend(connect_from(&backend, [127, 99, 9, 9]));
-                // Its own descriptors are bounded, too: the oldest go.
+                // The test's own descriptors are limited, too: the oldest connections are closed.
                 if held.len() > 400 {
                     held.drain(..200);
                 }
@@ -132,8 +134,10 @@
     assert!(files <= 128, "{files} descriptors");
 }
 
+/// An address may have so many connections open. Connections beyond that are closed at once, so
+/// that the client learns of it without waiting, and other addresses are not concerned.
 #[test]
-fn one_address_has_its_limit_and_is_rejected_at_once_beyond() {
+fn an_address_beyond_its_connection_limit_is_rejected_at_once() {
     let (_folder, file) = settings("  address {\n    open = 5\n    rate = 1000\n  }");
     let backend = start_backend_with_settings(256, Some(&file));
     let mut edges: Vec<EdgeConnection> = (0..12)
@@ -144,7 +148,7 @@
         .map(|(id, edge)| is_served(edge, 1, id))
         .collect();
     assert_eq!(in_time.iter().filter(|&&served| served).count(), 5);
-    // Who is refused learns it at once, and not by waiting.
+    // A rejected client learns of it at once instead of waiting.
     let start = Instant::now();
     let mut refused = connect_from(&backend, [127, 98, 1, 1]).unwrap();
     assert!(refused.wait_until_closed() && start.elapsed() < PROMPT);
@@ -157,8 +161,9 @@
     });
 }
 
-/// The system's own limit lies below what the server was told, so that it runs out in earnest;
-/// requests that were read are answered, also while it leaves.
+/// The system grants fewer descriptors than the configuration promises, so accepting fails with
+/// EMFILE. Requests that were read are answered, also during a drain, and accepting goes on once
+/// descriptors are free.
 #[test]
 fn running_out_of_descriptors_loses_no_request_that_was_read() {
     let (_folder, file) =
@@ -171,8 +176,8 @@
         edge.send_request(1, &format!("{id:016x}"), b"hang");
     }
     wait_until("they run", || backend.executor().runs.len() == 3);
-    // Far more than there are descriptors; each is let in, refused or waits, and none stops the
-    // server.
+    // Far more connections than descriptors: each is accepted, rejected or waits, and the server
+    // goes on.
     let many: Vec<EdgeConnection> = (0..120)
         .filter_map(|at| connect_from(&backend, [127, 96, 1, at % 4]))
         .collect();
@@ -182,7 +187,7 @@
         connect_from(&backend, [127, 95, 1, 1])
             .is_some_and(|mut edge| is_served(&mut edge, 1, fastrand::u64(..)))
     });
-    // Once more, and then it leaves.
+    // The same again, followed by a drain.
     let many: Vec<EdgeConnection> = (0..120)
         .filter_map(|at| connect_from(&backend, [127, 96, 1, at % 4]))
         .collect();
--- a/crates/server/tests/program/cancellation.rs
+++ b/crates/server/tests/program/cancellation.rs
@@ -30,7 +30,7 @@
         .spawn()
 }
 
-/// Runs end just as their callers give up: whichever comes first, there is one answer or none.
+/// Cancels requests just as their runs end: whichever comes first, there is one answer or none.
 fn cancel_as_runs_end(backend: &TestBackend, edge: &mut EdgeConnection) {
     for turn in 0..30u32 {
         let id = format!("0000000000f5{turn:04x}");
@@ -46,7 +46,7 @@
     }
 }
 
-/// Ends the runs that are left, stops the backend and starts it with settings that tell nothing of
+/// Ends the runs that are left, stops the backend and starts it with settings that do not announce
 /// cancellations.
 fn restart_without_cancellations(backend: &mut TestBackend) {
     backend.signal("TERM");
@@ -60,8 +60,10 @@
     backend.wait_until_serving();
 }
 
-/// Callers say that they give up, where the settings tell so. It was taken for garbage: the
-/// connection was left, and the requests that came over it meanwhile were lost with it.
+/// Where the settings announce cancellations, callers cancel requests before, with and behind their
+/// answer, twice, and for requests that never existed. A cancellation used to be taken for garbage:
+/// its connection was closed, and requests that arrived over it meanwhile were lost. A cancellation
+/// that arrived in the same read as its request let that request run for nobody.
 #[test]
 fn a_cancellation_affects_its_own_request_alone() {
     let mut backend = start_backend_that_sees_cancellations();
@@ -71,16 +73,17 @@
     edge.send_request(2, "0000000000f40002", b"hang");
     wait_until("both run", || backend.executor().runs.len() == 2);
     edge.cancel(1);
-    // Stopped, which this executor answers; then nobody is owed an answer to it.
+    // The executor acknowledges that the run is stopped; no answer is due after that.
     wait_until("it is stopped", || {
         backend.executor().ends.contains_key("0000000000f40001")
     });
-    // Of what is over, was never there, or comes twice.
+    // Cancellations of a finished request, of one that never existed, and a repeated one.
     for sequence in [1, 77, 1] {
         edge.cancel(sequence);
     }
     cancel_as_runs_end(&backend, &mut edge);
-    // In one piece with what is withdrawn: that is not run for nobody.
+    // A request and its cancellation in one write: the request must not be run, as nobody waits for
+    // it.
     let mut both = edge.encode_request(200, &request_fields("0000000000f60001", "20.0"), b"hang");
     both.extend(edge.encode_cancellation(200));
     edge.stream.write_all(&both).unwrap();
@@ -111,7 +114,7 @@
         seen.values().all(|&count| count == 1) && !seen.contains_key(&1),
         "{seen:?}"
     );
-    // Without that setting it is no message, as before.
+    // Without the setting a cancellation is no valid message.
     drop(edge);
     restart_without_cancellations(&mut backend);
     let mut edge = backend.connect();
--- a/crates/server/tests/program/configuration.rs
+++ b/crates/server/tests/program/configuration.rs
@@ -6,10 +6,12 @@
 use crate::harness::edge_node::{AnswerKind, EdgeConnection};
 use crate::harness::unique_address;
 
+/// A configuration that cannot be read or served ends the program with exit code 2 and one line
+/// that names the problem.
 #[test]
 fn an_invalid_configuration_is_reported_in_one_line() {
     let host = unique_address();
-    let told = config_json(&host);
+    let configuration = config_json(&host);
     for (from, to, problem) in [
         ("{\"name\":\"n3\"", "{\"name\"", "expected `:`"),
         ("\"cores\":4", "\"cores\":0", "no cores are given"),
@@ -30,20 +32,20 @@
             "stop_ms: -4 is no time",
         ),
     ] {
-        assert!(told.contains(from), "{from}");
-        let file = write_config(&format!("{host}-wrong"), &told.replace(from, to));
+        assert!(configuration.contains(from), "{from}");
+        let file = write_config(&format!("{host}-wrong"), &configuration.replace(from, to));
         let output = spawn_program(&file).wait_with_output().unwrap();
-        let said = String::from_utf8(output.stderr).unwrap();
-        assert_eq!(output.status.code(), Some(2), "{said}");
+        let error_output = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.status.code(), Some(2), "{error_output}");
         assert!(
-            said.lines().count() == 1 && said.contains(problem),
-            "{said}"
+            error_output.lines().count() == 1 && error_output.contains(problem),
+            "{error_output}"
         );
         std::fs::remove_file(file).unwrap();
     }
 }
 
-/// Whether any of many answers carries a value; the first come before one is known.
+/// Whether any of many answers carries a feedback value; the first ones come before one is known.
 fn has_feedback_value(edge: &mut EdgeConnection) -> bool {
     (1..300).any(|sequence| {
         edge.send_request(sequence, &format!("{sequence:016x}"), b"run");
@@ -52,12 +54,13 @@
     })
 }
 
-/// The shape of regina-main and nairobi-calc: the list follows health, callers get no value, a
-/// handler writes. One build serves it from the settings alone; a write that may run again is
-/// refused at start, by the key at fault.
+/// The settings of the sites regina-main and nairobi-calc: the endpoint list follows health,
+/// callers get no feedback value, and a handler writes. One build serves them from the settings
+/// alone. A write that is declared idempotent could be run twice; it is refused at the start, by
+/// the key at fault.
 #[test]
 fn settings_with_writes_are_served_and_an_idempotent_write_is_refused() {
-    let new_shape = |host: &str| {
+    let changed_config = |host: &str| {
         config_json(host)
             .replace(r#""say":"weight""#, r#""say":"silent","list_follows":true"#)
             .replace(
@@ -66,17 +69,17 @@
             )
     };
     let host = unique_address();
-    let mixed = write_config(
+    let rejected_config = write_config(
         &host,
-        &new_shape(&host).replace(
+        &changed_config(&host).replace(
             r#""effect":"side_effect","write""#,
             r#""effect":"pure","write""#,
         ),
     );
-    let (status, error) = run_until_rejected(&mixed);
+    let (status, error) = run_until_rejected(&rejected_config);
     assert!(!status.success());
     assert!(error.contains("settings: classes[0].write: "), "{error}");
-    let _ = std::fs::remove_file(mixed);
+    let _ = std::fs::remove_file(rejected_config);
 
     let backend = BackendSetup::new()
         .change(r#""say":"weight""#, r#""say":"silent","list_follows":true"#)
@@ -93,8 +96,8 @@
     );
 }
 
-/// recife-matching gives callers a value and has the list follow health; such settings were refused
-/// at start.
+/// The settings of the site recife-matching give callers a feedback value and have the endpoint
+/// list follow health. Such settings were refused at the start.
 #[test]
 fn feedback_values_beside_a_list_that_follows_health_are_served() {
     let backend = BackendSetup::new()
@@ -108,8 +111,8 @@
     );
 }
 
-/// An effect of a word the backend does not know, such as the site file's "keyed" for the wire's
-/// "token", was told by its line and column alone.
+/// A word that the backend does not know, such as the site file's "keyed" for the wire's "token",
+/// used to be reported by line and column alone. The key is named, too.
 #[test]
 fn an_invalid_word_in_the_settings_is_reported_with_key_and_line() {
     let host = unique_address();
--- a/crates/server/tests/program/connection_close.rs
+++ b/crates/server/tests/program/connection_close.rs
@@ -11,8 +11,8 @@
 };
 use crate::harness::wait_until;
 
-/// Requests on resting connections at moments around the close of each: every one is answered once,
-/// or its connection closes and the request was never run.
+/// Sends requests on idle connections at moments around the close of each, and asserts that every
+/// one is answered once, or that its connection closes and the request was never run.
 fn assert_answered_or_never_run(
     backend: &TestBackend,
     edges: Vec<EdgeConnection>,
@@ -38,19 +38,22 @@
     });
 }
 
-/// Connections that rest after one answered request each.
+/// Connections that are idle after one answered request each.
 fn resting_connections(backend: &TestBackend, count: u32, prefix: &str) -> Vec<EdgeConnection> {
-    let rest = |at: u32| {
+    let idle_connection = |at: u32| {
         let mut edge = backend.connect();
         edge.send_request(1, &format!("{prefix}{at:04x}"), b"run");
         assert_eq!(edge.read_answer().expect("an answer").sequence, 1);
         edge
     };
-    (0..count).map(rest).collect()
+    (0..count).map(idle_connection).collect()
 }
 
+/// Callers send requests on idle connections in the milliseconds around their close at shutdown. A
+/// request that was run must be answered. One whose connection closes first was never run, so that
+/// its caller may send it again.
 #[test]
-fn a_request_on_a_resting_connection_that_closes_at_shutdown_is_answered_or_never_run() {
+fn a_request_that_crosses_the_close_at_shutdown_is_answered_or_never_run() {
     let mut backend =
         start_backend_with_changes(&[(r#""drain_grace":1000.0"#, r#""drain_grace":100.0"#)]);
     let edges = resting_connections(&backend, 32, "000000000a01");
@@ -61,8 +64,9 @@
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
+/// The same at an idle close, which follows the drain notification by 2 s.
 #[test]
-fn a_request_on_a_resting_connection_that_closes_idle_is_answered_or_never_run() {
+fn a_request_that_crosses_an_idle_close_is_answered_or_never_run() {
     let backend = start_backend_with_changes(&[(r#""idle":9000.0"#, r#""idle":100.0"#)]);
     let edges = resting_connections(&backend, 32, "000000000a03");
     // The close follows the notification by 2 s.
@@ -70,11 +74,11 @@
     assert_answered_or_never_run(&backend, edges, "000000000a04", first, step);
 }
 
-/// Requests that backend unread in the socket when their idle connections fall due to close: the
-/// backend is stopped over that moment. Whole ones are read and answered, half ones end with their
-/// connection.
+/// The process is paused while idle connections become due to close, and meanwhile requests arrive
+/// in their sockets. What has arrived is read before the connection closes: complete requests are
+/// answered, and halves of requests end with their connection and are not run.
 #[test]
-fn a_request_that_stands_unread_as_its_connection_falls_due_is_answered() {
+fn an_unread_request_is_answered_when_its_idle_connection_is_due_to_close() {
     let backend = start_backend_with_changes(&[(r#""idle":9000.0"#, r#""idle":100.0"#)]);
     let mut edges = resting_connections(&backend, 16, "000000000a0f");
     for edge in &mut edges {
@@ -112,10 +116,10 @@
     }
 }
 
-/// Half a request in the instant of the shutdown notice: with its second half it is answered,
-/// without it the connection ends and costs nobody an answer.
+/// A request is half sent when the shutdown notice arrives. It is answered once its second half has
+/// come. Without a second half its connection ends, and no other caller loses an answer.
 #[test]
-fn half_a_request_in_the_instant_of_shutdown_costs_no_answer() {
+fn half_a_request_at_the_shutdown_notice_costs_no_answer() {
     let mut backend =
         start_backend_with_changes(&[(r#""drain_grace":1000.0"#, r#""drain_grace":300.0"#)]);
     let mut edges = resting_connections(&backend, 16, "000000000a05");
@@ -155,10 +159,11 @@
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// Half a request in the instant of an idle close: the request is read as a whole once its rest has
-/// come.
+/// A request is half sent when its idle connection is notified or due to close. Well before the
+/// close it is read as a whole and answered once; around the close it is answered once or was never
+/// run.
 #[test]
-fn half_a_request_in_the_instant_of_an_idle_close_costs_no_answer() {
+fn half_a_request_at_an_idle_close_costs_no_answer() {
     let backend = start_backend_with_changes(&[(r#""idle":9000.0"#, r#""idle":100.0"#)]);
     let edges = resting_connections(&backend, 16, "000000000a07");
     std::thread::scope(|scope| {
@@ -192,11 +197,12 @@
     });
 }
 
-/// The answers to a slow reader wait in the send buffer as the backend closes the connection, and a
-/// request crosses the close: its bytes arrive behind the close, so the system reset the connection
-/// and dropped all answers.
+/// Answers to a slow reader were still in the send buffer when the backend closed the connection,
+/// and a request arrived behind the close. The system reset the connection for it and dropped the
+/// answers, 15 of 16. The connection is now shut for writing first, and what arrives is read and
+/// dropped until the answers are acknowledged, for at most 1 s.
 #[test]
-fn a_request_that_crosses_the_close_does_not_reset_answers_on_their_way() {
+fn a_request_behind_the_close_does_not_reset_answers_in_the_send_buffer() {
     const REQUESTS: u32 = 16;
     let mut backend =
         start_backend_with_changes(&[(r#""drain_grace":1000.0"#, r#""drain_grace":100.0"#)]);
@@ -225,8 +231,9 @@
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// The answer meets a caller that is just cutting off: it is lost with its connection, and harms
-/// nobody else.
+/// A caller resets its connection just as its answer is sent, in three orders of the run's end and
+/// the reset. That answer is lost with its connection, and no other caller loses an answer or gets
+/// one twice.
 #[test]
 fn an_answer_that_meets_a_reset_is_the_only_one_lost() {
     let backend = start_backend();
@@ -255,7 +262,7 @@
                 .contains(format!("f5{turn:04x}").as_bytes())
         );
     }
-    // Those that were cut off before their run ended were stopped, or end when they are told to.
+    // Runs whose caller was gone before they ended are still open or were stopped.
     let left: Vec<String> = backend.executor().runs.keys().cloned().collect();
     for id in left {
         backend.executor().end_run(&id, "interrupted", b"");
--- a/crates/server/tests/program/connection_floods.rs
+++ b/crates/server/tests/program/connection_floods.rs
@@ -10,8 +10,9 @@
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, slowest_answer_while};
 use crate::harness::{PROMPT, wait_until};
 
-/// A flood of connections beyond the limit: whoever is connected is served meanwhile, a newcomer
-/// afterwards.
+/// A thousand connections are opened at a limit of 64 descriptors. Connections that are idle and
+/// silent give way, descriptors stay within the limit, a client that is connected is served
+/// promptly meanwhile, and a newcomer is served afterwards.
 #[test]
 fn a_flood_of_connections_holds_up_nobody_who_is_connected() {
     let backend = start_backend_with_sockets(64);
@@ -45,8 +46,8 @@
     assert!(begin.elapsed() < PROMPT, "{:?}", begin.elapsed());
 }
 
-/// A flood of requests on one connection, far more at a time than it may have open: each is
-/// answered once, and others are served meanwhile.
+/// One connection sends 3,000 requests without waiting, where 32 may be open at a time. Each is
+/// answered once, and a client on another connection is served promptly meanwhile.
 #[test]
 fn a_flood_of_requests_on_one_connection_holds_up_nobody_else() {
     const REQUESTS: u32 = 3000;
@@ -79,17 +80,20 @@
     );
 }
 
+/// More connections than there are descriptors either made one request and stay, or never send
+/// anything. The oldest idle ones are closed so that a new client is served, and connections that
+/// never send a complete message are closed.
 #[test]
-fn silent_connections_keep_nobody_out() {
+fn silent_connections_are_closed_to_admit_new_ones() {
     let backend = start_backend_with_sockets(48);
-    // Those that asked once and stay go too, the oldest first.
-    let asked = |at: u32| {
+    // Connections that stay open after one request are closed too, the oldest first.
+    let connection_after_one_request = |at: u32| {
         let mut edge = backend.connect();
         edge.send_request(1, &format!("0000000000ea{at:04x}"), b"run");
         edge.expect_answer(1, AnswerKind::Answer);
         edge
     };
-    let _asked: Vec<EdgeConnection> = (0..60).map(asked).collect();
+    let _idle: Vec<EdgeConnection> = (0..60).map(connection_after_one_request).collect();
     let mut silent: Vec<EdgeConnection> = (0..80).map(|_| backend.connect()).collect();
     let mut edge = backend.connect();
     edge.send_request(1, "0000000000eb0001", b"run");
@@ -98,7 +102,7 @@
         .unwrap()
         .count();
     assert!(files <= 48, "{files} descriptors");
-    // One that never says a word, and one that stops in the middle of it, are closed.
+    // Connections that send nothing, or half a message, are closed.
     let mut half = backend.connect();
     half.stream.write_all(b"\0\0\0\x30\x80\x01").unwrap();
     silent.push(half);
@@ -107,15 +111,18 @@
     }
 }
 
+/// Every connection that may be open has an open request, so none can be closed. A further
+/// connection waits in the backlog, and is served once a request is answered and its connection can
+/// be closed.
 #[test]
-fn connections_beyond_the_limit_wait_for_a_place() {
+fn connections_beyond_the_limit_wait_for_a_free_descriptor() {
     let backend = start_backend_with_sockets(32);
-    let hang = |at: u32| {
+    let connection_with_open_request = |at: u32| {
         let mut edge = backend.connect();
         edge.send_request(1, &format!("0000000000fa{at:04x}"), b"hang");
         edge
     };
-    let mut edges: Vec<EdgeConnection> = (0..12).map(hang).collect();
+    let mut edges: Vec<EdgeConnection> = (0..12).map(connection_with_open_request).collect();
     wait_until("it runs", || {
         backend.executor().runs.contains_key("0000000000fa0000")
     });
@@ -125,7 +132,7 @@
         .unwrap()
         .count();
     assert!(files <= 32, "{files} descriptors");
-    // It is served once nothing is open on another.
+    // The waiting connection is served once another has no open request.
     backend
         .executor()
         .end_run("0000000000fa0000", "success", b"its place is free");
--- a/crates/server/tests/program/cost.rs
+++ b/crates/server/tests/program/cost.rs
@@ -75,11 +75,11 @@
     [each(used), each(writer), at(0.5), at(0.99)]
 }
 
-/// With those settings and without, in turn.
+/// Measures with these settings and without, in turn.
 fn compare_in_pairs(settings: &std::path::Path, count: usize) {
     let mut pairs = Vec::new();
     for pair in 0..count {
-        // Which comes first changes, so that neither has the warmer machine.
+        // The order alternates, so that neither side always runs on the warmer machine.
         let (on, off) = if pair % 2 == 0 {
             let on = measure(Some(settings));
             (on, measure(None))
@@ -115,7 +115,7 @@
     compare_in_pairs(&settings, PAIRS);
 }
 
-/// As one of five that know one another, three of which vote, against alone.
+/// A member of a cluster of five with three voters, against a backend alone.
 #[test]
 #[ignore = "a measurement"]
 fn cost_of_a_cluster() {
@@ -145,11 +145,11 @@
     compare_in_pairs(&settings(0), 5);
 }
 
-/// As many requests as an hour at 190 a second has, as fast as they go, recording_settings on loopback: each
-/// is in the file.
+/// As many requests as an hour at 190 a second has, sent as fast as possible with a recording: each
+/// must be in the file.
 #[test]
 #[ignore = "a measurement"]
-fn an_hour_of_reqs() {
+fn an_hour_of_requests() {
     const EDGE_NODES: u32 = 6;
     const REQUESTS: u32 = 684_000;
     let (folder, settings) = recording_settings("5s");
--- a/crates/server/tests/program/deployment.rs
+++ b/crates/server/tests/program/deployment.rs
@@ -8,7 +8,7 @@
 use crate::harness::backend::{BackendSetup, TestBackend};
 use crate::harness::edge_node::AnswerKind;
 
-/// System calls that are refused there, beside a new process, which is a clone that is no thread.
+/// System calls that are refused, beside a new process (a clone that is no thread).
 const REFUSED: [i64; 6] = [
     libc::SYS_clone3,
     libc::SYS_io_uring_setup,
@@ -30,7 +30,8 @@
         .to_owned()
 }
 
-/// A filter of this and all later programs of the process: what is refused gets ENOSYS.
+/// Installs a filter for this and all later programs of the process: refused system calls get
+/// ENOSYS.
 fn install_system_call_filter() -> std::io::Result<()> {
     let step = |code: u32, jt: u8, jf: u8, k: u32| libc::sock_filter {
         code: code as u16,
@@ -72,8 +73,8 @@
     }
 }
 
-/// `run` is one program, by exec, with nothing on top: recordings, which want a lasting disk, and
-/// whatever a configuration of the product's own turns on stay off there.
+/// The deploy file's `run` is one program, started by exec. Recordings, which need a lasting disk,
+/// and everything that a settings file turns on stay off there.
 #[test]
 fn the_run_command_is_one_process_by_exec_with_nothing_enabled() {
     assert_eq!(deploy_entry("run"), "exec target/release/tulipgapd");
@@ -99,16 +100,16 @@
     })
 }
 
-/// The shell has made way for it, which is linked dynamically and has no further process and no
-/// file.
+/// The program has replaced the shell, is linked dynamically, and has neither a child process nor
+/// an open file.
 fn assert_single_process(backend: &TestBackend) {
-    let of = |what: &str| format!("/proc/{}/{what}", backend.child.id());
-    let maps = std::fs::read_to_string(of("maps")).unwrap();
+    let proc_path = |what: &str| format!("/proc/{}/{what}", backend.child.id());
+    let maps = std::fs::read_to_string(proc_path("maps")).unwrap();
     assert!(
         maps.contains("/tulipgapd") && maps.contains("/libc.so"),
         "{maps}"
     );
-    let threads = std::fs::read_dir(of("task"))
+    let threads = std::fs::read_dir(proc_path("task"))
         .unwrap()
         .map(|thread| thread.unwrap().path());
     let children: Vec<_> = threads
@@ -118,7 +119,7 @@
         children.iter().all(|children| children.is_empty()),
         "{children:?}"
     );
-    let links = std::fs::read_dir(of("fd"))
+    let links = std::fs::read_dir(proc_path("fd"))
         .unwrap()
         .filter_map(|fd| std::fs::read_link(fd.ok()?.path()).ok());
     let known = [
@@ -140,11 +141,11 @@
     assert!(others.iter().all(|other| *other == ours), "{others:?}");
 }
 
-/// It listens where it was told to and nowhere else, and nothing of a cluster is there: no thread,
-/// no datagrams but its reports.
+/// The program listens at its one address only, and nothing of a cluster is there: no thread, and
+/// no datagram socket but that of its reports.
 fn assert_nothing_else_listens(backend: &TestBackend) {
-    let of = |what: &str| format!("/proc/{}/{what}", backend.child.id());
-    let inodes: BTreeSet<String> = std::fs::read_dir(of("fd"))
+    let proc_path = |what: &str| format!("/proc/{}/{what}", backend.child.id());
+    let inodes: BTreeSet<String> = std::fs::read_dir(proc_path("fd"))
         .unwrap()
         .filter_map(|fd| {
             std::fs::read_link(fd.ok()?.path())
@@ -154,8 +155,8 @@
         })
         .filter_map(|link| Some(link.strip_prefix("socket:[")?.strip_suffix(']')?.to_owned()))
         .collect();
-    let own = |table: &str, state: Option<&str>| {
-        let text = std::fs::read_to_string(of(table)).unwrap();
+    let count_own_sockets = |table: &str, state: Option<&str>| {
+        let text = std::fs::read_to_string(proc_path(table)).unwrap();
         let lines = text
             .lines()
             .skip(1)
@@ -165,21 +166,24 @@
             .count()
     };
     assert_eq!(
-        own("net/tcp", Some("0A")) + own("net/tcp6", Some("0A")),
+        count_own_sockets("net/tcp", Some("0A")) + count_own_sockets("net/tcp6", Some("0A")),
         1,
         "sockets that listen"
     );
     assert!(
-        own("net/udp", None) + own("net/udp6", None) <= 1,
+        count_own_sockets("net/udp", None) + count_own_sockets("net/udp6", None) <= 1,
         "the reports alone"
     );
-    for thread in std::fs::read_dir(of("task")).unwrap() {
+    for thread in std::fs::read_dir(proc_path("task")).unwrap() {
         let name = std::fs::read_to_string(thread.unwrap().path().join("comm")).unwrap_or_default();
         let among = ["cluster", "peers", "voter", "control", "trial"];
         assert!(!among.iter().any(|word| name.starts_with(word)), "{name}");
     }
 }
 
+/// The fleet test refuses some system calls and any further process. The backend, started by the
+/// deploy file's command, must serve under that filter, as one process with one listening socket
+/// and nothing of a cluster.
 #[test]
 fn it_serves_as_one_process_under_the_fleet_tests_system_call_filter() {
     let mut backend = start_as_deployed();
--- a/crates/server/tests/program/docs.rs
+++ b/crates/server/tests/program/docs.rs
@@ -1,4 +1,4 @@
-//! Pages name log lines and tests; each exists in the code.
+//! Log lines and tests that the pages name exist in the code.
 
 use std::fs;
 use std::path::{Path, PathBuf};
--- a/crates/server/tests/program/executor_link.rs
+++ b/crates/server/tests/program/executor_link.rs
@@ -9,8 +9,11 @@
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, answers_until_close, request_fields};
 use crate::harness::wait_until;
 
+/// The executor's link breaks while a run ends, so that nobody receives the notice of its end. The
+/// next link begins with the notices that were missed: the run is answered and not started again,
+/// and a request that arrived in between is run once.
 #[test]
-fn a_link_that_is_cut_is_resumed_where_it_was() {
+fn a_broken_executor_link_is_resumed_without_repeating_runs() {
     let backend = start_backend();
     let mut edge = backend.connect();
     edge.send_request(1, "00000000000000b1", b"run");
@@ -22,7 +25,7 @@
     {
         let mut executor = backend.executor();
         let link = executor.link.take().unwrap();
-        // It ends while nobody hears of it.
+        // The run ends while no link is there to report it.
         executor.end_run("00000000000000b2", "success", b"ended unheard");
         link.shutdown(Shutdown::Both).unwrap();
     }
@@ -31,7 +34,7 @@
         edge.expect_answer(2, AnswerKind::Answer)
             .contains(b"ended unheard")
     );
-    // What came in between runs, and once.
+    // The request that arrived in between is run once.
     wait_until("it runs", || {
         backend.executor().runs.contains_key("00000000000000b3")
     });
@@ -43,8 +46,11 @@
     edge.expect_answer(3, AnswerKind::Crashed);
 }
 
+/// The notice of a run's end is lost for good, so the executor neither runs it nor reports it.
+/// Whether it had effects cannot be known: its request fails and is not run again, and the run
+/// behind it is answered.
 #[test]
-fn a_run_unheard_of_behind_missing_notices_is_not_run_again() {
+fn a_run_whose_end_notice_is_missing_is_not_run_again() {
     let backend = start_backend();
     let mut edge = backend.connect();
     edge.send_request(1, "00000000000000e1", b"hang");
@@ -58,7 +64,7 @@
             .unwrap()
             .shutdown(Shutdown::Both)
             .unwrap();
-        // The end of the first is forgotten before anybody hears of it.
+        // The notice of the first run's end is lost.
         executor.end_run("00000000000000e1", "success", b"forgotten");
         executor.notices.last_mut().unwrap().clear();
         executor.end_run("00000000000000e2", "success", b"kept");
@@ -75,8 +81,10 @@
     assert!(backend.executor().runs.is_empty(), "run again");
 }
 
+/// The executor does not know the ids of some requests and reports them as invalid. Those requests
+/// fail. Such failures must not make the controller reject the requests of others.
 #[test]
-fn ids_unknown_to_the_executor_reject_nobody_else() {
+fn ids_unknown_to_the_executor_fail_only_their_own_requests() {
     let backend = start_backend();
     let mut edge = backend.connect();
     for sequence in 1..20 {
@@ -89,8 +97,8 @@
     }
     for sequence in 20..30 {
         edge.send_request(sequence, &format!("0000000000adb{sequence:03x}"), b"run");
-        // Where runs error no traffic is wanted; how much less is, while the machine is busy, is
-        // not told here.
+        // After failed runs the feedback value is 0; how much below its maximum it is on a busy
+        // machine is not asserted here.
         let answer = edge.expect_answer(sequence, AnswerKind::Answer);
         assert!(
             answer.contains(b"signal") && !answer.contains(b"0.0000"),
@@ -99,8 +107,11 @@
     }
 }
 
+/// An executor that sends what is no message, or a line that is too long, loses its link, and a new
+/// one is opened. Messages that have no meaning here, and commands that it reports as invalid,
+/// leave the link as it is.
 #[test]
-fn a_peer_that_violates_its_protocol_is_connected_again() {
+fn an_executor_that_violates_its_protocol_is_connected_again() {
     let backend = start_backend();
     let mut edge = backend.connect();
     let long = "x".repeat(5000);
@@ -117,7 +128,7 @@
         edge.send_request(sequence, &format!("{sequence:016x}"), b"run");
         edge.expect_answer(sequence, AnswerKind::Answer);
     }
-    // What has no meaning, and what was refused, breaks nothing.
+    // Messages without a meaning and a rejected command leave the link as it is.
     edge.send_request(9, "00000000000000f9", b"hang");
     wait_until("it runs", || !backend.executor().runs.is_empty());
     let links = backend.executor().link_count;
@@ -128,18 +139,22 @@
     assert_eq!(backend.executor().link_count, links);
 }
 
+/// The executor's link is cut over and over and the store goes down in between, with requests on
+/// four connections. Each request gets one answer, with a result of its own, and no run is started
+/// twice.
 #[test]
 fn each_request_is_answered_once_while_links_are_cut() {
-    const EACH: u32 = 150;
+    const REQUESTS_PER_CONNECTION: u32 = 150;
     let backend = start_backend();
     let mut edges: Vec<EdgeConnection> = (0..4).map(|_| backend.connect()).collect();
-    let mut left: Vec<Vec<u32>> = vec![(1..=EACH).collect(); edges.len()];
+    let mut left: Vec<Vec<u32>> = vec![(1..=REQUESTS_PER_CONNECTION).collect(); edges.len()];
     let mut sent = 0;
     while left.iter().any(|left| !left.is_empty()) {
-        // A few more on each connection; their answers come in any order while everything breaks.
-        let few = sent..EACH.min(sent + 10);
+        // A few more requests on each connection; their answers come in any order while links
+        // break.
+        let batch = sent..REQUESTS_PER_CONNECTION.min(sent + 10);
         for (at, edge) in edges.iter_mut().enumerate() {
-            for sequence in few.clone() {
+            for sequence in batch.clone() {
                 let body = if (sequence + at as u32).is_multiple_of(3) {
                     &b"call"[..]
                 } else {
@@ -148,7 +163,7 @@
                 edge.send_request(sequence + 1, &format!("{at:08x}{:08x}", sequence + 1), body);
             }
         }
-        sent = few.end;
+        sent = batch.end;
         if let Some(link) = backend.executor().link.take() {
             let _ = link.shutdown(Shutdown::Both);
         }
@@ -159,16 +174,16 @@
         for (at, edge) in edges.iter_mut().enumerate() {
             while left[at].iter().any(|&sequence| sequence <= sent) {
                 let answer = edge.read_answer().expect("an answer for each");
-                let place = left[at]
+                let index = left[at]
                     .iter()
                     .position(|&sequence| sequence == answer.sequence);
-                left[at].swap_remove(place.expect("once each"));
+                left[at].swap_remove(index.expect("once each"));
                 let own = format!("page \0 {at:08x}{:08x}", answer.sequence);
-                let whole = [own.as_bytes(), b"richer", b"poorer"]
+                let is_own_result = [own.as_bytes(), b"richer", b"poorer"]
                     .iter()
                     .any(|result| answer.contains(result));
                 assert!(
-                    answer.kind != AnswerKind::Answer || whole,
+                    answer.kind != AnswerKind::Answer || is_own_result,
                     "a result of its own"
                 );
             }
@@ -179,11 +194,12 @@
     assert!(executor.ends.values().all(|&ends| ends == 1), "run again");
 }
 
-/// A link breaks as a run starts that may not run twice, and the run ends as the next link is taken
-/// up: behind the notices that were read there, and before anything said over it arrives. Its start
-/// was said again, and it ran twice.
+/// A link broke just as a run started, and the run ended while the next link was being
+/// resynchronised: behind the notices that were read there, and before anything sent over it
+/// arrived. The backend sent the start again, and the run happened twice. A start that may have
+/// arrived is now repeated only for idempotent requests; any other counts as lost.
 #[test]
-fn a_run_that_ends_as_its_link_is_resynchronised_is_not_run_again() {
+fn a_run_that_ends_during_link_resynchronisation_is_not_run_again() {
     for effect in [
         r#""effect":"side_effect""#,
         r#""effect":"token","memory_span":9000.0"#,
@@ -201,10 +217,10 @@
             "{:?}",
             first.kind
         );
-        // What was said before is heard by the time that this has run.
+        // Once this request has run, the backend has read all that the executor sent before.
         edge.send_request(2, "0000000000ef0002", b"run");
         edge.expect_answer(2, AnswerKind::Answer);
-        // A repeat gets no run either.
+        // A duplicate is not run either.
         let mut again = request_fields("0000000000ef0003", "20.0");
         again.push(("opkey", "ef".to_owned()));
         if effect.contains("token") {
@@ -220,10 +236,11 @@
     }
 }
 
-/// A result and the end of the executor's link backend in the buffer, by turns with the shutdown
-/// notice beside them.
+/// A result and the end of the executor's link are both in the receive buffer when the backend
+/// reads, by turns with the shutdown notice. The result is read before the end, or sent again over
+/// the next link and taken once.
 #[test]
-fn a_result_that_stands_before_the_end_of_the_link_is_answered_once() {
+fn a_result_received_before_the_link_ends_is_answered_once() {
     let mut backend = start_backend();
     let mut edge = backend.connect();
     for turn in 0..6u32 {
--- a/crates/server/tests/program/graceful_shutdown.rs
+++ b/crates/server/tests/program/graceful_shutdown.rs
@@ -12,8 +12,9 @@
 use crate::harness::store::start_store;
 use crate::harness::{unique_address, wait_until};
 
-/// The notice comes before the executor is up: it was forgotten, and what came behind the grace was
-/// run.
+/// A shutdown notice that came before the executor was connected was forgotten: requests that
+/// arrived behind the drain grace were run. The registry now keeps the notice and passes it to the
+/// controller right after the start.
 #[test]
 fn a_shutdown_notice_before_the_executor_is_up_takes_effect_once_it_is() {
     let host = unique_address();
@@ -35,10 +36,11 @@
     serve_executor(backend.executor.clone(), &host);
     wait_until("the link is up", || backend.executor().link_count == 1);
     edge.expect_answer(0, AnswerKind::NoMore);
-    // It crosses the wish to send nothing more, behind the grace by more than its stamp is rough.
+    // The request crosses the drain notification, and arrives behind the grace by more than the
+    // resolution of its timestamp.
     std::thread::sleep(std::time::Duration::from_millis(5));
     edge.send_request(2, "00000000000ee002", b"run");
-    // Where the machine is slow, the connection has closed by then.
+    // On a slow machine the connection may be closed by then.
     assert!(
         edge.read_answer()
             .is_none_or(|answer| answer.kind == AnswerKind::Rejected)
@@ -47,8 +49,9 @@
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// One thread read the file and took the signals: a file that gives nothing kept the notice from
-/// being seen.
+/// One thread read the configuration file and handled the signals. A file that yields nothing, here
+/// a pipe without a writer's data, kept it from seeing the shutdown notice for ever. The file is
+/// now read on a thread of its own.
 #[test]
 fn a_shutdown_notice_takes_effect_while_the_configuration_is_being_read() {
     let mut backend = start_backend();
@@ -56,8 +59,8 @@
     let path = std::ffi::CString::new(backend.config_file.as_os_str().as_bytes()).unwrap();
     assert_eq!(unsafe { libc::mkfifo(path.as_ptr(), 0o600) }, 0);
     backend.signal("HUP");
-    // It is opened for writing once the program has opened it for reading: from then on it waits
-    // for what never comes.
+    // Opening for writing returns once the program has opened the pipe for reading; from then on it
+    // waits for data that never comes.
     let writer = std::fs::OpenOptions::new()
         .write(true)
         .open(&backend.config_file)
@@ -69,8 +72,9 @@
     drop(writer);
 }
 
-/// A slow reader at the stop: all that it has been owed lies in the rings and in the sockets, with
-/// half a request behind.
+/// At shutdown all answers to a slow reader are still in its output buffer and in the sockets, and
+/// half a request is unread behind them. The connection counts as open until its output buffer is
+/// empty, so each answer arrives exactly once.
 #[test]
 fn a_slow_reader_gets_all_its_answers_at_shutdown() {
     let mut backend = start_backend();
@@ -95,13 +99,14 @@
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// Reqs that cross the wish to send nothing more: each is answered, and behind the grace none is
+/// A caller sends a request before it has read the drain notification. The request must be
+/// answered, because it was sent on an open connection, and behind the drain grace it must not be
 /// run.
 #[test]
 fn a_request_that_crosses_the_drain_notification_is_answered_and_not_run() {
     let mut backend = start_backend();
     let mut edges: Vec<EdgeConnection> = (0..6).map(|_| backend.connect()).collect();
-    // What is open on it keeps it from closing.
+    // An open request keeps its connection from closing.
     for (at, edge) in (0u32..).zip(&mut edges) {
         edge.send_request(1, &format!("0000000000f8{at:04x}"), b"hang");
     }
@@ -111,14 +116,14 @@
     backend.signal("TERM");
     for (at, edge) in (0x10u32..).zip(&mut edges) {
         while edge.read_answer().expect("the wish").kind != AnswerKind::NoMore {}
-        // Behind the grace by more than its stamp is rough.
+        // Behind the grace by more than the resolution of the request's timestamp.
         std::thread::sleep(std::time::Duration::from_millis(5));
         let message = edge.encode_request(
             2,
             &request_fields(&format!("0000000000f8{at:04x}"), "20.0"),
             b"run",
         );
-        // Whole, or its end only once more was looked at.
+        // The request is written at once, or its last byte on its own.
         let cut = if at % 2 == 0 {
             message.len()
         } else {
--- a/crates/server/tests/program/harness/backend.rs
+++ b/crates/server/tests/program/harness/backend.rs
@@ -1,4 +1,4 @@
-//! A process of the program between stubs.
+//! A process of the program between stubs of its peers.
 
 use std::io::Read;
 use std::net::TcpStream;
@@ -56,7 +56,7 @@
 /// Starts the program, with the product's own configuration where one is given.
 pub(crate) fn spawn_program_with_settings(file: &Path, settings: Option<&Path>) -> Child {
     let program = env!("CARGO_BIN_EXE_tulipgapd");
-    // For measurements: all of its threads on one core, as where it is deployed.
+    // Measurements run all threads of the program on one core, as in the deployment.
     let mut command = match std::env::var("TULIPGAP_CORE") {
         Ok(core) => {
             let mut command = Command::new("taskset");
@@ -213,7 +213,7 @@
 }
 
 impl TestBackend {
-    /// Waits until it is healthy and its answers carry the feedback value.
+    /// Waits until the backend is healthy and its answers carry the feedback value.
     pub(crate) fn wait_until_serving(&self) {
         self.wait_until_healthy(|answer| answer.contains(b"signal"));
     }
--- a/crates/server/tests/program/harness/edge_node.rs
+++ b/crates/server/tests/program/harness/edge_node.rs
@@ -92,7 +92,7 @@
             .unwrap();
     }
 
-    /// A health check as it is written.
+    /// A health check as it is sent.
     pub(crate) fn encode_health_check(&self, sequence: u32) -> Vec<u8> {
         call(sequence, "probe", b"\0")
     }
@@ -119,7 +119,7 @@
         self.stream.write_all(&message).unwrap();
     }
 
-    /// A request as it is written.
+    /// A request as it is sent.
     pub(crate) fn encode_request(
         &self,
         sequence: u32,
@@ -171,7 +171,8 @@
         })
     }
 
-    /// Waits until it is closed, and ignores what comes before.
+    /// Waits until the connection is closed, and ignores what arrives before. False where it ends
+    /// by another error than a reset.
     pub(crate) fn wait_until_closed(&mut self) -> bool {
         match self.stream.read_to_end(&mut Vec::new()) {
             Ok(_) => true,
@@ -214,7 +215,8 @@
     while edge.read_answer().expect("a drain notification").kind != AnswerKind::NoMore {}
 }
 
-/// Sends requests one after the other until told to stop; yields the longest time to an answer.
+/// Sends requests one after the other while `running` is set; returns the longest time to an
+/// answer.
 pub(crate) fn slowest_answer_while(
     backend: &TestBackend,
     running: &AtomicBool,
--- a/crates/server/tests/program/harness/executor.rs
+++ b/crates/server/tests/program/harness/executor.rs
@@ -148,15 +148,16 @@
             number = executor.link_count;
             executor
                 .send_line("BOOTED steady 1000.0\r\nDMESG 0 a remark of no meaning\r\n".to_owned());
-            // One notice too many: what was read before must not be handled twice.
+            // The last notice that the backend has read is sent again and must not be handled
+            // twice.
             let from = last.parse::<usize>().unwrap().saturating_sub(1);
             let missed = executor.notices[from..].concat();
             let _ = executor.link.as_ref().unwrap().write_all(&missed);
         } else if executor.link_count == number {
             executor.handle_command(&words, body);
         } else {
-            // A new link replaces the one before: what is left in its buffers was sent again over
-            // the new one, and would run twice.
+            // A new link replaces the one before: commands left in the old link's buffers were sent
+            // again over the new one and would run twice.
             return;
         }
     }
--- a/crates/server/tests/program/harness/mod.rs
+++ b/crates/server/tests/program/harness/mod.rs
@@ -1,5 +1,5 @@
-//! What program tests share: a process of the program between stubs of its executor and its store,
-//! and the messages of an edge node, written by hand.
+//! The harness of the program tests: a process of the program between stubs of its executor and its
+//! store, and an edge node whose messages are encoded by hand.
 
 pub(crate) mod backend;
 pub(crate) mod edge_node;
--- a/crates/server/tests/program/idempotency.rs
+++ b/crates/server/tests/program/idempotency.rs
@@ -6,12 +6,13 @@
 use crate::harness::edge_node::{AnswerKind, request_fields, request_fields_with};
 use crate::harness::wait_until;
 
-/// Duplicates of a keyed request inside, at the edge of and past a window of 1.5 s, which counts by
-/// arrival at the machine.
+/// Duplicates of a keyed request arrive inside, at the edge of and past a retention window of 1.5
+/// s. The window counts by arrival at the machine, not by when the request is read. Inside it the
+/// first result is given again; past it the request is run.
 #[test]
-fn a_keyed_duplicate_is_known_by_its_arrival_inside_the_window() {
+fn a_keyed_duplicate_is_recognised_by_its_arrival_within_the_window() {
     const WINDOW_MS: u64 = 1500;
-    // The window is kept in steps, so it ends a little later than it must.
+    // The window is kept in steps of this length, so it may end that much late.
     const STEP_MS: u64 = 250;
     let backend = start_backend_with_changes(&[(
         r#""effect":"pure""#,
@@ -22,8 +23,8 @@
         fields.push(("opkey", key.to_owned()));
         fields
     };
-    // The offset of the duplicate's arrival from the end of the window, and whether it must, may or
-    // must not be known.
+    // The offset of the duplicate's arrival from the end of the window in milliseconds, and whether
+    // the duplicate must be recognised (`None`: either is allowed).
     let cases: [(i64, Option<bool>); 6] = [
         (-1000, Some(true)),
         (-50, Some(true)),
@@ -75,8 +76,10 @@
     now.as_millis() as u64
 }
 
-/// Without memory for another request, a new one is turned away and told when to come back; a
-/// repeat of one that was run is errored, as nobody may be told that it was not.
+/// A rejection tells the caller that its request was not run. When there is no memory for another
+/// request, a new one is rejected with a Retry-After; a duplicate of a request that was run was
+/// rejected too, and its caller could send it elsewhere, where it ran a second time. The duplicate
+/// now fails.
 #[test]
 fn a_duplicate_of_a_run_is_not_rejected_for_memory() {
     let backend = start_backend_with_changes(&[
@@ -86,30 +89,30 @@
         ),
         (r#""memory_mb":192"#, r#""memory_mb":1"#),
     ]);
-    let of = |id: &str, key: &str| {
+    let fields_with_key = |id: &str, key: &str| {
         let mut fields = request_fields(id, "20.0");
         fields.push(("opkey", key.to_owned()));
         fields
     };
     let mut edge = backend.connect();
-    edge.send_request_with_fields(1, &of("0000000000e10001", "first"), b"run");
+    edge.send_request_with_fields(1, &fields_with_key("0000000000e10001", "first"), b"run");
     let first = edge.expect_answer(1, AnswerKind::Answer);
     assert!(first.contains(b"page \0 0000000000e10001"));
-    // A repeat with the same body has its result; one with another body, or for nobody's tenant,
-    // has not.
-    edge.send_request_with_fields(2, &of("0000000000e10002", "first"), b"run");
+    // A duplicate with the same body gets the first result; one with another body gets an
+    // exception.
+    edge.send_request_with_fields(2, &fields_with_key("0000000000e10002", "first"), b"run");
     assert!(
         edge.expect_answer(2, AnswerKind::Answer)
             .contains(b"page \0 0000000000e10001")
     );
-    edge.send_request_with_fields(3, &of("0000000000e10003", "first"), b"runs");
+    edge.send_request_with_fields(3, &fields_with_key("0000000000e10003", "first"), b"runs");
     edge.expect_answer(3, AnswerKind::Exception);
-    // As many as there is memory for, and none more.
+    // As many requests as there is memory for.
     let most = (0.45 * 1024.0 / 24.0) as u32;
     for at in 0..most {
         edge.send_request_with_fields(
             10 + at,
-            &of(&format!("0000000000e2{at:04x}"), &format!("k{at}")),
+            &fields_with_key(&format!("0000000000e2{at:04x}"), &format!("k{at}")),
             b"hang",
         );
     }
@@ -119,13 +122,13 @@
             "{:016x}",
             0xe300_0000u32 + backend.executor().notices.len() as u32
         );
-        probing.send_request_with_fields(1, &of(&id, &id), b"run");
+        probing.send_request_with_fields(1, &fields_with_key(&id, &id), b"run");
         probing.read_answer().is_some_and(|answer| {
             answer.kind == AnswerKind::Rejected && answer.contains(b"holdoff")
         })
     });
-    // Opened only now: where the machine is slow it would have been closed for saying nothing.
+    // This connection is opened late, because it would be closed as silent on a slow machine.
     let mut other = backend.connect();
-    other.send_request_with_fields(1, &of("0000000000e10004", "first"), b"run");
+    other.send_request_with_fields(1, &fields_with_key("0000000000e10004", "first"), b"run");
     other.expect_answer(1, AnswerKind::Crashed);
 }
--- a/crates/server/tests/program/leases.rs
+++ b/crates/server/tests/program/leases.rs
@@ -1,6 +1,6 @@
-//! Leases between real processes: each link led through a relay, faults on links, processes, clocks
-//! and disks, and a witness that sees each act. Safety is looked at all the time; progress is
-//! waited for.
+//! Leases between real processes. Every link goes through a proxy; faults are injected into links,
+//! processes, clocks and disks; a history checker sees each operation under a lease. Safety is
+//! checked all the time, and the tests wait for progress.
 
 use std::cell::{Cell, RefCell};
 use std::io::{BufRead, BufReader, Write};
@@ -54,14 +54,14 @@
     Path::new(env!("CARGO_BIN_EXE_tulipgapd"))
 }
 
-/// Plays it until, after the last fault, both leases have seen acts again; no promise may break on
-/// the way.
+/// Plays the faults until operations have begun under both leases after the last one; no invariant
+/// may be violated on the way.
 fn run_until_operations_resume(what: &str, faults: &str) -> RunOutcome {
     let (plan, folder) = (plan(faults), tempfile::tempdir().unwrap());
-    let (from, met) = (Cell::new(None), Cell::new(false));
-    let enough = |out: &RunOutcome| {
-        let since = from.get().unwrap_or(out.history.len());
-        from.set(Some(since));
+    let (operations_at_last_fault, has_resumed) = (Cell::new(None), Cell::new(false));
+    let is_finished = |out: &RunOutcome| {
+        let since = operations_at_last_fault.get().unwrap_or(out.history.len());
+        operations_at_last_fault.set(Some(since));
         let acts = |lease: &str| {
             let is_accepted_begin = |record: &&OperationRecord| {
                 record.phase == OperationPhase::Begin
@@ -73,14 +73,14 @@
                 .filter(is_accepted_begin)
                 .count()
         };
-        met.set(acts("one") >= 10 && acts("two") >= 10);
-        met.get()
+        has_resumed.set(acts("one") >= 10 && acts("two") >= 10);
+        has_resumed.get()
     };
-    let outcome = run(&plan, program(), folder.path(), |_| {}, enough)
+    let outcome = run(&plan, program(), folder.path(), |_| {}, is_finished)
         .unwrap_or_else(|error| panic!("{what}: {error}"));
     assert_eq!(outcome.violation, None, "{what}");
     assert!(
-        met.get(),
+        has_resumed.get(),
         "{what}: no acts after the last fault: {:?}",
         outcome.tokens
     );
@@ -91,6 +91,9 @@
     outcome
 }
 
+/// Each member in turn is paused for longer than its lease while an operation under it is under
+/// way. The lease goes on to another member. The paused one must not take effect when it wakes,
+/// because its fencing token is older than the newest that was seen.
 #[test]
 fn a_holder_stopped_in_mid_act_is_shut_out_when_it_wakes() {
     let stop = |of: &str, at: u32| {
@@ -112,6 +115,8 @@
     );
 }
 
+/// Lease holders and the leader of the voters are partitioned, in one direction and both, and one
+/// member is killed, all over lossy links. Leases must go on to members that can be reached.
 #[test]
 fn a_holder_and_a_leader_cut_off_and_killed() {
     let cut = |of: &str, at: u32, one_way: bool| {
@@ -128,8 +133,11 @@
     );
 }
 
+/// All voters are killed at once, then two of three. What was granted is on their disks: after the
+/// restarts leases are held again, and the history checker finds no two holders and no token older
+/// than one it has seen.
 #[test]
-fn all_voters_killed_at_once_then_a_quorum_lost() {
+fn leases_survive_killed_voters_and_a_lost_quorum() {
     let kill = |of: &str, at: u32, back: u32| {
         format!("crash {{\n at = {at}\n of = \"{of}\"\n back = {back}\n}}\n")
     };
@@ -137,8 +145,11 @@
     run_until_operations_resume("killed", &(all + &kill("a-1", 9, 15) + &kill("b-1", 9, 16)));
 }
 
+/// Clocks run 5% fast and slow, a disk is full, a sync fails, and a voter loses its directory and
+/// is replaced. No two members may hold a lease of capacity one meanwhile, and operations go on
+/// after the last fault.
 #[test]
-fn disks_clocks_and_a_folder_that_was_lost() {
+fn leases_survive_disk_faults_clock_drift_and_a_lost_directory() {
     let text = r#"
         clock {
           of = "a-2"
@@ -198,13 +209,13 @@
     serde_json::from_str(&line).unwrap()
 }
 
-/// Revokes with a stale token, which is refused, then moves the lease. Returns the new owner and
-/// the token before, or nothing where no voter leads just now.
+/// Revokes a lease with a stale token, which is rejected, and then transfers it. Returns the new
+/// owner and the token before, or nothing while no voter leads.
 fn move_lease(socket: &Path, held: &Value) -> Option<(&'static str, Value)> {
     let stale = r#"{"do":"revoke","lease":"one","token":999}"#;
     let refused = ask_control_socket(socket, stale);
     let why = refused["error"].as_str().unwrap();
-    // Where no voter leads just now it is asked again later.
+    // While no voter leads, the command is repeated later.
     if why.contains("no voter") {
         return None;
     }
@@ -212,7 +223,8 @@
     assert!(ask_control_socket(socket, r#"{"do":"hop"}"#)["error"].is_string());
     let to = if held["by"] == "b-2" { "c-1" } else { "b-2" };
     let token = &held["token"];
-    // That it came to pass is seen by who holds it: an answer may be lost, and the word said twice.
+    // The transfer is seen by the new owner: an answer may be lost, and the command is then sent
+    // twice.
     ask_control_socket(
         socket,
         &format!(r#"{{"do":"transfer","lease":"one","token":{token},"to":"{to}"}}"#),
@@ -220,9 +232,10 @@
     Some((to, token.clone()))
 }
 
-/// Operators see who holds what and move it; a stale word is refused and changes nothing.
+/// Operators list leases and members, transfer a lease, take and release one, and drain members of
+/// a zone one at a time. A command with a stale token is refused and changes nothing.
 #[test]
-fn operators_see_move_and_revoke_leases() {
+fn operators_list_transfer_and_release_leases() {
     let (plan, folder) = (plan(""), tempfile::tempdir().unwrap());
     let at = |member: &str| folder.path().join(member).join("control");
     let has_drain_lease = |member: &str| {
@@ -234,12 +247,12 @@
     let socket = at("a-1");
     let step = Cell::new(0);
     let before = RefCell::new(Value::Null);
-    let enough = |out: &RunOutcome| {
+    let is_finished = |out: &RunOutcome| {
         if out.operations < 5 {
             return false;
         }
-        let shown = ask_control_socket(&socket, r#"{"do":"leases","lease":"one"}"#);
-        let held = shown["leases"][0]["held"][0].clone();
+        let listing = ask_control_socket(&socket, r#"{"do":"leases","lease":"one"}"#);
+        let held = listing["leases"][0]["held"][0].clone();
         match step.get() {
             0 if held["token"].is_u64() => {
                 let Some((to, token)) = move_lease(&socket, &held) else {
@@ -274,8 +287,8 @@
                 }
             }
             3 => {
-                let shown = ask_control_socket(&socket, r#"{"do":"leases","lease":"mine"}"#);
-                if shown["leases"].as_array().is_some_and(Vec::is_empty) {
+                let listing = ask_control_socket(&socket, r#"{"do":"leases","lease":"mine"}"#);
+                if listing["leases"].as_array().is_some_and(Vec::is_empty) {
                     let members = ask_control_socket(&socket, r#"{"do":"members"}"#);
                     assert_eq!(members["members"].as_array().unwrap().len(), 5, "{members}");
                     assert_eq!(
@@ -285,8 +298,8 @@
                     step.set(4);
                 }
             }
-            // One of a zone has_drain_lease at a time, another zone's do not wait for it, and who waits is
-            // next.
+            // One member of a zone drains at a time, members of other zones do not wait for it, and
+            // the member that waits is next.
             4 if has_drain_lease("a-1") => {
                 ask_control_socket(&at("a-2"), r#"{"do":"drain"}"#);
                 ask_control_socket(&at("c-1"), r#"{"do":"drain"}"#);
@@ -302,7 +315,7 @@
         }
         step.get() == 7
     };
-    let outcome = run(&plan, program(), folder.path(), |_| {}, enough).unwrap();
+    let outcome = run(&plan, program(), folder.path(), |_| {}, is_finished).unwrap();
     assert_eq!((outcome.violation, step.get()), (None, 7));
 }
 
@@ -310,18 +323,18 @@
 fn send_garbage(host: &str) {
     let (udp, peer) = (UdpSocket::bind((host, 0)).unwrap(), format!("{host}:7100"));
     let mut rng = fastrand::Rng::with_seed(7);
-    let elsewhere =
+    let other_cluster =
         tulipgap_peer_protocol::FrameCodec::new("elsewhere", b"long enough to keep anybody out")
             .unwrap();
     let message = tulipgap_peer_protocol::Message::SlotAvailable { lease: "x".into() };
-    let said = tulipgap_peer_protocol::Envelope {
+    let envelope = tulipgap_peer_protocol::Envelope {
         from: "m".into(),
         address: peer.parse().unwrap(),
         incarnation: tulipgap_leases::Incarnation(1),
         message,
     };
     for turn in 0..3000 {
-        let mut bytes = elsewhere.encode(&said);
+        let mut bytes = other_cluster.encode(&envelope);
         if turn % 2 == 0 {
             bytes = (0..rng.usize(0..1400)).map(|_| rng.u8(..)).collect();
         }
@@ -334,10 +347,11 @@
     }
 }
 
-/// Garbage, frames of another cluster and a stream that stops in the middle keep nobody out, and a
-/// voter without a folder or a key that is too short is told so at the start.
+/// Random bytes, frames of another cluster and a stream that stops in the middle arrive at the peer
+/// port. The member goes on. A voter without a directory, and a key that is too short, are refused
+/// at the start.
 #[test]
-fn garbage_at_the_peer_port_stops_nothing() {
+fn malformed_frames_at_the_peer_port_are_ignored() {
     let host = unique_address();
     let folder = tempfile::tempdir().unwrap();
     let at = |name: &str| folder.path().join(name);
@@ -399,11 +413,11 @@
     let _ = std::fs::remove_file(&file);
 }
 
-/// Three backends of a zone whose store refuses: one probes, all go by its verdict, requests are
-/// answered throughout; when the store is back all make their calls again, and nothing of the
-/// verdict is left.
+/// Three backends of a zone have a store that refuses connections. One of them probes it and
+/// publishes a verdict that all follow, and requests are answered throughout. When the store is
+/// back, the verdict is withdrawn and all make their calls again.
 #[test]
-fn one_of_a_zone_probes_a_store_that_is_down() {
+fn one_member_of_a_zone_probes_a_store_that_is_down() {
     let (hosts, away) = (
         [unique_address(), unique_address(), unique_address()],
         unique_address(),
@@ -437,10 +451,10 @@
     };
     let backends = [start(0), start(1), start(2)];
     let control = |at: usize| folder.path().join(format!("m{at}.control"));
-    // Who publishes a verdict, as each sees it.
+    // The members that publish a verdict, as this member sees them.
     let verdicts = |at: usize| -> Vec<String> {
-        let told = ask_control_socket(&control(at), r#"{"do":"members"}"#);
-        let rows = told["members"].as_array().unwrap().iter();
+        let members = ask_control_socket(&control(at), r#"{"do":"members"}"#);
+        let rows = members["members"].as_array().unwrap().iter();
         rows.filter(|row| row["facts"]["store"].is_string())
             .map(|row| row["name"].to_string())
             .collect()
--- a/crates/server/tests/program/listener_close.rs
+++ b/crates/server/tests/program/listener_close.rs
@@ -11,8 +11,10 @@
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, request_fields};
 use crate::harness::{LONG_TIMEOUT, wait_until};
 
-/// Connections that the machine took while the program stood still, each with a whole request on
-/// it, as the grace ended meanwhile: the program saw no connection open, ended, and lost them all.
+/// The process was paused while the system accepted connections into the listen backlog, each with
+/// a complete request on it, and the drain grace ended in that pause. The program saw no open
+/// connection, exited, and lost all of them. It now exits only after the listener is closed behind
+/// everything that was accepted.
 #[test]
 fn requests_in_the_backlog_when_the_grace_ends_are_answered() {
     for round in 0..5u32 {
@@ -29,8 +31,8 @@
         for (at, edge) in (0..).zip(&mut edges) {
             edge.send_request(1, &format!("00000000bac{round:01x}{at:04x}"), b"run");
         }
-        // The grace is over in any case when it goes on: what is forced is the order, and not the
-        // time.
+        // The grace is over when the process continues: the test depends on this order, and not on
+        // timing.
         std::thread::sleep(std::time::Duration::from_millis(1100));
         backend.signal("CONT");
         for edge in &mut edges {
@@ -47,9 +49,10 @@
     }
 }
 
-/// Callers that connect as fast as they can until the program stands still over the end of its
-/// grace, with a long backlog behind it: the closing of the listener meets all of it, and each is
-/// answered.
+/// Callers connect as fast as they can, and the process is paused over the end of its grace with a
+/// long backlog behind it. Connections in the backlog used to be cut off together with the
+/// listener. The listener now closes only when all of the backlog is accepted, so every caller has
+/// an answer.
 #[test]
 fn a_connection_before_the_listener_closes_is_answered() {
     for round in 0..4 {
@@ -58,14 +61,14 @@
             format!("{}:6565", backend.host).parse().unwrap(),
             Mutex::new(Vec::new()),
         );
-        let (answered, enough) = (std::sync::atomic::AtomicU32::new(0), AtomicBool::new(false));
-        let ask = |id: &str| {
+        let (answered, is_over) = (std::sync::atomic::AtomicU32::new(0), AtomicBool::new(false));
+        let send_one_request = |id: &str| {
             let stream = TcpStream::connect_timeout(&address, LONG_TIMEOUT).unwrap();
             stream.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
             let mut edge = EdgeConnection { stream };
             let message = edge.encode_request(1, &request_fields(id, "20.0"), b"run");
             let written = edge.stream.write_all(&message).is_ok();
-            // It may be asked to leave first.
+            // A drain notification may come first.
             match edge.read_answer().and_then(|answer| {
                 if answer.kind == AnswerKind::NoMore {
                     edge.read_answer()
@@ -81,25 +84,25 @@
             }
         };
         std::thread::scope(|scope| {
-            let ask = &ask;
+            let send_one_request = &send_one_request;
             for caller in 0..8 {
-                let enough = &enough;
+                let is_over = &is_over;
                 scope.spawn(move || {
                     for turn in 0..u32::MAX {
-                        if enough.load(Ordering::Acquire) {
+                        if is_over.load(Ordering::Acquire) {
                             break;
                         }
-                        ask(&format!("0000c{round:01x}{caller:02x}{turn:08x}"));
+                        send_one_request(&format!("0000c{round:01x}{caller:02x}{turn:08x}"));
                     }
                 });
             }
             wait_until("they are served", || answered.load(Ordering::Acquire) > 100);
             backend.signal("TERM");
             backend.signal("STOP");
-            // Those that wait now are the last of their callers.
-            enough.store(true, Ordering::Release);
+            // Each caller stops after the request that it waits for.
+            is_over.store(true, Ordering::Release);
             for waiting in 0..100 {
-                scope.spawn(move || ask(&format!("0000d{round:01x}00{waiting:08x}")));
+                scope.spawn(move || send_one_request(&format!("0000d{round:01x}00{waiting:08x}")));
             }
             std::thread::sleep(std::time::Duration::from_millis(1200));
             backend.signal("CONT");
@@ -109,8 +112,8 @@
     }
 }
 
-/// Drains backends with an open request; every connection, once it is asked to leave, does `then`
-/// with the address.
+/// Drains backends with open requests; each connection calls `then` with the address once it has
+/// its drain notification.
 fn run_at_drain_notifications(
     id_prefix: &str,
     connections: usize,
@@ -120,7 +123,7 @@
         let mut backend = start_backend();
         let address = format!("{}:6565", backend.host).parse().unwrap();
         let mut edges: Vec<EdgeConnection> = (0..connections).map(|_| backend.connect()).collect();
-        // What is open keeps the connections, and the backend, from ending.
+        // Open requests keep the connections and the process from ending.
         for (at, edge) in (0u32..).zip(&mut edges) {
             edge.send_request(1, &format!("{id_prefix}{round:02x}{at:02x}"), b"hang");
         }
@@ -144,8 +147,8 @@
     }
 }
 
-/// Whether a connect gets in; one that does not must be refused, within the time in which the
-/// system sends no second packet.
+/// Whether a connect succeeds. One that fails must be refused, and sooner than the system would
+/// send a lost first packet again.
 fn is_connect_accepted(address: SocketAddr) -> bool {
     match TcpStream::connect_timeout(&address, std::time::Duration::from_millis(800)) {
         Ok(_) => true,
@@ -160,10 +163,11 @@
     }
 }
 
-/// An edge node that is asked to leave connects again and again, just as the listener closes: it
-/// gets in or is refused. With new connections shut out by a filter their first packet was dropped,
-/// and they hung until the system sent another after a second. What a connect meets is the system
-/// alone, however slow the program is.
+/// An edge node that was notified of the drain connects again and again while the listener closes.
+/// Each attempt must succeed or be refused. In an earlier version a packet filter kept new
+/// connections out: their first packets were dropped, and callers hung for a second until the
+/// system sent another. What a connect meets is now decided by the system alone, however slow the
+/// program is.
 #[test]
 fn a_connect_as_the_listener_closes_does_not_hang() {
     run_at_drain_notifications("0000000000ed", 6, |address| {
@@ -171,19 +175,20 @@
     });
 }
 
-/// Edge nodes that are asked to leave connect anew at once. Where the accepting was late, such
-/// connections filled the backlog, and the system dropped the first packets of others, which hung
-/// for a second. New connections are refused before anybody is asked to leave, so none of them gets
-/// in.
+/// Edge nodes reconnect at once when they are notified of the drain. When accepting was late, such
+/// connections filled the backlog, the system dropped the first packets of others, and those hung
+/// for a second. New connections are now refused before the first notification is sent, so none of
+/// these attempts is accepted.
 #[test]
-fn an_edge_node_that_is_asked_to_leave_is_refused_at_once() {
+fn a_reconnect_after_the_drain_notification_is_refused_at_once() {
     run_at_drain_notifications("0000000000ef", 16, |address| {
         assert!(!is_connect_accepted(address), "it got in")
     });
 }
 
-/// A connection that is established as the listener closes is answered: none is reset before a byte
-/// was read from it.
+/// Closing a listener resets the connections that are established and not yet accepted, and their
+/// requests were lost. The backend now has the system refuse new connections first and goes on
+/// accepting for 20 ms, so that no established connection is left when the listener closes.
 #[test]
 fn no_established_connection_is_reset_as_the_listener_closes() {
     const THREADS: usize = 6;
@@ -210,7 +215,7 @@
     assert_eq!(lost.into_inner().unwrap(), Vec::<String>::new(), "reset");
 }
 
-/// Ends the backend while so many callers connect, and yields what became of connections that were
+/// Ends the backend while so many callers connect, and returns a line for each connection that was
 /// reset.
 fn resets_at_shutdown(backend: &mut TestBackend, callers: usize) -> Vec<String> {
     let address: SocketAddr = format!("{}:6565", backend.host).parse().unwrap();
@@ -228,8 +233,8 @@
     resets
 }
 
-/// Connects again and again with a health check on each connection; yields what became of those
-/// that were reset before anything came from the backend.
+/// Connects again and again with a health check on each connection; returns a line for each that
+/// was reset before anything came from the backend.
 fn connect_until_refused(address: SocketAddr) -> Vec<String> {
     let mut resets = Vec::new();
     loop {
@@ -243,7 +248,7 @@
         };
         stream.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
         let mut edge = EdgeConnection { stream };
-        // The write fails where the connection was reset before; the read then tells the same.
+        // The write fails where the connection was reset before; the read reports the same.
         let _ = edge.stream.write_all(&edge.encode_health_check(1));
         if let Err(error) = edge.stream.read(&mut [0]) {
             resets.push(format!("read: {error}"));
--- a/crates/server/tests/program/load.rs
+++ b/crates/server/tests/program/load.rs
@@ -1,5 +1,5 @@
-//! Reqs served by five real processes while what lies between them breaks: the rules hold for every
-//! request throughout.
+//! Requests are served by five real processes while the links between them break: each is answered
+//! once and run once.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -15,21 +15,22 @@
 use crate::harness::executor::{SharedExecutor, serve_executor};
 use crate::harness::{LONG_TIMEOUT, wait_until};
 
-/// What became of requests, over all edge nodes.
+/// The outcomes of requests, over all edge nodes.
 #[derive(Default)]
 struct Load {
     over: AtomicBool,
     sent: AtomicU64,
     answered: AtomicU64,
-    /// Sent on a connection that broke: their process was killed.
+    /// Requests on a connection that broke, because their process was killed.
     lost: AtomicU64,
-    /// Connections that broke at a member that was never killed, and answers to what was not asked.
-    wrong: Mutex<Vec<String>>,
-    /// Microseconds of each answer, by member.
-    spans: Mutex<HashMap<String, Vec<u64>>>,
+    /// Connections that broke at a member that was never killed, and answers to unknown sequences.
+    violations: Mutex<Vec<String>>,
+    /// Response times in microseconds, by member.
+    response_times: Mutex<HashMap<String, Vec<u64>>>,
 }
 
-/// One edge node that sends one request after the other to one member, each to be answered once.
+/// Runs one edge node, which sends one request after the other to one member, each to be answered
+/// once.
 fn run_edge_node(load: &Load, member: &MemberEndpoints, at: usize, killed: bool) {
     let mut number = 0u64;
     while !load.over.load(Ordering::Relaxed) {
@@ -42,7 +43,7 @@
         while !load.over.load(Ordering::Relaxed) {
             number += 1;
             let (id, sequence) = (format!("{at:04x}{number:012x}"), number as u32);
-            let from = Instant::now();
+            let sent_at = Instant::now();
             edge.send_request(sequence, &id, b"run");
             load.sent.fetch_add(1, Ordering::Relaxed);
             let answer = match edge.read_answer() {
@@ -52,25 +53,25 @@
             match answer {
                 Some(answer) if answer.sequence == sequence => {
                     load.answered.fetch_add(1, Ordering::Relaxed);
-                    let span = from.elapsed().as_micros() as u64;
-                    load.spans
+                    let response_time = sent_at.elapsed().as_micros() as u64;
+                    load.response_times
                         .lock()
                         .unwrap()
                         .entry(member.name.clone())
                         .or_default()
-                        .push(span);
+                        .push(response_time);
                 }
                 Some(answer) => {
                     let what = format!(
                         "{}: {:?} to {} in place of {sequence}",
                         member.name, answer.kind, answer.sequence
                     );
-                    load.wrong.lock().unwrap().push(what);
+                    load.violations.lock().unwrap().push(what);
                 }
                 None => {
                     load.lost.fetch_add(1, Ordering::Relaxed);
                     if !killed && !load.over.load(Ordering::Relaxed) {
-                        load.wrong
+                        load.violations
                             .lock()
                             .unwrap()
                             .push(format!("{}: {id} has no answer", member.name));
@@ -131,12 +132,15 @@
           back = 14
         }"#;
 
+/// Five real members serve requests while links are cut and degraded, one member is killed and one
+/// is paused. Requests have effects, so none may run twice, and each is answered unless its own
+/// process was killed.
 #[test]
 fn each_request_is_answered_and_run_once_while_links_break_and_processes_die() {
     let plan = Plan::parse(PLAN).unwrap_or_else(|error| panic!("{error}"));
     let (folder, load) = (tempfile::tempdir().unwrap(), Arc::new(Load::default()));
     let executors: Mutex<Vec<SharedExecutor>> = Mutex::default();
-    let begins = |members: &[MemberEndpoints]| {
+    let start_edge_nodes = |members: &[MemberEndpoints]| {
         for (at, member) in members.iter().enumerate() {
             executors.lock().unwrap().push(serve_executor(
                 SharedExecutor::default(),
@@ -150,15 +154,15 @@
             }
         }
     };
-    let met = Cell::new(0);
-    let enough = |out: &RunOutcome| {
+    let answered_before = Cell::new(0);
+    let is_finished = |out: &RunOutcome| {
         let so_far = load.answered.load(Ordering::Relaxed);
-        if met.get() == 0 {
-            met.set(so_far);
+        if answered_before.get() == 0 {
+            answered_before.set(so_far);
         }
-        let done = out.is_converged && so_far > met.get() + 500;
+        let done = out.is_converged && so_far > answered_before.get() + 500;
         if done {
-            // The processes end with the run: what is open has its answer before.
+            // The processes end with the run, so open requests must be answered before.
             load.over.store(true, Ordering::Relaxed);
             wait_until("the last are answered", || {
                 let count = |count: &AtomicU64| count.load(Ordering::Relaxed);
@@ -168,11 +172,11 @@
         done
     };
     let program = Path::new(env!("CARGO_BIN_EXE_tulipgapd"));
-    let outcome = run(&plan, program, folder.path(), begins, enough)
+    let outcome = run(&plan, program, folder.path(), start_edge_nodes, is_finished)
         .unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(outcome.violation, None);
-    assert_eq!(*load.wrong.lock().unwrap(), Vec::<String>::new());
-    // Each has effects, so that it must never run twice.
+    assert_eq!(*load.violations.lock().unwrap(), Vec::<String>::new());
+    // Each request has effects, so it must never run twice.
     for executor in executors.lock().unwrap().iter() {
         let twice: Vec<String> = executor
             .lock()
@@ -192,12 +196,12 @@
         "{sent} sent, {answered} answered, {} lost with their process",
         load.lost.load(Ordering::Relaxed)
     );
-    for (member, spans) in load.spans.lock().unwrap().iter_mut() {
-        spans.sort_unstable();
+    for (member, response_times) in load.response_times.lock().unwrap().iter_mut() {
+        response_times.sort_unstable();
         println!(
             "{member}: p50 {} us, p99 {} us",
-            spans[spans.len() / 2],
-            spans[spans.len() * 99 / 100]
+            response_times[response_times.len() / 2],
+            response_times[response_times.len() * 99 / 100]
         );
     }
 }
--- a/crates/server/tests/program/malformed_messages.rs
+++ b/crates/server/tests/program/malformed_messages.rs
@@ -7,7 +7,7 @@
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, request_fields_with};
 use crate::harness::wait_until;
 
-/// Each of these gets its exception, and the connection goes on.
+/// Sends invalid requests. Each gets its exception, and the connection goes on.
 fn send_invalid_requests(edge: &mut EdgeConnection) {
     edge.send_call(2, "drop_tables", b"\0");
     edge.expect_answer(2, AnswerKind::Exception);
@@ -31,8 +31,8 @@
     edge.expect_answer(10, AnswerKind::Answer);
 }
 
-/// The id of a request that is open, and of one that is over; then the sequence of one that is
-/// open. With too much of that it is cut short.
+/// Sends the id of an open request, the id of a finished one, and the sequence of an open one.
+/// After too many of these the connection is closed.
 fn reuse_ids_and_sequences(backend: &TestBackend) {
     let mut other = backend.connect();
     for (sequence, id) in [(1, "00000000000000d1"), (2, "00000000000000d4")] {
@@ -59,14 +59,17 @@
     assert!(other.read_answer().is_none(), "closed");
 }
 
+/// Clients send invalid fields, reused ids and sequences, unknown methods, lengths beyond all
+/// bounds and bytes that are no message. Each gets an exception or loses its own connection.
+/// Requests that are open, also on that connection, are answered.
 #[test]
-fn a_hostile_peer_harms_only_itself() {
+fn malformed_messages_harm_only_their_own_connection() {
     let backend = start_backend();
     let mut edge = backend.connect();
     edge.send_request(1, "00000000000000d1", b"hang");
     send_invalid_requests(&mut edge);
     reuse_ids_and_sequences(&backend);
-    // A withdrawal is not known here, and can't be answered.
+    // Cancellations are not announced in these settings, and a one-way message cannot be answered.
     let mut other = backend.connect();
     for (name, value) in [
         ("need", "2000"),
@@ -85,7 +88,8 @@
     let mut other = backend.connect();
     other.send_oneway(1, "giveUp");
     assert!(other.read_answer().is_none(), "closed");
-    // After what is no frame nothing is read there any more, but what is open is answered.
+    // After bytes that are no frame nothing is read from a connection any more, but its open
+    // requests are answered.
     edge.stream.write_all(&[0xff; 64]).unwrap();
     for garbage in [
         &b"GET / HTTP/1.1\r\n\r\n"[..],
@@ -104,12 +108,12 @@
             .contains(b"all the same")
     );
     assert!(edge.read_answer().is_none(), "closed");
-    // A message cut short by its end.
+    // The connection ends within a message.
     let mut other = backend.connect();
     other.stream.write_all(b"\0\0\0\x30\x80\x01\0\x01").unwrap();
     other.stream.shutdown(Shutdown::Write).unwrap();
     assert!(other.read_answer().is_none(), "closed");
-    // A connection cut off takes its request along, and others are served.
+    // A connection that is dropped loses its request, and others are served.
     let mut cut = backend.connect();
     cut.send_request(1, "00000000000000d5", b"hang");
     wait_until("it runs", || {
--- a/crates/server/tests/program/membership.rs
+++ b/crates/server/tests/program/membership.rs
@@ -1,6 +1,6 @@
-//! Membership between nine real processes, each link led through a relay. What is promised is
-//! looked at all the time, with long bounds; that all views are right again after the last fault is
-//! waited for.
+//! Membership between nine real processes, with every link through a proxy. The invariants are
+//! checked all the time with long bounds, and the tests wait until all views agree after the last
+//! fault.
 
 use std::cell::Cell;
 use std::path::Path;
@@ -13,16 +13,16 @@
     let checks = "check {\n held_dead = 60\n known = 90\n agree = 150\n}\n";
     let text = format!("length = 240\n{zones}{checks}{faults}");
     let plan = Plan::parse(&text).unwrap_or_else(|error| panic!("{error}"));
-    let (folder, met) = (tempfile::tempdir().unwrap(), Cell::new(false));
-    let enough = |out: &RunOutcome| {
-        met.set(out.is_converged);
-        met.get()
+    let (folder, has_converged) = (tempfile::tempdir().unwrap(), Cell::new(false));
+    let is_finished = |out: &RunOutcome| {
+        has_converged.set(out.is_converged);
+        has_converged.get()
     };
     let program = Path::new(env!("CARGO_BIN_EXE_tulipgapd"));
-    let outcome = run(&plan, program, folder.path(), |_| {}, enough)
+    let outcome = run(&plan, program, folder.path(), |_| {}, is_finished)
         .unwrap_or_else(|error| panic!("{what}: {error}"));
     assert_eq!(outcome.violation, None, "{what}");
-    assert!(met.get(), "{what}: views still differ");
+    assert!(has_converged.get(), "{what}: views still differ");
     println!(
         "{what}: {:?} of {:?}, {} false deaths",
         outcome.worst, plan.bounds, outcome.false_deaths
@@ -37,8 +37,10 @@
     format!("crash {{\n at = {at}\n of = \"{of}\"\n back = {back}\n}}\n")
 }
 
+/// A zone is partitioned from the others while members on both sides crash and restart. Each half
+/// must consider the other dead within the bounds, and all views must agree after the last fault.
 #[test]
-fn a_zone_cut_off_while_members_of_both_halves_die_and_come_back() {
+fn views_converge_after_a_zone_partition_with_crashes_on_both_sides() {
     let cuts = cut("north", "west", 5, 17, "") + &cut("north", "south", 5, 17, "");
     assert_views_converge(
         "halves",
@@ -49,16 +51,20 @@
     );
 }
 
+/// Three members of two zones crash within a second and restart. The others must learn of each
+/// death within the bound, and all views must agree after the restarts.
 #[test]
-fn three_killed_within_a_second_come_back() {
+fn views_converge_after_three_crashes_within_a_second() {
     assert_views_converge(
         "killed",
         &(crash("north-1", 5.0, 18) + &crash("west-1", 5.4, 18) + &crash("south-3", 5.9, 19)),
     );
 }
 
+/// One member is paused, one link works in one direction only, one flaps, and the links of one
+/// member are slow. No live member that can be reached may stay dead in a view.
 #[test]
-fn one_stopped_a_cut_one_way_a_flapping_and_a_slow_link() {
+fn views_converge_after_a_pause_a_one_way_cut_and_degraded_links() {
     let stop = "stop {\n at = 5\n of = \"west-2\"\n back = 13\n}\n";
     let slow = "links {\n from = 5\n to = 20\n of = \"south-2\"\n delay_ms = 300\n}\n";
     let one_way = cut("north-1", "west-1", 5, 20, " one_way = true\n");
--- a/crates/server/tests/program/peer_moves.rs
+++ b/crates/server/tests/program/peer_moves.rs
@@ -14,27 +14,30 @@
 use crate::harness::{LONG_TIMEOUT, unique_address, wait_until};
 
 impl TestBackend {
-    /// It moves its peers, as `told` says with these ports elsewhere.
-    fn move_peers(&self, there: &str, ports: &[u16]) {
+    /// Moves the peers of these ports to another host, by the configuration file and SIGHUP.
+    fn move_peers(&self, new_host: &str, ports: &[u16]) {
         let mut text = config_json(&self.host);
         for port in ports {
-            text = text.replace(&format!("{}:{port}", self.host), &format!("{there}:{port}"));
+            text = text.replace(
+                &format!("{}:{port}", self.host),
+                &format!("{new_host}:{port}"),
+            );
         }
         std::fs::write(&self.config_file, text).unwrap();
         self.signal("HUP");
     }
 
-    /// The same, and the announce service with them: its first report there shows that the others
-    /// were told before.
-    fn move_peers_and_wait(&self, there: &str, ports: &[u16]) {
-        let announce = std::net::UdpSocket::bind((there, 7946)).unwrap();
+    /// Moves these peers and the service registry, and waits for the first report at the new
+    /// registry: it shows that the other peers have been moved.
+    fn move_peers_and_wait(&self, new_host: &str, ports: &[u16]) {
+        let announce = std::net::UdpSocket::bind((new_host, 7946)).unwrap();
         announce.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
-        self.move_peers(there, &[ports, &[7946]].concat());
+        self.move_peers(new_host, &[ports, &[7946]].concat());
         announce.recv(&mut [0; 64]).unwrap();
     }
 }
 
-/// A place where a connect hangs: something listens there, and its backlog is full.
+/// An address where connects hang: its listener's backlog is full.
 struct FullBacklog {
     _listener: Socket,
     _waiting: Vec<Socket>,
@@ -46,7 +49,7 @@
     listener.bind(&address.into()).unwrap();
     listener.listen(0).unwrap();
     let mut waiting = Vec::new();
-    // Until one hangs itself.
+    // The backlog is full once a connect hangs.
     loop {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         let connected =
@@ -62,6 +65,9 @@
     }
 }
 
+/// SIGHUP moves executor, store and service registry to the addresses of the configuration. Runs go
+/// on, calls are made at the new store, reports go to the new registry, also during a drain, and a
+/// file that is half written changes nothing.
 #[test]
 fn peers_move_on_sighup() {
     let backend = start_backend();
@@ -69,28 +75,28 @@
     edge.send_request(1, "0000000000000aa1", b"hang");
     edge.send_request(2, "0000000000000aa2", b"hang");
     wait_until("both run", || backend.executor().runs.len() == 2);
-    // A file half written changes nothing.
+    // A half-written file changes nothing.
     std::fs::write(&backend.config_file, "{\"name\":").unwrap();
     backend.signal("HUP");
     edge.send_request(3, "0000000000000aa3", b"run");
     edge.expect_answer(3, AnswerKind::Answer);
-    let there = unique_address();
-    serve_executor(backend.executor.clone(), &there);
-    let store = start_store(&there);
-    let announce = std::net::UdpSocket::bind((&there[..], 7946)).unwrap();
+    let new_host = unique_address();
+    serve_executor(backend.executor.clone(), &new_host);
+    let store = start_store(&new_host);
+    let announce = std::net::UdpSocket::bind((&new_host[..], 7946)).unwrap();
     announce.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
     let mut text = config_json(&backend.host);
     for port in [7300, 7700, 7946] {
         text = text.replace(
             &format!("{}:{port}", backend.host),
-            &format!("{there}:{port}"),
+            &format!("{new_host}:{port}"),
         );
     }
     std::fs::write(&backend.config_file, text).unwrap();
     for _ in 0..3 {
         backend.signal("HUP");
     }
-    // Runs continue, calls are made there, and there it is reported.
+    // Runs go on, and calls and reports go to the new addresses.
     wait_until("the link moves", || backend.executor().link_count == 2);
     backend
         .executor()
@@ -114,7 +120,7 @@
     let mut report = [0; 64];
     let length = announce.recv(&mut report).unwrap();
     assert_eq!(&report[..length], b"announce n3 true");
-    // While it leaves, too.
+    // Peers may move during a drain, too.
     backend.signal("TERM");
     backend.signal("HUP");
     backend
@@ -131,18 +137,19 @@
     );
 }
 
-/// The executor moves, to where a connect hangs, and on from there while it does: connects had no
-/// limit of their own, so nothing ran for two minutes.
+/// The executor moves to an address where connects hang, and on from there. Connects had no time
+/// limit of their own, so nothing ran for two minutes. A connect now checks every 50 ms whether its
+/// address still holds, and ends after 2 s.
 #[test]
-fn an_executor_that_moves_while_a_connect_hangs_is_found() {
+fn an_executor_that_moves_while_a_connect_hangs_is_connected() {
     let backend = start_backend();
     let mut edge = backend.connect();
     edge.send_request(1, "0000000000fe0001", b"hang");
     wait_until("it runs", || !backend.executor().runs.is_empty());
-    let (nowhere, there) = (unique_address(), unique_address());
-    let _full_backlog = fill_backlog(&nowhere, 7300);
-    backend.move_peers(&nowhere, &[7300]);
-    // It has left where it was, so the connect hangs by now or is about to.
+    let (hanging_host, new_host) = (unique_address(), unique_address());
+    let _full_backlog = fill_backlog(&hanging_host, 7300);
+    backend.move_peers(&hanging_host, &[7300]);
+    // The backend has closed the old link, so the new connect hangs by now or is about to.
     wait_until("it leaves", || {
         let executor = backend.executor();
         let mut one = [0];
@@ -152,8 +159,8 @@
         link.set_nonblocking(false).unwrap();
         left
     });
-    serve_executor(backend.executor.clone(), &there);
-    backend.move_peers(&there, &[7300]);
+    serve_executor(backend.executor.clone(), &new_host);
+    backend.move_peers(&new_host, &[7300]);
     wait_until("the link moves on", || backend.executor().link_count == 2);
     backend
         .executor()
@@ -164,21 +171,22 @@
     );
 }
 
-/// The executor moves and moves back before the farewell to its link is answered: the link stayed,
-/// and nothing was said on it any more.
+/// The executor moves away and back before the farewell to its link is answered. The link stayed,
+/// because its address was right again, but nothing was sent over it after its farewell. It is now
+/// left, and a new one is opened at the same address.
 #[test]
 fn an_executor_that_moves_back_during_the_farewell_is_connected_again() {
     let backend = start_backend();
     let mut edge = backend.connect();
     edge.send_request(1, "0000000000ff0001", b"hang");
     wait_until("it runs", || !backend.executor().runs.is_empty());
-    let elsewhere = unique_address();
+    let other_host = unique_address();
     {
-        // The executor answers nothing while this is held.
+        // The executor stub answers nothing while its lock is held.
         let _held = backend.executor();
-        backend.move_peers(&elsewhere, &[7300]);
+        backend.move_peers(&other_host, &[7300]);
         std::thread::sleep(std::time::Duration::from_millis(30));
-        backend.move_peers(&elsewhere, &[]);
+        backend.move_peers(&other_host, &[]);
         std::thread::sleep(std::time::Duration::from_millis(30));
     }
     edge.send_request(2, "0000000000ff0002", b"run");
@@ -196,16 +204,17 @@
     );
 }
 
-/// Likewise the store: connects that hung where it was kept all places for two minutes, so no call
-/// was made where it is.
+/// Connects to an address that does not answer occupied all connections of the store's pool for two
+/// minutes, so no call was made to the address that the store had moved to. Connects are limited in
+/// time, and a move ends them.
 #[test]
 fn a_store_that_moves_while_connects_hang_is_called() {
     let backend = start_backend_with_sockets(32);
     let mut edge = backend.connect();
-    let (nowhere, there) = (unique_address(), unique_address());
-    let _full_backlog = fill_backlog(&nowhere, 7700);
-    backend.move_peers_and_wait(&nowhere, &[7700]);
-    // More than may be open at once; each is given up in time.
+    let (hanging_host, new_host) = (unique_address(), unique_address());
+    let _full_backlog = fill_backlog(&hanging_host, 7700);
+    backend.move_peers_and_wait(&hanging_host, &[7700]);
+    // More calls than may be open at once; each ends at its time limit.
     for sequence in 1..9 {
         edge.send_request(sequence, &format!("0000000000fd{sequence:04x}"), b"call");
     }
@@ -213,8 +222,8 @@
         assert!(!edge.read_answer().expect("an answer").contains(b"richer"));
     }
     assert_eq!(backend.store.calls.load(Ordering::Acquire), 0);
-    let store = start_store(&there);
-    backend.move_peers_and_wait(&there, &[7700]);
+    let store = start_store(&new_host);
+    backend.move_peers_and_wait(&new_host, &[7700]);
     wait_until("calls are made there", || {
         let mut edge = backend.connect();
         edge.send_request(
@@ -228,13 +237,14 @@
     assert!(store.calls.load(Ordering::Acquire) > 0);
 }
 
-/// A number that no request of this backend has had.
+/// A number that no request of this backend has had yet.
 fn unused_id(backend: &TestBackend) -> u32 {
     0x1000 + backend.executor().ends.len() as u32
 }
 
-/// A reply comes over a connection to where the store was, with another call waiting for a place:
-/// that one was given to the old connection.
+/// The store has moved, and a reply still arrives over a connection to the old address while a call
+/// waits for a connection. That call was given to the old connection. A connection to an old
+/// address now ends with its reply.
 #[test]
 fn a_connection_to_the_stores_old_address_gets_no_further_call() {
     let backend = start_backend_with_sockets(32);
@@ -245,17 +255,17 @@
     for sequence in 1..5 {
         edge.send_request(sequence, &format!("0000000000fc{sequence:04x}"), b"call");
     }
-    let most = 32 / 8;
+    let pool_size = 32 / 8;
     wait_until("all places are taken", || {
-        backend.store.unanswered_calls.lock().unwrap().len() == most
+        backend.store.unanswered_calls.lock().unwrap().len() == pool_size
     });
     edge.send_request(5, "0000000000fc0005", b"call");
     wait_until("it stands at its call", || {
         backend.executor().runs.contains_key("0000000000fc0005")
     });
-    let there = unique_address();
-    let store = start_store(&there);
-    backend.move_peers_and_wait(&there, &[7700]);
+    let new_host = unique_address();
+    let store = start_store(&new_host);
+    backend.move_peers_and_wait(&new_host, &[7700]);
     let open = std::mem::take(&mut *backend.store.unanswered_calls.lock().unwrap());
     for (id, mut stream) in open {
         let _ = stream.write_all(format!("{id} OK 4\r\ngood\r\n").as_bytes());
@@ -273,10 +283,11 @@
     drop(store);
 }
 
-/// The store is taken away with a call waiting for a place: the call was dropped, and its request
-/// stood until it was due.
+/// The store is removed from the configuration while a call waits for a connection. The call was
+/// dropped without a word, and its request stood until its deadline. Queued calls are now skipped
+/// at once; calls that were sent still get their replies.
 #[test]
-fn a_call_that_waits_as_the_store_goes_is_skipped_at_once() {
+fn a_queued_call_is_skipped_at_once_when_the_store_is_removed() {
     let backend = start_backend_with_sockets(32);
     backend.store.plan_replies(&["", "", "", ""]);
     let mut edge = backend.connect();
@@ -290,7 +301,7 @@
     wait_until("it stands at its call", || {
         backend.executor().runs.contains_key("0000000000ee0005")
     });
-    // Its wish to call is heard before the end of what runs behind it.
+    // The backend reads the executor's call request before the end of the run behind it.
     edge.send_request(6, "0000000000ee0006", b"run");
     edge.expect_answer(6, AnswerKind::Answer);
     let text = config_json(&backend.host).replace("1024", "32");
@@ -298,7 +309,7 @@
     assert!(text.contains(&store));
     std::fs::write(&backend.config_file, text.replace(&store, "")).unwrap();
     backend.signal("HUP");
-    // The four others still wait for their replies then.
+    // The four other calls still wait for their replies.
     assert!(
         edge.expect_answer(5, AnswerKind::Answer)
             .contains(b"poorer")
@@ -312,21 +323,23 @@
     }
 }
 
-/// A file of another backend, as when two are mixed up: its executor was taken for this one's.
+/// Two backends' files were mixed up, and a backend connected to the executor of the other. A file
+/// with another name or address than the running one's is now ignored, and so is a file that is
+/// missing.
 #[test]
-fn a_configuration_of_another_backend_moves_no_peer() {
+fn a_configuration_file_of_another_backend_is_ignored() {
     let backend = start_backend();
-    let there = unique_address();
-    let others = serve_executor(SharedExecutor::default(), &there);
-    let other = config_json(&there).replace("\"n3\"", "\"n4\"");
+    let new_host = unique_address();
+    let other_executor = serve_executor(SharedExecutor::default(), &new_host);
+    let other = config_json(&new_host).replace("\"n3\"", "\"n4\"");
     std::fs::write(&backend.config_file, other).unwrap();
     backend.signal("HUP");
-    // A file that is gone, then one that is ours again with a setting changed: taken in that order.
+    // The file is removed, and then written again for the other backend.
     std::fs::remove_file(&backend.config_file).unwrap();
     backend.signal("HUP");
     std::fs::write(
         &backend.config_file,
-        config_json(&there).replace("\"n3\"", "\"n4\""),
+        config_json(&new_host).replace("\"n3\"", "\"n4\""),
     )
     .unwrap();
     backend.signal("HUP");
@@ -340,7 +353,7 @@
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
     assert_eq!(
-        others.lock().unwrap().link_count,
+        other_executor.lock().unwrap().link_count,
         0,
         "spoken to another's kernel"
     );
--- a/crates/server/tests/program/recording.rs
+++ b/crates/server/tests/program/recording.rs
@@ -1,4 +1,4 @@
-//! The program with a recording.
+//! Recordings of the program.
 
 use std::collections::{BTreeMap, HashSet};
 use std::path::{Path, PathBuf};
@@ -12,7 +12,7 @@
 use crate::harness::edge_node::{AnswerKind, request_fields, request_fields_with};
 use crate::harness::{LONG_TIMEOUT, unique_address, wait_until};
 
-/// A folder for a recording, and the configuration that names it.
+/// A directory for a recording, and the settings file that names it.
 pub(crate) fn recording_settings(seal_after: &str) -> (tempfile::TempDir, PathBuf) {
     let folder = tempfile::tempdir().unwrap();
     let settings = folder.path().join("tulipgap.hcl");
@@ -41,7 +41,7 @@
             records: Vec::new(),
             losses: Vec::new(),
         };
-        // One that has just been begun may have no header yet.
+        // A file that was just begun may have no header yet.
         let Ok(trace) = TraceReader::open(std::fs::File::open(path).unwrap()) else {
             continue;
         };
@@ -57,14 +57,14 @@
     all
 }
 
-/// Records in whole files without losses.
+/// The number of records in complete files without losses.
 pub(crate) fn count_records(folder: &Path) -> usize {
     let files = read_files(folder);
     assert!(files.iter().all(|file| file.losses.is_empty()));
     files.iter().map(|file| file.records.len()).sum()
 }
 
-/// Each time is behind the one before it.
+/// Asserts that each time of a record is behind the one before it.
 fn assert_times_in_order(records: &[Record]) {
     for record in records {
         let times = [record.read, record.answered, record.released].map(Option::unwrap);
@@ -79,6 +79,8 @@
     }
 }
 
+/// Each outcome of a request leaves one record with its times in order, its reason, its work and
+/// its calls, and no record is lost at shutdown.
 #[test]
 fn the_complete_life_of_each_request_is_recorded() {
     let (folder, settings) = recording_settings("200ms");
@@ -104,13 +106,13 @@
     marked.push(("opkey", "some key".to_owned()));
     edge.send_request_with_fields(5, &marked, b"run");
     edge.expect_answer(5, AnswerKind::Answer);
-    // One whose caller goes.
+    // A request whose caller disconnects.
     let mut other = backend.connect();
     other.send_request(1, "00000000000000a6", b"hang");
     wait_until("it runs", || {
         backend.executor().runs.contains_key("00000000000000a6")
     });
-    // An answer that is never read makes the end of the connection a reset.
+    // An unread answer turns the close of the connection into a reset.
     other.send_request(2, "00000000000000a7", b"run");
     wait_until("an answer has come", || {
         other.stream.peek(&mut [0; 16]).is_ok_and(|count| count > 0)
@@ -128,33 +130,43 @@
     assert_eq!(losses, []);
     let by_id: BTreeMap<u64, &Record> = records.iter().map(|record| (record.id, record)).collect();
     assert_eq!(by_id.len(), 7);
-    let of = |last: u64| by_id[&(0xa0 + last)];
-    let told: Vec<(Outcome, Reason)> = (1..=6)
-        .map(|last| (of(last).outcome, of(last).reason))
+    let record = |last: u64| by_id[&(0xa0 + last)];
+    let outcomes: Vec<(Outcome, Reason)> = (1..=6)
+        .map(|last| (record(last).outcome, record(last).reason))
         .collect();
-    assert_eq!(told[0], (Outcome::Completed, Reason::NONE));
-    assert_eq!(told[1], (Outcome::Completed, Reason::NONE));
-    assert_eq!(told[2], (Outcome::Rejected, Reason::PREDICTED_LATE));
-    assert_eq!(told[3], (Outcome::Failed, Reason::CANCELLED));
-    assert_eq!(told[5].0, Outcome::Abandoned);
+    assert_eq!(outcomes[0], (Outcome::Completed, Reason::NONE));
+    assert_eq!(outcomes[1], (Outcome::Completed, Reason::NONE));
+    assert_eq!(outcomes[2], (Outcome::Rejected, Reason::PREDICTED_LATE));
+    assert_eq!(outcomes[3], (Outcome::Failed, Reason::CANCELLED));
+    assert_eq!(outcomes[5].0, Outcome::Abandoned);
     assert_times_in_order(&records);
-    // The work that the executor told.
-    assert_eq!(of(1).work, Some(1500));
+    // The work that the executor reported.
+    assert_eq!(record(1).work, Some(1500));
     assert_eq!(
-        (of(2).calls, of(2).first_call.is_some(), of(1).calls),
+        (
+            record(2).calls,
+            record(2).first_call.is_some(),
+            record(1).calls
+        ),
         (1, true, 0)
     );
     assert_eq!(
-        (of(3).estimated_work, of(3).admitted),
+        (record(3).estimated_work, record(3).admitted),
         (Some(40_000_000), None)
     );
-    assert!(of(5).is_retry && of(5).subject == Some(0x7f3a_9c21_e0b4_d655) && of(5).key.is_some());
-    assert!(of(1).feedback.is_some());
+    assert!(
+        record(5).is_retry
+            && record(5).subject == Some(0x7f3a_9c21_e0b4_d655)
+            && record(5).key.is_some()
+    );
+    assert!(record(1).feedback.is_some());
 }
 
-/// Killed outright under load, and started again on the same folder.
+/// The process is killed under load and started again on the same directory. What was on disk
+/// before must be complete in the files, no record may stand there twice, and each file says that
+/// its end is missing.
 #[test]
-fn what_was_recorded_survives_a_kill() {
+fn recorded_requests_survive_a_kill() {
     let (folder, settings) = recording_settings("200ms");
     let mut backend = start_backend_with_settings(1024, Some(&settings));
     let mut sequence = 0;
@@ -167,7 +179,7 @@
             edge.expect_answer(sequence, AnswerKind::Answer);
         }
         answered += 300;
-        // Until these are on disk, while more comes.
+        // More requests are sent until the first ones are on disk.
         let began = std::time::Instant::now();
         loop {
             sequence += 1;
@@ -212,10 +224,12 @@
     assert_eq!(early, answered, "all that was over long before is there");
 }
 
+/// The directory of the recording cannot be written. Requests are served as without a recording,
+/// and the log says how many records are missing.
 #[test]
-fn a_folder_that_takes_nothing_harms_no_request() {
+fn an_unwritable_recording_folder_harms_no_request() {
     let (folder, settings) = recording_settings("200ms");
-    // A file stands where the folder should be.
+    // A file stands at the place of the directory.
     std::fs::write(folder.path().join("trace"), "in the way").unwrap();
     let mut backend = start_backend_with_settings(1024, Some(&settings));
     let mut edge = backend.connect();
@@ -233,6 +247,9 @@
     );
 }
 
+/// An unknown key in the settings file ends the program with exit code 2 and names file, line,
+/// column and the key that was probably meant. `--help` and `--version` work without a
+/// configuration.
 #[test]
 fn an_invalid_configuration_is_reported_and_exits_with_2() {
     let folder = tempfile::tempdir().unwrap();
--- a/crates/server/tests/program/restart.rs
+++ b/crates/server/tests/program/restart.rs
@@ -4,8 +4,9 @@
 use crate::harness::edge_node::AnswerKind;
 use crate::harness::wait_until;
 
-/// Killed with requests read, run, and answered but not sent; back under the same name and address
-/// while what its former life has started still ends.
+/// The process is killed with requests read, run, and answered but not sent, and starts again under
+/// the same name and address while runs of the previous process still end. Their events must not be
+/// taken for events of new requests, not even where a new request has the id of an old one.
 #[test]
 fn a_restart_ignores_events_of_the_previous_process() {
     let mut backend = start_backend();
@@ -23,7 +24,7 @@
         answered.iter().all(|sequence| *sequence > 2),
         "{answered:?}"
     );
-    // Notices count from 1 again; those of the former life come first.
+    // Notices count from 1 again; those of the previous process's runs come first.
     {
         let mut executor = backend.executor();
         executor.link = None;
@@ -45,7 +46,7 @@
     wait_until("it runs", || {
         backend.executor().runs.contains_key("0000000000fa0009")
     });
-    // The id of one of the former life, whose run ends just now.
+    // An id of the previous process, one of whose runs ends just now.
     backend
         .executor()
         .end_run("0000000000fa0002", "success", b"of the former life");
--- a/crates/server/tests/program/serving.rs
+++ b/crates/server/tests/program/serving.rs
@@ -1,16 +1,19 @@
 //! Requests, calls, rejections and memory in ordinary service. Nothing here depends on how fast the
-//! machine is: whatever is awaited has long to come.
+//! machine is: all time limits are long.
 
 use crate::harness::backend::start_backend;
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, request_fields, request_fields_with};
 
+/// The ordinary life of a backend: results come in any order and byte for byte, a call is made to
+/// the store, a request that cannot be in time is rejected, and after the shutdown notice what was
+/// read is answered before the process exits.
 #[test]
-fn it_serves_calls_rejects_and_drains() {
+fn a_backend_serves_calls_the_store_rejects_and_drains() {
     let mut backend = start_backend();
     let mut edge = backend.connect();
     edge.send_request(1, "00000000000000a1", b"hang");
     edge.send_request(2, "00000000000000a2", b"run");
-    // Answers come in any order, the result byte for byte, the free value with it.
+    // Answers come in any order, with the result byte for byte and the feedback value.
     let done = edge.expect_answer(2, AnswerKind::Answer);
     assert!(done.contains(b"page \0 00000000000000a2") && done.contains(b"signal"));
     edge.send_request(3, "00000000000000a3", b"call");
@@ -19,14 +22,14 @@
             .contains(b"richer")
     );
     assert_eq!(backend.executor().replies, [b"what is called"]);
-    // More work than can be in time.
+    // More estimated work than can be done in time.
     edge.send_request_with_fields(
         4,
         &request_fields_with("00000000000000a4", "ms", "60000.00"),
         b"run",
     );
     edge.expect_answer(4, AnswerKind::Rejected);
-    // A hint beyond all reason may be an honest one: such requests are turned away, and the
+    // An estimate beyond all reason may be an honest one: such requests are rejected, and the
     // connection goes on.
     for sequence in 5..20 {
         edge.send_request_with_fields(
@@ -40,7 +43,7 @@
     edge.expect_answer(20, AnswerKind::Answer);
 
     backend.signal("TERM");
-    // What was read is answered, and the connection is wished closed.
+    // Requests that were read are answered, and the drain notification is sent.
     let (mut answered, mut no_more) = (false, false);
     while !(answered && no_more) {
         let answer = edge.read_answer().expect("an answer before the end");
@@ -53,8 +56,10 @@
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
+/// The limit on memory is 192 MB, and a queued request costs memory until it is answered. About two
+/// thousand of them, each with 2 KiB of body, must fit into half of that limit.
 #[test]
-fn thousands_of_queued_requests_fit_its_memory() {
+fn thousands_of_queued_requests_fit_the_memory_limit() {
     let backend = start_backend();
     let mut edges: Vec<EdgeConnection> = (0..64).map(|_| backend.connect()).collect();
     for (at, edge) in edges.iter_mut().enumerate() {
@@ -64,7 +69,7 @@
         }
         edge.send_call(31, "probe", b"\0");
     }
-    // A check is read behind the requests before it.
+    // A health check is read behind the requests before it.
     for edge in &mut edges {
         while edge.read_answer().expect("the check is answered").sequence != 31 {}
     }
--- a/crates/server/tests/program/slow_clients.rs
+++ b/crates/server/tests/program/slow_clients.rs
@@ -11,9 +11,10 @@
 };
 use crate::harness::executor::large_result;
 
-/// A hundred connections that send one byte every 100 ms are ended, and hold up nobody else.
+/// A hundred connections send one byte every 100 ms. Each is closed 2 s after its first byte
+/// without a complete message, and another client is answered promptly meanwhile.
 #[test]
-fn a_hundred_slow_senders_hold_up_nobody_else() {
+fn a_hundred_slow_senders_delay_no_other_client() {
     let backend = start_backend();
     let mut senders: Vec<EdgeConnection> = (0..100).map(|_| backend.connect()).collect();
     let messages: Vec<Vec<u8>> = (0u32..)
@@ -31,7 +32,7 @@
         let other = scope.spawn(|| slowest_answer_while(&backend, &running, "0b020000"));
         for byte in 0..25 {
             for (edge, message) in senders.iter_mut().zip(&messages) {
-                // Behind 2 s without a whole message the backend has ended it.
+                // The backend closes a connection after 2 s without a complete message.
                 let _ = edge.stream.write_all(&message[byte..byte + 1]);
             }
             std::thread::sleep(Duration::from_millis(100));
@@ -47,10 +48,11 @@
     assert!((0u32..100).all(|at| !backend.was_run(&format!("000000000b01{at:04x}"))));
 }
 
-/// A hundred connections that read nothing for a while, and then slowly, get each of their answers
-/// once and whole, and hold up nobody else.
+/// A hundred connections read nothing for a while, and then slowly. Each gets every answer once and
+/// complete, because a connection with too much unread output is not read from, and another client
+/// is answered promptly meanwhile.
 #[test]
-fn a_hundred_slow_readers_get_their_answers_and_hold_up_nobody_else() {
+fn a_hundred_slow_readers_get_their_answers_and_delay_no_other_client() {
     const REQUESTS: u32 = 12;
     let backend = start_backend();
     let mut readers: Vec<EdgeConnection> =
@@ -94,8 +96,10 @@
     }
 }
 
+/// One connection sends hundreds of requests and reads no answer until the end. Another client is
+/// answered meanwhile, and afterwards the slow one gets each of its answers once.
 #[test]
-fn a_slow_reader_holds_up_nobody_else() {
+fn a_slow_reader_delays_no_other_client() {
     let backend = start_backend();
     let mut slow = backend.connect();
     let mut edge = backend.connect();
--- a/crates/server/tests/program/socket_options.rs
+++ b/crates/server/tests/program/socket_options.rs
@@ -7,10 +7,11 @@
 use crate::harness::backend::start_backend;
 use crate::harness::edge_node::AnswerKind;
 
-/// Every TCP connection of the backend that it writes to has TCP_NODELAY: callers', the executor's
+/// Without TCP_NODELAY a small message can wait for the acknowledgement of the one before it. The
+/// option must be set on each TCP connection that the backend writes to: callers', the executor's
 /// and the store's.
 #[test]
-fn every_connection_has_nodelay() {
+fn every_connection_has_tcp_nodelay() {
     let backend = start_backend();
     let mut edge = backend.connect();
     edge.send_request(1, "000000000a0e0001", b"call");
--- a/crates/server/tests/program/startup.rs
+++ b/crates/server/tests/program/startup.rs
@@ -12,11 +12,11 @@
 /// The rule allows 30 s from the start of the process to the first answer.
 const MAX_TIME_TO_FIRST_ANSWER: Duration = Duration::from_secs(5);
 
-/// How a peer stands as the backend starts.
+/// The state of a peer as the backend starts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Presence {
     Absent,
-    /// It accepts, and says nothing for a second or for ever.
+    /// It accepts connections and sends nothing, for a second or for ever.
     Slow,
     Present,
 }
@@ -28,15 +28,17 @@
     Registry,
 }
 
-/// From the start of the process to the first answer of any kind, and to the first request that was
-/// served.
+/// The time from the start of the process to the first answer of any kind, and to the first request
+/// that was served.
 struct StartupTimes {
     first_answer: Duration,
     first_served: Option<Duration>,
 }
 
+/// A backend must answer soon after its start, whatever its peers do: before the executor is up it
+/// rejects. Five starts with executor, store and service registry each absent, slow and present.
 #[test]
-fn the_first_answer_comes_in_time_with_each_peer_absent_slow_and_present() {
+fn the_first_answer_is_in_time_with_each_peer_absent_slow_and_present() {
     const STARTS: usize = 5;
     for peer in [Peer::Executor, Peer::Store, Peer::Registry] {
         for presence in [Presence::Absent, Presence::Slow, Presence::Present] {
@@ -72,7 +74,7 @@
     (times[times.len() / 2], times[times.len() - 1])
 }
 
-/// Starts a backend so many times beside the same peers.
+/// Starts a backend so many times beside the same peers, and measures each start.
 fn startup_times(peer: Peer, presence: Presence, starts: usize) -> Vec<StartupTimes> {
     let host = unique_address();
     let presence_of = |other: Peer| {
@@ -92,7 +94,7 @@
     let store = match presence_of(Peer::Store) {
         Presence::Absent => StoreStub::default(),
         Presence::Slow => {
-            // Connections backend in its backlog.
+            // Connections stay in the backlog of this listener.
             silent_store = Some(TcpListener::bind((&host[..], 7700)).unwrap());
             StoreStub::default()
         }
@@ -127,7 +129,8 @@
     times
 }
 
-/// Asks on new connections until a request is answered, and served where that may be.
+/// Sends requests on new connections until one is answered, and, where it may be served, until one
+/// is served.
 fn first_answers(backend: &TestBackend, begin: Instant, may_serve: bool) -> StartupTimes {
     let mut first_answer = None;
     loop {
--- a/crates/server/tests/program/store_calls.rs
+++ b/crates/server/tests/program/store_calls.rs
@@ -15,6 +15,8 @@
 use crate::harness::store::StoreStub;
 use crate::harness::{LONG_TIMEOUT, unique_address, wait_until};
 
+/// While the store is down, requests are completed without the call, in the cheaper variant. Once
+/// it is back, calls are made again without a restart.
 #[test]
 fn calls_are_skipped_while_the_store_is_down() {
     let backend = start_backend();
@@ -43,6 +45,8 @@
     });
 }
 
+/// A call that the store never answers ends at its time limit: its request goes on without it, and
+/// the connection is closed, because a late reply would be taken for the next call's.
 #[test]
 fn a_call_that_is_not_answered_times_out() {
     let backend = start_backend();
@@ -58,6 +62,9 @@
     });
 }
 
+/// The store answers with noise, an absurd length, a wrong length or an endless line. That call
+/// fails, and a call on another connection is not touched. A reply to nobody and a second copy of a
+/// reply are passed over.
 #[test]
 fn a_malformed_reply_costs_its_own_call_only() {
     let backend = start_backend();
@@ -99,7 +106,7 @@
                 .contains(b"richer")
         );
     }
-    // More than belongs to it: a reply to nobody ahead, a second copy behind.
+    // A reply to an unknown call before the right one, and a copy of it behind.
     backend.store.plan_replies(&[
         "f OK 1\r\nx\r\nID OK 3\r\nown\r\nID OK 3\r\nown\r\n",
         "ID BUSY\r\n",
@@ -117,21 +124,25 @@
     assert_eq!(backend.executor().replies.last().unwrap(), b"own");
 }
 
+/// The link to the executor breaks as the reply to a call is sent over it. The reply may have
+/// arrived, so it is not sent again; the call is skipped by name instead, which the executor
+/// ignores if it had the reply.
 #[test]
-fn a_reply_lost_with_the_link_is_replaced_by_a_skip() {
+fn a_reply_lost_with_the_executor_link_becomes_a_skipped_call() {
     let backend = start_backend();
     let mut edge = backend.connect();
     backend.executor().loses_link_at_reply = true;
     edge.send_request(1, "0000000000000ac1", b"call");
-    // It may have arrived, so it is not said again; a skip names its call.
+    // The reply may have arrived, so it is not sent again; the skip names its call.
     assert!(
         edge.expect_answer(1, AnswerKind::Answer)
             .contains(b"poorer")
     );
 }
 
-/// A store that closes each connection with its reply, just as the next call is given to it. 150
-/// calls.
+/// The store closes each connection together with its reply, just as the pool assigns the next call
+/// to it. 150 calls are made; each request ends once, no run gets another call's reply, and more
+/// than 50 calls succeed.
 #[test]
 fn a_pooled_connection_that_closes_as_it_is_assigned_costs_one_call_at_most() {
     let host = unique_address();
@@ -140,7 +151,7 @@
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
             let mut bytes = [0; 512];
-            // One call, its reply, and the end with it: by turns a plain one and one that cuts off.
+            // One call and its reply, followed by a plain close and a reset in turn.
             let Ok(read) = stream.read(&mut bytes) else {
                 continue;
             };
@@ -174,10 +185,10 @@
     assert!(executor.ends.values().all(|&ends| ends == 1));
 }
 
-/// A call's reply and the reset behind it backend in the buffer before the backend reads either:
-/// the reply counts.
+/// A reply and the reset of its connection are both in the receive buffer before the backend reads
+/// either. The reply is read first, so it counts.
 #[test]
-fn a_store_reply_that_stands_before_a_reset_is_used() {
+fn a_store_reply_received_before_a_reset_is_used() {
     let (backend, calls) = start_backend_with_test_store();
     let mut edge = backend.connect();
     for turn in 0..8u32 {
@@ -249,10 +260,10 @@
     (backend, calls)
 }
 
-/// A store reply breaks off behind each of its bytes, by turns with a plain end and a reset: its
-/// request is answered once, and no run is handed anything but a whole reply.
+/// A reply breaks off behind each of its bytes in turn, with a plain end or a reset. Its call
+/// fails, its request is answered once, and no run is given a part of a reply.
 #[test]
-fn a_store_reply_that_breaks_off_anywhere_is_no_reply() {
+fn a_truncated_store_reply_is_never_used_as_a_reply() {
     const BODY: &str = "a reply";
     let (backend, calls) = start_backend_with_test_store();
     let whole_length = format!("{:016x} OK {}\r\n{BODY}\r\n", 0, BODY.len()).len();
@@ -263,11 +274,11 @@
         for (number, call) in calls.iter().enumerate() {
             let reply = format!("{} OK {}\r\n{BODY}\r\n", call.id, BODY.len());
             assert_eq!(reply.len(), whole_length);
-            // Whole replies in between keep calls going.
-            let whole = number % 2 == 0;
-            let length = if whole { whole_length } else { cut };
+            // Complete replies in between keep the store usable.
+            let is_complete = number % 2 == 0;
+            let length = if is_complete { whole_length } else { cut };
             let _ = (&call.stream).write_all(&reply.as_bytes()[..length]);
-            if !whole {
+            if !is_complete {
                 if cut % 2 == 1 {
                     let _ = SockRef::from(&call.stream).set_linger(Some(Duration::ZERO));
                 }
