--- a/crates/cli/src/args/rig.rs
+++ b/crates/cli/src/args/chaos.rs
@@ -1,4 +1,4 @@
-//! The arguments of `tulipgap rig`.
+//! The arguments of `tulipgap chaos`.
 
 use std::num::ParseIntError;
 use std::ops::Range;
@@ -7,35 +7,34 @@
 use clap::Subcommand;
 
 #[derive(Subcommand)]
-pub(crate) enum RigCommand {
-    /// Play a plan in simulated time, once for each seed; exits with 1 where an invariant is
-    /// violated
+pub(crate) enum ChaosCommand {
+    /// Run a plan in simulated time, once for each seed; exits with 1 where an invariant is violated
     Simulate {
         file: PathBuf,
-        /// Seeds, such as 0..100 (the last is left out)
+        /// Range of seeds, such as 0..100 (the end is exclusive)
         #[arg(long, default_value = "0..100", value_parser = parse_seeds)]
         seeds: Range<u64>,
-        /// Beside the plan's faults, draw some from each seed; faults that violate an invariant are
+        /// Add faults drawn from each seed to those of the plan; faults that violate an invariant are
         /// minimized and printed
-        #[arg(long)]
-        chaos: bool,
+        #[arg(long, visible_alias = "chaos")]
+        random_faults: bool,
         #[arg(long)]
         json: bool,
     },
-    /// Play a plan with leases between real processes; exits with 1 where an invariant is violated
+    /// Run a plan with leases between real processes; exits with 1 where an invariant is violated
     Run {
         file: PathBuf,
         /// The backend's program; by default tulipgapd beside this program
         #[arg(long)]
         program: Option<PathBuf>,
-        /// The seed of the faults that --chaos draws
+        /// Seed of the random faults
         #[arg(long, default_value_t = 0)]
         seed: u64,
-        /// Beside the plan's faults, draw some from the seed
-        #[arg(long)]
-        chaos: bool,
-        /// The directory of configurations, logs and journals, which is kept; by default a
-        /// temporary one that is removed unless the run failed
+        /// Add faults drawn from the seed to those of the plan
+        #[arg(long, visible_alias = "chaos")]
+        random_faults: bool,
+        /// Directory for configurations, logs and journals, which is kept; by default a temporary
+        /// one that is removed unless an invariant is violated
         #[arg(long)]
         folder: Option<PathBuf>,
         #[arg(long)]
@@ -46,11 +45,11 @@
 /// Why a range of seeds is not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum SeedsError {
-    #[error("two numbers with .. between")]
+    #[error("expected two numbers with .. between")]
     NotARange,
     #[error("{0}")]
     NotANumber(#[from] ParseIntError),
-    #[error("it holds no seed")]
+    #[error("the range is empty")]
     Empty,
 }
 
--- a/crates/cli/src/args/mod.rs
+++ b/crates/cli/src/args/mod.rs
@@ -1,22 +1,22 @@
 //! The arguments of the command line.
 
+mod chaos;
 mod operator;
-mod rig;
 mod trace;
 
 use std::path::PathBuf;
 
 use clap::{Parser, Subcommand};
 
+pub(crate) use chaos::ChaosCommand;
 pub(crate) use operator::{ClusterCommand, LeaseCommand, Target};
-pub(crate) use rig::RigCommand;
 pub(crate) use trace::{ExportFormat, OutputArgs, Selection, TraceCommand};
 
 #[derive(Parser)]
 #[command(
     name = "tulipgap",
     version,
-    about = "Tools around tulipgap: recordings, configuration, clusters and the rig that breaks them"
+    about = "Tools for tulipgap: recordings, fault injection, clusters, leases and configuration"
 )]
 pub(crate) struct Args {
     #[command(subcommand)]
@@ -25,27 +25,28 @@
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Recordings of what happened to each request
+    /// Recordings of the life of each request
     Trace {
         #[command(subcommand)]
         command: TraceCommand,
     },
-    /// Faults injected between the members of a cluster
-    Rig {
+    /// Fault injection between the members of a cluster
+    #[command(visible_alias = "rig")]
+    Chaos {
         #[command(subcommand)]
-        command: RigCommand,
+        command: ChaosCommand,
     },
-    /// What a process knows of the others
+    /// Members and voters as a process sees them
     Cluster {
         #[command(subcommand)]
         command: ClusterCommand,
     },
-    /// Leases: which member may do what alone
+    /// Leases: list, take, release, transfer and revoke
     Lease {
         #[command(subcommand)]
         command: LeaseCommand,
     },
-    /// The product's own configuration
+    /// Settings files of the product's own
     Config {
         #[command(subcommand)]
         command: ConfigCommand,
@@ -54,7 +55,7 @@
 
 #[derive(Subcommand)]
 pub(crate) enum ConfigCommand {
-    /// Print every problem of a file with its line and column
+    /// Report every problem of a file with its line and column
     Check {
         #[arg(required = true)]
         files: Vec<PathBuf>,
--- a/crates/cli/src/args/operator.rs
+++ b/crates/cli/src/args/operator.rs
@@ -4,38 +4,44 @@
 
 use clap::Subcommand;
 
-/// Which process is asked, and how its answer is printed.
+/// The process that is queried, and how its answer is printed.
 #[derive(clap::Args)]
 pub(crate) struct Target {
     /// The Unix socket that its configuration names (cluster.control)
     #[arg(long)]
     pub(crate) socket: PathBuf,
+    /// Print the answer as JSON
     #[arg(long)]
     pub(crate) json: bool,
 }
 
 #[derive(Subcommand)]
 pub(crate) enum ClusterCommand {
-    /// Each member, its state, how it is reached, and who suspects it
+    /// List each member with its state, its reachability and the members that suspect it
     Members {
         #[command(flatten)]
         target: Target,
     },
-    /// The state of this process's voter
+    /// Show the state of this process's voter
     Voter {
         #[command(flatten)]
         target: Target,
     },
-    /// Wait until this process may drain, as only so many of a zone may at a time; send it the
-    /// shutdown notice after that
+    /// Acquire the drain lease of this process's zone, so that only so many members drain at a
+    /// time; send the process the shutdown notice after that
     Drain {
-        /// Give up after this
-        #[arg(long = "wait", value_name = "WAIT", default_value = "5m")]
+        /// Time limit
+        #[arg(
+            long = "timeout",
+            alias = "wait",
+            value_name = "TIMEOUT",
+            default_value = "5m"
+        )]
         timeout: humantime::Duration,
         #[command(flatten)]
         target: Target,
     },
-    /// Have one member vote in another's place; the same name where its folder was lost
+    /// Replace a voter by another member; by the same name where its directory was lost
     ReplaceVoter {
         old: String,
         new: String,
@@ -46,26 +52,43 @@
 
 #[derive(Subcommand)]
 pub(crate) enum LeaseCommand {
-    /// Each lease, who holds it and who waits
+    /// List each lease with its owners and the members that wait for it
     List {
         #[command(flatten)]
         target: Target,
     },
-    /// One lease
+    /// Show one lease
     Show {
         lease: String,
         #[command(flatten)]
         target: Target,
     },
-    /// Have this process hold a lease until it is released or the process ends
+    /// Make this process hold a lease until it is released or the process exits
     Take {
         lease: String,
-        #[arg(long = "term", value_name = "TERM", default_value = "10s")]
+        /// Time to live without a renewal
+        #[arg(
+            long = "ttl",
+            alias = "term",
+            value_name = "TTL",
+            default_value = "10s"
+        )]
         ttl: humantime::Duration,
-        #[arg(long = "places", value_name = "PLACES", default_value_t = 1)]
+        /// How many members may hold the lease at a time
+        #[arg(
+            long = "capacity",
+            alias = "places",
+            value_name = "CAPACITY",
+            default_value_t = 1
+        )]
         capacity: u32,
-        /// Give up after this
-        #[arg(long = "wait", value_name = "WAIT", default_value = "10s")]
+        /// Time limit
+        #[arg(
+            long = "timeout",
+            alias = "wait",
+            value_name = "TIMEOUT",
+            default_value = "10s"
+        )]
         timeout: humantime::Duration,
         #[command(flatten)]
         target: Target,
@@ -76,7 +99,7 @@
         #[command(flatten)]
         target: Target,
     },
-    /// The holder with that token cannot renew it any more, and this member is next
+    /// Stop the owner with that token from renewing the lease, and grant it to this member next
     Transfer {
         lease: String,
         token: u64,
@@ -84,7 +107,7 @@
         #[command(flatten)]
         target: Target,
     },
-    /// The holder with that token cannot renew it any more
+    /// Stop the owner with that token from renewing the lease
     Revoke {
         lease: String,
         token: u64,
--- a/crates/cli/src/rig.rs
+++ b/crates/cli/src/chaos.rs
@@ -1,4 +1,5 @@
-//! `tulipgap rig`: plays plans with injected faults and reports what came of them.
+//! `tulipgap chaos`: runs fault injection plans, simulated or with real processes, and reports the
+//! worst duration of each invariant and the first violation.
 
 mod bounds;
 mod leases;
@@ -16,10 +17,10 @@
 use membership::MembershipReport;
 use processes::RunReport;
 
-/// The program that is run where no other is named; it lies beside this one.
+/// File name of the backend's program where none is given; it is looked for beside this program.
 const DEFAULT_PROGRAM: &str = "tulipgapd";
 
-/// What came of one or many runs of a plan.
+/// The result of one or many runs of a plan.
 trait Report: Serialize {
     /// Whether an invariant was violated.
     fn has_violation(&self) -> bool;
@@ -28,18 +29,24 @@
     fn print(&self, plan: &Plan);
 }
 
-/// Plays a plan in simulated time once for each seed, until an invariant is violated.
-pub(crate) fn simulate(file: &Path, seeds: Range<u64>, chaos: bool, json: bool) -> CommandResult {
+/// Runs a plan in simulated time once for each seed, until an invariant is violated. With
+/// `random_faults`, faults drawn from each seed are added to those of the plan.
+pub(crate) fn simulate(
+    file: &Path,
+    seeds: Range<u64>,
+    random_faults: bool,
+    json: bool,
+) -> CommandResult {
     let plan = read_plan(file)?;
     if !plan.leases.is_empty() {
         return Ok(output(
-            &LeaseReport::simulate(&plan, seeds, chaos),
+            &LeaseReport::simulate(&plan, seeds, random_faults),
             &plan,
             json,
         ));
     }
-    if chaos {
-        return Err(ArgumentError::ChaosWithoutLeases(file.to_owned()).into());
+    if random_faults {
+        return Err(ArgumentError::RandomFaultsWithoutLeases(file.to_owned()).into());
     }
     Ok(output(
         &MembershipReport::simulate(&plan, seeds),
@@ -48,18 +55,18 @@
     ))
 }
 
-/// Plays a plan once with real processes. Their directories are kept in `folder`, or where
-/// something failed.
+/// Runs a plan once with real processes. Their directories are kept in `folder`, or where an
+/// invariant was violated.
 pub(crate) fn run(
     file: &Path,
     program: Option<PathBuf>,
     seed: u64,
-    chaos: bool,
+    random_faults: bool,
     folder: Option<PathBuf>,
     json: bool,
 ) -> CommandResult {
     let plan = read_plan(file)?;
-    let plan = if chaos {
+    let plan = if random_faults {
         with_random_faults(&plan, seed)
     } else {
         plan
@@ -72,7 +79,7 @@
             path: file.to_owned(),
             source,
         })?;
-    let report = RunReport::new(&plan, outcome, chaos, &run_directory);
+    let report = RunReport::new(&plan, outcome, random_faults, &run_directory);
     if !is_kept && !report.has_violation() {
         let _ = std::fs::remove_dir_all(&run_directory);
     }
@@ -95,7 +102,7 @@
 }
 
 fn temporary_directory() -> PathBuf {
-    std::env::temp_dir().join(format!("tulipgap-rig-{}", std::process::id()))
+    std::env::temp_dir().join(format!("tulipgap-chaos-{}", std::process::id()))
 }
 
 fn output(report: &impl Report, plan: &Plan, json: bool) -> Status {
--- a/crates/cli/src/rig/bounds.rs
+++ b/crates/cli/src/chaos/bounds.rs
@@ -1,11 +1,11 @@
-//! The worst durations of a run beside their bounds.
+//! The longest violation of each membership invariant in a run, beside its bound.
 
 use std::time::Duration;
 
 use serde::Serialize;
 use tulipgap_fault_injection::{Bounds, MembershipInvariant, WorstDurations};
 
-/// In seconds.
+/// A longest duration and its bound, in seconds.
 #[derive(Serialize)]
 pub(super) struct WorstAndBound {
     worst: f64,
@@ -21,7 +21,7 @@
     }
 }
 
-/// Of each invariant of the membership.
+/// The durations and bounds of the membership's invariants.
 #[derive(Serialize)]
 pub(super) struct MembershipBounds {
     #[serde(rename = "held_dead")]
@@ -60,7 +60,7 @@
             ),
         ] {
             let key = invariant.key();
-            println!("{key:>10}  at the longest {worst:.2} s, of {bound:.2} s: {description}");
+            println!("{key:>10}  longest {worst:.2} s, bound {bound:.2} s: {description}");
         }
     }
 }
--- a/crates/cli/src/rig/leases.rs
+++ b/crates/cli/src/chaos/leases.rs
@@ -73,14 +73,14 @@
     }
 }
 
-/// One run.
+/// The outcome of one run.
 struct SeedOutcome {
     seed: u64,
     outcome: LeaseOutcome,
 }
 
-/// Hands out seeds to threads, in order, until one has failed. Later seeds may be under way by
-/// then; those before the failed one are all played.
+/// Hands out seeds to threads in order until one has failed. Later seeds may be in progress by
+/// then; all seeds before the failed one are played.
 struct SeedQueue {
     next: AtomicU64,
     end: u64,
@@ -193,15 +193,15 @@
             self.runs, self.members, plan.length
         );
         println!(
-            "      free  at the longest {:.2} s after the last fault, of {:.2} s; {:.2} s at all",
+            "   vacancy  longest {:.2} s after the last fault, bound {:.2} s; {:.2} s in the whole run",
             self.longest_vacancy_after_faults, self.vacancy_bound, self.longest_vacancy
         );
         println!(
-            "    grants  {}, {} operations, {} of them rejected for their token",
+            "    grants  {}, {} operations, {} of them rejected by fencing token",
             self.grants, self.operations, self.rejected_operations
         );
         println!(
-            "   leaders  {}; {} voters stopped themselves",
+            " elections  {}; {} voters stopped themselves",
             self.elections, self.stopped_voters
         );
         println!(
@@ -216,8 +216,8 @@
                 details,
                 faults,
             } = violation;
-            println!("BROKEN {invariant} with seed {seed} at {at:.2} s: {details}");
-            println!("with these faults alone:\n{faults}");
+            println!("VIOLATION of {invariant} with seed {seed} at {at:.2} s: {details}");
+            println!("minimized faults:\n{faults}");
         }
     }
 }
--- a/crates/cli/src/rig/membership.rs
+++ b/crates/cli/src/chaos/membership.rs
@@ -20,10 +20,10 @@
     bounds: MembershipBounds,
     false_deaths: u64,
     messages_a_member_and_second: f64,
-    /// Of crashes whose process restarted: until the first detection.
+    /// Time from a crash to its first detection, over crashes whose process restarted.
     #[serde(rename = "first_noticed")]
     first_detection: Option<Distribution>,
-    /// The same until the last detection.
+    /// The same to the last detection.
     #[serde(rename = "all_noticed")]
     last_detection: Option<Distribution>,
 }
@@ -62,7 +62,7 @@
     }
 }
 
-/// In seconds.
+/// A distribution of durations, in seconds.
 #[derive(Serialize)]
 struct Distribution {
     median: f64,
@@ -70,7 +70,7 @@
 }
 
 impl Distribution {
-    /// `None` of no durations.
+    /// `None` where there are no durations.
     fn of(mut durations: Vec<Duration>) -> Option<Self> {
         durations.sort();
         let worst = durations.last()?.as_secs_f64();
@@ -150,7 +150,7 @@
                 duration,
             } = violation;
             println!(
-                "BROKEN {invariant} with seed {seed} at {at:.2} s: {observer} of {subject}, for {duration:.2} s"
+                "VIOLATION of {invariant} with seed {seed} at {at:.2} s: {observer} of {subject}, for {duration:.2} s"
             );
         }
     }
--- a/crates/cli/src/rig/processes.rs
+++ b/crates/cli/src/chaos/processes.rs
@@ -12,14 +12,14 @@
 #[derive(Serialize)]
 pub(super) struct RunReport {
     members: usize,
-    /// When, in seconds, and how.
+    /// The time in seconds and the description of the violation.
     #[serde(rename = "broken")]
     violation: Option<(f64, String)>,
     #[serde(rename = "acts")]
     operations: u64,
     #[serde(rename = "refused")]
     rejected: u64,
-    /// From processes that were not paused: nothing but their token kept them from doing harm.
+    /// Rejected reports of processes that were not paused: only the fencing token stopped these.
     #[serde(rename = "refused_awake")]
     rejected_while_running: u64,
     leases: Vec<LeaseReport>,
@@ -37,7 +37,7 @@
     #[serde(rename = "lease")]
     name: String,
     tokens: usize,
-    /// The longest without an operation, in seconds.
+    /// The longest time without an operation, in seconds.
     #[serde(rename = "free")]
     longest_idle: f64,
 }
@@ -97,7 +97,7 @@
         self.bounds.print();
         println!("    deaths  {} false", self.false_deaths);
         println!(
-            "operations  {}; {} rejected for their token, {} of them of processes that were not paused",
+            "operations  {}; {} rejected by fencing token, {} of them from processes that were not paused",
             self.operations, self.rejected, self.rejected_while_running
         );
         for LeaseReport {
@@ -107,13 +107,13 @@
         } in &self.leases
         {
             println!(
-                "     lease  {name}: {tokens} tokens, no operation for {longest_idle:.2} s at the longest"
+                "     lease  {name}: {tokens} tokens, no operation for at most {longest_idle:.2} s"
             );
         }
         if let Some((at, description)) = &self.violation {
             let directory = self.run_directory.display();
             println!(
-                "BROKEN at {at:.2} s: {description}\nlogs and journals are in {directory}\n{}",
+                "VIOLATION at {at:.2} s: {description}\nlogs and journals are in {directory}\n{}",
                 self.faults
             );
         }
--- a/crates/cli/src/check_config.rs
+++ b/crates/cli/src/check_config.rs
@@ -1,4 +1,4 @@
-//! `tulipgap config check`: every problem of a configuration file at its place.
+//! `tulipgap config check`: reports every problem of a settings file with its line and column.
 
 use std::path::PathBuf;
 
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -41,7 +41,7 @@
     /// A configuration file cannot be read.
     #[error("{0}")]
     Config(#[from] ConfigError),
-    /// A plan of the rig is invalid.
+    /// A fault injection plan is invalid.
     #[error("{}: {source}", path.display())]
     Plan { path: PathBuf, source: PlanError },
     /// A plan cannot be run with real processes.
@@ -67,7 +67,7 @@
     Rate(f64),
     #[error("there is no handler '{name}'; there are {}", known.join(", "))]
     UnknownHandler { name: String, known: Vec<String> },
-    #[error("'{0}' is no outcome: done, shed, errored or gone")]
+    #[error("'{0}' is no outcome; the outcomes are done, shed, errored and gone")]
     UnknownOutcome(String),
     #[error("--from lies at or behind --to")]
     EmptyTimeSpan,
@@ -75,8 +75,8 @@
     MissingKey,
     #[error("--offset: no file is of server '{0}'")]
     UnknownServer(String),
-    #[error("{}: faults are drawn for plans with leases alone, so far", .0.display())]
-    ChaosWithoutLeases(PathBuf),
+    #[error("{}: random faults are drawn only for plans with leases", .0.display())]
+    RandomFaultsWithoutLeases(PathBuf),
 }
 
 impl CliError {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Whether whoever reads the output has closed it.
+    /// Whether the error is that the reader of the output has closed it.
     pub(crate) fn is_closed_pipe(&self) -> bool {
         let error = match self {
             CliError::Io(error) | CliError::File { source: error, .. } => error,
@@ -108,13 +108,13 @@
     }
 }
 
-/// Whether a command had all it asked for.
+/// Whether a command's result is complete.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Status {
-    /// All was there. The exit code is 0.
+    /// Nothing is missing. The exit code is 0.
     Complete,
-    /// Something is missing, damaged or refused; all that could be given was given. The exit code
-    /// is 1.
+    /// Something is missing, damaged or rejected; everything else was returned. The exit code is
+    /// 1.
     Incomplete,
 }
 
@@ -133,5 +133,5 @@
     }
 }
 
-/// How a command ends.
+/// The result of a command.
 pub(crate) type CommandResult = Result<Status, CliError>;
--- a/crates/cli/src/input.rs
+++ b/crates/cli/src/input.rs
@@ -1,4 +1,4 @@
-//! Files that are read: paths, or standard input by `-`.
+//! Input files: paths, or standard input for `-`.
 
 use std::fs::File;
 use std::io::{self, BufReader, Read, Seek, SeekFrom};
@@ -8,7 +8,7 @@
 
 use crate::error::CliError;
 
-/// A file that can be sought in.
+/// A file that is buffered and seekable.
 pub(crate) type Input = BufReader<File>;
 
 /// Whether a path stands for standard input or output.
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,17 +1,17 @@
-//! `tulipgap`: the command line. It reads, makes and summarises recordings, plays plans of faults,
-//! asks a running process for what it knows of its cluster, and checks configuration files.
+//! `tulipgap`: the command line. It reads, makes and summarises recordings, runs fault injection
+//! plans, queries and controls the cluster of a running process, and checks configuration files.
 //!
-//! Exit codes: 0; 1 where something is missing, damaged or refused (all that could be given was
-//! given); 2 where the command cannot be carried out.
+//! Exit codes: 0 for success; 1 where something is missing, damaged or rejected (the command has
+//! returned everything else); 2 where the command cannot be carried out.
 
 mod args;
+mod chaos;
 mod check_config;
 mod error;
 mod input;
 mod messages;
 mod operator;
 mod output;
-mod rig;
 mod times;
 mod trace;
 
@@ -19,7 +19,7 @@
 
 use clap::Parser;
 
-use crate::args::{Args, Command, ConfigCommand, RigCommand};
+use crate::args::{Args, ChaosCommand, Command, ConfigCommand};
 use crate::error::{CommandResult, Status};
 
 fn main() -> ExitCode {
@@ -39,26 +39,26 @@
 fn run(command: Command) -> CommandResult {
     match command {
         Command::Trace { command } => trace::run(command),
-        Command::Rig {
+        Command::Chaos {
             command:
-                RigCommand::Simulate {
+                ChaosCommand::Simulate {
                     file,
                     seeds,
-                    chaos,
+                    random_faults,
                     json,
                 },
-        } => rig::simulate(&file, seeds, chaos, json),
-        Command::Rig {
+        } => chaos::simulate(&file, seeds, random_faults, json),
+        Command::Chaos {
             command:
-                RigCommand::Run {
+                ChaosCommand::Run {
                     file,
                     program,
                     seed,
-                    chaos,
+                    random_faults,
                     folder,
                     json,
                 },
-        } => rig::run(&file, program, seed, chaos, folder, json),
+        } => chaos::run(&file, program, seed, random_faults, folder, json),
         Command::Cluster { command } => operator::cluster::run(command),
         Command::Lease { command } => operator::lease::run(command),
         Command::Config {
--- a/crates/cli/src/messages.rs
+++ b/crates/cli/src/messages.rs
@@ -1,4 +1,4 @@
-//! What is printed on standard error beside a result: losses, unknown columns, progress.
+//! Messages on standard error beside a result: losses, unknown columns, progress.
 
 use std::io::{self, IsTerminal, Write};
 use std::path::Path;
@@ -6,17 +6,17 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use tulipgap_trace::{Loss, Writer};
 
-/// How many losses of one file are printed; the others are counted.
+/// Maximum number of losses of one file that are printed; further ones are counted.
 const MAX_PRINTED_LOSSES: usize = 20;
 
-/// Prints what of a file could not be read. True where nothing is lost.
+/// Prints the losses of a file. Returns true where there are none.
 pub(crate) fn print_losses(path: &Path, losses: &[Loss]) -> bool {
     for loss in losses.iter().take(MAX_PRINTED_LOSSES) {
         eprintln!("tulipgap: {}: {loss}", path.display());
     }
     if losses.len() > MAX_PRINTED_LOSSES {
         eprintln!(
-            "tulipgap: {}: {} more of this kind",
+            "tulipgap: {}: {} more losses",
             path.display(),
             losses.len() - MAX_PRINTED_LOSSES
         );
@@ -24,7 +24,7 @@
     losses.is_empty()
 }
 
-/// Prints which columns of a file were skipped.
+/// Prints which columns of a file are unknown and were skipped.
 pub(crate) fn print_unknown_columns(path: &Path, unknown: &[String]) {
     if !unknown.is_empty() {
         let columns = unknown.join(", ");
@@ -40,7 +40,7 @@
     let omitted = writer.omitted_columns();
     if !omitted.is_empty() {
         eprintln!(
-            "tulipgap: format {} has no place for {}",
+            "tulipgap: format {} has no column for {}",
             writer.header().version,
             omitted.join(", ")
         );
--- a/crates/cli/src/operator/cluster.rs
+++ b/crates/cli/src/operator/cluster.rs
@@ -1,4 +1,4 @@
-//! `tulipgap cluster`: members and voters, and draining a process.
+//! `tulipgap cluster`: lists members, shows and replaces voters, and drains a process.
 
 use serde_json::{Value, json};
 
@@ -32,7 +32,7 @@
     let answer = request(&target.socket, &json!({ "do": "members" }))?;
     Ok(print_answer(&answer, target.json, |answer| {
         println!(
-            "{:<20} {:<22} {:<12} {:<12} {:<8} {:<8} why",
+            "{:<20} {:<22} {:<12} {:<12} {:<8} {:<8} reason",
             "name", "address", "region", "zone", "state", "reach"
         );
         rows(answer, "members").for_each(print_member);
@@ -46,7 +46,7 @@
     }
     let unreachable = match joined_texts(row, "unheard") {
         names if names.is_empty() => names,
-        names => format!(" does not hear {names}"),
+        names => format!(" unreachable peers: {names}"),
     };
     let [name, address, region, zone] =
         ["name", "address", "region", "zone"].map(|key| text(row, key));
@@ -62,10 +62,10 @@
         return;
     };
     println!(
-        "{}; term {}, leader {}, {} entries carried out, voters {}",
+        "{}; term {}, leader {}, {} entries applied, voters {}",
         text(voter, "phase"),
         voter["term"],
-        voter["leader"].as_str().unwrap_or("not known"),
+        voter["leader"].as_str().unwrap_or("unknown"),
         voter["applied"],
         joined_texts(voter, "voters")
     );
--- a/crates/cli/src/operator/lease.rs
+++ b/crates/cli/src/operator/lease.rs
@@ -1,8 +1,8 @@
-//! `tulipgap lease`: the leases of a cluster, and those that one process holds for an operator.
+//! `tulipgap lease`: lists leases, and has one process take and release them for an operator.
 
 use serde_json::{Value, json};
 
-use super::{acquire, is_refused, joined_texts, print_answer, print_done, request, rows, text};
+use super::{acquire, is_rejected, joined_texts, print_answer, print_done, request, rows, text};
 use crate::args::{LeaseCommand, Target};
 use crate::error::CommandResult;
 
@@ -52,29 +52,29 @@
 /// Prints all leases, or one.
 fn list(target: &Target, lease: Option<&str>) -> CommandResult {
     let answer = request(&target.socket, &json!({ "do": "leases", "lease": lease }))?;
-    if lease.is_some() && !is_refused(&answer) && rows(&answer, "leases").next().is_none() {
-        let none = json!({ "error": "nobody holds it or waits for it" });
+    if lease.is_some() && !is_rejected(&answer) && rows(&answer, "leases").next().is_none() {
+        let none = json!({ "error": "no member holds the lease or waits for it" });
         return Ok(print_answer(&none, target.json, |_| {}));
     }
     Ok(print_answer(&answer, target.json, |answer| {
         println!(
-            "{:<24} {:>8} {:>6}  held by (token), then who waits",
-            "lease", "term", "places"
+            "{:<24} {:>8} {:>8}  owners (token); waiting members",
+            "lease", "ttl", "capacity"
         );
         rows(answer, "leases").for_each(print_lease);
     }))
 }
 
 fn print_lease(row: &Value) {
-    let holder = |holder: &Value| {
-        let ends = if holder["ends"] == true { ", ends" } else { "" };
-        format!("{} ({}{ends})", text(holder, "by"), holder["token"])
+    let format_owner = |owner: &Value| {
+        let ends = if owner["ends"] == true { ", ends" } else { "" };
+        format!("{} ({}{ends})", text(owner, "by"), owner["token"])
     };
-    let holders: Vec<String> = rows(row, "held").map(holder).collect();
-    let (ttl, holders) = (format!("{} ms", row["term_ms"]), holders.join(" "));
+    let owners: Vec<String> = rows(row, "held").map(format_owner).collect();
+    let (ttl, owners) = (format!("{} ms", row["term_ms"]), owners.join(" "));
     let (lease, queue) = (text(row, "lease"), joined_texts(row, "queue"));
     println!(
-        "{lease:<24} {ttl:>8} {:>6}  {holders}; {queue}",
+        "{lease:<24} {ttl:>8} {:>8}  {owners}; {queue}",
         row["places"]
     );
 }
--- a/crates/cli/src/operator/mod.rs
+++ b/crates/cli/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a running process, over its Unix socket: one JSON object a line in each
+//! Commands of operators to a running process, over its Unix socket: one JSON object a line in each
 //! direction. The keys and the commands are those of the socket's protocol (docs/leases.md).
 
 pub(crate) mod cluster;
@@ -14,9 +14,9 @@
 use crate::args::Target;
 use crate::error::{CliError, CommandResult, Status};
 
-/// How long an answer may take.
+/// Time limit for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(12);
-/// How often a process is asked whether it holds a lease by now.
+/// How often a process is asked whether it holds a lease yet.
 const LEASE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Sends one command and reads its answer.
@@ -40,35 +40,35 @@
     Ok(line)
 }
 
-/// Whether the process refused the command.
-fn is_refused(answer: &Value) -> bool {
+/// Whether the process rejected the command.
+fn is_rejected(answer: &Value) -> bool {
     answer.get("error").is_some()
 }
 
-/// Prints an answer, as JSON or by `print`. A refusal makes the command incomplete.
+/// Prints an answer, as JSON or by `print`. A rejection makes the command incomplete.
 fn print_answer(answer: &Value, json: bool, print: impl Fn(&Value)) -> Status {
     match answer.get("error").and_then(Value::as_str) {
-        Some(error) if !json => eprintln!("tulipgap: refused: {error}"),
+        Some(error) if !json => eprintln!("tulipgap: rejected: {error}"),
         None if !json => print(answer),
         _ => println!(
             "{}",
             serde_json::to_string_pretty(answer).unwrap_or_default()
         ),
     }
-    Status::of(!is_refused(answer))
+    Status::of(!is_rejected(answer))
 }
 
-/// Prints the answer to a command that has nothing to show.
+/// Prints the answer to a command that returns no data.
 fn print_done(answer: &Value, json: bool) -> CommandResult {
     Ok(print_answer(answer, json, |_| println!("done")))
 }
 
-/// Sends a command that makes the process acquire a lease, and waits until it holds the lease or
-/// the time is over.
+/// Sends a command that makes the process acquire a lease, and waits until it holds the lease, for
+/// `timeout` at most.
 fn acquire(target: &Target, command: &Value, timeout: Duration) -> CommandResult {
     let answer = request(&target.socket, command)?;
     let deadline = Instant::now() + timeout;
-    if is_refused(&answer) {
+    if is_rejected(&answer) {
         return print_done(&answer, target.json);
     }
     let lease = text(&answer, "lease");
@@ -85,7 +85,7 @@
             _ if Instant::now() < deadline => std::thread::sleep(LEASE_POLL_INTERVAL),
             _ => {
                 request(&target.socket, &json!({ "do": "release", "lease": lease }))?;
-                let late = json!({ "error": format!("not held within {timeout:?}, given up") });
+                let late = json!({ "error": format!("not acquired within {timeout:?}; the request is withdrawn") });
                 return print_done(&late, target.json);
             }
         }
@@ -97,7 +97,7 @@
     row.get(key).and_then(Value::as_str).unwrap_or("")
 }
 
-/// The list of texts under a key, parted by spaces.
+/// The list of texts under a key, separated by spaces.
 fn joined_texts(row: &Value, key: &str) -> String {
     rows(row, key)
         .filter_map(Value::as_str)
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Results: files that appear complete or not at all, or standard output by `-`.
+//! Output files: files that appear complete or not at all, or standard output for `-`.
 
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -13,7 +13,7 @@
 pub(crate) enum Output {
     /// Standard output.
     Stream(BufWriter<io::Stdout>),
-    /// A temporary file beside its place, until it is complete.
+    /// A temporary file in the directory of its path, until it is complete.
     File {
         file: BufWriter<NamedTempFile>,
         path: PathBuf,
@@ -23,7 +23,7 @@
 }
 
 impl Output {
-    /// Begins a result that belongs at that path.
+    /// Begins a result for that path.
     pub(crate) fn new(path: &Path) -> Result<Output, CliError> {
         if is_standard_stream(path) {
             return Ok(Output::Stream(BufWriter::new(io::stdout())));
@@ -52,7 +52,7 @@
         })
     }
 
-    /// Puts the result in its place.
+    /// Moves the complete result to its path.
     pub(crate) fn commit(self) -> Result<(), CliError> {
         match self {
             Output::Stream(mut out) => out.flush().map_err(CliError::Io),
--- a/crates/cli/src/times.rs
+++ b/crates/cli/src/times.rs
@@ -8,10 +8,10 @@
 
 use tulipgap_trace::Micros;
 
-/// The first moment that RFC 3339 cannot write: the year 10000.
+/// The first Unix time that RFC 3339 cannot express, the year 10000, in microseconds.
 const END_OF_RFC3339: Micros = 253_402_300_800_000_000;
 
-/// Why a time on the command line is not accepted.
+/// Why a time on the command line is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum TimeError {
     #[error("neither an offset such as 37m or 1h 5s, nor a time such as 2026-12-01T16:05:00Z")]
@@ -20,14 +20,14 @@
     BeforeUnixEpoch,
     #[error("not of the form NAME=+1.5s or NAME=-20ms")]
     NotAnOffset,
-    #[error("'{0}' is no unit: us, ms, s, m or h")]
+    #[error("'{0}' is no unit; the units are us, ms, s, m and h")]
     UnknownUnit(String),
 }
 
 /// A moment of a recording.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Moment {
-    /// So long after the first record.
+    /// An offset from the first record.
     AfterFirst(Duration),
     /// Unix time.
     At(Micros),
@@ -62,7 +62,7 @@
     }
 }
 
-/// What is added to the times of one server: `NAME=+1.5s`.
+/// The offset that is added to the times of one server: `NAME=+1.5s`.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ServerOffset {
     pub(crate) server: String,
@@ -98,7 +98,7 @@
     }
 }
 
-/// A Unix time in RFC 3339; a number of microseconds where that cannot write it.
+/// A Unix time in RFC 3339; a number of microseconds where RFC 3339 cannot express it.
 pub(crate) fn format_time(at: Micros) -> String {
     match u64::try_from(at)
         .ok()
--- a/crates/cli/src/trace/anonymise.rs
+++ b/crates/cli/src/trace/anonymise.rs
@@ -1,4 +1,4 @@
-//! `tulipgap trace anonymise`: a copy that hides ids and names.
+//! `tulipgap trace anonymise`: writes a copy that hides ids and names.
 
 use std::fs::File;
 use std::io::{self, Read};
@@ -11,7 +11,7 @@
 use crate::messages::{print_losses, print_unknown_columns};
 use crate::output::Output;
 
-/// What is read of a key file.
+/// The maximum number of bytes that are read from a key file.
 const MAX_KEY_FILE_BYTES: u64 = 64 * 1024;
 
 pub(super) fn run(path: &Path, output: &Path, key: &HashKey, hidden: HiddenNames) -> CommandResult {
--- a/crates/cli/src/trace/check.rs
+++ b/crates/cli/src/trace/check.rs
@@ -1,4 +1,4 @@
-//! `tulipgap trace check`: whether files are sound.
+//! `tulipgap trace check`: reports damage and contradictions of recordings.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufWriter, Write};
@@ -82,20 +82,20 @@
             writeln!(out, "  {count} records: {contradiction}")?;
         }
         if self.duplicate_ids > 0 {
-            writeln!(out, "  {} ids came again on one server", self.duplicate_ids)?;
+            writeln!(out, "  {} duplicate ids on one server", self.duplicate_ids)?;
         }
         if self.set_back_blocks > 0 {
             writeln!(
                 out,
-                "  {} blocks lie over a minute before what came earlier: was the clock set?",
+                "  {} blocks begin more than a minute before an earlier block: was the clock set back?",
                 self.set_back_blocks
             )?;
         }
         if self.has_wrong_index {
-            writeln!(out, "  the index does not agree with the blocks")?;
+            writeln!(out, "  the index contradicts the blocks")?;
         }
         for name in &self.unknown_columns {
-            writeln!(out, "  a column is not known here: {name}")?;
+            writeln!(out, "  unknown column: {name}")?;
         }
         for gap in &self.gaps {
             writeln!(out, "  gap: {}", format_gap(gap))?;
--- a/crates/cli/src/trace/copy.rs
+++ b/crates/cli/src/trace/copy.rs
@@ -1,4 +1,4 @@
-//! `tulipgap trace cut` and `repair`: a file made from another one.
+//! `tulipgap trace cut` and `repair`: copy the selected or the intact records of a file.
 
 use std::path::Path;
 
@@ -50,7 +50,7 @@
     )?)
 }
 
-/// Puts the new file in its place, and prints what it lacks.
+/// Moves the new file to its path, and prints the columns and records that it lacks.
 fn finish(path: &Path, writer: Writer<Output>, summary: &CopySummary) -> Result<(), CliError> {
     print_omitted_columns(&writer);
     let (output, _) = writer.finish()?;
--- a/crates/cli/src/trace/export.rs
+++ b/crates/cli/src/trace/export.rs
@@ -1,4 +1,4 @@
-//! `tulipgap trace export`: records as text.
+//! `tulipgap trace export`: writes records as text.
 
 use std::path::Path;
 
--- a/crates/cli/src/trace/gap.rs
+++ b/crates/cli/src/trace/gap.rs
@@ -1,10 +1,10 @@
-//! How a gap is printed.
+//! The text form of a gap.
 
 use tulipgap_trace::Gap;
 
 use crate::times::format_time;
 
-/// A gap in one line: its reason, how many records are missing, when and where.
+/// A gap in one line: its reason, the number of missing records, its time span and its server.
 pub(super) fn format_gap(gap: &Gap) -> String {
     let reason = serde_json::to_value(gap.reason).ok();
     let reason = reason
@@ -19,7 +19,7 @@
             )
         }
         Some(records) => format!("{records} records are missing"),
-        None => "records are missing, how many is not known".to_owned(),
+        None => "an unknown number of records is missing".to_owned(),
     };
     let span = if gap.to == 0 {
         String::new()
--- a/crates/cli/src/trace/info.rs
+++ b/crates/cli/src/trace/info.rs
@@ -1,4 +1,4 @@
-//! `tulipgap trace info`: what files are and hold.
+//! `tulipgap trace info`: the header, the contents and the sizes of recordings.
 
 use std::io::{self, BufWriter, Write};
 use std::path::{Path, PathBuf};
@@ -40,7 +40,7 @@
     Ok(status)
 }
 
-/// What is printed of one file; its fields are the keys of the JSON form.
+/// The report on one file; its fields are the keys of the JSON form.
 #[derive(Serialize)]
 struct FileInfo {
     file: String,
@@ -120,12 +120,12 @@
             self.file, self.format, self.program
         )?;
         writeln!(out, "  server    {} (file {})", self.server, self.file_id)?;
-        writeln!(out, "  begun     {}", format_time(self.start))?;
+        writeln!(out, "  started   {}", format_time(self.start))?;
         if let (Some(from), Some(to)) = (self.from, self.to) {
             let span = format_span(to.saturating_sub(from));
             writeln!(
                 out,
-                "  reqs      {} to {} ({span})",
+                "  requests  {} to {} ({span})",
                 format_time(from),
                 format_time(to)
             )?;
@@ -137,13 +137,13 @@
         };
         writeln!(
             out,
-            "  holds     {} records in {} blocks, {} bytes, {index}",
+            "  contents  {} records in {} blocks, {} bytes, {index}",
             self.records, self.blocks, self.bytes
         )?;
         if self.records > 0 {
             writeln!(
                 out,
-                "  a record  {:.1} bytes",
+                "  record    {:.1} bytes on average",
                 self.bytes as f64 / self.records as f64
             )?;
         }
@@ -164,7 +164,7 @@
     }
 }
 
-/// The name of a column: as it is known here, or else as the header has it.
+/// The name of a column: its known name, or else the one in the header.
 fn column_name(id: u64, header: &Header) -> String {
     if let Some(column) = COLUMNS.iter().find(|column| u64::from(column.id) == id) {
         return column.name.to_owned();
@@ -174,7 +174,7 @@
         .iter()
         .find(|column| u64::from(column.id) == id)
     {
-        Some(column) => format!("{} (not known here)", column.name),
+        Some(column) => format!("{} (unknown)", column.name),
         None => format!("column {id}"),
     }
 }
--- a/crates/cli/src/trace/merge.rs
+++ b/crates/cli/src/trace/merge.rs
@@ -1,4 +1,4 @@
-//! `tulipgap trace merge`: many files to one, with the clocks of their servers corrected.
+//! `tulipgap trace merge`: merges files into one and corrects the clocks of their servers.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, BufWriter, Seek};
@@ -19,7 +19,7 @@
 /// The name of a merged file, and of its server.
 const MERGED: &str = "merged";
 
-/// What is added to the times of each server.
+/// The offset that is added to the times of each server.
 type Offsets = BTreeMap<String, Micros>;
 
 pub(super) fn run(
@@ -66,17 +66,17 @@
     Ok(Status::of(summary.losses.is_empty()))
 }
 
-/// Prints what is notable of a merge.
+/// Prints duplicates and losses of a merge.
 fn print_summary(summary: &MergeSummary) {
     for file in &summary.duplicate_files {
         eprintln!(
-            "tulipgap: {} is the same file as {}; it was taken once",
+            "tulipgap: {} is the same file as {}; it is merged once",
             file.name, file.first
         );
     }
     if summary.duplicate_records > 0 {
         eprintln!(
-            "tulipgap: {} records came more than once, the same in everything; one of each was kept",
+            "tulipgap: {} identical duplicate records were dropped",
             summary.duplicate_records
         );
     }
@@ -113,7 +113,7 @@
             }
             None => {
                 eprintln!(
-                    "tulipgap: clock of {server}: no retry connects it to the others; taken as it is"
+                    "tulipgap: clock of {server}: no retry connects it to the others; it is not corrected"
                 )
             }
         }
--- a/crates/cli/src/trace/selection.rs
+++ b/crates/cli/src/trace/selection.rs
@@ -1,4 +1,4 @@
-//! Which records of a file are wanted: from names and times on the command line to a filter.
+//! Turns the names and times of the command line into a filter of records.
 
 use std::collections::BTreeSet;
 use std::path::Path;
--- a/crates/cli/src/trace/summary.rs
+++ b/crates/cli/src/trace/summary.rs
@@ -58,7 +58,7 @@
     ))
 }
 
-/// A summary, and what the file lacks.
+/// A summary, and what is missing in its file.
 struct SummarisedFile {
     summary: Summary,
     gaps: Vec<Gap>,
@@ -73,7 +73,7 @@
         .rewind()
         .map_err(CliError::trace(path))?
         .with_filter(filter);
-    let bar = progress_bar("summing up", survey.index.records());
+    let bar = progress_bar("summarising", survey.index.records());
     let mut summary = Summary::new(by_minute);
     let (mut gaps, mut losses) = (Vec::new(), Vec::new());
     while let Some(item) = reader.next() {
@@ -101,19 +101,19 @@
 fn write_table(out: &mut impl Write, rows: &[SummaryRow]) -> io::Result<()> {
     writeln!(
         out,
-        "{:26} {:>8} {:>7} {:>8} {:>7} {:>7} {:>7} {:>6} {:>8} {:>8} {:>8} {:>8}",
+        "{:26} {:>8} {:>7} {:>8} {:>7} {:>8} {:>7} {:>9} {:>8} {:>8} {:>8} {:>8}",
         "",
-        "asked",
-        "again",
-        "done",
+        "requests",
+        "retries",
+        "in time",
         "late",
-        "shed",
-        "errored",
-        "gone",
+        "rejected",
+        "failed",
+        "abandoned",
         "service",
         "p50 ms",
         "p99 ms",
-        "most ms"
+        "max ms"
     )?;
     for row in rows {
         write_row(out, row)?;
@@ -122,11 +122,11 @@
         return Ok(());
     };
     for (outcome, reasons) in [
-        ("shed", &total.rejected_by_reason),
-        ("errored", &total.failed_by_reason),
+        ("rejected", &total.rejected_by_reason),
+        ("failed", &total.failed_by_reason),
     ] {
         for (reason, count) in reasons {
-            writeln!(out, "{outcome} for {reason}: {count}")?;
+            writeln!(out, "{outcome} with reason {reason}: {count}")?;
         }
     }
     writeln!(
@@ -157,7 +157,7 @@
     let failed: u64 = row.failed_by_reason.values().sum();
     writeln!(
         out,
-        "{name:26} {:8} {:7} {:8} {:7} {rejected:7} {failed:7} {:6} {service_level:>8} {:8.1} {:8.1} {:8.1}",
+        "{name:26} {:8} {:7} {:8} {:7} {rejected:8} {failed:7} {:9} {service_level:>8} {:8.1} {:8.1} {:8.1}",
         row.requests,
         row.retries + row.orphan_retries,
         row.completed_in_time,
--- a/crates/cli/src/trace/synthesize.rs
+++ b/crates/cli/src/trace/synthesize.rs
@@ -1,4 +1,4 @@
-//! `tulipgap trace synth`: a recording of synthetic load.
+//! `tulipgap trace synth`: writes a recording of synthetic load.
 
 use std::io::{self, Write};
 use std::path::Path;
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -118,7 +118,7 @@
     assert_eq!(shed.lines().count(), expected + 1);
     let summary = workspace.fine("trace summary day.tgt --by-minute");
     assert!(
-        summary.contains("service") && summary.contains("shed for late: "),
+        summary.contains("service") && summary.contains("rejected with reason late: "),
         "{summary}"
     );
 }
@@ -205,10 +205,10 @@
     assert_eq!(together, Some(count("all.tgt")));
     let unknown = workspace.run("trace merge a.tgt -o c.tgt --offset nobody=1s");
     assert_eq!(unknown.status.code(), Some(2));
-    // Format 1 says what it has no place for.
+    // The columns that format 1 lacks are reported.
     assert!(
         err(&workspace.run("trace cut b.tgt -o lean.tgt --format 1"))
-            .contains("format 1 has no place for server")
+            .contains("format 1 has no column for server")
     );
 }
 
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn rig_simulate_exits_by_the_result_of_the_plan() {
+fn chaos_simulate_exits_by_the_result_of_the_plan() {
     let workspace = Workspace::new();
     let plan = std::fs::read_to_string(concat!(
         env!("CARGO_MANIFEST_DIR"),
@@ -349,15 +349,15 @@
     ))
     .unwrap();
     std::fs::write(workspace.path("plan.hcl"), &plan).unwrap();
-    let report = workspace.json("rig simulate plan.hcl --seeds 0..2 --json");
+    let report = workspace.json("chaos simulate plan.hcl --seeds 0..2 --json");
     assert_eq!(
         (&report["runs"], &report["broken"]),
         (&2.into(), &serde_json::Value::Null)
     );
     assert!(
         workspace
-            .fine("rig simulate plan.hcl --seeds 0..2")
-            .contains("held_dead  at the longest")
+            .fine("chaos simulate plan.hcl --seeds 0..2")
+            .contains("held_dead  longest ")
     );
     // No run can keep this bound: the report names the seed that violates it.
     std::fs::write(
@@ -365,15 +365,15 @@
         plan.replace("known     = 30", "known     = 1"),
     )
     .unwrap();
-    let output = workspace.run("rig simulate tight.hcl --seeds 3..9");
+    let output = workspace.run("chaos simulate tight.hcl --seeds 3..9");
     assert_eq!(output.status.code(), Some(1));
-    assert!(String::from_utf8_lossy(&output.stdout).contains("BROKEN known with seed 3 at "));
+    assert!(String::from_utf8_lossy(&output.stdout).contains("VIOLATION of known with seed 3 at "));
     std::fs::write(
         workspace.path("wrong.hcl"),
         plan.replace("south-2", "east-2"),
     )
     .unwrap();
-    let output = workspace.run("rig simulate wrong.hcl");
+    let output = workspace.run("chaos simulate wrong.hcl");
     assert_eq!(output.status.code(), Some(2));
     assert!(
         err(&output).contains("no zone and no member"),
@@ -382,13 +382,55 @@
     );
     assert_eq!(
         workspace
-            .run("rig simulate plan.hcl --seeds 5..5")
+            .run("chaos simulate plan.hcl --seeds 5..5")
             .status
             .code(),
         Some(2)
     );
 }
 
+/// `chaos` was named `rig`, and its flag `--random-faults` was `--chaos`. Scripts use the old names,
+/// so both are taken and print the same.
+#[test]
+fn rig_and_its_chaos_flag_are_aliases_of_chaos_and_random_faults() {
+    let workspace = Workspace::new();
+    let plan = std::fs::read_to_string(concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../example/leases.hcl"
+    ))
+    .unwrap();
+    std::fs::write(workspace.path("plan.hcl"), plan).unwrap();
+    let new = workspace.fine("chaos simulate plan.hcl --random-faults --seeds 0..2");
+    let old = workspace.fine("rig simulate plan.hcl --chaos --seeds 0..2");
+    assert!(new.starts_with("2 runs of "), "{new}");
+    assert_eq!(new, old);
+    let without = workspace.fine("chaos simulate plan.hcl --seeds 0..2");
+    assert_ne!(new, without, "the faults are drawn");
+    let help = workspace.fine("--help");
+    assert!(help.contains("chaos") && help.contains("rig"), "{help}");
+}
+
+/// Options of `lease take` were named by the plan file's words. Scripts use the old names, so both
+/// are taken: with either the command fails only at the socket, which is not there.
+#[test]
+fn lease_take_and_drain_accept_old_and_new_option_names() {
+    let workspace = Workspace::new();
+    for words in [
+        "lease take one --ttl 2s --capacity 2 --timeout 1s --socket missing",
+        "lease take one --term 2s --places 2 --wait 1s --socket missing",
+        "cluster drain --timeout 1s --socket missing",
+        "cluster drain --wait 1s --socket missing",
+    ] {
+        let output = workspace.run(words);
+        assert_eq!(output.status.code(), Some(2), "{words}");
+        assert!(
+            err(&output).contains("missing: No such file"),
+            "{words}: {}",
+            err(&output)
+        );
+    }
+}
+
 /// The recordings and what version 0.1.0 exported of them stand beside the tests of the trace
 /// crate.
 #[test]
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -15,7 +15,7 @@
 //! beside the bounds, and counts. A run ends with its first violation. [`with_random_faults`] draws
 //! faults from a seed, and [`minimize_faults`] leaves out those that a failure does not need.
 //!
-//! `docs/rig.md` lists the keys of a plan file and the invariants.
+//! `docs/chaos.md` lists the keys of a plan file and the invariants.
 //!
 //! ```
 //! use tulipgap_fault_injection::{Plan, simulate_membership};
--- a/crates/fault-injection/src/plan/file.rs
+++ b/crates/fault-injection/src/plan/file.rs
@@ -1,4 +1,4 @@
-//! The plan file: its HCL blocks and keys, as docs/rig.md lists them. The words of the file are
+//! The plan file: its HCL blocks and keys, as docs/chaos.md lists them. The words of the file are
 //! spelled here (and, to write faults, in `hcl_output`) and nowhere else.
 
 use std::time::Duration;
