--- a/example/toy.rs
+++ b/example/demo_peers.rs
@@ -1,6 +1,6 @@
-//! A toy deployment around one `tulipgapd`: an executor with two cores (the `kernel` of its
-//! configuration), a store, and an edge node that sends one request and then a burst. See README.md
-//! beside this file.
+//! The peers of a demo deployment around one `tulipgapd`: an executor with two cores (the `kernel`
+//! of its configuration), a store, and an edge node that sends one request and then a burst. See
+//! README.md beside this file.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -17,12 +17,17 @@
 
 type Error = Box<dyn std::error::Error + Send + Sync>;
 
+/// Address of `tulipgapd` for edge nodes.
 const BACKEND: &str = "127.0.0.1:6565";
+/// Address of the executor.
 const EXECUTOR: &str = "127.0.0.2:7300";
+/// Address of the store.
 const STORE: &str = "127.0.0.2:7700";
+/// Number of cores that runs share.
 const CORES: u32 = 2;
-/// The work of a request, in milliseconds on one core.
+/// Work of one request, in milliseconds on one core.
 const WORK_MS: u64 = 60;
+/// Number of requests in the burst: more than the cores can complete within the latency objective.
 const BURST_REQUESTS: i32 = 60;
 
 fn main() -> Result<(), Error> {
@@ -30,7 +35,7 @@
     let store = TcpListener::bind(STORE)?;
     std::thread::spawn(move || serve_connections(&executor, |stream| serve_executor(&stream)));
     std::thread::spawn(move || serve_connections(&store, |stream| serve_store(&stream)));
-    println!("toy: executor and store are up; waiting for tulipgapd on {BACKEND}");
+    println!("demo_peers: executor and store are up; waiting for tulipgapd on {BACKEND}");
     let mut edge = loop {
         match TcpStream::connect(BACKEND) {
             Ok(stream) => break stream,
@@ -40,10 +45,13 @@
     // The backend rejects everything until it is connected to its executor.
     std::thread::sleep(Duration::from_millis(300));
     send_request(&mut edge, 1, "page")?;
-    println!("toy: one request -> {}", summary(&read_answer(&mut edge)?));
-    let mut count = HashMap::new();
-    let mut last = HashMap::new();
-    // One connection carries 32 open requests, so the burst comes over two.
+    println!(
+        "demo_peers: one request: {}",
+        summary(&read_answer(&mut edge)?)
+    );
+    let mut outcomes = HashMap::new();
+    let mut examples = HashMap::new();
+    // A connection may have 32 open requests, so the burst is sent over two connections.
     let mut other = TcpStream::connect(BACKEND)?;
     for sequence in 2..2 + BURST_REQUESTS {
         send_request(
@@ -62,14 +70,14 @@
         } else {
             &mut other
         })?;
-        *count.entry(answer.0).or_insert(0) += 1;
-        last.insert(answer.0, summary(&answer));
+        *outcomes.entry(answer.0).or_insert(0) += 1;
+        examples.insert(answer.0, summary(&answer));
     }
-    println!("toy: a burst of {BURST_REQUESTS} -> {count:?}, for example");
-    for example in last.values() {
-        println!("toy:   {example}");
+    println!("demo_peers: a burst of {BURST_REQUESTS}: {outcomes:?}, for example");
+    for example in examples.values() {
+        println!("demo_peers:   {example}");
     }
-    println!("toy: done; stop tulipgapd with SIGTERM and it exits with 0");
+    println!("demo_peers: done; stop tulipgapd with SIGTERM and it exits with 0");
     Ok(())
 }
 
@@ -82,12 +90,12 @@
         std::thread::spawn(move || {
             serve(stream)
                 .err()
-                .map(|error| println!("toy: a connection failed: {error}"))
+                .map(|error| println!("demo_peers: a connection failed: {error}"))
         });
     }
 }
 
-/// Reads lines and passes their words on, with the body that follows some; its length is their last
+/// Reads lines and passes on their words. Some are followed by a body, whose length is the last
 /// word.
 fn read_lines(
     stream: &TcpStream,
@@ -109,7 +117,8 @@
     Ok(())
 }
 
-/// The executor: runs share two cores; half of each is done before its call, half after.
+/// Serves as the executor. Runs share the cores; half of the work of a run is done before its call,
+/// half after it.
 fn serve_executor(stream: &TcpStream) -> Result<(), Error> {
     let running = Arc::new(AtomicU32::new(0));
     let stops: Arc<Mutex<HashMap<String, Arc<AtomicBool>>>> = Arc::default();
@@ -134,7 +143,7 @@
                     .insert((*id).to_owned(), stop.clone());
                 let run = Run {
                     id: (*id).to_owned(),
-                    calls: *class == "page",
+                    has_call: *class == "page",
                     body,
                     stop,
                     replied,
@@ -151,19 +160,21 @@
             }
             ["IODONE", id, _] | ["NOIO", id, _] => {
                 if let Some(reply) = waiting.get(*id) {
-                    // A run that is over waits for no reply.
+                    // A finished run does not wait for a reply.
                     let _ = reply.send(());
                 }
             }
-            _ => println!("toy: the executor does not know {words:?}"),
+            _ => println!("demo_peers: the executor does not know {words:?}"),
         }
         Ok(())
     })
 }
 
+/// One run of a request on the executor.
 struct Run {
     id: String,
-    calls: bool,
+    /// Whether it makes a call to the store.
+    has_call: bool,
     body: Vec<u8>,
     stop: Arc<AtomicBool>,
     replied: Receiver<()>,
@@ -176,8 +187,8 @@
     fn run(mut self) {
         let start = Instant::now();
         let mut is_running = self.work();
-        if is_running && self.calls {
-            self.notice(
+        if is_running && self.has_call {
+            self.send_notice(
                 "IOREQ",
                 &format!("{} ", self.id.clone()),
                 &self.body.clone(),
@@ -205,30 +216,30 @@
             self.id,
             start.elapsed().as_secs_f64() * 1e3
         );
-        self.notice("REAP", &head, result.as_bytes());
+        self.send_notice("REAP", &head, result.as_bytes());
     }
 
-    /// Does half of the work, slower where more run than there are cores; false where it was
-    /// cancelled.
+    /// Does half of the work, more slowly while more runs than cores are active. False where the run
+    /// was cancelled.
     fn work(&self) -> bool {
         self.running.fetch_add(1, Ordering::AcqRel);
-        let mut left = WORK_MS as f64 / 2.0;
-        while left > 0.0 && !self.stop.load(Ordering::Acquire) {
+        let mut remaining_ms = WORK_MS as f64 / 2.0;
+        while remaining_ms > 0.0 && !self.stop.load(Ordering::Acquire) {
             std::thread::sleep(Duration::from_millis(2));
-            left -=
+            remaining_ms -=
                 2.0 / (f64::from(self.running.load(Ordering::Acquire)) / f64::from(CORES)).max(1.0);
         }
         self.running.fetch_sub(1, Ordering::AcqRel);
-        left <= 0.0
+        remaining_ms <= 0.0
     }
 
-    fn notice(&mut self, word: &str, rest: &str, body: &[u8]) {
+    fn send_notice(&mut self, word: &str, rest: &str, body: &[u8]) {
         let Ok(mut number) = self.notices.lock() else {
             return;
         };
         *number += 1;
         let head = format!("{word} {number} {rest}{}\r\n", body.len());
-        // A backend that is gone reads nothing any more.
+        // The backend may have closed the link.
         let _ = self
             .out
             .write_all(&[head.as_bytes(), body, b"\r\n"].concat());
@@ -259,11 +270,11 @@
         ("ts", &now.to_string()),
         ("owner", "acme"),
     ];
-    let rough = WORK_MS.to_string();
+    let estimated_work = WORK_MS.to_string();
     let fields = [
         &fields[..],
         &[
-            ("ms", &rough),
+            ("ms", &estimated_work),
             ("need", "24.5"),
             ("level", "0.5"),
             ("via", "1"),
@@ -308,9 +319,9 @@
         return Ok(("exception", Vec::new(), String::new()));
     }
     let kind = match input.read_field_begin()?.id {
-        Some(0) => "done",
-        Some(1) => "shed",
-        _ => "errored",
+        Some(0) => "completed",
+        Some(1) => "rejected",
+        _ => "failed",
     };
     let (mut fields, mut body) = (Vec::new(), String::new());
     loop {
