--- a/crates/server/tests/program/docs.rs
+++ b/crates/server/tests/program/docs.rs
@@ -128,11 +128,11 @@
 }
 
 #[test]
-fn each_test_named_in_the_crossings_page_exists() {
+fn each_test_named_in_the_races_page_exists() {
     let mut text = String::new();
     sources(&root().join("crates"), &mut text);
     sources(&root().join("tests"), &mut text);
-    let page = fs::read_to_string(root().join("docs/crossings.md")).expect("the page of crossings");
+    let page = fs::read_to_string(root().join("docs/races.md")).expect("the page of races");
     let tests = quoted_tests(&page);
     assert!(
         tests.len() > 60,
@@ -145,7 +145,7 @@
         .collect();
     assert!(
         missing.is_empty(),
-        "in docs/crossings.md and not in the code: {missing:#?}"
+        "in docs/races.md and not in the code: {missing:#?}"
     );
 }
 
