--- a/crates/cli/src/args/chaos.rs
+++ b/crates/cli/src/args/chaos.rs
@@ -8,14 +8,15 @@
 
 #[derive(Subcommand)]
 pub(crate) enum ChaosCommand {
-    /// Run a plan in simulated time, once for each seed; exits with 1 where an invariant is violated
+    /// Run a plan in simulated time, once for each seed; exits with 1 where an invariant is
+    /// violated
     Simulate {
         file: PathBuf,
         /// Range of seeds, such as 0..100 (the end is exclusive)
         #[arg(long, default_value = "0..100", value_parser = parse_seeds)]
         seeds: Range<u64>,
-        /// Add faults drawn from each seed to those of the plan; faults that violate an invariant are
-        /// minimized and printed
+        /// Add faults drawn from each seed to those of the plan; faults that violate an invariant
+        /// are minimized and printed
         #[arg(long, visible_alias = "chaos")]
         random_faults: bool,
         #[arg(long)]
--- a/crates/config/src/cluster.rs
+++ b/crates/config/src/cluster.rs
@@ -10,7 +10,7 @@
 use crate::fault_injection::FaultInjectionConfig;
 use crate::validators::{default_true, non_empty_path, socket_address, unique_names};
 
-/// Membership of a cluster.
+/// Membership of a cluster: this process, its peers and its voter.
 #[derive(Clone, Debug, Deserialize, PartialEq, Validate)]
 #[garde(context(()))]
 pub struct ClusterConfig {
@@ -54,24 +54,24 @@
     /// The Unix socket for `tulipgap cluster` and `tulipgap lease`.
     #[garde(skip)]
     pub control: Option<PathBuf>,
-    /// By which fraction the rate of a clock may be off.
+    /// The maximum fraction by which the rate of a clock may be off.
     #[serde(default = "default_clock_off")]
     #[garde(range(min = 0.001, max = 0.3))]
     pub clock_off: f64,
-    /// How many members drain at a time.
+    /// Limits on draining.
     #[garde(dive)]
     pub drain: Option<DrainConfig>,
-    /// Faults for tests.
+    /// Faults to inject, for `tulipgap chaos` only.
     #[garde(dive)]
     pub trial: Option<FaultInjectionConfig>,
 }
 
-/// How many members of a zone may drain at a time. A member with a shutdown notice drains all the
-/// same.
+/// How many members of a zone may drain at a time. A member with a shutdown notice drains
+/// regardless.
 #[derive(Clone, Debug, Deserialize, PartialEq, Validate)]
 #[garde(context(()))]
 pub struct DrainConfig {
-    /// Members of a zone at a time.
+    /// The maximum number of draining members of a zone.
     #[serde(default = "default_at_once")]
     #[garde(range(min = 1, max = 1000))]
     pub at_once: u32,
--- a/crates/config/src/connection_limits.rs
+++ b/crates/config/src/connection_limits.rs
@@ -1,4 +1,4 @@
-//! The block `admission`: which client connections are accepted.
+//! The block `admission`: limits on client connections.
 
 use std::time::Duration;
 
@@ -8,11 +8,12 @@
 
 use crate::validators::{default_true, duration_between};
 
-/// The words of `when_full`.
+/// Word of `when_full` for rejecting new connections.
 const REJECT: &str = "refuse";
+/// Word of `when_full` for leaving new connections in the backlog.
 const WAIT: &str = "wait";
 
-/// Which client connections are accepted. Limits that are left out follow from the descriptors and
+/// Limits on client connections. Limits that are left out follow from the number of descriptors and
 /// the number of callers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Validate)]
 pub struct ConnectionLimitsConfig {
@@ -20,7 +21,7 @@
     #[serde(default = "default_true")]
     #[garde(skip)]
     pub enabled: bool,
-    /// What becomes of new connections when all descriptors are in use: "refuse" rejects them,
+    /// The policy for new connections when all descriptors are in use: "refuse" rejects them,
     /// "wait" leaves them in the backlog.
     #[serde(default = "default_when_full")]
     #[garde(custom(full_policy_word))]
@@ -33,11 +34,11 @@
     #[serde(default)]
     #[garde(inner(custom(network_prefix)))]
     pub known: Vec<String>,
-    /// The time in which the reputation of a known client halves.
+    /// The half-life of the reputation of a known client.
     #[serde(default = "default_half_life", with = "humantime_serde")]
     #[garde(custom(duration_between(Duration::from_secs(10), Duration::from_secs(86_400))))]
     pub half_life: Duration,
-    /// The fraction of the descriptors that a cold server uses; it rises to all while the server
+    /// The fraction of the descriptors that a cold server uses; it rises to 1 while the server
     /// warms up.
     #[serde(default = "default_cold_part")]
     #[garde(range(min = 0.05, max = 1.0))]
@@ -59,16 +60,16 @@
 /// The limits of an address, or of a network.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Validate)]
 pub struct NetworkLimitConfig {
-    /// Connections that are open at a time.
+    /// The maximum number of open connections.
     #[garde(inner(range(min = 1, max = 1_000_000)))]
     pub open: Option<u32>,
-    /// Connections that are opened in a second, as a mean over three.
+    /// The maximum number of new connections per second, as a mean over three seconds.
     #[garde(inner(range(min = 1, max = 1_000_000)))]
     pub rate: Option<u32>,
 }
 
 impl ConnectionLimitsConfig {
-    /// What becomes of new connections when all descriptors are in use.
+    /// The policy for new connections when all descriptors are in use.
     pub fn full_policy(&self) -> FullPolicy {
         if self.when_full == WAIT {
             FullPolicy::Wait
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a configuration file, and where.
+//! Problems of a configuration file, with their positions.
 
 use std::fmt;
 use std::io;
@@ -11,7 +11,7 @@
     pub line: usize,
     /// The column, in characters.
     pub column: usize,
-    /// What is wrong there.
+    /// The problem at this position.
     pub kind: ProblemKind,
 }
 
@@ -21,10 +21,10 @@
     }
 }
 
-/// What is wrong at one place of a file. A path is a key with the blocks around it: `trace.folder`.
+/// The kinds of problems. A path is a key with the blocks around it: `trace.folder`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProblemKind {
-    /// The text is no HCL, or cannot be read as the configuration.
+    /// The text is not HCL, or cannot be read as the configuration.
     #[error("{0}")]
     Syntax(String),
     /// There is no such key.
@@ -55,7 +55,7 @@
     WrongType {
         /// The path of the key.
         path: String,
-        /// What the key takes, in words.
+        /// A description of what the key takes.
         expected: &'static str,
     },
     /// The value is of the right type, but not one that the key accepts.
@@ -63,34 +63,34 @@
     InvalidValue {
         /// The path of the key.
         path: String,
-        /// What is wrong with the value, in words.
+        /// A description of what is wrong with the value.
         reason: String,
     },
 }
 
-/// Why a file is not accepted.
+/// Why a file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
         /// The file.
         path: PathBuf,
-        /// Why it cannot be read.
+        /// The cause.
         source: io::Error,
     },
-    /// It is longer than a configuration may be.
+    /// The file is longer than the limit of 1 MiB.
     #[error("{}: it is longer than 1 MiB", path.display())]
     TooLong {
         /// The file.
         path: PathBuf,
     },
-    /// It has problems.
+    /// The file has problems.
     #[error("{}", listed(path, problems))]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// All of its problems, in the order of their places.
+        /// All of its problems, in the order of their positions.
         problems: Vec<Problem>,
     },
 }
--- a/crates/config/src/fault_injection.rs
+++ b/crates/config/src/fault_injection.rs
@@ -1,5 +1,5 @@
-//! The block `cluster.trial`, for the rig alone: faults that only the program itself can inject,
-//! and leases that it uses for the rig to watch.
+//! The block `cluster.trial`, for `tulipgap chaos` only: faults that only the program itself can
+//! inject, and leases that it uses under the eyes of the history checker.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,10 +10,10 @@
 
 use crate::validators::socket_address;
 
-/// The rate of a clock that is right.
+/// Rate of a correct clock, as a multiple of true time.
 const EXACT_CLOCK_RATE: f64 = 1.0;
 
-/// Faults to be injected, and leases to be used.
+/// Faults to inject and leases to use in a run of `tulipgap chaos`.
 #[derive(Clone, Debug, Deserialize, PartialEq, Validate)]
 #[garde(context(()))]
 pub struct FaultInjectionConfig {
@@ -24,15 +24,15 @@
     #[serde(default)]
     #[garde(inner(custom(test_lease)))]
     pub leases: Vec<String>,
-    /// Each as `ADDRESS=ADDRESS`: what is sent to the first goes to the second.
+    /// Routes, each as `ADDRESS=ADDRESS`: messages to the first address are sent to the second.
     #[serde(default)]
     #[garde(inner(custom(route)))]
     pub routes: Vec<String>,
-    /// How fast the clock runs, of the right rate.
+    /// The rate of the clock, as a multiple of true time.
     #[serde(default = "exact_clock_rate")]
     #[garde(range(min = 0.5, max = 2.0))]
     pub clock_rate: f64,
-    /// A directory in which a file named `full` or `fails` makes the disk behave so.
+    /// A directory in which a file named `full` or `fails` makes the disk full or makes syncs fail.
     #[garde(skip)]
     pub disk_trouble: Option<PathBuf>,
 }
@@ -59,7 +59,7 @@
     pub ttl: Duration,
     /// How many members may hold it at a time.
     pub capacity: u32,
-    /// The longest that an operation under it takes.
+    /// The maximum duration of an operation under it.
     pub max_operation: Duration,
 }
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -4,7 +4,7 @@
 //! line and column, and with the nearest known key in place of an unknown one.
 //!
 //! The fields of the configuration types have the names of their HCL keys, which the problems name,
-//! too. What a file leaves out has its default, and a block that is left out is off.
+//! too. A key that is absent has its default, and a block that is absent is off.
 //!
 //! ```
 //! let config = tulipgap_config::parse("trace {\n  folder = \"recordings\"\n}\n").unwrap();
@@ -39,10 +39,10 @@
 pub use fault_injection::{FaultInjectionConfig, TestLease};
 pub use trace::TraceConfig;
 
-/// The longest file that is read.
+/// Maximum size of a file, in bytes.
 const MAX_FILE_BYTES: u64 = 1024 * 1024;
 
-/// All blocks of the file. What is left out is off.
+/// All blocks of the file. A block that is absent is off.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Validate)]
 pub struct ProductConfig {
     /// The recording of requests.
@@ -81,7 +81,7 @@
 /// Reads a text.
 ///
 /// # Errors
-/// All problems of the text, in the order of their places.
+/// All problems of the text, in the order of their positions.
 pub fn parse(text: &str) -> Result<ProductConfig, Vec<Problem>> {
     let structure = structure::check(text);
     let mut problems = structure.problems;
@@ -98,8 +98,8 @@
                     })
                 })),
             },
-            // The check of the structure finds all that this does; an error that only this finds
-            // has no place.
+            // The structure check finds the same errors with their positions; an error that only
+            // this step finds has none.
             Err(error) => {
                 let kind = ProblemKind::Syntax(error.to_string());
                 problems.push(structure::Position::START.problem(kind));
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,8 +1,8 @@
-//! Which keys there are, and what each takes.
+//! The schema of the file: its blocks, their keys, and the type of value that each key takes.
 
 use hcl_edit::expr::Expression;
 
-/// What a key takes.
+/// The type of value that a key takes.
 #[derive(Clone, Copy)]
 pub(crate) enum ValueType {
     Text,
@@ -21,7 +21,7 @@
 }
 
 impl ValueType {
-    /// What it takes, in words.
+    /// A description of the type for messages.
     pub(crate) fn description(self) -> &'static str {
         match self {
             ValueType::Text => "a text in quotes",
@@ -93,6 +93,7 @@
     }
 }
 
+/// Keys of the block `trace`.
 const TRACE: &[Key] = &[
     optional("enabled", ValueType::Flag),
     required("folder", ValueType::Text),
@@ -105,10 +106,12 @@
     optional("keep_size", ValueType::Size),
     optional("sync", ValueType::Flag),
 ];
+/// Keys of the blocks `admission.address`, `admission.network` and `admission.wide`.
 const NETWORK_LIMIT: &[Key] = &[
     optional("open", ValueType::Integer),
     optional("rate", ValueType::Integer),
 ];
+/// Keys of the block `admission`.
 const ADMISSION: &[Key] = &[
     optional("enabled", ValueType::Flag),
     optional("when_full", ValueType::Text),
@@ -120,7 +123,9 @@
     optional("network", ValueType::Block(NETWORK_LIMIT)),
     optional("wide", ValueType::Block(NETWORK_LIMIT)),
 ];
+/// Keys of the block `cluster.drain`.
 const DRAIN: &[Key] = &[optional("at_once", ValueType::Integer)];
+/// Keys of the block `cluster.trial`.
 const FAULT_INJECTION: &[Key] = &[
     optional("witness", ValueType::Text),
     optional("leases", ValueType::TextList),
@@ -128,6 +133,7 @@
     optional("clock_rate", ValueType::Fraction),
     optional("disk_trouble", ValueType::Text),
 ];
+/// Keys of the block `cluster`.
 const CLUSTER: &[Key] = &[
     optional("enabled", ValueType::Flag),
     required("name", ValueType::Text),
@@ -144,15 +150,15 @@
     optional("drain", ValueType::Block(DRAIN)),
     optional("trial", ValueType::Block(FAULT_INJECTION)),
 ];
-/// The keys of the file itself.
+/// Blocks at the top level of the file.
 pub(crate) const FILE: &[Key] = &[
     optional("trace", ValueType::Block(TRACE)),
     optional("admission", ValueType::Block(ADMISSION)),
     optional("cluster", ValueType::Block(CLUSTER)),
 ];
 
-/// How similar a known key is to an unknown one at least for it to be suggested, of 1
-/// (Jaro-Winkler).
+/// Minimum Jaro-Winkler similarity, from 0 to 1, at which a known key is suggested for an unknown
+/// one.
 const MIN_SIMILARITY: f64 = 0.7;
 
 /// The known key that an unknown one is likely to mean.
--- a/crates/config/src/structure.rs
+++ b/crates/config/src/structure.rs
@@ -1,5 +1,5 @@
-//! Checks the structure of a file against the schema: keys, blocks and the types of values. It
-//! finds every problem, and notes where each key stands.
+//! Checks the structure of a file against the schema: keys, blocks and the types of values. The
+//! check reports every problem at once and records the position of each key.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -10,7 +10,7 @@
 use crate::error::{Problem, ProblemKind};
 use crate::schema::{FILE, Key, ValueType, nearest_name};
 
-/// A place in a text. Lines and columns count from 1.
+/// A position in a text. Lines and columns count from 1.
 #[derive(Clone, Copy)]
 pub(crate) struct Position {
     line: usize,
@@ -21,7 +21,7 @@
     /// The start of a text.
     pub(crate) const START: Position = Position { line: 1, column: 1 };
 
-    /// The place of a byte offset.
+    /// The position of a byte offset.
     fn of_offset(text: &str, offset: usize) -> Position {
         let before = text.get(..offset).unwrap_or("");
         let column = before
@@ -34,7 +34,7 @@
         }
     }
 
-    /// A problem at this place.
+    /// A problem at this position.
     pub(crate) fn problem(self, kind: ProblemKind) -> Problem {
         Problem {
             line: self.line,
@@ -44,20 +44,20 @@
     }
 }
 
-/// Where in a text each key stands, by its path.
+/// The positions of the keys of a text, by their paths.
 #[derive(Default)]
 pub(crate) struct KeyPositions(BTreeMap<String, Position>);
 
 impl KeyPositions {
-    /// The place of a key by its path; that of the nearest block around it where the key itself is
-    /// left out.
+    /// The position of a key by its path, or of the nearest block around it where the key is
+    /// absent.
     pub(crate) fn of(&self, path: &str) -> Position {
         let mut path = path;
         loop {
             if let Some(&position) = self.0.get(path) {
                 return position;
             }
-            // An entry of a list stands where the list does.
+            // An entry of a list has the position of the list.
             let Some(end) = path.rfind(['.', '[']) else {
                 return Position::START;
             };
@@ -66,7 +66,7 @@
     }
 }
 
-/// What is known of the structure of a text.
+/// The result of a check: the problems and the positions of the keys.
 #[derive(Default)]
 pub(crate) struct StructureCheck {
     pub(crate) problems: Vec<Problem>,
@@ -101,7 +101,7 @@
 }
 
 impl Checker<'_> {
-    /// The place of a span; the start of the text where there is none.
+    /// The position of a span; the start of the text where there is none.
     fn position(&self, span: Option<Range<usize>>) -> Position {
         span.map_or(Position::START, |span| {
             Position::of_offset(self.text, span.start)
@@ -113,7 +113,7 @@
         self.found.problems.push(position.problem(kind));
     }
 
-    /// Checks the body of the block of that path (empty for the file), whose name stands at `span`.
+    /// Checks the body of the block of that path (empty for the file), whose name is at `span`.
     /// The recursion is as deep as the schema.
     fn check_body(
         &mut self,
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Checks what stands under a known key.
+    /// Checks the value of a known key.
     fn check_value(
         &mut self,
         structure: &Structure,
--- a/crates/config/src/trace.rs
+++ b/crates/config/src/trace.rs
@@ -1,4 +1,4 @@
-//! The block `trace`: recording of what happens to each request.
+//! The block `trace`: the recording of the life of each request.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 
 use crate::validators::{default_true, duration_between, non_empty_path, size_between};
 
-/// What a file may need beyond `rotate_size`: a block that was begun, names and the index.
+/// How much larger than `rotate_size` a file may become: by its last block, names and the index.
 const FILE_SLACK: ByteSize = ByteSize::mib(2);
 
-/// Recording of what happens to each request.
+/// The recording of the life of each request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Validate)]
 #[garde(context(()))]
 pub struct TraceConfig {
@@ -27,27 +27,27 @@
     #[serde(default = "default_format")]
     #[garde(range(min = 1, max = 2))]
     pub format: u32,
-    /// How many records may wait for the disk.
+    /// The maximum number of records that wait for the disk.
     #[serde(default = "default_queue")]
     #[garde(range(min = 64, max = 1_000_000))]
     pub queue: u64,
-    /// The most records of a block.
+    /// The maximum number of records of a block.
     #[serde(default = "default_block")]
     #[garde(range(min = 1, max = 65_536))]
     pub block: u64,
-    /// A block is sealed no later than so long after its first record.
+    /// The maximum time from the first record of a block until the block is sealed.
     #[serde(default = "default_seal_after", with = "humantime_serde")]
     #[garde(custom(duration_between(Duration::from_millis(100), Duration::from_secs(60))))]
     pub seal_after: Duration,
-    /// A file is closed when it has so many bytes.
+    /// The size at which a file is closed.
     #[serde(default = "default_rotate_size")]
     #[garde(custom(size_between(ByteSize::kib(64), ByteSize::gib(16))))]
     pub rotate_size: ByteSize,
-    /// A file is closed when it is so old.
+    /// The age at which a file is closed.
     #[serde(default = "default_rotate_after", with = "humantime_serde")]
     #[garde(custom(duration_between(Duration::from_secs(10), Duration::from_secs(7 * 86_400))))]
     pub rotate_after: Duration,
-    /// The most bytes of all files together; the oldest are removed first.
+    /// The maximum size of all files together; the oldest files are removed first.
     #[serde(default = "default_keep_size")]
     #[garde(custom(holds_two_files(&self.rotate_size)))]
     pub keep_size: ByteSize,
@@ -85,7 +85,7 @@
     ByteSize::gib(2)
 }
 
-/// Accepts a size that holds the file that is written and one before it.
+/// Accepts a size that holds the current file and one earlier file.
 fn holds_two_files(rotate_size: &ByteSize) -> impl FnOnce(&ByteSize, &()) -> garde::Result {
     let min = ByteSize(rotate_size.0.saturating_mul(2).saturating_add(FILE_SLACK.0));
     move |value, _| {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -51,7 +51,7 @@
         /// The value as it was written.
         value: f64,
     },
-    /// A list that goes by class has another length than the list of classes.
+    /// A list with an entry for each class has another length than the list of classes.
     #[error("family_info.{key} has {length} entries for {classes} classes")]
     Length {
         /// The key of the list.
@@ -61,13 +61,13 @@
         /// The number of classes.
         classes: usize,
     },
-    /// A class writes and is pure at once.
+    /// A class is declared both as a write and as pure.
     #[error("classes[{class}].write: a write has an effect, so it may not be \"pure\"")]
     PureWrite {
         /// The position of the class.
         class: usize,
     },
-    /// A value is out of the controller's range.
+    /// A value is outside the range that the controller accepts.
     #[error(transparent)]
     Controller(#[from] ConfigError),
 }
@@ -85,21 +85,21 @@
     pub callers_cancel: bool,
 }
 
-/// How callers learn to send less to a server.
+/// How callers learn to send less traffic to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Steering {
     /// By the feedback value on its answers.
     FeedbackValue,
     /// By its health, which the endpoint list follows.
     EndpointList,
-    /// By either, as at recife-matching.
+    /// By both, as at recife-matching.
     Both,
-    /// By neither: only the retry-after of rejections is left, as at verhaegen-remote and
+    /// By neither: only by the `retry_after` of rejections, as at verhaegen-remote and
     /// zh-pipeline-fleet.
     RetryAfterOnly,
 }
 
-/// A time that is written in milliseconds under `key`.
+/// The time that `value` milliseconds under `key` are.
 ///
 /// # Errors
 ///
@@ -138,12 +138,12 @@
 }
 
 impl Settings {
-    /// How the settings ask for callers to be steered.
+    /// How callers learn to send less traffic, by the settings.
     ///
     /// # Errors
     ///
-    /// Returns [`SettingsError::PureWrite`] for a write that may run again, so that half a
-    /// migration to settings with writes is not taken for a whole one.
+    /// Returns [`SettingsError::PureWrite`] for a write that is declared idempotent, so that an
+    /// incomplete migration to settings with writes is not accepted.
     pub fn steering(&self) -> Result<Steering, SettingsError> {
         let is_pure_write = |class: &Class| class.write && class.effect == Effect::None;
         if let Some(class) = self.classes.iter().position(is_pure_write) {
@@ -238,7 +238,7 @@
         })
     }
 
-    /// A list that goes by class is empty or has an entry for each.
+    /// Checks that a list with an entry for each class is empty or has as many entries as classes.
     fn check_length(&self, key: &'static str, length: usize) -> Result<(), SettingsError> {
         let classes = self.classes.len();
         if length == 0 || length == classes {
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,5 +1,4 @@
-//! The settings as they are written. The keys are the operators'; they are spelled here and nowhere
-//! else.
+//! The settings as the file spells them. The operators' keys are spelled here and nowhere else.
 
 use serde::Deserialize;
 
@@ -50,7 +49,7 @@
     pub(crate) effect: Effect,
     #[serde(default)]
     pub(crate) memory_span: f64,
-    /// Its requests write, so their effect is not pure.
+    /// Whether its requests write; the effect of a write is not pure.
     #[serde(default)]
     pub(crate) write: bool,
 }
@@ -82,15 +81,15 @@
     pub(crate) share_span: f64,
     #[serde(default)]
     pub(crate) stays_for: f64,
-    /// The endpoint list follows the health that a server reports.
+    /// Whether the endpoint list follows the health that a server reports.
     #[serde(default)]
     pub(crate) list_follows: bool,
-    /// Callers say when they give up.
+    /// Whether callers send cancellations.
     #[serde(default)]
     pub(crate) cancel_seen: bool,
 }
 
-/// What clients do.
+/// The behaviour of clients.
 #[derive(Deserialize)]
 pub(crate) struct Clients {
     #[serde(default = "retries_are_marked")]
@@ -105,8 +104,7 @@
     }
 }
 
-/// Settings without the key are those of a deployment that marks retries, as all were before the
-/// key was read.
+/// The default where the key is absent: the deployment marks retries.
 fn retries_are_marked() -> bool {
     true
 }
@@ -142,7 +140,7 @@
     #[serde(default)]
     pub(crate) clients: Clients,
     pub(crate) family_info: FamilyInfo,
-    /// Backends of this tier on the endpoint list when this one started.
+    /// The number of backends of this tier on the endpoint list when this one started.
     #[serde(default)]
     pub(crate) fleet_size: u32,
     pub(crate) limits: Limits,
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,4 +1,4 @@
-//! The settings of each shape, and what of them is refused.
+//! Settings of each kind of deployment, and settings that are rejected.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use super::{Settings, Steering};
 
-/// Settings in the shape of regina-main or nairobi-calc, with these keys spliced in.
+/// Settings as of regina-main or nairobi-calc, with these keys added.
 fn settings(info: &str, class: &str) -> Settings {
     let text = format!(
         r#"{{"classes":[{{"name":"save","objective":2200.0,"deadline":5600.0,"worth":5.0,"effect":"token",
@@ -58,8 +58,8 @@
     assert_eq!(unmarked.controller_config().unwrap().servers, 350);
 }
 
-/// A value beside a list that follows health was refused at start as half a move, and
-/// recife-matching has both.
+/// recife-matching has a feedback value and an endpoint list that follows health. Both together
+/// were rejected at the start as an incomplete migration.
 #[test]
 fn the_ways_of_steering_are_distinguished_and_an_idempotent_write_is_refused() {
     let both = settings(
--- a/crates/trace/src/anonymise.rs
+++ b/crates/trace/src/anonymise.rs
@@ -1,6 +1,6 @@
 //! Copies of a file in which ids, idempotency keys, subjects and callers are replaced by keyed
-//! hashes. Files made with one key can still be correlated, and nothing of what stood there is
-//! left.
+//! hashes. Files made with one key can still be correlated, and none of the replaced values
+//! is left.
 
 use std::io::{Read, Seek, Write};
 
@@ -13,23 +13,23 @@
 use crate::rewrite::RewriteError;
 use crate::writer::{BlockConfig, Writer};
 
-/// The shortest key.
+/// Minimum length of a key, in bytes.
 const MIN_KEY_BYTES: usize = 32;
-/// The fewest distinct bytes of a key. Of 32 random bytes fewer than 20 are distinct in less than
-/// one key of a billion.
+/// Minimum number of distinct bytes of a key. Fewer than one in a billion keys of 32 random bytes
+/// has fewer than 20 distinct ones.
 const MIN_DISTINCT_BYTES: usize = 20;
 /// The context of the key derivation of BLAKE3.
 const CONTEXT: &str = "tulipgap trace anonymise 2026 v1";
 
-/// Why a key is not accepted.
+/// Why a key is rejected.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum KeyError {
-    /// It has so many bytes.
+    /// The key is too short; its length in bytes.
     #[error(
         "the key has {0} bytes; at least {MIN_KEY_BYTES} are needed, such as 64 hex digits or 32 random bytes"
     )]
     TooShort(usize),
-    /// It has so many distinct bytes.
+    /// The key is not random; its number of distinct bytes.
     #[error("the key is weak: only {0} of its bytes differ; take random ones")]
     TooFewDistinctBytes(usize),
 }
@@ -86,7 +86,7 @@
     }
 }
 
-/// Which names are hidden beside ids, keys, subjects and callers.
+/// The kinds of names that are hidden in addition to ids, keys, subjects and callers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HiddenNames {
     /// The names of tenants.
--- a/crates/trace/src/block/decode.rs
+++ b/crates/trace/src/block/decode.rs
@@ -1,5 +1,5 @@
-//! From the payload of a block to records. Whatever the payload claims, memory is bounded by the
-//! number of records and the limits of the format.
+//! Decodes the payload of a block into records. Whatever the payload claims, memory is bounded by
+//! the number of records and the limits of the format.
 
 use std::borrow::Cow;
 use std::collections::BTreeSet;
@@ -14,11 +14,12 @@
 use crate::record::Record;
 use crate::varint::{ByteReader, zigzag_decode, zigzag_encode};
 
-/// What a part may unpack to: so much for each record, and so much more.
+/// Maximum unpacked size of a part, in bytes for each record of the block.
 const MAX_PART_BYTES_PER_RECORD: usize = 32;
+/// Maximum unpacked size of a part beyond its bytes for each record.
 const MAX_PART_EXTRA_BYTES: usize = 64;
 
-/// One column as it stands in a block.
+/// One encoded column of a block.
 #[derive(Clone, Debug)]
 pub(crate) struct EncodedColumn<'a> {
     pub(crate) id: u64,
@@ -40,13 +41,13 @@
 }
 
 impl EncodedColumn<'_> {
-    /// How many bytes its values take in the file.
+    /// The bytes that its values take in the file.
     pub(crate) fn stored_bytes(&self) -> usize {
         self.parts.iter().map(|part| part.body.len()).sum()
     }
 }
 
-/// The columns of a block, still encoded. `input` stands behind the header of the block.
+/// The columns of a block, still encoded. `input` is positioned behind the header of the block.
 pub(crate) fn read_columns<'a>(
     input: &mut ByteReader<'a>,
     header: &BlockHeader,
@@ -78,7 +79,7 @@
     }
 }
 
-/// What stands about a column before all bodies.
+/// The description of a column, which precedes all bodies.
 fn read_column_entry<'a>(
     input: &mut ByteReader<'a>,
     max_part_bytes: u64,
@@ -110,7 +111,7 @@
     Ok(column)
 }
 
-/// The parts of one column that are not read yet, and what unpacks them.
+/// The unread parts of one column, with their decompressor.
 struct PartReader<'a, 'd> {
     parts: std::vec::IntoIter<Part<'a>>,
     decompressor: &'d mut Decompressor<'static>,
@@ -140,7 +141,7 @@
         self.parts.len() == 0
     }
 
-    /// Values of which each part that is left is a plane.
+    /// Values whose remaining parts are their planes.
     fn planes(&mut self, count: usize) -> Result<Vec<u64>, TraceError> {
         let width = self.parts.len();
         if !(1..=MAX_PLANES).contains(&width) {
@@ -256,7 +257,7 @@
     values: Vec<Option<u64>>,
 }
 
-/// The records of a block. Ids of columns that are not known here are added to `unknown`.
+/// The records of a block. Ids of unknown columns are added to `unknown`.
 pub(crate) fn decode_records(
     header: &BlockHeader,
     columns: &[EncodedColumn],
@@ -304,7 +305,7 @@
             }
         }
         prediction::OTHER_COLUMN => {
-            // The other column stands before this one, or there is none.
+            // The other column precedes this one, or there is none.
             let other = decoded
                 .iter()
                 .find(|other| other.id == u64::from(column.other_column));
--- a/crates/trace/src/block/encode.rs
+++ b/crates/trace/src/block/encode.rs
@@ -1,4 +1,4 @@
-//! From records to the payload of a block: columns, their predictions, layouts and compression.
+//! Encodes records as the payload of a block: columns, their predictions, layouts and compression.
 
 use zstd::bulk::Compressor;
 
@@ -8,13 +8,14 @@
 use crate::record::Record;
 use crate::varint::{write_u64, zigzag_decode, zigzag_encode};
 
-/// The zstd level. Higher ones take twice the time and save three parts in a thousand.
+/// The zstd level of a block. Higher levels take more time and save next to nothing.
 pub(crate) const COMPRESSION_LEVEL: i32 = 1;
-/// How many values are sampled to see whether a table is likely to pay.
+/// Number of values that are sampled to decide whether a table of distinct values is built.
 const TABLE_SAMPLE: usize = 256;
-/// A part is compressed only if two of its bytes are alike this much likelier than by chance.
+/// Minimum ratio of the frequency with which two bytes of a part are equal to that of random bytes;
+/// a part below it is stored uncompressed.
 const MIN_BYTE_SKEW: f64 = 1.05;
-/// The room that is set aside for a block.
+/// Initial capacity of a block's buffer, in bytes per record.
 const ESTIMATED_RECORD_BYTES: usize = 24;
 
 /// One column of a block before it is encoded.
@@ -123,7 +124,7 @@
     Ok(out)
 }
 
-/// Whether bytes are as good as random, so that compressing them would only cost time.
+/// Whether bytes are practically random, so that compressing them would only cost time.
 fn is_uniform(bytes: &[u8]) -> bool {
     let mut counts = [0u32; 256];
     for &byte in bytes {
@@ -137,7 +138,7 @@
     equal_pairs * 256.0 <= count * count * MIN_BYTE_SKEW + count * 256.0
 }
 
-/// How far each value is from its prediction.
+/// The difference of each value to its prediction.
 fn differences(column: &ColumnValues, columns: &[ColumnValues]) -> Vec<Option<u64>> {
     match column.prediction {
         Prediction::Zero => column.values.clone(),
@@ -164,7 +165,7 @@
     zigzag_encode(zigzag_decode(value).wrapping_sub(zigzag_decode(predicted)))
 }
 
-/// Which records have a value: the stored number, and a bitmap where not all have one.
+/// The presence of values in records: the stored number, and a bitmap where not all have one.
 fn presence_of(values: &[Option<u64>]) -> (u8, Option<Vec<u8>>) {
     if values.iter().all(Option::is_some) {
         return (presence::ALL, None);
@@ -186,7 +187,7 @@
     parts: Vec<Vec<u8>>,
 }
 
-/// Lays values out in the way that is likely to compress best.
+/// Chooses the layout that is likely to compress best, and applies it.
 fn lay_out(values: &[u64]) -> LaidOut {
     let Some(&first) = values.first() else {
         return LaidOut {
@@ -229,7 +230,7 @@
     }
 }
 
-/// How many bytes a value takes without its leading zero bytes.
+/// The length of a value in bytes without its leading zero bytes.
 fn byte_width(value: u64) -> usize {
     (64 - value.leading_zeros()).div_ceil(8).max(1) as usize
 }
@@ -242,9 +243,9 @@
     out
 }
 
-/// The distinct values in ascending order, where a table of them pays.
+/// The distinct values in ascending order, where a table of them is smaller.
 fn table_of(values: &[u64]) -> Option<Vec<u64>> {
-    // Where a sample hardly repeats, the table is not made of all values.
+    // No table is built where the values of a sample hardly repeat.
     let sample = values
         .iter()
         .step_by(values.len() / TABLE_SAMPLE + 1)
--- a/crates/trace/src/block/mod.rs
+++ b/crates/trace/src/block/mod.rs
@@ -15,18 +15,18 @@
 pub(crate) use decode::{decode_records, read_columns};
 pub(crate) use encode::{COMPRESSION_LEVEL, check_value, columns_of, encode};
 
-/// The most records of a block.
+/// Maximum number of records of a block.
 pub(crate) const MAX_RECORDS: usize = 65_536;
-/// The most columns of a block.
+/// Maximum number of columns of a block.
 const MAX_COLUMNS: usize = 255;
-/// The most distinct values that a column lists in a table.
+/// Maximum number of distinct values in the table of a column.
 const MAX_TABLE_ENTRIES: usize = 4096;
-/// The widest value in planes.
+/// Maximum width of a value in planes, in bytes.
 const MAX_PLANES: usize = 8;
 
-/// How the values of a column are laid out before they are compressed.
+/// The stored numbers of layouts: how the values of a column are arranged before compression.
 mod layout {
-    /// All values are alike.
+    /// All values are equal.
     pub(super) const CONSTANT: u8 = 0;
     /// One varint for each value.
     pub(super) const VARINTS: u8 = 1;
@@ -36,7 +36,7 @@
     pub(super) const TABLE: u8 = 3;
 }
 
-/// Which records have a value in a column.
+/// The stored numbers of the presence of values in a column.
 mod presence {
     /// Each record has one.
     pub(super) const ALL: u8 = 0;
@@ -46,8 +46,11 @@
 
 /// The stored numbers of predictions.
 mod prediction {
+    /// The prediction is 0.
     pub(super) const ZERO: u8 = 0;
+    /// The prediction is the value of the previous record.
     pub(super) const PREVIOUS_RECORD: u8 = 1;
+    /// The prediction is the value of another column of the same record.
     pub(super) const OTHER_COLUMN: u8 = 2;
 }
 
@@ -60,14 +63,14 @@
     }
 }
 
-/// What stands before the columns of a block.
+/// The header of a block, which precedes its columns.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct BlockHeader {
     /// The number of the block in its file, from 0.
     pub(crate) number: u64,
-    /// How many records stand in the file before it.
+    /// The number of records before it in the file.
     pub(crate) records_before: u64,
-    /// How many records it has.
+    /// The number of its records.
     pub(crate) records: usize,
     /// The earliest `reached`.
     pub(crate) from: Micros,
@@ -146,7 +149,7 @@
     }
 }
 
-/// Checks a number of records that a file claims for a block.
+/// Checks the number of records that a file claims for a block.
 pub(crate) fn check_record_count(records: usize) -> Result<(), TraceError> {
     if records > MAX_RECORDS {
         return Err(TraceError::LimitExceeded {
--- a/crates/trace/src/check.rs
+++ b/crates/trace/src/check.rs
@@ -1,4 +1,4 @@
-//! Whether a file is sound: intact, with an index that agrees with its blocks, and without
+//! Checks that a file is sound: intact, with an index that agrees with its blocks, and without
 //! contradictions in its records.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -9,12 +9,13 @@
 use crate::reader::{Item, Loss, TraceError, TraceReader};
 use crate::record::Record;
 
-/// How many ids are remembered to find a duplicate.
+/// Maximum number of ids that are kept for finding duplicates.
 const MAX_REMEMBERED_IDS: usize = 1 << 20;
-/// A block that lies further than this before the latest record so far counts as set back.
+/// A block that begins further than this before the latest record so far counts as set back, in
+/// microseconds.
 const SET_BACK: Micros = 60_000_000;
 
-/// What [`check()`] finds.
+/// The result of [`check()`].
 #[derive(Debug, Default)]
 pub struct CheckReport {
     /// Records that were read.
@@ -23,11 +24,11 @@
     pub blocks: usize,
     /// The gaps that the writer noted.
     pub gaps: Vec<Gap>,
-    /// What could not be read.
+    /// The losses: parts that could not be read.
     pub losses: Vec<Loss>,
-    /// Columns that are not known here; they were skipped.
+    /// Unknown columns, which were skipped.
     pub unknown_columns: Vec<String>,
-    /// How many records have times out of order, by which times those are.
+    /// The number of records with times out of order, by the times that contradict each other.
     pub out_of_order_times: BTreeMap<&'static str, u64>,
     /// Records with an id that an earlier record of the same server has.
     pub duplicate_ids: u64,
@@ -38,7 +39,7 @@
 }
 
 impl CheckReport {
-    /// Whether nothing is wrong. Gaps, unknown columns and blocks that are set back are not.
+    /// Whether the file is sound. Gaps, unknown columns and blocks that are set back are accepted.
     pub fn is_sound(&self) -> bool {
         self.losses.is_empty()
             && self.out_of_order_times.is_empty()
@@ -80,7 +81,7 @@
     }
 }
 
-/// Reads all of a file and reports what is wrong with it.
+/// Reads a whole file and reports damage and contradictions.
 ///
 /// # Errors
 /// [`TraceError`] where it cannot be read at all. Damage is a part of the report.
--- a/crates/trace/src/clock_offsets.rs
+++ b/crates/trace/src/clock_offsets.rs
@@ -1,4 +1,4 @@
-//! How far the clocks of servers are apart, from attempts of one request at several of them. A
+//! Estimates the offsets of the servers' clocks from attempts of one request at several servers. A
 //! retry reaches its server after the earlier attempt was answered by another one, which bounds the
 //! difference of their clocks from one side; retries in the other direction bound it from the
 //! other, as an exchange of time stamps does in NTP. Of all pairs of servers, those with the
@@ -10,21 +10,21 @@
 use crate::correlate::CorrelationKey;
 use crate::record::Record;
 
-/// The most requests that are remembered.
+/// Maximum number of requests that are kept for correlation.
 const MAX_REMEMBERED_REQUESTS: usize = 1 << 18;
-/// How long a request is remembered.
+/// How long a request is kept for correlation, in microseconds.
 const CORRELATION_WINDOW: Micros = 7_200_000_000;
-/// The most attempts of one request that are compared; more of them say nothing new.
+/// Maximum number of attempts of one request that are compared; further ones add no information.
 const MAX_ATTEMPTS: usize = 8;
 
-/// What is to be added to the times of a server.
+/// The offset that corrects the times of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockOffset {
     /// The index of the server.
     pub server: u32,
-    /// What is to be added; `None` where no retries connect it to the first server.
+    /// The offset to add, in microseconds; `None` where no retries connect it to the first server.
     pub offset: Option<Micros>,
-    /// How far off `offset` may be, in both directions.
+    /// The maximum error of `offset` in either direction, in microseconds.
     pub uncertainty: Micros,
 }
 
@@ -103,7 +103,7 @@
 /// Two servers whose clocks are bounded from both sides, in the order in which they are used.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct BoundedPair {
-    /// How far the bounds are apart.
+    /// The distance between the bounds.
     width: Micros,
     a: u32,
     b: u32,
@@ -140,7 +140,7 @@
             continue;
         };
         // Bounds that contradict each other (answers recorded late, or attempts correlated wrongly)
-        // say nothing.
+        // are ignored.
         if low <= high {
             pairs.push(BoundedPair {
                 width: high - low,
--- a/crates/trace/src/columns.rs
+++ b/crates/trace/src/columns.rs
@@ -1,10 +1,10 @@
-//! The columns of a record: one table for writer, reader and documentation. It says how each column
-//! is named, what it holds, since which format version, and from what its values are predicted.
+//! The columns of a record: one table for writer, reader and documentation, with the name of each
+//! column, the kind of its values, its first format version and the prediction of its values.
 
 use crate::record::{Outcome, Reason, Record};
 use crate::varint::{zigzag_decode, zigzag_encode};
 
-/// What the values of a column are. Stored by position: the order of the variants is part of the
+/// The kind of the values of a column. Stored by position: the order of the variants is part of the
 /// format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ColumnKind {
@@ -21,6 +21,7 @@
 }
 
 impl ColumnKind {
+    /// All kinds, in the order of their stored numbers.
     const ALL: [ColumnKind; 5] = [
         ColumnKind::Unsigned,
         ColumnKind::Signed,
@@ -49,7 +50,7 @@
     }
 }
 
-/// From what a value is predicted; the difference to the prediction is stored.
+/// The prediction of a value; the difference to the prediction is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Prediction {
     /// No prediction: the value itself is stored.
@@ -62,17 +63,17 @@
 
 /// One column of the format.
 pub struct Column {
-    /// Its id in blocks. An id is never given another meaning.
+    /// Its id in blocks, which is never reused for another column.
     pub id: u8,
     /// Its name in headers and exports.
     pub name: &'static str,
-    /// What its values are.
+    /// The kind of its values.
     pub kind: ColumnKind,
     /// The first format version that has it.
     pub(crate) since: u32,
-    /// How wide a value may be in version 1, and from version 2 on.
+    /// The maximum width of a value in bits, in version 1 and from version 2 on.
     bits: [u32; 2],
-    /// From what its values are predicted.
+    /// The prediction of its values.
     pub(crate) prediction: Prediction,
     /// Its value in a record, if the record has one.
     pub get: fn(&Record) -> Option<u64>,
@@ -81,7 +82,7 @@
 }
 
 impl Column {
-    /// How wide a value may be in that format version.
+    /// The maximum width of a value in bits, in that format version.
     pub(crate) fn max_bits(&self, version: u32) -> u32 {
         self.bits[usize::from(version > 1)]
     }
@@ -135,8 +136,8 @@
     };
 }
 
-/// How a column reads its value from a record, and sets it; setting returns false for an invalid
-/// value.
+/// The functions that read the value of a column from a record and set it; setting returns false
+/// for an invalid value.
 type Access = (fn(&Record) -> Option<u64>, fn(&mut Record, u64) -> bool);
 
 const fn column(
@@ -160,11 +161,16 @@
     }
 }
 
+/// Id of the column with the time at which an attempt reached the machine.
 pub(crate) const REACHED: u8 = 1;
+/// Id of the column with the handler.
 const HANDLER: u8 = 4;
+/// Id of the column with the outcome.
 const OUTCOME: u8 = 7;
+/// Id of the column with the server.
 const SERVER: u8 = 10;
 
+/// Access to the id of the attempt, which every record has.
 const ID_ACCESS: Access = (
     |record| Some(record.id),
     |record, value| {
@@ -172,6 +178,7 @@
         true
     },
 );
+/// Access to the tenant; an index beyond 32 bits is invalid.
 const TENANT_ACCESS: Access = (
     |record| record.tenant.map(u64::from),
     |record, value| {
@@ -179,6 +186,7 @@
         record.tenant.is_some()
     },
 );
+/// Access to the outcome; a number without an outcome is invalid.
 const OUTCOME_ACCESS: Access = (
     |record| {
         Outcome::ALL
@@ -194,6 +202,7 @@
         known.is_some()
     },
 );
+/// Access to the reason; a number beyond 8 bits is invalid.
 const REASON_ACCESS: Access = (
     |record| Some(u64::from(record.reason.0)),
     |record, value| {
@@ -201,6 +210,7 @@
         value <= 255
     },
 );
+/// Access to the caller feedback, as the bits of an IEEE double.
 const FEEDBACK_ACCESS: Access = (
     |record| record.feedback.map(f64::to_bits),
     |record, value| {
@@ -208,6 +218,7 @@
         true
     },
 );
+/// Access to the time at which the attempt reached the machine, in zigzag form.
 const REACHED_ACCESS: Access = (
     |record| Some(zigzag_encode(record.reached)),
     |record, value| {
@@ -216,7 +227,7 @@
     },
 );
 
-/// All columns, in the order of their ids. An id is never given to another meaning.
+/// All columns, in the order of their ids. An id is never reused for another column.
 pub const COLUMNS: &[Column] = &[
     column(
         REACHED,
@@ -450,7 +461,7 @@
     COLUMNS.iter().filter(move |column| column.since <= version)
 }
 
-/// The column of that id, if it is known here.
+/// The column of that id, if it is known.
 pub(crate) fn by_id(id: u8) -> Option<&'static Column> {
     COLUMNS.iter().find(|column| column.id == id)
 }
--- a/crates/trace/src/copy.rs
+++ b/crates/trace/src/copy.rs
@@ -1,4 +1,4 @@
-//! A file made from another one: the records that a filter matches, or all that is intact.
+//! Copies a file: the records that a filter matches, or all intact records.
 
 use std::io::{Read, Seek, Write};
 
@@ -9,21 +9,21 @@
 use crate::rewrite::{DictionaryMapping, RewriteError, gap_for_loss};
 use crate::writer::Writer;
 
-/// How the source of a copy is named in errors.
+/// The name of the source in errors.
 const SOURCE_NAME: &str = "input";
 
-/// What a copy did.
+/// The result of a copy.
 #[derive(Debug, Default)]
 pub struct CopySummary {
-    /// Records that were copied.
+    /// The number of records that were copied.
     pub records: u64,
-    /// What of the source could not be read.
+    /// The losses of the source.
     pub losses: Vec<Loss>,
-    /// Columns of the source that are not known here.
+    /// The unknown columns of the source.
     pub unknown_columns: Vec<String>,
 }
 
-/// A copy on its way: the output, and what was done so far.
+/// A copy in progress: the output and the result so far.
 struct Copy<'a, W, F> {
     out: &'a mut Writer<W>,
     mapping: DictionaryMapping,
@@ -47,7 +47,7 @@
         Ok(())
     }
 
-    /// Notes a loss, in the output too where records are missing by it.
+    /// Records a loss, also as a gap in the output where records are missing.
     fn note_loss(&mut self, loss: Loss, server: &str) -> Result<(), RewriteError> {
         if let Some(gap) = gap_for_loss(&loss, server) {
             self.out.write_gap(&gap)?;
@@ -56,7 +56,7 @@
         Ok(())
     }
 
-    /// Notes a block of the index that cannot be read, with the times that the index has for it.
+    /// Records a block of the index that cannot be read, with the times that the index has for it.
     fn note_damaged_block(
         &mut self,
         block: &BlockEntry,
--- a/crates/trace/src/correlate.rs
+++ b/crates/trace/src/correlate.rs
@@ -1,36 +1,36 @@
-//! Which attempts belong to one request. Each attempt has an id of its own; what stays the same is
-//! the idempotency key, or else what a read is about and the edge node that sends it.
+//! Correlates attempts of one request. Each attempt has an id of its own; the attempts share the
+//! idempotency key, or else the subject of a read and the edge node that sends it.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::Micros;
 use crate::record::{Outcome, Record};
 
-/// The most requests that are remembered; the oldest are forgotten first.
+/// Maximum number of requests that are kept for correlation; the oldest are dropped first.
 const MAX_REMEMBERED_REQUESTS: usize = 1 << 20;
-/// How long after its first attempt a request is remembered.
+/// How long after its first attempt a request is kept for correlation, in microseconds.
 const CORRELATION_WINDOW: Micros = 120_000_000;
 
-/// What an attempt is to those before it.
+/// The relation of an attempt to the earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Attempt {
     /// The first attempt of a request.
     First,
-    /// A retry of a request that is remembered.
+    /// A retry of a known request.
     Retry {
         /// Whether an earlier attempt was completed.
         was_completed: bool,
     },
-    /// Marked as a retry, of a request that is not known.
+    /// An attempt that is marked as a retry of an unknown request.
     OrphanRetry,
 }
 
-/// What attempts of one request have in common.
+/// The key that attempts of one request share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum CorrelationKey {
     /// An idempotency key, which belongs to a handler.
     Idempotency { handler: u32, key: u64 },
-    /// A read by what it is about.
+    /// A read, by its subject.
     Read {
         handler: u32,
         tenant: Option<u32>,
@@ -56,15 +56,15 @@
     }
 }
 
-/// What is remembered of a request.
+/// The state that is kept for a request.
 struct Request {
     /// When its first attempt reached the server.
     reached: Micros,
     is_completed: bool,
 }
 
-/// Correlates attempts as their records come in the order of time. It owns what is remembered of
-/// requests.
+/// Correlates attempts as their records come in the order of time. It owns the state that is kept
+/// for requests.
 #[derive(Default)]
 pub(crate) struct AttemptCorrelator {
     requests: HashMap<CorrelationKey, Request>,
@@ -73,7 +73,7 @@
 }
 
 impl AttemptCorrelator {
-    /// Says what the next record is to those before it.
+    /// Returns the relation of the next record to the earlier ones.
     pub(crate) fn observe(&mut self, record: &Record) -> Attempt {
         self.forget_old(record.reached);
         let is_completed = record.outcome == Outcome::Completed;
--- a/crates/trace/src/dictionary.rs
+++ b/crates/trace/src/dictionary.rs
@@ -1,10 +1,10 @@
-//! The dictionary of a file: what the indices in its records stand for.
+//! The dictionary of a file: the names behind the indices in its records.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Micros, TraceError};
 
-/// The most entries of each kind that a dictionary may have.
+/// Maximum number of entries of each kind in a dictionary.
 pub(crate) const MAX_NAMES: usize = 100_000;
 
 /// Servers, handlers and tenants of a file. Records refer to them by their positions in these
@@ -14,7 +14,7 @@
     /// Names of servers.
     #[serde(default)]
     pub servers: Vec<String>,
-    /// Handlers, with what a summary needs of them.
+    /// Handlers, with the parameters that a summary needs.
     #[serde(default)]
     pub handlers: Vec<HandlerInfo>,
     /// Tenants.
@@ -68,7 +68,7 @@
     }
 }
 
-/// A handler as a file names it. Times are microseconds; a value that is not known is 0.
+/// A handler as a file names it. Times are microseconds; an unknown value is 0.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct HandlerInfo {
     /// The name of the handler.
@@ -80,10 +80,10 @@
     /// timeout.
     #[serde(default, rename = "target_stretch")]
     pub objective_stretch: f64,
-    /// How long clients wait.
+    /// The client timeout.
     #[serde(default)]
     pub client_timeout: Micros,
-    /// What a completed request is worth.
+    /// The priority weight of a completed request.
     #[serde(default, rename = "value")]
     pub priority_weight: f64,
     /// The fraction of the priority weight that is left when a call was skipped.
--- a/crates/trace/src/framing.rs
+++ b/crates/trace/src/framing.rs
@@ -3,47 +3,55 @@
 
 use std::io::{self, Read, Write};
 
+/// The first bytes of a recording.
 pub(crate) const MAGIC: &[u8; 8] = b"TULIPTRC";
-/// The start of a file: magic, version and their checksum.
+/// Length of the start of a file in bytes: magic, version and their checksum.
 pub(crate) const PRELUDE_BYTES: usize = 16;
 /// The marker that each frame begins with.
 const MARKER: [u8; 3] = [0xF7, b't', b'g'];
-/// Marker, kind, length and their checksum.
+/// Length of a frame's header in bytes: marker, kind, payload length and their checksum.
 pub(crate) const FRAME_HEADER_BYTES: usize = 12;
-/// The checksum behind a payload.
+/// Length of the checksum behind a payload, in bytes.
 pub(crate) const CHECKSUM_BYTES: usize = 4;
-/// The longest payload of a frame. A header that claims more is not one.
+/// Maximum length of a frame's payload, in bytes. A header that claims more is invalid.
 pub(crate) const MAX_PAYLOAD_BYTES: usize = 8 * 1024 * 1024;
-/// The longest frame, with its header and checksum.
+/// Maximum length of a frame with its header and checksum, in bytes.
 pub(crate) const MAX_FRAME_BYTES: u64 =
     (MAX_PAYLOAD_BYTES + FRAME_HEADER_BYTES + CHECKSUM_BYTES) as u64;
-/// How much is read of the input at a time.
+/// Number of bytes that are read from the input at a time.
 const READ_BYTES: usize = 64 * 1024;
 
 /// The kinds of frames.
 pub(crate) mod kind {
+    /// The header of the file.
     pub(crate) const HEADER: u8 = b'H';
+    /// New entries of the dictionary.
     pub(crate) const NAMES: u8 = b'N';
+    /// A block of records.
     pub(crate) const BLOCK: u8 = b'B';
+    /// A gap: records that are known to be missing.
     pub(crate) const GAP: u8 = b'G';
+    /// The index of the blocks.
     pub(crate) const INDEX: u8 = b'I';
+    /// The end mark of the file.
     pub(crate) const END: u8 = b'E';
 }
 
 /// The payload of the last frame of a file.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndMark {
-    /// Where the index begins; 0 where there is none.
+    /// The offset of the index; 0 where there is none.
     pub(crate) index_offset: u64,
-    /// Blocks of the file.
+    /// The number of blocks of the file.
     pub(crate) blocks: u64,
-    /// Records of the file.
+    /// The number of records of the file.
     pub(crate) records: u64,
 }
 
 impl EndMark {
+    /// Length of its payload, in bytes.
     const PAYLOAD_BYTES: usize = 24;
-    /// The length of its frame.
+    /// Length of its frame, in bytes.
     pub(crate) const FRAME_BYTES: usize =
         FRAME_HEADER_BYTES + EndMark::PAYLOAD_BYTES + CHECKSUM_BYTES;
 
@@ -147,7 +155,7 @@
         .then_some((kind, payload))
 }
 
-/// What a [`FrameReader`] yields.
+/// An item of a [`FrameReader`].
 #[derive(Debug, PartialEq)]
 pub(crate) enum Segment {
     /// An intact frame.
@@ -171,13 +179,13 @@
     buffer: Vec<u8>,
     /// The bytes of `buffer` that were consumed.
     consumed: usize,
-    /// Where in the file `buffer` begins.
+    /// The offset of `buffer` in the file.
     buffer_offset: u64,
     is_at_end: bool,
 }
 
 impl<R: Read> FrameReader<R> {
-    /// Reads from `input`, which stands at the start of the file.
+    /// Reads from `input`, which is at the start of the file.
     pub(crate) fn new(input: R) -> Self {
         FrameReader {
             input,
@@ -195,12 +203,12 @@
         Ok(&rest[..rest.len().min(count)])
     }
 
-    /// Passes over the next bytes, as far as they are buffered.
+    /// Skips the next bytes, as far as they are buffered.
     pub(crate) fn consume(&mut self, count: usize) {
         self.consumed = (self.consumed + count).min(self.buffer.len());
     }
 
-    /// The underlying input, at whatever position it stands.
+    /// The underlying input, at its current position.
     pub(crate) fn into_input(self) -> R {
         self.input
     }
@@ -210,7 +218,7 @@
         &mut self.input
     }
 
-    /// Puts a frame back in front of what is buffered, so that it is read once more.
+    /// Puts a frame back in front of the buffer, so that it is read once more.
     pub(crate) fn put_back(&mut self, offset: u64, kind: u8, payload: &[u8]) {
         let mut bytes = Vec::with_capacity(FRAME_HEADER_BYTES + payload.len() + CHECKSUM_BYTES);
         // Writing to memory does not fail, and the payload was no longer than allowed when it was
@@ -220,7 +228,7 @@
         (self.buffer, self.consumed, self.buffer_offset) = (bytes, 0, offset);
     }
 
-    /// Buffers that many bytes, or all that are left of the file.
+    /// Buffers that many bytes, or the rest of the file.
     fn fill(&mut self, count: usize) -> io::Result<()> {
         if self.consumed > 4 * READ_BYTES {
             self.buffer.drain(..self.consumed);
@@ -290,7 +298,7 @@
         Ok(parse_frame(rest).map(|(kind, payload)| (kind, payload.to_vec())))
     }
 
-    /// Where in the file the next byte stands.
+    /// The offset of the next byte in the file.
     fn offset(&self) -> u64 {
         self.buffer_offset + self.consumed as u64
     }
@@ -305,7 +313,7 @@
         }
     }
 
-    /// Skips all that is left of the file.
+    /// Skips the rest of the file.
     fn skip_rest(&mut self) -> Option<Segment> {
         let left = self.buffer.len() - self.consumed;
         (left > 0).then(|| self.skip(left, true))
--- a/crates/trace/src/index.rs
+++ b/crates/trace/src/index.rs
@@ -1,5 +1,5 @@
-//! The index of a file: where which blocks stand, and a structure that finds those a question
-//! needs, by time, handler and outcome. Blocks are sorted by their earliest record, with a tree
+//! The index of a file: the offsets of its blocks, and a structure that finds the blocks for a
+//! filter by time, handler and outcome. Blocks are sorted by their earliest record, with a tree
 //! over their latest ones (a max-augmented interval tree in an array), so that finding blocks that
 //! overlap costs a logarithm of their number, even where one spans hours because a clock was set.
 //! Handlers and outcomes are bitmaps of blocks.
@@ -17,19 +17,19 @@
 use crate::varint::{ByteReader, write_i64, write_u64};
 use crate::{Micros, TraceError};
 
-/// The zstd level of an index. It is written once a file, so it may cost more than that of a block.
+/// The zstd level of an index, which is written once per file and may cost more than a block.
 const COMPRESSION_LEVEL: i32 = 5;
-/// What an index may unpack to.
+/// Maximum unpacked size of an index, in bytes.
 const MAX_RAW_BYTES: u64 = 64 * 1024 * 1024;
 
 /// One block of a file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BlockEntry {
-    /// Where its frame begins in the file.
+    /// The offset of its frame in the file.
     pub offset: u64,
-    /// How many bytes its frame has.
+    /// The length of its frame, in bytes.
     pub length: u64,
-    /// How many records it has.
+    /// The number of its records.
     pub records: usize,
     /// The earliest `reached` of its records.
     pub from: Micros,
@@ -62,7 +62,7 @@
     }
 }
 
-/// Which records are wanted. A field that is `None` does not restrict them.
+/// A filter of records. A field that is `None` does not restrict them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Filter {
     /// Only records that reached the machine at this time or later.
@@ -76,7 +76,7 @@
 }
 
 impl Filter {
-    /// Whether it matches a record.
+    /// Whether the filter matches a record.
     pub fn matches(&self, record: &Record) -> bool {
         self.from.is_none_or(|from| record.reached >= from)
             && self.to.is_none_or(|to| record.reached < to)
@@ -90,7 +90,7 @@
                 .is_none_or(|outcomes| outcomes.contains(&record.outcome))
     }
 
-    /// Whether it may match a record of a block.
+    /// Whether the filter may match a record of a block.
     pub(crate) fn may_match_block(&self, block: &BlockEntry) -> bool {
         let has_outcome = |outcome: &Outcome| block.outcomes & outcome.bit() != 0;
         self.from.is_none_or(|from| block.to >= from)
@@ -105,7 +105,7 @@
                 .is_none_or(|outcomes| outcomes.iter().any(has_outcome))
     }
 
-    /// Whether a gap lies in the time span; one without times might.
+    /// Whether a gap may lie in the time span; a gap without times may.
     pub(crate) fn may_match_gap(&self, gap: &Gap) -> bool {
         let overlaps =
             self.from.is_none_or(|from| gap.to >= from) && self.to.is_none_or(|to| gap.from < to);
@@ -113,7 +113,7 @@
     }
 }
 
-/// What an index repeats of the frames before it.
+/// The data of earlier frames that an index repeats.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub(crate) struct IndexMetadata {
     pub(crate) names: Dictionary,
@@ -184,7 +184,7 @@
         found
     }
 
-    /// The same as [`Index::find`], by looking at each block.
+    /// The same as [`Index::find`], by checking each block.
     pub fn scan(&self, filter: &Filter) -> Vec<usize> {
         let matching =
             |(at, block): (usize, &BlockEntry)| filter.may_match_block(block).then_some(at);
@@ -208,7 +208,7 @@
         write_u64(&mut raw, self.blocks.len() as u64);
         let (mut previous_end, mut previous_from) = (0, 0);
         for block in &self.blocks {
-            // Other frames may stand between two blocks.
+            // Other frames may lie between two blocks.
             write_u64(&mut raw, block.offset - previous_end);
             write_u64(&mut raw, block.length);
             previous_end = block.offset + block.length;
@@ -228,7 +228,7 @@
         Ok(out)
     }
 
-    /// Reads the payload of an index frame that begins at `index_offset`; all blocks stand before
+    /// Reads the payload of an index frame that begins at `index_offset`; all blocks precede
     /// it.
     pub(crate) fn decode(
         payload: &[u8],
@@ -314,7 +314,8 @@
     })
 }
 
-/// What is built once over the blocks to answer many questions. A rank is a position in `order`.
+/// The lookup structure over the blocks, built once for many lookups. A rank is a position in
+/// `order`.
 #[derive(Clone, Debug)]
 struct Lookup {
     /// Positions of the blocks, sorted by their earliest record.
@@ -372,7 +373,7 @@
         let from = filter.from.unwrap_or(Micros::MIN);
         let mut ranks = Vec::new();
         match self.ranks_by_name(filter) {
-            // Few blocks have those handlers and outcomes, so each is looked at.
+            // Few blocks have those handlers and outcomes, so each is checked.
             Some(named) if named.len() * 8 < end as u64 => {
                 let is_late = |&rank: &u32| self.latest[self.leaves + rank as usize] >= from;
                 ranks.extend(
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -1,4 +1,4 @@
-//! Many files merged to one, in the order of time. Each file yields its blocks by their earliest
+//! Merges files into one, in the order of time. Each file yields its blocks by their earliest
 //! record, so only blocks that overlap are in memory; memory does not grow with the length of the
 //! files.
 
@@ -14,7 +14,7 @@
 use crate::writer::Writer;
 use crate::{Micros, NEWEST_VERSION};
 
-/// Progress is reported once in so many records.
+/// Number of records between two reports of progress.
 const PROGRESS_INTERVAL: u64 = 8192;
 
 /// A file to be merged.
@@ -23,7 +23,7 @@
     pub name: String,
     /// The file.
     pub reader: TraceReader<R>,
-    /// What is added to its times.
+    /// The offset that is added to its times, in microseconds.
     pub offset: Micros,
 }
 
@@ -36,7 +36,7 @@
     pub first: String,
 }
 
-/// Something that could not be read of a source.
+/// A part of a source that could not be read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceLoss {
     /// The name of the source.
@@ -45,7 +45,7 @@
     pub loss: Loss,
 }
 
-/// What a merge did.
+/// The result of a merge.
 #[derive(Debug, Default)]
 pub struct MergeSummary {
     /// Records that were written.
@@ -56,7 +56,7 @@
     pub duplicate_records: u64,
     /// What could not be read.
     pub losses: Vec<SourceLoss>,
-    /// The most records that were in memory at a time.
+    /// The maximum number of records that were in memory at a time.
     pub max_buffered_records: usize,
 }
 
@@ -170,8 +170,8 @@
     }
 }
 
-/// Merges files into one. `progress` is called now and then with the records written so far, and
-/// how many there are.
+/// Merges files into one. `progress` is called at intervals with the number of records written so
+/// far and the total.
 ///
 /// # Errors
 /// [`RewriteError::UnsupportedVersion`] where `out` is not of the newest format version;
--- a/crates/trace/src/metadata.rs
+++ b/crates/trace/src/metadata.rs
@@ -1,4 +1,4 @@
-//! What stands in a file beside records and dictionary: the header, and gaps.
+//! The metadata of a file beside its dictionary: the header, and gaps.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,7 +15,7 @@
     pub name: String,
     /// The name of its [`crate::ColumnKind`].
     pub kind: String,
-    /// How wide its values may be.
+    /// The maximum width of its values, in bits.
     pub bits: u32,
 }
 
@@ -42,7 +42,7 @@
     pub file_id: String,
     /// The server that recorded it.
     pub server: String,
-    /// When the file was begun, Unix time.
+    /// When the file was created, Unix time.
     pub start: Micros,
     /// The program that wrote it, and its version.
     #[serde(default)]
@@ -50,7 +50,7 @@
     /// The columns of its blocks.
     #[serde(default)]
     pub columns: Vec<ColumnInfo>,
-    /// The dictionary as it was when the file was begun.
+    /// The dictionary at the creation of the file.
     #[serde(default)]
     pub names: Dictionary,
 }
@@ -100,13 +100,13 @@
     /// Why they are missing.
     #[serde(rename = "why")]
     pub reason: GapReason,
-    /// How many are missing; `None` where that is not known.
+    /// The number of missing records; `None` where it is unknown.
     pub records: Option<u64>,
-    /// The time after which they are missing, Unix time; 0 where it is not known.
+    /// The time after which they are missing, Unix time; 0 where it is unknown.
     pub from: Micros,
-    /// The time until which they are missing, Unix time; 0 where it is not known.
+    /// The time until which they are missing, Unix time; 0 where it is unknown.
     pub to: Micros,
-    /// The server whose records are missing; empty where it is not known.
+    /// The server whose records are missing; empty where it is unknown.
     #[serde(default)]
     pub server: String,
     /// By how much the clock was set, for [`GapReason::ClockSet`].
--- a/crates/trace/src/reader/error.rs
+++ b/crates/trace/src/reader/error.rs
@@ -1,4 +1,4 @@
-//! Why a file cannot be read, and what of a file could not be.
+//! Errors of reading a file, and losses: parts of a file that could not be read.
 
 use std::{fmt, io};
 
@@ -10,16 +10,16 @@
     /// Reading failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The file does not begin as a recording does.
+    /// The file does not begin with the magic of a recording.
     #[error("this is not a recording of tulipgap")]
     NotARecording,
-    /// The format version is not known here.
+    /// The format version is newer than this program.
     #[error("format {0} is newer than this program, which reads up to {NEWEST_VERSION}")]
     UnsupportedVersion(u32),
     /// There is no intact frame at all.
     #[error("the header is damaged, and no intact frame follows it")]
     MissingHeader,
-    /// A part of the file is not what the format says.
+    /// A part of the file violates the format.
     #[error("{0}: invalid")]
     Invalid(&'static str),
     /// A value of a column is not one that the column can have.
@@ -38,28 +38,28 @@
     },
 }
 
-/// What of a file could not be read, or is missing. Offsets and lengths are bytes.
+/// A part of a file that could not be read or is missing. Offsets and lengths are in bytes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Loss {
     /// Bytes that are no intact frame were skipped.
     SkippedBytes {
-        /// Where they begin.
+        /// The offset of the first one.
         offset: u64,
-        /// How many they are.
+        /// Their number.
         bytes: u64,
         /// Whether the file ends in them.
         is_torn: bool,
     },
     /// A frame is intact by its checksum, but its payload is invalid.
     InvalidFrame {
-        /// Where it begins.
+        /// Its offset.
         offset: u64,
-        /// What is invalid, as [`TraceError`] says it.
+        /// The text of the [`TraceError`].
         reason: String,
     },
     /// Records between two blocks that were read are missing.
     MissingRecords {
-        /// How many.
+        /// Their number.
         count: u64,
     },
     /// The file has no end mark: its writer died, or is still writing.
--- a/crates/trace/src/reader/mod.rs
+++ b/crates/trace/src/reader/mod.rs
@@ -20,21 +20,21 @@
 pub use error::{Loss, TraceError};
 pub use random_access::Survey;
 
-/// How many bytes of a damaged magic must be right for a file to be taken as a recording.
+/// Minimum number of correct bytes of a damaged magic for a file to be accepted as a recording.
 const MIN_MAGIC_MATCH: usize = 6;
 
-/// What comes out of a file.
+/// An item of a file.
 #[derive(Debug)]
 pub enum Item {
     /// The records of one block that the filter matches.
     Records(Vec<Record>),
     /// A gap that the writer noted.
     Gap(Gap),
-    /// Something that could not be read.
+    /// A part of the file that could not be read.
     Loss(Loss),
 }
 
-/// Other names in place of those of a file.
+/// Replacement names for those of a file.
 struct Renaming {
     dictionary: Dictionary,
     /// The servers as the file names them.
@@ -49,11 +49,11 @@
     dictionary: Dictionary,
     renaming: Option<Renaming>,
     filter: Filter,
-    /// Ids of columns that were met and are not known here.
+    /// Ids of unknown columns that were met.
     unknown_columns: BTreeSet<u64>,
     /// The blocks that were met, for a file without an index.
     blocks: Index,
-    /// Records that stand before the next block, as far as the blocks so far state it.
+    /// The number of records before the next block, as stated by the blocks so far.
     records_before: u64,
     records_read: u64,
     has_end_mark: bool,
@@ -62,7 +62,7 @@
     pending: Vec<Item>,
 }
 
-/// What stands before the blocks of a file.
+/// The start of a file, before its blocks.
 struct FileStart {
     /// `None` where the header is damaged.
     header: Option<Header>,
@@ -113,7 +113,7 @@
         })
     }
 
-    /// Yields only the records that a filter matches. Gaps and losses are yielded all the same.
+    /// Yields only the records that a filter matches. Gaps and losses are yielded regardless.
     pub fn with_filter(mut self, filter: Filter) -> Self {
         self.filter = filter;
         self
@@ -138,7 +138,7 @@
         });
     }
 
-    /// A gap with its server under the name that it has here.
+    /// A gap with the replacement name of its server.
     fn renamed(&self, mut gap: Gap) -> Gap {
         if let Some(renaming) = &self.renaming {
             let index = renaming
@@ -156,7 +156,7 @@
         &self.blocks
     }
 
-    /// The columns that were met and are not known here, by the names that the header has for them.
+    /// The unknown columns that were met, by their names in the header.
     pub fn unknown_columns(&self) -> Vec<String> {
         let name = |id: &u64| {
             let info = self
@@ -272,7 +272,7 @@
         Ok(())
     }
 
-    /// The records of a block, of which `input` stands behind its header.
+    /// The records of a block; `input` is positioned behind its header.
     fn decode_block(
         &mut self,
         block: &BlockHeader,
--- a/crates/trace/src/reader/random_access.rs
+++ b/crates/trace/src/reader/random_access.rs
@@ -1,4 +1,4 @@
-//! Reads a file that can be sought in: its index, and single blocks.
+//! Random access to a seekable file: its index, and single blocks.
 
 use std::io::{Read, Seek, SeekFrom};
 
@@ -11,14 +11,14 @@
 use crate::record::Record;
 use crate::varint::ByteReader;
 
-/// What [`TraceReader::survey`] finds.
+/// The result of [`TraceReader::survey`].
 #[derive(Debug, Default)]
 pub struct Survey {
     /// The blocks of the file.
     pub index: Index,
     /// The gaps that the writer noted.
     pub gaps: Vec<Gap>,
-    /// What could not be read; empty where the file's own index was used.
+    /// The losses; empty where the file's own index was used.
     pub losses: Vec<Loss>,
     /// Whether the file's own index was used.
     pub is_indexed: bool,
@@ -54,7 +54,7 @@
         Ok(survey)
     }
 
-    /// Reads the file from its start, but for the records.
+    /// Reads the file from its start without the records.
     fn survey_by_reading(&mut self) -> Result<Survey, TraceError> {
         // No block can match, so only the headers of blocks are read.
         let nothing = Filter {
@@ -147,10 +147,10 @@
         }
     }
 
-    /// The records of one block that the filter matches. Gaps between blocks are not looked for.
+    /// The records of one block that the filter matches. Gaps between blocks are not detected.
     ///
     /// # Errors
-    /// [`TraceError`] where there is no intact block at that place.
+    /// [`TraceError`] where there is no intact block at that offset.
     pub fn read_block(&mut self, entry: &BlockEntry) -> Result<Vec<Record>, TraceError> {
         let payload = self.block_payload(entry)?;
         let mut input = ByteReader(&payload);
@@ -160,10 +160,10 @@
         Ok(records)
     }
 
-    /// How many bytes each column takes in a block, by its id.
+    /// The number of bytes of each column of a block, by its id.
     ///
     /// # Errors
-    /// [`TraceError`] where there is no intact block at that place.
+    /// [`TraceError`] where there is no intact block at that offset.
     pub fn column_sizes(&mut self, entry: &BlockEntry) -> Result<Vec<(u64, usize)>, TraceError> {
         let payload = self.block_payload(entry)?;
         let mut input = ByteReader(&payload);
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of one attempt of a request, as a recording keeps it.
+//! The record of one attempt of a request, from its arrival to its release.
 
 use std::borrow::Cow;
 
@@ -28,7 +28,7 @@
         Outcome::Abandoned,
     ];
 
-    /// The word for it in exports, summaries and command line options.
+    /// Its name in exports, summaries and command line options.
     pub fn name(self) -> &'static str {
         match self {
             Outcome::Completed => "done",
@@ -45,7 +45,7 @@
             .find(|outcome| outcome.name() == name)
     }
 
-    /// The bit that stands for it in a set of outcomes.
+    /// Its bit in a set of outcomes.
     pub(crate) fn bit(self) -> u32 {
         1 << self as u32
     }
@@ -63,6 +63,7 @@
     ($($(#[$doc:meta])* $constant:ident = $code:literal $name:literal,)*) => {
         impl Reason {
             $($(#[$doc])* pub const $constant: Reason = Reason($code);)*
+            /// The stored number and the name of each reason.
             const NAMED: &[(u8, &str)] = &[$(($code, $name),)*];
         }
     };
@@ -107,7 +108,7 @@
 }
 
 impl Reason {
-    /// The word for it in exports and summaries; `reason-N` where the number has no name here.
+    /// Its name in exports and summaries; `reason-N` where the number has no name here.
     pub fn name(self) -> Cow<'static, str> {
         match Reason::NAMED.iter().find(|(code, _)| *code == self.0) {
             Some((_, name)) => (*name).into(),
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -1,5 +1,5 @@
-//! Records on their way from a server to its files. The server adds to a bounded queue and goes on
-//! at once, whatever the disk does; a thread of its own writes the files.
+//! Passes records from a server to its files. The server adds to a bounded queue and never waits
+//! for the disk; a thread of its own writes the files.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -18,15 +18,16 @@
 /// How long the writer's thread sleeps before it polls the queue again. It is never woken: a
 /// wake-up for each record would cost the server a system call each time.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// By how much the system's clock may drift before that counts as set.
+/// Maximum drift of the system's clock in microseconds; a larger one counts as a clock that was
+/// set.
 const MAX_CLOCK_DRIFT: Micros = 1_000_000;
-/// How often the end of the writer's thread is polled for.
+/// Pause between two checks whether the writer's thread has ended.
 const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What server and writer share.
+/// The counts that server and writer share.
 struct Shared {
     queue: ArrayQueue<Record>,
-    /// Records that found the queue full; counted by the server.
+    /// Records that were dropped because the queue was full; counted by the server.
     rejected_by_queue: AtomicU64,
     is_stopping: AtomicBool,
     /// The writer's counts, stored by its thread.
@@ -34,10 +35,10 @@
     storage_failures: AtomicU64,
 }
 
-/// How a recording is doing.
+/// The status of a recording.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RecorderStatus {
-    /// Records that are missing so far, for whatever reason.
+    /// Missing records so far, for any reason.
     pub missing_records: u64,
     /// Failures of the storage so far.
     pub storage_failures: u64,
@@ -52,7 +53,7 @@
     thread: Mutex<Option<JoinHandle<()>>>,
 }
 
-/// The Unix time of now.
+/// The current Unix time, in microseconds.
 pub fn unix_now() -> Micros {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -119,7 +120,7 @@
         self.start_unix.saturating_add(after).saturating_sub(before)
     }
 
-    /// How the recording is doing, as of the writer's last poll.
+    /// The status of the recording, as of the writer's last poll.
     pub fn status(&self) -> RecorderStatus {
         RecorderStatus {
             missing_records: self.shared.missing_records.load(Ordering::Relaxed),
@@ -146,7 +147,7 @@
     }
 }
 
-/// What the writer's thread owns.
+/// The state of the writer's thread.
 struct Worker<S: Storage> {
     writer: RotatingWriter<S>,
     shared: Arc<Shared>,
--- a/crates/trace/src/retention.rs
+++ b/crates/trace/src/retention.rs
@@ -8,27 +8,27 @@
 use crate::Micros;
 use crate::metadata::GapReason;
 
-/// By how much a file may exceed `rotate_bytes`: a block that was begun, names, gaps and the index.
+/// How many bytes a file may exceed `rotate_bytes` by: its last block, names, gaps and the index.
 const ROTATION_SLACK_BYTES: u64 = 2 * 1024 * 1024;
-/// What of that the index and the end of a file may take.
+/// The part of [`ROTATION_SLACK_BYTES`] that is reserved for the index and the end mark.
 const INDEX_SLACK_BYTES: u64 = ROTATION_SLACK_BYTES / 2;
-/// The pause after the first failure of the disk.
+/// Backoff after the first failure of the disk.
 const INITIAL_RETRY_BACKOFF: Duration = Duration::from_secs(1);
-/// The longest pause between two attempts on a disk that fails.
+/// Maximum backoff between two attempts on a failing disk.
 const MAX_RETRY_BACKOFF: Duration = Duration::from_secs(30);
 
 /// The limits of a recording.
 #[derive(Clone, Copy, Debug)]
 pub struct RetentionConfig {
-    /// The most records of a block.
+    /// The maximum number of records of a block.
     pub block_records: usize,
-    /// A block is sealed no later than so long after its first record.
+    /// The maximum time from the first record of a block until the block is sealed.
     pub seal_after: Duration,
-    /// A file is closed once it has that many bytes.
+    /// The size in bytes at which a file is closed.
     pub rotate_bytes: u64,
-    /// A file is closed once it is that old.
+    /// The age at which a file is closed.
     pub rotate_after: Duration,
-    /// The most bytes of all files together; the oldest are removed first.
+    /// The maximum size of all files together in bytes; the oldest files are removed first.
     pub keep_bytes: u64,
 }
 
@@ -41,7 +41,7 @@
     pub bytes: u64,
 }
 
-/// What happened.
+/// An input of the policy.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
     /// The files that were there at the start.
@@ -56,17 +56,17 @@
     FileClosed(StoredFile),
     /// A file that was to be removed is still there.
     RemoveFailed { number: u64 },
-    /// Records did not get this far.
+    /// Records were dropped before they reached the writer.
     RecordsDropped { reason: GapReason, records: u64 },
-    /// The system's clock was set by so much.
+    /// The system's clock was set by this offset, in microseconds.
     ClockSet { change: Micros },
     /// Time has passed.
     Tick,
-    /// No further record comes.
+    /// The recording ends.
     Shutdown,
 }
 
-/// What is to be done, in the order of the list.
+/// An output of the policy, to be carried out in the order of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Action {
     /// Remove a file.
@@ -90,7 +90,7 @@
     CloseFile { number: u64 },
 }
 
-/// What is missing for one reason and is not known to be in the file as a gap.
+/// Records that are missing for one reason and are not yet in the file as a gap.
 #[derive(Clone, Copy)]
 struct Missing {
     records: u64,
@@ -111,7 +111,7 @@
     clock_change: Micros,
 }
 
-/// The file that is written.
+/// The file that is being written.
 struct OpenFile {
     number: u64,
     opened: Duration,
@@ -123,8 +123,8 @@
     pending_gaps: Vec<PendingGap>,
 }
 
-/// Decides on the files of one recorder. It owns what is known of them; [`crate::RotatingWriter`]
-/// owns the files.
+/// Decides on the files of one recorder. It owns their bookkeeping; [`crate::RotatingWriter`] owns
+/// the files.
 pub(crate) struct RetentionPolicy {
     config: RetentionConfig,
     /// Bytes of the closed files by number.
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Takes an event, and returns what is to be done.
+    /// Handles an event, and returns the actions to carry out.
     pub(crate) fn handle_event(&mut self, now: Duration, event: &Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -202,7 +202,7 @@
         })
     }
 
-    /// Records that are missing so far, for whatever reason.
+    /// Missing records so far, for any reason.
     pub(crate) fn total_missing(&self) -> u64 {
         self.total_missing
     }
--- a/crates/trace/src/rewrite.rs
+++ b/crates/trace/src/rewrite.rs
@@ -1,4 +1,4 @@
-//! What copying and merging share: dictionaries mapped to that of the new file, damage noted as
+//! Shared by copying and merging: mapping dictionaries to that of the new file, recording damage as
 //! gaps, and errors.
 
 use std::io::Write;
@@ -10,7 +10,7 @@
 use crate::record::Record;
 use crate::writer::{WriteError, Writer};
 
-/// The most records that a merge buffers of one file.
+/// Maximum number of records that a merge buffers of one file.
 pub(crate) const MAX_BUFFERED_RECORDS: usize = 1 << 20;
 
 /// Why a file cannot be made from others.
@@ -19,9 +19,9 @@
     /// A file cannot be read.
     #[error("{name}: {source}")]
     Read {
-        /// How the caller names the file.
+        /// The caller's name for the file.
         name: String,
-        /// Why it cannot be read.
+        /// The cause.
         source: TraceError,
     },
     /// The new file cannot be written.
@@ -32,7 +32,7 @@
         "{name}: more than {MAX_BUFFERED_RECORDS} records overlap in time: it cannot be merged in bounded memory"
     )]
     TooManyOverlappingRecords {
-        /// How the caller names the file.
+        /// The caller's name for the file.
         name: String,
     },
     /// A merge is written in the newest format version only.
@@ -50,7 +50,7 @@
     }
 }
 
-/// From the indices of one dictionary to those of another.
+/// Maps the indices of one dictionary to those of another.
 pub(crate) struct DictionaryMapping {
     servers: Vec<u32>,
     handlers: Vec<u32>,
@@ -109,7 +109,7 @@
     }
 }
 
-/// What an index is mapped to; the map grows up to that index.
+/// The mapped index; the map grows up to that index.
 fn mapped(map: &mut Vec<u32>, index: u32, mut new_index: impl FnMut(u32) -> u32) -> u32 {
     // An index beyond all dictionaries is damage, and must not make the map that long.
     let index = index.min(MAX_NAMES as u32);
--- a/crates/trace/src/rotating_writer.rs
+++ b/crates/trace/src/rotating_writer.rs
@@ -15,7 +15,7 @@
 /// Factor of the linear congruential generator of file ids, which the caller seeds.
 const FILE_ID_FACTOR: u128 = 0x2360_ED05_1FC6_5DA4_4385_DF64_9FCC_F645;
 
-/// How a server is recorded.
+/// The configuration of a recording.
 #[derive(Clone, Debug)]
 pub struct RecorderConfig {
     /// The format version.
@@ -26,11 +26,11 @@
     pub names: Dictionary,
     /// The limits of files.
     pub retention: RetentionConfig,
-    /// How many records may wait for the writer.
+    /// The maximum number of records that wait for the writer.
     pub queue_capacity: usize,
 }
 
-/// What became of records so far.
+/// The counts of the writer so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WriterCounters {
     /// Records that were received.
@@ -41,18 +41,18 @@
     pub failures: u64,
 }
 
-/// What is left of a [`RotatingWriter`] at its end.
+/// The result of a finished [`RotatingWriter`].
 pub struct RotationResult<S> {
     /// The storage.
     pub storage: S,
-    /// What became of records.
+    /// The final counts.
     pub counters: WriterCounters,
     /// The last error, if it was not taken before.
     pub last_error: Option<WriteError>,
 }
 
-/// Writes the files of one server. It owns the storage and the open file. The caller tells the
-/// time, as the span since the start, so that a recording of hours can be made in seconds.
+/// Writes the files of one server. It owns the storage and the open file. The caller passes
+/// the time since the start, so that a recording of hours can be made in seconds.
 pub struct RotatingWriter<S: Storage> {
     storage: S,
     config: RecorderConfig,
@@ -100,7 +100,7 @@
         self.handle_event(now, Event::Tick, None);
     }
 
-    /// Notes records that did not get here because the queue before the writer was full.
+    /// Counts records that were dropped because the queue before the writer was full.
     pub fn note_dropped(&mut self, now: Duration, records: u64) {
         self.handle_event(
             now,
@@ -112,7 +112,7 @@
         );
     }
 
-    /// Notes that the system's clock was set by so much.
+    /// Records that the system's clock was set by this offset, in microseconds.
     pub fn note_clock_change(&mut self, now: Duration, change: Micros) {
         self.handle_event(now, Event::ClockSet { change }, None);
     }
@@ -122,7 +122,7 @@
         self.policy.next_deadline()
     }
 
-    /// Records that are missing so far, for whatever reason.
+    /// Missing records so far, for any reason.
     pub fn missing_records(&self) -> u64 {
         self.policy.total_missing()
     }
@@ -132,7 +132,7 @@
         self.policy.bytes()
     }
 
-    /// What became of records so far.
+    /// The counts of the writer so far.
     pub fn counters(&self) -> WriterCounters {
         self.counters
     }
--- a/crates/trace/src/storage.rs
+++ b/crates/trace/src/storage.rs
@@ -1,4 +1,4 @@
-//! Where the files of a recorder are stored.
+//! The storage of a recorder's files.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
@@ -8,10 +8,10 @@
 
 /// The suffix of file names.
 const FILE_SUFFIX: &str = ".tgt";
-/// The least digits of the number in a file name.
+/// Minimum number of digits of the number in a file name.
 const MIN_NUMBER_DIGITS: usize = 8;
 
-/// A place for numbered files. Tests replace it by one in memory.
+/// A storage of numbered files. Tests replace it by one in memory.
 pub trait Storage: Send + 'static {
     /// A file that is written.
     type File: Write + Send;
@@ -28,10 +28,10 @@
     /// Where it exists or cannot be created.
     fn create(&mut self, number: u64) -> io::Result<Self::File>;
 
-    /// Makes all that was written durable.
+    /// Syncs a file, so that all written bytes are durable.
     ///
     /// # Errors
-    /// Where that fails; what of it is durable is not known then.
+    /// Where the sync fails; which bytes are durable is then unknown.
     fn sync(&mut self, file: &mut Self::File) -> io::Result<()>;
 
     /// Removes a file.
@@ -44,7 +44,7 @@
 /// A directory, for the files of one server.
 pub struct DirectoryStorage {
     path: PathBuf,
-    /// The server, as its name stands in file names.
+    /// The name of the server as it is spelled in file names.
     server: String,
     is_synced: bool,
 }
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -1,6 +1,7 @@
-//! What a recording comes to: for each handler and tenant the requests, how they ended and why, the
-//! response times, and the service level: the priority weight answered within the latency objective
-//! over that of all requests. Retries count as part of their first attempt.
+//! The summary of a recording: for each handler and tenant the requests, their outcomes and
+//! reasons, the response times, and the service level, which is the priority weight answered within
+//! the latency objective divided by that of all requests. Retries count as part of their first
+//! attempt.
 
 use std::collections::BTreeMap;
 
@@ -12,10 +13,11 @@
 use crate::dictionary::Dictionary;
 use crate::record::{Outcome, Record};
 
-/// The longest response time that is distinguished, in microseconds.
+/// Longest response time of the histogram, in microseconds; longer ones count as this.
 const MAX_RESPONSE_TIME: u64 = 3_600_000_000;
+/// One minute, in microseconds.
 const MINUTE: Micros = 60_000_000;
-/// What stands in place of a tenant where a record has none.
+/// The name of the tenant of records that have none.
 const NO_TENANT: &str = "-";
 
 /// Response times of completed attempts, in microseconds.
@@ -153,7 +155,7 @@
     }
 }
 
-/// What a row of a summary is about. An empty name stands for all handlers or tenants.
+/// The group that a row of a summary counts. An empty name means all handlers or tenants.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Group {
     /// The start of a minute, Unix time; `None` for the whole recording.
@@ -164,8 +166,8 @@
     pub tenant: String,
 }
 
-/// Sums up records as they come, in the order of time. It owns the counts and what is needed to
-/// correlate attempts.
+/// Summarises records, which are added in the order of time. It owns the counts and the state for
+/// correlating attempts.
 #[derive(Default)]
 pub struct Summary {
     correlator: AttemptCorrelator,
@@ -231,7 +233,7 @@
 /// A row of a summary, as it is written in JSON.
 #[derive(Debug, Serialize)]
 pub struct SummaryRow {
-    /// What the row is about.
+    /// The group that the row counts.
     #[serde(flatten)]
     pub group: Group,
     /// First attempts.
--- a/crates/trace/src/synthetic.rs
+++ b/crates/trace/src/synthetic.rs
@@ -1,6 +1,6 @@
-//! Records of synthetic load: Poisson arrivals, handlers of different work and weight, tenants of
-//! different share, subjects by a Zipf law, a server of some cores that rejects what would be late,
-//! and clients that retry. The same seed gives the same records.
+//! Generates records of synthetic load: Poisson arrivals, handlers with different work and weight,
+//! tenants with different shares, subjects by a Zipf law, a server that rejects requests which
+//! would be late, and clients that retry. The same seed gives the same records.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -13,29 +13,29 @@
 use crate::dictionary::{Dictionary, HandlerInfo, TenantInfo};
 use crate::record::{Outcome, Reason, Record};
 
-/// How many edge nodes there are.
+/// Number of edge nodes.
 const CALLERS: u64 = 24;
-/// How many subjects there are.
+/// Number of subjects.
 const SUBJECTS: f64 = 40_000.0;
-/// The exponent of the Zipf law of subjects.
+/// Exponent of the Zipf law of subjects.
 const SUBJECT_EXPONENT: f64 = 1.05;
-/// Median work in milliseconds and spread of each handler.
+/// Median work in milliseconds, and standard deviation of its logarithm, for each handler.
 const HANDLER_WORK: [(f64, f64); 3] = [(40.0, 0.5), (55.0, 0.6), (30.0, 0.4)];
-/// The latency objective of each handler.
+/// Latency objective of each handler, in microseconds.
 const LATENCY_OBJECTIVES: [Micros; 3] = [300_000, 600_000, 1_200_000];
-/// The client timeout of each handler, in milliseconds.
+/// Client timeout of each handler, in milliseconds.
 const CLIENT_TIMEOUTS_MS: [Micros; 3] = [1500, 2500, 6000];
-/// The handler whose requests have idempotency keys.
+/// Index of the handler whose requests have idempotency keys.
 const KEYED_HANDLER: usize = 2;
-/// A rejected attempt that may be retried is retried with this probability.
+/// Probability with which a rejected attempt is retried, where it may be.
 const RETRY_PROBABILITY: f64 = 0.6;
-/// The most attempts of one request.
+/// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// The load to be generated.
+/// The parameters of the load.
 #[derive(Clone, Debug)]
 pub struct SyntheticLoad {
-    /// How long it lasts.
+    /// Its duration.
     pub duration: Micros,
     /// First attempts a second.
     pub rate: f64,
@@ -128,7 +128,7 @@
     }
 }
 
-/// What the generator draws from.
+/// The random distributions of the generator.
 struct Distributions {
     arrival_pause: Exp<f64>,
     subject: Zipf<f64>,
@@ -241,7 +241,7 @@
         handler: handler as u32,
         tenant: Some(tenant),
         key: is_keyed.then(|| random.next_u64()),
-        // The number of a subject says nothing of how popular it is.
+        // The number of a subject must not reveal its popularity.
         subject: (!is_keyed).then(|| scatter(subject_rank)),
         caller: Some(random.random_range(0..CALLERS)),
         client_wait: (random.random_range(0..10) < 3)
@@ -258,7 +258,7 @@
     (mixed ^ mixed >> 29).wrapping_mul(0xBF58_476D_1CE4_E5B9)
 }
 
-/// What a server of some cores makes of an attempt that reaches it at `at`.
+/// Serves an attempt that reaches the server at `at`, and completes its record.
 fn serve(
     load: &SyntheticLoad,
     at: Micros,
--- a/crates/trace/src/varint.rs
+++ b/crates/trace/src/varint.rs
@@ -1,10 +1,10 @@
-//! Numbers as they stand in blocks and indexes: LEB128 varints, signed ones in zigzag form.
+//! The encoding of numbers in blocks and indexes: LEB128 varints, signed ones in zigzag form.
 
 use integer_encoding::VarInt;
 
 use crate::TraceError;
 
-/// The longest encoding of a 64-bit number.
+/// Maximum length of an encoded 64-bit number, in bytes.
 const MAX_VARINT_BYTES: usize = 10;
 
 /// A cursor over bytes that come from a file and may hold anything.
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -1,5 +1,5 @@
-//! Writes a file. Records are buffered until they fill a block; a block is written whole or not at
-//! all.
+//! Writes a file. Records are buffered until they fill a block; a block is written completely or
+//! not at all.
 
 use std::io::{self, Write};
 
@@ -14,7 +14,7 @@
 use crate::record::Record;
 use crate::{Micros, NEWEST_VERSION};
 
-/// How many gaps the index repeats. The file itself has all of them.
+/// Maximum number of gaps that the index repeats; the file itself has all of them.
 const MAX_INDEXED_GAPS: usize = 10_000;
 
 /// Why a file, or a record, cannot be written.
@@ -23,14 +23,14 @@
     /// Writing failed. The file may end in a part of a frame.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A value does not fit its column; the record was not taken, and others can still be written.
+    /// A value does not fit its column; the record was rejected, and others can still be written.
     #[error("{column}: {value} does not fit its column of {bits} bits")]
     ValueOutOfRange {
         /// The name of the column.
         column: &'static str,
         /// The value.
         value: i64,
-        /// How wide a value of that column may be in this format version.
+        /// The maximum width of its values in this format version, in bits.
         bits: u32,
     },
     /// The format version is not one that can be written.
@@ -38,10 +38,10 @@
     UnsupportedVersion(u32),
 }
 
-/// When a block is full.
+/// The limits at which a block is full.
 #[derive(Clone, Copy, Debug)]
 pub struct BlockConfig {
-    /// The most records of a block.
+    /// The maximum number of records of a block.
     pub max_records: usize,
     /// A record that lies further than this from the first one of its block begins a new block, so
     /// that blocks stay short in time when a clock is set.
@@ -63,7 +63,7 @@
     out: W,
     header: Header,
     dictionary: Dictionary,
-    /// How much of the dictionary stands in the file.
+    /// How much of the dictionary is written.
     written_names: WrittenNames,
     config: BlockConfig,
     /// Records that are not written yet.
@@ -76,7 +76,7 @@
     records: u64,
 }
 
-/// How many entries of each kind of a dictionary are written.
+/// The number of dictionary entries of each kind that are written.
 #[derive(Clone, Copy)]
 struct WrittenNames {
     servers: usize,
@@ -131,12 +131,12 @@
         &self.header
     }
 
-    /// The dictionary as it is so far.
+    /// The current dictionary.
     pub fn dictionary(&self) -> &Dictionary {
         &self.dictionary
     }
 
-    /// How many bytes are written so far.
+    /// The number of bytes written so far.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
@@ -181,11 +181,11 @@
             .collect()
     }
 
-    /// Takes a record.
+    /// Adds a record.
     ///
     /// # Errors
-    /// [`WriteError::ValueOutOfRange`] where a value does not fit its column; the record is not
-    /// taken. [`WriteError::Io`] where a block had to be written first and that failed.
+    /// [`WriteError::ValueOutOfRange`] where a value does not fit its column; the record is
+    /// rejected. [`WriteError::Io`] where a block had to be written first and that failed.
     pub fn push(&mut self, record: Record) -> Result<(), WriteError> {
         let version = self.header.version;
         for column in columns::of_version(version) {
@@ -270,7 +270,7 @@
         Ok((self.out, self.bytes))
     }
 
-    /// Writes what is new in the dictionary.
+    /// Writes the new entries of the dictionary.
     fn write_names(&mut self) -> Result<(), WriteError> {
         let WrittenNames {
             servers,
