--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,7 +4,8 @@
 //! ```
 //! let text = r#"{"classes":[{"name":"page","objective":1e3,"deadline":2e3,"worth":1.0,
 //!     "effect":"pure"}],"family_info":{"below":"silent","blowup":4.0,"cores":2,"halt":"drop",
-//!     "idle":9e3,"mem_limit_kb":9e3,"say":"weight"},"limits":{},"rules":{"cold_from":0.3,"drain_grace":1e3,"fall":2e3,
+//!     "idle":9e3,"mem_limit_kb":9e3,"say":"weight"},"limits":{},
+//!     "rules":{"cold_from":0.3,"drain_grace":1e3,"fall":2e3,
 //!     "fall_multiple":4.0,"grace_to_answer":60.0,"warm_up":9e3}}"#;
 //! let settings: tulipgap_settings::Settings = text.parse()?;
 //! assert_eq!(settings.controller_config()?.cores, 2);
