--- a/crates/server/tests/program/recording.rs
+++ b/crates/server/tests/program/recording.rs
@@ -242,7 +242,7 @@
     let mut log = String::new();
     std::io::Read::read_to_string(&mut backend.child.stderr.take().unwrap(), &mut log).unwrap();
     assert!(
-        log.contains("trace: ") && log.contains("50 records missing"),
+        log.contains("recording summary missing_records=50 "),
         "{log}"
     );
 }
