--- /dev/null
+++ b/tests/golden_transcripts/main.rs
@@ -0,0 +1,187 @@
+//! Golden transcripts: seeded event streams go into a [`Controller`], and a checksum of all actions
+//! that come out is compared with a literal value.
+//!
+//! A change of names or of shape must leave every value as it is. A change of behaviour moves them
+//! and says so in its commit.
+
+mod host;
+mod phase;
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use host::Host;
+use tulipgap::{
+    CallerFeedback, Cancellation, Config, Dependency, HandlerConfig, Idempotency, TenantConfig,
+};
+
+/// Events that each transcript feeds in.
+const EVENTS_PER_TRANSCRIPT: usize = 6_000;
+
+/// Checksum and number of the actions for each seed. The seed also selects the configuration.
+const EXPECTED: [(u64, u32, usize); 12] = [
+    (0, 0x79e8_296c, 6_682),
+    (1, 0x8153_a603, 6_286),
+    (2, 0x5239_7796, 6_608),
+    (3, 0x4000_afbb, 7_269),
+    (4, 0xea95_81f7, 6_031),
+    (5, 0x6a47_82c6, 6_655),
+    (6, 0x4adb_4611, 7_013),
+    (7, 0x2c74_ee90, 6_550),
+    (8, 0x2c02_557d, 6_938),
+    (9, 0x08b1_f3a6, 7_466),
+    (10, 0x3a44_0178, 6_282),
+    (11, 0x5350_2806, 6_862),
+];
+
+/// Every kind of action, and every reason of a rejection or failure.
+const KINDS: [&str; 25] = [
+    "AdmissionControl",
+    "CallFailed",
+    "Cancel",
+    "Cancelled",
+    "Coalesce",
+    "DeadlineNear",
+    "Draining",
+    "Fail",
+    "ForgetKey",
+    "HighFailureRate",
+    "MemoryLimit",
+    "ObjectiveMissed",
+    "Overtaken",
+    "PredictedLate",
+    "Reject",
+    "Release",
+    "RememberKey",
+    "SetFeedback",
+    "SetHealth",
+    "SetIdleTimeout",
+    "SetTimer",
+    "SkipCall",
+    "Start",
+    "StartCall",
+    "Terminating",
+];
+
+fn milliseconds(span: u64) -> Duration {
+    Duration::from_millis(span)
+}
+
+fn handler(
+    idempotency: Idempotency,
+    priority_weight: f64,
+    calls_dependency: bool,
+    degraded_weight: f64,
+) -> HandlerConfig {
+    HandlerConfig {
+        latency_objective: milliseconds(400 + 150 * (priority_weight as u64)),
+        objective_stretch: 0.0,
+        client_timeout: milliseconds(3_000),
+        priority_weight,
+        idempotency,
+        key_retention: milliseconds(1_500),
+        calls_dependency,
+        degraded_weight,
+    }
+}
+
+fn handlers(seed: u64) -> Vec<HandlerConfig> {
+    let mut handlers = vec![
+        handler(Idempotency::Idempotent, 1.0, true, 0.5),
+        handler(Idempotency::Keyed, 2.0, true, 0.0),
+        handler(Idempotency::NonIdempotent, 3.0, seed.is_multiple_of(2), 0.7),
+        handler(Idempotency::Idempotent, 4.0, seed.is_multiple_of(3), 0.0),
+    ];
+    for handler in &mut handlers {
+        handler.objective_stretch = [0.0, 8.0, 2.0][seed as usize % 3];
+    }
+    if seed % 4 == 3 {
+        handlers[1].calls_dependency = false;
+    }
+    handlers
+}
+
+/// The configurations together cover each dependency, feedback and cancellation, warm and cold
+/// starts, and known and unknown numbers of servers.
+fn config(seed: u64) -> Config {
+    let tenant = |rate_quota_per_s| TenantConfig { rate_quota_per_s };
+    Config {
+        handlers: handlers(seed),
+        tenants: match seed % 3 {
+            0 => vec![],
+            _ => vec![tenant(40.0), tenant(20.0), tenant(10.0)],
+        },
+        over_quota_weight: 0.3,
+        cores: 2 + (seed % 3) as u32,
+        memory_kb: [8_000.0, 6_000.0, 3_500.0, 5_000.0][seed as usize % 4],
+        running_memory_factor: 4.0,
+        key_kb: 20.0,
+        starts_cold: seed % 5 == 1,
+        cold_speed: 0.3,
+        warm_up: milliseconds(8_000),
+        max_concurrency_per_core: 4.0,
+        concurrency_window: milliseconds(2_000),
+        response_slack: milliseconds([60, 20, 8][seed as usize % 3]),
+        drain_grace: milliseconds(600),
+        dependency: match seed % 3 {
+            0 => Dependency::Shared {
+                share: 4.0,
+                window: milliseconds(5_000),
+                linger: milliseconds(200),
+            },
+            1 => Dependency::Tier,
+            _ if seed == 5 => Dependency::None,
+            _ => Dependency::Shared {
+                share: 1.5,
+                window: milliseconds(3_000),
+                linger: milliseconds(50),
+            },
+        },
+        cancellation: match seed % 3 {
+            0 => Cancellation::DiscardsProgress,
+            1 => Cancellation::Unsupported,
+            _ => Cancellation::KeepsProgress,
+        },
+        feedback: match seed % 4 {
+            0 => CallerFeedback::TrafficWeight,
+            1 => CallerFeedback::PriorityThreshold,
+            2 => CallerFeedback::ConcurrencyCredit,
+            _ => CallerFeedback::None,
+        },
+        max_retry_after: (seed % 4 != 2).then(|| milliseconds(900)),
+        servers: if seed.is_multiple_of(2) { 3 } else { 0 },
+        callers: 8 + 40 * (seed % 4) as u32,
+        marks_retries: seed % 3 != 2,
+        idle_timeout: milliseconds(15_000),
+    }
+}
+
+fn play(seed: u64) -> Host {
+    let mut host = Host::new(config(seed), seed);
+    host.play(EVENTS_PER_TRANSCRIPT);
+    host
+}
+
+#[test]
+fn the_same_events_give_the_same_actions() {
+    let measured: Vec<(u64, u32, usize)> = EXPECTED
+        .iter()
+        .map(|&(seed, _, _)| {
+            let host = play(seed);
+            (seed, host.checksum(), host.actions())
+        })
+        .collect();
+    assert_eq!(measured, EXPECTED);
+}
+
+#[test]
+fn the_transcripts_contain_every_kind_of_action_and_reason() {
+    let mut seen: BTreeMap<&'static str, usize> = BTreeMap::new();
+    for &(seed, _, _) in &EXPECTED {
+        for (kind, count) in play(seed).seen() {
+            *seen.entry(kind).or_default() += count;
+        }
+    }
+    let kinds: Vec<&str> = seen.into_keys().collect();
+    assert_eq!(kinds, KINDS);
+}
