--- /dev/null
+++ b/src/clock.rs
@@ -0,0 +1,119 @@
+//! The time since the start of the process, when timers are due, and how long the process stalled.
+//!
+//! A process that was stopped for a while (by the machine, a pause of its container or a debugger)
+//! finds its requests old at once. Control loops that take this for load cut the dimmer, the
+//! admitted fraction and the traffic of a healthy server. A tick that fires far too late shows
+//! the stall: the time is then subtracted from response times and from time on a core. The price
+//! is that a server whose event loop is starved of cores for several ticks counts as stalled too.
+
+#[cfg(test)]
+mod tests;
+
+use std::time::Duration;
+
+/// Longest interval between two ticks. An overdue answer is late by this at most.
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(25);
+
+/// Shortest interval between two ticks, which bounds what ticking costs.
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Ticks within the time that an answer may come after its deadline.
+const TICKS_PER_RESPONSE_SLACK: u32 = 2;
+
+/// Tick intervals by which a tick is late when the process counts as stalled.
+const STALL_TICKS: u32 = 2;
+
+/// Interval between two steps of the control loops.
+pub(crate) const CONTROL_INTERVAL: Duration = Duration::from_millis(500);
+
+/// When the next tick and the next control step are due.
+pub(crate) struct Schedule {
+    /// The time between two ticks.
+    pub(crate) tick_interval: Duration,
+    /// When the next tick is due, since the start of the process.
+    pub(crate) next_tick: Duration,
+    next_control_step: Duration,
+}
+
+impl Schedule {
+    /// The schedule of a process that starts now.
+    pub(crate) fn new(response_slack: Duration) -> Self {
+        let tick_interval =
+            (response_slack / TICKS_PER_RESPONSE_SLACK).clamp(MIN_TICK_INTERVAL, MAX_TICK_INTERVAL);
+        Schedule {
+            tick_interval,
+            next_tick: tick_interval,
+            next_control_step: CONTROL_INTERVAL,
+        }
+    }
+
+    /// A tick has fired; the next one is due one interval later.
+    pub(crate) fn tick(&mut self, now: Duration) {
+        self.next_tick = now + self.tick_interval;
+    }
+
+    /// Whether a control step is due. If so, the next one is due one interval later.
+    pub(crate) fn take_control_step(&mut self, now: Duration) -> bool {
+        let is_due = now >= self.next_control_step;
+        if is_due {
+            self.next_control_step = now + CONTROL_INTERVAL;
+        }
+        is_due
+    }
+}
+
+/// The time, and how much of it the process was stalled.
+#[derive(Default)]
+pub(crate) struct Clock {
+    now: Duration,
+    /// Seconds that the process was stalled in all.
+    stalled_seconds: f64,
+    /// The end and the length in seconds of the last stall.
+    last_stall_end: Duration,
+    last_stall_seconds: f64,
+}
+
+impl Clock {
+    /// The time since the start of the process.
+    pub(crate) fn now(&self) -> Duration {
+        self.now
+    }
+
+    /// Moves to `now`, never backwards, and records a stall where the tick is far overdue. Returns
+    /// the seconds that passed.
+    pub(crate) fn advance(&mut self, now: Duration, schedule: &Schedule) -> f64 {
+        let now = now.max(self.now);
+        let passed_seconds = (now - self.now).as_secs_f64();
+        self.now = now;
+        if now > schedule.next_tick + schedule.tick_interval * STALL_TICKS {
+            let overdue_seconds = (now - schedule.next_tick).as_secs_f64();
+            self.last_stall_seconds = overdue_seconds.min(passed_seconds);
+            self.last_stall_end = now;
+            self.stalled_seconds += self.last_stall_seconds;
+        }
+        passed_seconds
+    }
+
+    /// Seconds that the process was stalled in all.
+    pub(crate) fn stalled_seconds(&self) -> f64 {
+        self.stalled_seconds
+    }
+
+    /// Seconds that the process was awake.
+    pub(crate) fn awake_seconds(&self) -> f64 {
+        self.now.as_secs_f64() - self.stalled_seconds
+    }
+
+    /// Seconds of the last stall that lie after `arrived_at`.
+    pub(crate) fn stalled_seconds_since(&self, arrived_at: Duration) -> f64 {
+        self.last_stall_end
+            .saturating_sub(arrived_at)
+            .as_secs_f64()
+            .min(self.last_stall_seconds)
+    }
+}
+
+/// A span of this many seconds, or the longest that there is.
+pub(crate) fn seconds(span: f64) -> Duration {
+    Duration::try_from_secs_f64(span).unwrap_or(Duration::MAX)
+}
--- /dev/null
+++ b/src/clock/tests.rs
@@ -0,0 +1,56 @@
+//! The schedule and the recognition of stalls at their thresholds.
+
+use std::time::Duration;
+
+use super::{Clock, Schedule, seconds};
+
+fn ms(span: u64) -> Duration {
+    Duration::from_millis(span)
+}
+
+#[test]
+fn the_tick_interval_is_half_of_the_response_slack_within_its_bounds() {
+    let interval = |slack| Schedule::new(ms(slack)).tick_interval;
+    assert_eq!(interval(1), ms(5));
+    assert_eq!(interval(20), ms(10));
+    assert_eq!(interval(1_000), ms(25));
+}
+
+#[test]
+fn a_control_step_is_due_every_half_second() {
+    let mut schedule = Schedule::new(ms(50));
+    assert!(!schedule.take_control_step(ms(499)));
+    assert!(schedule.take_control_step(ms(510)));
+    assert!(!schedule.take_control_step(ms(1_009)));
+    assert!(schedule.take_control_step(ms(1_010)));
+}
+
+#[test]
+fn a_tick_that_is_overdue_by_more_than_two_intervals_shows_a_stall() {
+    // The first tick is due at 25 ms.
+    let schedule = Schedule::new(ms(50));
+    let mut clock = Clock::default();
+    clock.advance(ms(75), &schedule);
+    assert_eq!(clock.stalled_seconds(), 0.0);
+    clock.advance(ms(100), &schedule);
+    assert_eq!(clock.stalled_seconds(), 0.025);
+    assert_eq!(clock.stalled_seconds_since(ms(90)), 0.01);
+    assert_eq!(clock.stalled_seconds_since(ms(10)), 0.025);
+    assert_eq!(clock.awake_seconds(), 0.1 - 0.025);
+}
+
+#[test]
+fn time_never_goes_back() {
+    let schedule = Schedule::new(ms(50));
+    let mut clock = Clock::default();
+    clock.advance(ms(20), &schedule);
+    assert_eq!(clock.advance(ms(10), &schedule), 0.0);
+    assert_eq!(clock.now(), ms(20));
+}
+
+#[test]
+fn a_span_out_of_range_is_the_longest_there_is() {
+    assert_eq!(seconds(0.25), ms(250));
+    assert_eq!(seconds(f64::INFINITY), Duration::MAX);
+    assert_eq!(seconds(f64::NAN), Duration::MAX);
+}
--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -8,11 +8,11 @@
     MAX_QUEUED_MEMORY_FRACTION, QUOTA_BURST, QUOTA_WINDOW,
 };
 use crate::action::{Action, Reason};
+use crate::clock::seconds;
 use crate::config::Idempotency;
 use crate::event::{Arrival, RequestIndex, TenantIndex};
 use crate::request::{Request, Stage};
 use crate::sliding_window::Metric;
-use crate::state::seconds;
 
 impl Controller {
     /// The ordinary path of a request.
@@ -51,7 +51,7 @@
 
     /// What the controller keeps of an arrival; `None` for a handler that does not exist.
     fn describe(&self, arrival: &Arrival) -> Option<Request> {
-        let now = self.clock.now;
+        let now = self.clock.now();
         let profile = self.handlers.get(arrival.handler)?;
         // Where requests state no work, it is learnt from their handler's runs; otherwise all would
         // look alike.
@@ -99,7 +99,8 @@
             arrived_at,
             objective_at,
             deadline,
-            stalled_before: self.clock.stalled - self.clock.stalled_since(arrived_at),
+            stalled_before: self.clock.stalled_seconds()
+                - self.clock.stalled_seconds_since(arrived_at),
             ..Request::default()
         })
     }
@@ -163,7 +164,9 @@
         let Some(quota) = self.quotas.rate_per_s else {
             return 1.0;
         };
-        let span = QUOTA_WINDOW.min(self.clock.now).max(Duration::from_secs(1));
+        let span = QUOTA_WINDOW
+            .min(self.clock.now())
+            .max(Duration::from_secs(1));
         let arrived = self.window.sum(Metric::Arrived, QUOTA_WINDOW);
         let first_attempts = arrived - self.window.sum(Metric::Retries, QUOTA_WINDOW);
         let rate = first_attempts / span.as_secs_f64();
@@ -179,7 +182,7 @@
     }
 
     fn remember_key(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
-        let now = self.clock.now;
+        let now = self.clock.now();
         let entry = &mut self.requests[request];
         let retention = self.handlers[entry.handler].key_retention;
         let expires_at = entry
--- a/src/controller/bookkeeping.rs
+++ b/src/controller/bookkeeping.rs
@@ -24,7 +24,8 @@
 
     pub(super) fn record_arrival(&mut self, arrival: &Arrival, request: &Request) {
         // Stalls must not steer: the load did not cause the time that the process stood still.
-        let unread = arrival.age.as_secs_f64() - self.clock.stalled_since(request.arrived_at);
+        let unread =
+            arrival.age.as_secs_f64() - self.clock.stalled_seconds_since(request.arrived_at);
         self.window.add(Metric::Arrived, 1.0);
         self.window.add(Metric::ArrivedWork, request.work);
         self.window
@@ -76,7 +77,7 @@
                 self.requests.calling -= 1;
                 self.calls
                     .lingering
-                    .push(self.clock.now.saturating_add(self.calls.linger));
+                    .push(self.clock.now().saturating_add(self.calls.linger));
             }
             Stage::AwaitingCall => self.requests.stop_awaiting_call(request),
         }
--- a/src/controller/caller_feedback.rs
+++ b/src/controller/caller_feedback.rs
@@ -5,16 +5,15 @@
 
 use super::Controller;
 use super::tuning::{
-    CONTROL_INTERVAL, DEGRADED_PACE_FACTOR, EXTRA_CREDIT_PER_CORE, MAX_REJECTED_FRACTION,
-    MAX_RETRY_FRACTION, MAX_WASTED_FRACTION, MAX_WASTED_FRACTION_BY_WEIGHT, MEASUREMENT_WINDOW,
-    MIN_CREDIT_PER_CORE, MIN_TRAFFIC_FRACTION, TRAFFIC_CUT_ON_WASTE, TRAFFIC_RECOVERY_STEP,
-    UNREAD_SETPOINT_FRACTION,
+    DEGRADED_PACE_FACTOR, EXTRA_CREDIT_PER_CORE, MAX_REJECTED_FRACTION, MAX_RETRY_FRACTION,
+    MAX_WASTED_FRACTION, MAX_WASTED_FRACTION_BY_WEIGHT, MEASUREMENT_WINDOW, MIN_CREDIT_PER_CORE,
+    MIN_TRAFFIC_FRACTION, TRAFFIC_CUT_ON_WASTE, TRAFFIC_RECOVERY_STEP, UNREAD_SETPOINT_FRACTION,
 };
 use crate::action::Action;
+use crate::clock::{CONTROL_INTERVAL, seconds};
 use crate::config::CallerFeedback;
 use crate::event::RequestIndex;
 use crate::sliding_window::Metric;
-use crate::state::seconds;
 
 /// The fraction of the cores that may go into reading what is rejected. Credit moves traffic
 /// elsewhere and a threshold spares high priorities; a weight ignores priorities, so it is cut
@@ -61,7 +60,7 @@
     pub(super) fn send_feedback(&mut self, out: &mut Vec<Action>) {
         let is_failing = self.high_failure_fraction() > 0.0;
         let willingness = match self.drain {
-            Some(ref drain) if self.clock.now >= drain.welcome_until => 0.0,
+            Some(ref drain) if self.clock.now() >= drain.welcome_until => 0.0,
             _ if is_failing => 0.0,
             _ => (DEGRADED_PACE_FACTOR * self.pace.usual / self.pace.measured)
                 .min(self.feedback.wanted_traffic),
@@ -108,7 +107,7 @@
     pub(super) fn should_retry_other_server(&self, index: RequestIndex) -> bool {
         let request = &self.requests[index];
         let objective = request.objective_at.saturating_sub(request.arrived_at);
-        let has_time_left = objective / 2 < request.objective_at.saturating_sub(self.clock.now);
+        let has_time_left = objective / 2 < request.objective_at.saturating_sub(self.clock.now());
         if request.is_over_quota || request.is_retry || !has_time_left {
             return false;
         }
--- a/src/controller/connections.rs
+++ b/src/controller/connections.rs
@@ -7,8 +7,8 @@
     STORM_ARRIVALS_PER_COMPLETION, STORM_READERS_PER_CORE,
 };
 use crate::action::Action;
+use crate::clock::seconds;
 use crate::sliding_window::Metric;
-use crate::state::seconds;
 
 impl Controller {
     /// Closes idle connections at once while they saturate the table, until connecting and reading
--- a/src/controller/dependency_calls.rs
+++ b/src/controller/dependency_calls.rs
@@ -9,11 +9,11 @@
     MIN_CALLS_FOR_USUAL_TIME, SLOW_CALL_FACTOR, SLOW_CALL_TIME_GAIN,
 };
 use crate::action::{Action, Reason};
+use crate::clock::seconds;
 use crate::config::Idempotency;
 use crate::event::{Outcome, RequestIndex};
 use crate::request::{Request, Stage};
 use crate::sliding_window::Metric;
-use crate::state::seconds;
 
 impl Controller {
     /// A run has reached its call.
@@ -25,7 +25,8 @@
         {
             return;
         }
-        self.requests.leave_core(request, self.clock.awake());
+        self.requests
+            .leave_core(request, self.clock.awake_seconds());
         if !self.requests[request].is_answered {
             self.requests.awaiting_call.push(request);
             self.try_call(request, out);
@@ -42,7 +43,7 @@
     /// stays.
     fn try_call(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
         let draw = self.rng.f64();
-        let now = self.clock.now;
+        let now = self.clock.now();
         let dimmer = self.brownout.dimmer;
         let is_drawn = *self.requests[request]
             .makes_optional_calls
@@ -58,7 +59,8 @@
             // One skipped call degrades the answer already: the others would be made for nothing.
             self.requests[request].makes_optional_calls = Some(false);
             self.requests.stop_awaiting_call(request);
-            self.requests.enter_core(request, self.clock.awake());
+            self.requests
+                .enter_core(request, self.clock.awake_seconds());
             out.push(Action::SkipCall { request });
         } else if has_budget {
             self.requests.stop_awaiting_call(request);
@@ -78,12 +80,12 @@
         let profile = &self.handlers[entry.handler];
         let time_left = entry
             .objective_at
-            .saturating_sub(self.clock.now)
+            .saturating_sub(self.clock.now())
             .as_secs_f64();
         let mut timeout = if profile.calls_are_optional {
             seconds(time_left * 0.5)
         } else {
-            entry.deadline.saturating_sub(self.clock.now)
+            entry.deadline.saturating_sub(self.clock.now())
         };
         // Guards against replies that never come: given up early, the call can be made again in
         // time. It does harm where a few calls take far longer than most; where many do, the
@@ -133,7 +135,7 @@
         let Some(budget) = calls.budget else {
             return (self.requests.calling as f64) < self.capacity.cores * MAX_CALLS_PER_CORE;
         };
-        let now = self.clock.now;
+        let now = self.clock.now();
         let past = self.window.sum(Metric::CallsInFlight, calls.window);
         let until_end = |entry: &Request| {
             entry
@@ -165,17 +167,18 @@
         else {
             return;
         };
-        let duration = (self.clock.now - entry.call_started_at).as_secs_f64();
+        let duration = (self.clock.now() - entry.call_started_at).as_secs_f64();
         self.requests.calling -= 1;
         if matches!(outcome, Outcome::TimedOut | Outcome::ConnectionLost) {
             self.calls
                 .lingering
-                .push(self.clock.now.saturating_add(self.calls.linger));
+                .push(self.clock.now().saturating_add(self.calls.linger));
         }
         self.record_call(duration, outcome);
         if outcome == Outcome::Succeeded {
             self.requests[request].call_attempts = 0;
-            self.requests.enter_core(request, self.clock.awake());
+            self.requests
+                .enter_core(request, self.clock.awake_seconds());
         } else {
             self.call_failed(request, outcome, out);
         }
--- a/src/controller/dispatch.rs
+++ b/src/controller/dispatch.rs
@@ -4,10 +4,11 @@
 use super::queueing::queue_order;
 use super::tuning::{
     BUCKET_WIDTH, BUSY_FRACTION, MEASUREMENT_WINDOW, MIN_RUNNING_CORE_FRACTION,
-    READ_BACKLOG_FRACTION, SAFETY_FRACTION,
+    READ_BACKLOG_FRACTION,
 };
 use crate::action::{Action, Reason};
 use crate::event::RequestIndex;
+use crate::limits::USABLE_LIMIT_FRACTION;
 use crate::request::Stage;
 use crate::sliding_window::Metric;
 
@@ -18,7 +19,7 @@
             let Some(request) = self.next_queued() else {
                 return;
             };
-            if self.requests[request].objective_at < self.clock.now {
+            if self.requests[request].objective_at < self.clock.now() {
                 self.finish_early(request, false, Reason::ObjectiveMissed, out);
                 continue;
             }
@@ -29,7 +30,8 @@
             }
             self.requests.remove_from_queue(request);
             self.memory.start_running(queued_kb);
-            self.requests.enter_core(request, self.clock.awake());
+            self.requests
+                .enter_core(request, self.clock.awake_seconds());
             out.push(Action::Start { request });
         }
     }
@@ -37,8 +39,9 @@
     fn has_core_for_next(&self) -> bool {
         let requests = &self.requests;
         let started = requests.running + requests.calling + requests.awaiting_call.len();
-        let survivable =
-            (self.capacity.survivable_concurrency(self.clock.now) * SAFETY_FRACTION).max(1.0);
+        let survivable = (self.capacity.survivable_concurrency(self.clock.now())
+            * USABLE_LIMIT_FRACTION)
+            .max(1.0);
         (requests.running as f64) < self.concurrency_limit() && (started + 1) as f64 <= survivable
     }
 
@@ -90,8 +93,8 @@
         } else {
             -1.0
         };
-        let highest_limit = (self.capacity.survivable_concurrency(self.clock.now)
-            * SAFETY_FRACTION)
+        let highest_limit = (self.capacity.survivable_concurrency(self.clock.now())
+            * USABLE_LIMIT_FRACTION)
             .max(self.capacity.cores);
         self.capacity.running_limit =
             (self.capacity.running_limit + step).clamp(self.capacity.cores, highest_limit);
--- a/src/controller/drain.rs
+++ b/src/controller/drain.rs
@@ -6,8 +6,9 @@
 use super::Controller;
 use super::tuning::{DRAIN_BUSY_FRACTION, TERMINATION_MARGIN};
 use crate::action::Action;
+use crate::clock::seconds;
 use crate::event::RequestIndex;
-use crate::state::{Drain, seconds};
+use crate::state::Drain;
 
 impl Controller {
     /// Starts the drain at the first notice, which came `since` ago; later notices change nothing.
@@ -15,7 +16,7 @@
         if self.drain.is_some() {
             return;
         }
-        let now = self.clock.now;
+        let now = self.clock.now();
         let run_until = now.saturating_add(self.drain_grace).saturating_sub(since);
         // Guards a fleet that is short of servers: what may still run here stays welcome until
         // callers must leave. It costs as much as one full server does.
@@ -42,7 +43,7 @@
 
     /// Whether the time to answer everything has come.
     pub(super) fn is_terminating(&self) -> bool {
-        self.clock.now >= self.answer_by()
+        self.clock.now() >= self.answer_by()
     }
 
     /// When everything must be answered because the process is terminated.
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -3,7 +3,6 @@
 use std::time::Duration;
 
 use super::Controller;
-use super::tuning::{CONTROL_INTERVAL, STALL_TICKS};
 use crate::action::Action;
 use crate::event::{Event, Gauges};
 use crate::sliding_window::Metric;
@@ -41,26 +40,19 @@
     }
 
     fn advance_clock(&mut self, now: Duration) {
-        let now = now.max(self.clock.now);
-        let passed = (now - self.clock.now).as_secs_f64();
-        let before = self.clock.now;
+        let before = self.clock.now();
+        let passed_seconds = self.clock.advance(now, &self.schedule);
         self.calls.lingering.retain(|&end| end > before);
-        self.window.advance(now);
+        self.window.advance(self.clock.now());
         let in_flight = (self.requests.calling + self.calls.lingering.len()) as f64;
-        self.window.add(Metric::CallsInFlight, in_flight * passed);
-        self.clock.now = now;
-        // A tick that comes far too late shows that the process stood still.
-        if now > self.schedule.next_tick + self.schedule.tick_interval * STALL_TICKS {
-            self.clock.stall_length = (now - self.schedule.next_tick).as_secs_f64().min(passed);
-            self.clock.stall_end = now;
-            self.clock.stalled += self.clock.stall_length;
-        }
+        self.window
+            .add(Metric::CallsInFlight, in_flight * passed_seconds);
     }
 
     /// Everything that goes by the clock.
     fn tick(&mut self, gauges: &Gauges, out: &mut Vec<Action>) {
-        let now = self.clock.now;
-        self.schedule.next_tick = now + self.schedule.tick_interval;
+        let now = self.clock.now();
+        self.schedule.tick(now);
         out.push(Action::SetTimer {
             at: self.schedule.next_tick,
         });
@@ -68,8 +60,7 @@
         self.read_gauges(gauges);
         self.expire_requests(out);
         self.update_pace();
-        if now >= self.schedule.next_control_step {
-            self.schedule.next_control_step = now + CONTROL_INTERVAL;
+        if self.schedule.take_control_step(now) {
             self.adjust_running_limit();
             self.update_brownout();
             self.update_wanted_traffic();
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -15,7 +15,7 @@
         let mut core_time = self.window.sum(Metric::CoreTime, MEASUREMENT_WINDOW);
         let mut work = self.window.sum(Metric::Work, MEASUREMENT_WINDOW);
         for request in self.requests.in_stage(Stage::Running) {
-            let so_far = request.core_time + self.clock.awake() - request.running_since;
+            let so_far = request.core_time + self.clock.awake_seconds() - request.running_since;
             if so_far > request.work * self.pace.measured {
                 core_time += so_far;
                 work += request.work;
@@ -30,7 +30,7 @@
         pace.measured = (core_time + prior * pace.usual) / (work + prior);
         // A warm start learns in its first seconds how fast this machine is: a slow kind would
         // otherwise look degraded.
-        let is_learning = self.capacity.warm_at == 0.0 && self.clock.now < PACE_LEARNING_TIME;
+        let is_learning = self.capacity.warm_at == 0.0 && self.clock.now() < PACE_LEARNING_TIME;
         let is_better = pace.measured < pace.usual;
         let gain = if is_better || is_learning {
             PACE_GAIN
--- a/src/controller/lifecycle.rs
+++ b/src/controller/lifecycle.rs
@@ -23,7 +23,8 @@
             return;
         }
         if stage == Stage::Running {
-            self.requests.leave_core(request, self.clock.awake());
+            self.requests
+                .leave_core(request, self.clock.awake_seconds());
         }
         match outcome {
             Outcome::Succeeded if stage == Stage::Running => self.learn_from_run(request),
@@ -44,8 +45,8 @@
     fn learn_from_run(&mut self, request: RequestIndex) {
         let entry = &self.requests[request];
         if !entry.is_answered {
-            let stalled = self.clock.stalled - entry.stalled_before;
-            let response_time = (self.clock.now - entry.arrived_at).as_secs_f64() - stalled;
+            let stalled = self.clock.stalled_seconds() - entry.stalled_before;
+            let response_time = (self.clock.now() - entry.arrived_at).as_secs_f64() - stalled;
             self.window.add(Metric::Completed, 1.0);
             self.window
                 .add(Metric::ResponseTime, response_time.max(0.0));
@@ -72,7 +73,7 @@
     /// Answers what is due, what the termination would cut off, and what can no longer be in time.
     pub(super) fn expire_requests(&mut self, out: &mut Vec<Action>) {
         self.reject_overtaken(out);
-        let now = self.clock.now;
+        let now = self.clock.now();
         let answer_by = self.answer_by();
         for request in 0..self.requests.len() {
             let Some(entry) = self.requests.get(request) else {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -17,19 +17,17 @@
 
 use std::time::Duration;
 
+use crate::clock::{Clock, Schedule};
 use crate::config::{Cancellation, Config, ConfigError};
+use crate::limits::USABLE_LIMIT_FRACTION;
 use crate::request::{HandlerProfile, handler_profiles};
 use crate::request_table::RequestTable;
 use crate::sliding_window::SlidingWindow;
 use crate::state::{
-    Brownout, Capacity, Clock, Connections, DependencyCalls, Drain, Feedback, Memory, Pace, Quotas,
-    Schedule,
+    Brownout, Capacity, Connections, DependencyCalls, Drain, Feedback, Memory, Pace, Quotas,
 };
 use caller_feedback::max_wasted_fraction;
-use tuning::{
-    BUCKET_WIDTH, CONTROL_INTERVAL, DEFAULT_WORK_SECONDS, INITIAL_SLOPE, MAX_TICK_INTERVAL,
-    MIN_TICK_INTERVAL, SAFETY_FRACTION, SETPOINT_FRACTION, WORK_WINDOW,
-};
+use tuning::{BUCKET_WIDTH, DEFAULT_WORK_SECONDS, INITIAL_SLOPE, SETPOINT_FRACTION, WORK_WINDOW};
 
 /// Decides for one server. It owns all state.
 pub struct Controller {
@@ -67,15 +65,14 @@
             .map(|h| h.latency_objective.as_secs_f64())
             .sum();
         let setpoint = SETPOINT_FRACTION * objectives / handlers.len() as f64;
-        let tick_interval = (config.response_slack / 2).clamp(MIN_TICK_INTERVAL, MAX_TICK_INTERVAL);
-        let calls = DependencyCalls::new(config, &handlers, SAFETY_FRACTION);
+        let calls = DependencyCalls::new(config, &handlers, USABLE_LIMIT_FRACTION);
         let window =
             SlidingWindow::new(BUCKET_WIDTH, calls.window.max(WORK_WINDOW), priority_levels);
         Ok(Controller {
             priority_levels,
             quotas: Quotas::new(config),
             capacity: Capacity::new(config),
-            memory: Memory::new(config, SAFETY_FRACTION),
+            memory: Memory::new(config, USABLE_LIMIT_FRACTION),
             brownout: Brownout::new(setpoint, INITIAL_SLOPE),
             pace: Pace::new(config),
             feedback: Feedback::new(config, max_wasted_fraction(config.feedback)),
@@ -84,7 +81,7 @@
             drain: None,
             can_cancel: config.cancellation != Cancellation::Unsupported,
             clock: Clock::default(),
-            schedule: Schedule::new(tick_interval, CONTROL_INTERVAL),
+            schedule: Schedule::new(config.response_slack),
             requests: RequestTable::default(),
             rng: fastrand::Rng::with_seed(seed),
             handlers,
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -82,7 +82,7 @@
         } else {
             0.0
         };
-        let age = (self.clock.now - request.arrived_at).as_secs_f64();
+        let age = (self.clock.now() - request.arrived_at).as_secs_f64();
         let response_time = age + wait + request.work * self.pace.measured + calling;
         // On a free core an attempt delays nobody, so an estimate that may be wrong gets some
         // tolerance.
--- a/src/controller/tuning.rs
+++ b/src/controller/tuning.rs
@@ -4,14 +4,10 @@
 use std::time::Duration;
 
 /// The longest and the shortest interval between two ticks: how late an overdue answer can be.
-pub(super) const MAX_TICK_INTERVAL: Duration = Duration::from_millis(25);
-pub(super) const MIN_TICK_INTERVAL: Duration = Duration::from_millis(5);
 /// By how many tick intervals a tick is late when the process counts as having stood still.
-pub(super) const STALL_TICKS: u32 = 2;
 /// The width of the buckets in which metrics are kept.
 pub(super) const BUCKET_WIDTH: Duration = Duration::from_millis(250);
 /// The interval between two steps of the control loops, and the window of their means.
-pub(super) const CONTROL_INTERVAL: Duration = Duration::from_millis(500);
 pub(super) const MEASUREMENT_WINDOW: Duration = Duration::from_millis(2000);
 /// The window of the mean work of arrivals.
 pub(super) const WORK_WINDOW: Duration = Duration::from_secs(5);
@@ -88,7 +84,6 @@
 pub(super) const EXTRA_CREDIT_PER_CORE: f64 = 3.5;
 
 /// The fraction of survivable concurrency, memory and calls that is used.
-pub(super) const SAFETY_FRACTION: f64 = 0.9;
 /// The fraction of the memory that queued requests may take.
 pub(super) const MAX_QUEUED_MEMORY_FRACTION: f64 = 0.5;
 /// Calls in flight per core, where the dependency states no share.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -69,9 +69,11 @@
 //! ```
 
 mod action;
+mod clock;
 mod config;
 mod controller;
 mod event;
+mod limits;
 mod request;
 mod request_table;
 mod sliding_window;
--- a/src/state.rs
+++ b/src/state.rs
@@ -6,49 +6,6 @@
 use crate::config::{CallerFeedback, Config, Dependency};
 use crate::request::{HandlerProfile, TokenBucket};
 
-/// The time, and how much of it the process stood still. Owner: `controller/mod.rs`.
-#[derive(Default)]
-pub(crate) struct Clock {
-    pub(crate) now: Duration,
-    /// Seconds that the process stood still in all.
-    pub(crate) stalled: f64,
-    /// The end and the length in seconds of the last stall.
-    pub(crate) stall_end: Duration,
-    pub(crate) stall_length: f64,
-}
-
-impl Clock {
-    /// Seconds that the process was awake.
-    pub(crate) fn awake(&self) -> f64 {
-        self.now.as_secs_f64() - self.stalled
-    }
-
-    /// Seconds since `arrived_at` in which the process stood still in its last stall.
-    pub(crate) fn stalled_since(&self, arrived_at: Duration) -> f64 {
-        self.stall_end
-            .saturating_sub(arrived_at)
-            .as_secs_f64()
-            .min(self.stall_length)
-    }
-}
-
-/// When timers are due. Owner: `controller/mod.rs`.
-pub(crate) struct Schedule {
-    pub(crate) tick_interval: Duration,
-    pub(crate) next_tick: Duration,
-    pub(crate) next_control_step: Duration,
-}
-
-impl Schedule {
-    pub(crate) fn new(tick_interval: Duration, control_interval: Duration) -> Self {
-        Schedule {
-            tick_interval,
-            next_tick: tick_interval,
-            next_control_step: control_interval,
-        }
-    }
-}
-
 /// The cores and what wants them. Owner: `controller/dispatch.rs`.
 pub(crate) struct Capacity {
     pub(crate) cores: f64,
@@ -350,8 +307,3 @@
     /// Until then callers are not asked to stay away.
     pub(crate) welcome_until: Duration,
 }
-
-/// A span of this many seconds, or the longest that there is.
-pub(crate) fn seconds(span: f64) -> Duration {
-    Duration::try_from_secs_f64(span).unwrap_or(Duration::MAX)
-}
