--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -4,13 +4,13 @@
 
 use super::Controller;
 use super::tuning::{
-    ADMISSION_OBJECTIVE_FRACTION, BUCKET_WIDTH, LONG_LEARNT_WORK_FACTOR,
-    MAX_QUEUED_MEMORY_FRACTION, QUOTA_BURST, QUOTA_WINDOW,
+    ADMISSION_OBJECTIVE_FRACTION, BUCKET_WIDTH, MAX_QUEUED_MEMORY_FRACTION, QUOTA_BURST,
+    QUOTA_WINDOW,
 };
 use crate::action::{Action, Reason};
 use crate::clock::seconds;
-use crate::config::Idempotency;
 use crate::event::{Arrival, RequestIndex, TenantIndex};
+use crate::handlers::is_long;
 use crate::request::{Request, Stage};
 use crate::sliding_window::Metric;
 
@@ -27,11 +27,12 @@
         self.record_arrival(arrival, &request);
         self.memory.add_queued(request.queued_kb);
         self.requests.insert(index, request);
-        let idempotency = self.handlers[arrival.handler].idempotency;
+        let handler = &self.handlers[arrival.handler];
+        let (is_idempotent, is_keyed) = (handler.is_idempotent(), handler.is_keyed());
 
         // No effect twice: a duplicate of a keyed request is neither run nor rejected, as the first
         // may have run.
-        if arrival.is_duplicate && idempotency != Idempotency::Idempotent {
+        if arrival.is_duplicate && !is_idempotent {
             return self.coalesce(index, out);
         }
         if self.arrived_too_late_to_run(index) {
@@ -43,7 +44,7 @@
             return self.finish_early(index, retry_other_server, reason, out);
         }
         self.charge_quota(arrival.tenant);
-        if idempotency == Idempotency::Keyed {
+        if is_keyed {
             self.remember_key(index, out);
         }
         self.enqueue(index);
@@ -58,7 +59,7 @@
         let work_is_learnt = arrival.estimated_work.is_none();
         let work = arrival
             .estimated_work
-            .map_or(profile.learnt_work, |work| work.as_secs_f64());
+            .map_or(profile.learnt_work_seconds, |work| work.as_secs_f64());
         let arrived_at = now.saturating_sub(arrival.age);
         let deadline = match arrival.client_wait {
             Some(wait) => now.saturating_add(wait),
@@ -75,14 +76,6 @@
             .tenant
             .and_then(|tenant| self.quotas.buckets.get(tenant));
         let is_over_quota = bucket.is_some_and(|bucket| bucket.tokens < self.quota_threshold());
-        // A learnt estimate describes a handler, not a request: only one far above the mean counts
-        // as long.
-        let long_from = self.mean_work()
-            * if work_is_learnt {
-                LONG_LEARNT_WORK_FACTOR
-            } else {
-                1.0
-            };
         Some(Request {
             handler: arrival.handler,
             level: if is_over_quota {
@@ -93,7 +86,7 @@
             queued_kb: arrival.queued_kb.max(0.0).min(self.memory.limit_kb * 2.0),
             work,
             work_is_learnt,
-            is_long: work > long_from,
+            is_long: is_long(work, work_is_learnt, self.mean_work()),
             is_over_quota,
             is_retry: arrival.is_retry,
             arrived_at,
@@ -137,8 +130,7 @@
     /// key.
     fn has_memory_for(&self, request: RequestIndex) -> bool {
         let memory = &self.memory;
-        let is_keyed =
-            self.handlers[self.requests[request].handler].idempotency == Idempotency::Keyed;
+        let is_keyed = self.handlers[self.requests[request].handler].is_keyed();
         let key_kb = if is_keyed { memory.key_kb } else { 0.0 };
         let queue_has_room = memory.queued_kb <= memory.limit_kb * MAX_QUEUED_MEMORY_FRACTION;
         queue_has_room && memory.used_kb + key_kb <= memory.limit_kb
--- a/src/controller/bookkeeping.rs
+++ b/src/controller/bookkeeping.rs
@@ -4,9 +4,10 @@
 use std::ops::Range;
 
 use super::Controller;
-use super::tuning::{DEFAULT_WORK_SECONDS, MEASUREMENT_WINDOW, WORK_WINDOW};
+use super::tuning::{MEASUREMENT_WINDOW, WORK_WINDOW};
 use crate::action::Action;
 use crate::event::{Arrival, Gauges, RequestIndex};
+use crate::handlers::DEFAULT_WORK_SECONDS;
 use crate::request::{Request, Stage};
 use crate::sliding_window::Metric;
 
--- a/src/controller/dependency_calls.rs
+++ b/src/controller/dependency_calls.rs
@@ -10,7 +10,6 @@
 };
 use crate::action::{Action, Reason};
 use crate::clock::seconds;
-use crate::config::Idempotency;
 use crate::event::{Outcome, RequestIndex};
 use crate::request::{Request, Stage};
 use crate::sliding_window::Metric;
@@ -91,7 +90,7 @@
         // time. It does harm where a few calls take far longer than most; where many do, the
         // dependency is slow, and this does not act.
         let may_retry = profile.calls_are_optional
-            && profile.idempotency == Idempotency::Idempotent
+            && profile.is_idempotent()
             && entry.call_attempts + 1 < MAX_CALL_ATTEMPTS;
         let mean = self.mean_call_time();
         if may_retry && mean > 0.0 && self.lost_calls_are_rare() {
@@ -215,7 +214,7 @@
         let entry = &mut self.requests[request];
         let profile = &self.handlers[entry.handler];
         let never_ran = outcome.never_ran();
-        let may_run_again = never_ran || profile.idempotency == Idempotency::Idempotent;
+        let may_run_again = never_ran || profile.is_idempotent();
         let may_retry = may_run_again && entry.call_attempts < MAX_CALL_ATTEMPTS;
         entry.stage = Stage::AwaitingCall;
         // An optional call is attempted again only where its connection or reply was lost: a
--- a/src/controller/lifecycle.rs
+++ b/src/controller/lifecycle.rs
@@ -1,10 +1,9 @@
 //! The end of a request: by its own run, by its caller, or early because it cannot be in time.
 
 use super::Controller;
-use super::tuning::{MIN_WORK_SECONDS, WORK_GAIN};
 use crate::action::{Action, Reason};
-use crate::config::Idempotency;
 use crate::event::{Outcome, RequestIndex};
+use crate::handlers::CompletedRun;
 use crate::request::Stage;
 use crate::sliding_window::Metric;
 
@@ -53,13 +52,12 @@
         }
         self.window.add(Metric::CoreTime, entry.core_time);
         self.window.add(Metric::Work, entry.work);
-        let profile = &mut self.handlers[entry.handler];
-        profile.calls_per_run += WORK_GAIN * (f64::from(entry.calls_made) - profile.calls_per_run);
-        if entry.work_is_learnt {
-            let work = entry.core_time / self.pace.measured;
-            let learnt = profile.learnt_work + WORK_GAIN * (work - profile.learnt_work);
-            profile.learnt_work = learnt.max(MIN_WORK_SECONDS);
-        }
+        self.handlers[entry.handler].learn(&CompletedRun {
+            core_seconds: entry.core_time,
+            calls_made: entry.calls_made,
+            work_is_learnt: entry.work_is_learnt,
+            slowdown: self.pace.measured,
+        });
     }
 
     pub(super) fn caller_gone(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
@@ -91,7 +89,7 @@
             // A started request is given up only once it is late, and if it may not run again only
             // where it waits at a call: that call would be made for nobody, together with those of
             // all that wait as long.
-            let is_idempotent = self.handlers[entry.handler].idempotency == Idempotency::Idempotent;
+            let is_idempotent = self.handlers[entry.handler].is_idempotent();
             let may_give_up = match entry.stage {
                 Stage::Queued | Stage::Coalesced => false,
                 Stage::AwaitingCall => true,
@@ -121,7 +119,7 @@
     ) {
         let entry = &mut self.requests[request];
         entry.is_answered = true;
-        let is_idempotent = self.handlers[entry.handler].idempotency == Idempotency::Idempotent;
+        let is_idempotent = self.handlers[entry.handler].is_idempotent();
         let may_reject = match entry.stage {
             Stage::Queued => true,
             Stage::Coalesced => false,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -19,15 +19,15 @@
 
 use crate::clock::{Clock, Schedule};
 use crate::config::{Cancellation, Config, ConfigError};
+use crate::handlers::{HandlerProfile, handler_profiles};
 use crate::limits::USABLE_LIMIT_FRACTION;
-use crate::request::{HandlerProfile, handler_profiles};
 use crate::request_table::RequestTable;
 use crate::sliding_window::SlidingWindow;
 use crate::state::{
     Brownout, Capacity, Connections, DependencyCalls, Drain, Feedback, Memory, Pace, Quotas,
 };
 use caller_feedback::max_wasted_fraction;
-use tuning::{BUCKET_WIDTH, DEFAULT_WORK_SECONDS, INITIAL_SLOPE, SETPOINT_FRACTION, WORK_WINDOW};
+use tuning::{BUCKET_WIDTH, INITIAL_SLOPE, SETPOINT_FRACTION, WORK_WINDOW};
 
 /// Decides for one server. It owns all state.
 pub struct Controller {
@@ -59,7 +59,7 @@
     /// Returns a [`ConfigError`] that names the field which is out of range.
     pub fn new(config: &Config, seed: u64) -> Result<Self, ConfigError> {
         config.validate()?;
-        let (handlers, priority_levels) = handler_profiles(config, DEFAULT_WORK_SECONDS);
+        let (handlers, priority_levels) = handler_profiles(config);
         let objectives: f64 = handlers
             .iter()
             .map(|h| h.latency_objective.as_secs_f64())
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -70,18 +70,8 @@
             let work = (work_ahead + self.mean_work()) * self.pace.measured;
             work / self.capacity.running_limit / (1.0 - self.overtaking_fraction(request.level))
         };
-        // The dimmer skips only optional calls.
         let profile = &self.handlers[request.handler];
-        let calls = if profile.calls_are_optional {
-            self.brownout.dimmer
-        } else {
-            profile.calls_per_run
-        };
-        let calling = if profile.makes_calls {
-            self.mean_call_time() * calls
-        } else {
-            0.0
-        };
+        let calling = self.mean_call_time() * profile.expected_calls(self.brownout.dimmer);
         let age = (self.clock.now() - request.arrived_at).as_secs_f64();
         let response_time = age + wait + request.work * self.pace.measured + calling;
         // On a free core an attempt delays nobody, so an estimate that may be wrong gets some
--- a/src/controller/tuning.rs
+++ b/src/controller/tuning.rs
@@ -113,10 +113,6 @@
 pub(super) const DEGRADED_PACE_FACTOR: f64 = 1.7;
 /// The work of a request without an estimate, at first, how fast it is learnt from each run, and
 /// its floor; and from how many times the mean such a request counts as long.
-pub(super) const DEFAULT_WORK_SECONDS: f64 = 0.1;
-pub(super) const WORK_GAIN: f64 = 0.05;
-pub(super) const MIN_WORK_SECONDS: f64 = 0.001;
-pub(super) const LONG_LEARNT_WORK_FACTOR: f64 = 1.25;
 /// Requests of mean work at the usual pace that the measured pace starts from.
 pub(super) const PACE_PRIOR_REQUESTS: f64 = 6.0;
 /// The gain of the usual pace each tick while the measured one is better or new, and while it is
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -73,11 +73,14 @@
 mod config;
 mod controller;
 mod event;
+mod handlers;
 mod limits;
 mod request;
 mod request_table;
 mod sliding_window;
 mod state;
+#[cfg(test)]
+mod tests;
 
 pub use action::{Action, Reason};
 pub use config::{
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,69 +1,9 @@
-//! What the controller keeps of a request, a handler and a tenant. No decision is taken here.
+//! What the controller keeps of a request and a tenant. No decision is taken here.
 
 use std::time::Duration;
 
-use crate::config::{Config, Dependency, HandlerConfig, Idempotency};
 use crate::event::HandlerIndex;
 
-/// What decisions need to know of a handler.
-pub(crate) struct HandlerProfile {
-    pub(crate) latency_objective: Duration,
-    pub(crate) objective_stretch: f64,
-    pub(crate) client_timeout: Duration,
-    pub(crate) idempotency: Idempotency,
-    pub(crate) key_retention: Duration,
-    /// Its calls may be skipped.
-    pub(crate) calls_are_optional: bool,
-    pub(crate) makes_calls: bool,
-    /// The rank of its priority weight, within and beyond a tenant's quota; higher ranks go first.
-    pub(crate) level: usize,
-    pub(crate) over_quota_level: usize,
-    /// The work of a request that brings no estimate, learnt from runs.
-    pub(crate) learnt_work: f64,
-    /// Calls that one of its runs makes, learnt from runs.
-    pub(crate) calls_per_run: f64,
-}
-
-impl HandlerProfile {
-    /// A profile with nothing learnt yet: `default_work` stands in for the learnt work.
-    fn new(handler: &HandlerConfig, config: &Config, weights: &[f64], default_work: f64) -> Self {
-        let level = |weight: f64| weights.partition_point(|&other| other < weight);
-        HandlerProfile {
-            latency_objective: handler.latency_objective,
-            objective_stretch: handler.objective_stretch,
-            client_timeout: handler.client_timeout,
-            idempotency: handler.idempotency,
-            key_retention: handler.key_retention,
-            calls_are_optional: handler.degraded_weight > 0.0,
-            makes_calls: handler.calls_dependency && config.dependency != Dependency::None,
-            level: level(handler.priority_weight),
-            over_quota_level: level(handler.priority_weight * config.over_quota_weight),
-            learnt_work: default_work,
-            calls_per_run: 1.0,
-        }
-    }
-}
-
-/// The profiles of all handlers, and the number of priority levels. A level is the rank of a
-/// priority weight among all of them, within and beyond a tenant's quota.
-pub(crate) fn handler_profiles(config: &Config, default_work: f64) -> (Vec<HandlerProfile>, usize) {
-    let mut weights: Vec<f64> = config
-        .handlers
-        .iter()
-        .map(|handler| handler.priority_weight)
-        .collect();
-    weights.extend(
-        config
-            .handlers
-            .iter()
-            .map(|handler| handler.priority_weight * config.over_quota_weight),
-    );
-    weights.sort_by(f64::total_cmp);
-    weights.dedup();
-    let profile = |handler| HandlerProfile::new(handler, config, &weights, default_work);
-    (config.handlers.iter().map(profile).collect(), weights.len())
-}
-
 /// Where a request stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Stage {
--- a/src/state.rs
+++ b/src/state.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use crate::config::{CallerFeedback, Config, Dependency};
-use crate::request::{HandlerProfile, TokenBucket};
+use crate::handlers::HandlerProfile;
+use crate::request::TokenBucket;
 
 /// The cores and what wants them. Owner: `controller/dispatch.rs`.
 pub(crate) struct Capacity {
