--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -4,15 +4,14 @@
 
 use super::Controller;
 use super::tuning::{
-    ADMISSION_OBJECTIVE_FRACTION, BUCKET_WIDTH, MAX_QUEUED_MEMORY_FRACTION, QUOTA_BURST,
-    QUOTA_WINDOW,
+    ADMISSION_OBJECTIVE_FRACTION, MAX_QUEUED_MEMORY_FRACTION, QUOTA_BURST, QUOTA_WINDOW,
 };
 use crate::action::{Action, Reason};
 use crate::clock::seconds;
 use crate::event::{Arrival, RequestIndex, TenantIndex};
 use crate::handlers::is_long;
+use crate::metrics::{BUCKET_WIDTH, Metric};
 use crate::request::{Request, Stage};
-use crate::sliding_window::Metric;
 
 impl Controller {
     /// The ordinary path of a request.
@@ -39,7 +38,7 @@
             return self.finish_early(index, true, Reason::Draining, out);
         }
         if let Some(reason) = self.rejection_reason(index) {
-            self.window.add(Metric::Rejected, 1.0);
+            self.metrics.add(Metric::Rejected, 1.0);
             let retry_other_server = self.should_retry_other_server(index);
             return self.finish_early(index, retry_other_server, reason, out);
         }
@@ -86,7 +85,7 @@
             queued_kb: arrival.queued_kb.max(0.0).min(self.memory.limit_kb * 2.0),
             work,
             work_is_learnt,
-            is_long: is_long(work, work_is_learnt, self.mean_work()),
+            is_long: is_long(work, work_is_learnt, self.metrics.mean_work_seconds()),
             is_over_quota,
             is_retry: arrival.is_retry,
             arrived_at,
@@ -142,9 +141,9 @@
         if self.brownout.admitted_fraction >= 1.0 {
             return true;
         }
-        let own = self.arrivals_at(level..level + 1);
-        let above = self.arrivals_at(level + 1..self.priority_levels);
-        let all = self.arrivals_at(0..self.priority_levels);
+        let own = self.metrics.arrivals_at(level..level + 1);
+        let above = self.metrics.arrivals_at(level + 1..self.priority_levels);
+        let all = self.metrics.arrivals_at(0..self.priority_levels);
         self.rng.f64() * own < self.brownout.admitted_fraction * all - above
     }
 
@@ -159,8 +158,8 @@
         let span = QUOTA_WINDOW
             .min(self.clock.now())
             .max(Duration::from_secs(1));
-        let arrived = self.window.sum(Metric::Arrived, QUOTA_WINDOW);
-        let first_attempts = arrived - self.window.sum(Metric::Retries, QUOTA_WINDOW);
+        let arrived = self.metrics.sum_over(Metric::Arrived, QUOTA_WINDOW);
+        let first_attempts = arrived - self.metrics.sum_over(Metric::Retries, QUOTA_WINDOW);
         let rate = first_attempts / span.as_secs_f64();
         QUOTA_BURST * (1.0 - 2.0 * quota / rate.max(quota))
     }
--- a/src/controller/brownout.rs
+++ b/src/controller/brownout.rs
@@ -6,16 +6,13 @@
 use super::tuning::{
     ADMISSION_INTEGRAL_GAIN, ADMISSION_PROPORTIONAL_GAIN, ADMISSION_RECOVERY_STEP,
     BROWNOUT_DERIVATIVE_GAIN, BROWNOUT_POLE, BUSY_FRACTION, CEILING_CUT, CEILING_RECOVERY_STEP,
-    DIMMER_NEAR_ZERO, MEASUREMENT_WINDOW, MIN_ADMITTED_FRACTION, MIN_DIMMER_CEILING,
+    DIMMER_NEAR_ZERO, MIN_ADMITTED_FRACTION, MIN_DIMMER_CEILING,
 };
-use crate::sliding_window::Metric;
 
 impl Controller {
     /// One step of both loops. An empty window does not count as lateness.
     pub(super) fn update_brownout(&mut self) {
-        let mean = self
-            .window
-            .ratio(Metric::ResponseTime, Metric::Completed, MEASUREMENT_WINDOW);
+        let mean = self.metrics.mean_response_seconds();
         let error = self.brownout.setpoint - mean.unwrap_or(0.0);
         self.update_admitted_fraction(error);
         self.update_dimmer(error, mean);
--- a/src/controller/caller_feedback.rs
+++ b/src/controller/caller_feedback.rs
@@ -6,14 +6,14 @@
 use super::Controller;
 use super::tuning::{
     DEGRADED_PACE_FACTOR, EXTRA_CREDIT_PER_CORE, MAX_REJECTED_FRACTION, MAX_RETRY_FRACTION,
-    MAX_WASTED_FRACTION, MAX_WASTED_FRACTION_BY_WEIGHT, MEASUREMENT_WINDOW, MIN_CREDIT_PER_CORE,
-    MIN_TRAFFIC_FRACTION, TRAFFIC_CUT_ON_WASTE, TRAFFIC_RECOVERY_STEP, UNREAD_SETPOINT_FRACTION,
+    MAX_WASTED_FRACTION, MAX_WASTED_FRACTION_BY_WEIGHT, MIN_CREDIT_PER_CORE, MIN_TRAFFIC_FRACTION,
+    TRAFFIC_CUT_ON_WASTE, TRAFFIC_RECOVERY_STEP, UNREAD_SETPOINT_FRACTION,
 };
 use crate::action::Action;
 use crate::clock::{CONTROL_INTERVAL, seconds};
 use crate::config::CallerFeedback;
 use crate::event::RequestIndex;
-use crate::sliding_window::Metric;
+use crate::metrics::Metric;
 
 /// The fraction of the cores that may go into reading what is rejected. Credit moves traffic
 /// elsewhere and a threshold spares high priorities; a weight ignores priorities, so it is cut
@@ -30,16 +30,13 @@
     /// in time: only callers that send less help. Guards against floods, uneven callers and a
     /// server grown slow.
     pub(super) fn update_wanted_traffic(&mut self) {
-        let unread = self
-            .window
-            .per_arrival(Metric::UnreadTime, CONTROL_INTERVAL);
+        let unread = self.metrics.mean_unread_seconds(CONTROL_INTERVAL);
         let bearable = UNREAD_SETPOINT_FRACTION * self.brownout.setpoint;
         // Reading what is then rejected costs cores too; where that is much, callers should not
         // send it.
-        let rejected = self
-            .window
-            .per_arrival(Metric::Rejected, MEASUREMENT_WINDOW);
-        let wasted = rejected * self.mean_per_tick(Metric::ReadingCores) / self.capacity.cores;
+        let rejected = self.metrics.rejected_fraction();
+        let wasted =
+            rejected * self.metrics.mean_per_tick(Metric::ReadingCores) / self.capacity.cores;
         let factor = if unread > bearable {
             (bearable / unread).max(0.5)
         } else if wasted > self.feedback.max_wasted_fraction {
@@ -118,10 +115,9 @@
 
     fn fleet_has_room(&self) -> bool {
         // One retry or rejection among the few that arrive in a window proves nothing.
-        let arrived = self.window.sum(Metric::Arrived, MEASUREMENT_WINDOW);
-        let is_rare = |metric: Metric, fraction: f64| {
-            self.window.sum(metric, MEASUREMENT_WINDOW) <= fraction * arrived + 1.0
-        };
+        let arrived = self.metrics.recent(Metric::Arrived);
+        let is_rare =
+            |metric: Metric, fraction: f64| self.metrics.recent(metric) <= fraction * arrived + 1.0;
         is_rare(Metric::Retries, MAX_RETRY_FRACTION)
             && is_rare(Metric::Rejected, MAX_REJECTED_FRACTION)
     }
--- a/src/controller/connections.rs
+++ b/src/controller/connections.rs
@@ -2,13 +2,13 @@
 
 use super::Controller;
 use super::tuning::{
-    IDLE_TIMEOUT_CUT, IDLE_TIMEOUT_RECOVERY, IDLE_TIMEOUT_RISE, MEASUREMENT_WINDOW,
-    MIN_IDLE_TIMEOUT, SATURATED_CONNECTIONS_PER_CORE, STARVED_BUSY_FRACTION,
-    STORM_ARRIVALS_PER_COMPLETION, STORM_READERS_PER_CORE,
+    IDLE_TIMEOUT_CUT, IDLE_TIMEOUT_RECOVERY, IDLE_TIMEOUT_RISE, MIN_IDLE_TIMEOUT,
+    SATURATED_CONNECTIONS_PER_CORE, STARVED_BUSY_FRACTION, STORM_ARRIVALS_PER_COMPLETION,
+    STORM_READERS_PER_CORE,
 };
 use crate::action::Action;
 use crate::clock::seconds;
-use crate::sliding_window::Metric;
+use crate::metrics::{MEASUREMENT_WINDOW, Metric};
 
 impl Controller {
     /// Closes idle connections at once while they saturate the table, until connecting and reading
@@ -21,13 +21,19 @@
         let cores = self.capacity.cores;
         let is_above_limit = open_connections > SATURATED_CONNECTIONS_PER_CORE * cores;
         let is_saturated = is_above_limit && open_connections * 2.0 < self.feedback.callers;
-        let arrived = self.window.sum(Metric::Arrived, MEASUREMENT_WINDOW * 2);
-        let completed = self.window.sum(Metric::Completed, MEASUREMENT_WINDOW * 2);
+        let arrived = self
+            .metrics
+            .sum_over(Metric::Arrived, MEASUREMENT_WINDOW * 2);
+        let completed = self
+            .metrics
+            .sum_over(Metric::Completed, MEASUREMENT_WINDOW * 2);
         let is_storm = arrived / completed.max(1.0) > STORM_ARRIVALS_PER_COMPLETION
-            && self.mean_per_tick(Metric::ReadingCores) > STORM_READERS_PER_CORE * cores;
+            && self.metrics.mean_per_tick(Metric::ReadingCores) > STORM_READERS_PER_CORE * cores;
         if is_storm {
             self.connections.is_left_to_fill = true;
-        } else if is_saturated && self.mean_per_tick(Metric::CoresBusy) < STARVED_BUSY_FRACTION {
+        } else if is_saturated
+            && self.metrics.mean_per_tick(Metric::CoresBusy) < STARVED_BUSY_FRACTION
+        {
             self.connections.is_left_to_fill = false;
         }
         let factor = match (self.connections.is_left_to_fill, is_saturated) {
--- a/src/controller/dependency_calls.rs
+++ b/src/controller/dependency_calls.rs
@@ -5,14 +5,14 @@
 use super::Controller;
 use super::tuning::{
     CALL_TIME_GAIN, CALL_TIMEOUT_FACTOR, MAX_CALL_ATTEMPTS, MAX_CALLS_PER_CORE,
-    MAX_LOST_CALL_FRACTION, MEASUREMENT_WINDOW, MIN_CALL_TIMEOUT_FRACTION,
-    MIN_CALLS_FOR_USUAL_TIME, SLOW_CALL_FACTOR, SLOW_CALL_TIME_GAIN,
+    MAX_LOST_CALL_FRACTION, MIN_CALL_TIMEOUT_FRACTION, MIN_CALLS_FOR_USUAL_TIME, SLOW_CALL_FACTOR,
+    SLOW_CALL_TIME_GAIN,
 };
 use crate::action::{Action, Reason};
 use crate::clock::seconds;
 use crate::event::{Outcome, RequestIndex};
+use crate::metrics::Metric;
 use crate::request::{Request, Stage};
-use crate::sliding_window::Metric;
 
 impl Controller {
     /// A run has reached its call.
@@ -52,8 +52,10 @@
         let entry = &self.requests[request];
         let time_left = entry.objective_at.saturating_sub(now).as_secs_f64();
         let may_attempt = entry.call_attempts == 0 || entry.may_retry_call;
-        let is_worth_making =
-            is_drawn && has_budget && may_attempt && time_left * 0.5 >= self.mean_call_time();
+        let is_worth_making = is_drawn
+            && has_budget
+            && may_attempt
+            && time_left * 0.5 >= self.metrics.mean_call_seconds();
         if self.handlers[entry.handler].calls_are_optional && !is_worth_making {
             // One skipped call degrades the answer already: the others would be made for nothing.
             self.requests[request].makes_optional_calls = Some(false);
@@ -92,7 +94,7 @@
         let may_retry = profile.calls_are_optional
             && profile.is_idempotent()
             && entry.call_attempts + 1 < MAX_CALL_ATTEMPTS;
-        let mean = self.mean_call_time();
+        let mean = self.metrics.mean_call_seconds();
         if may_retry && mean > 0.0 && self.lost_calls_are_rare() {
             let early = (CALL_TIMEOUT_FACTOR * mean).max(MIN_CALL_TIMEOUT_FRACTION * time_left);
             timeout = timeout.min(seconds(early));
@@ -135,7 +137,7 @@
             return (self.requests.calling as f64) < self.capacity.cores * MAX_CALLS_PER_CORE;
         };
         let now = self.clock.now();
-        let past = self.window.sum(Metric::CallsInFlight, calls.window);
+        let past = self.metrics.sum_over(Metric::CallsInFlight, calls.window);
         let until_end = |entry: &Request| {
             entry
                 .call_times_out_at
@@ -184,16 +186,14 @@
     }
 
     fn record_call(&mut self, duration: f64, outcome: Outcome) {
-        self.window.add(
-            Metric::CallsTimedOut,
-            f64::from(u8::from(outcome == Outcome::TimedOut)),
-        );
+        self.metrics
+            .count_if(Metric::CallsTimedOut, outcome == Outcome::TimedOut);
         // A call whose connection was lost, or that never left, shows nothing of the dependency's
         // pace.
         let has_duration = !outcome.is_connection_failure();
         let weight = f64::from(u8::from(has_duration));
-        self.window.add(Metric::Calls, weight);
-        self.window.add(Metric::CallTime, duration * weight);
+        self.metrics.add(Metric::Calls, weight);
+        self.metrics.add(Metric::CallTime, duration * weight);
         let usual_is_known = self.calls.observed >= MIN_CALLS_FOR_USUAL_TIME;
         let is_slow =
             has_duration && usual_is_known && duration > SLOW_CALL_FACTOR * self.calls.usual_time;
@@ -234,7 +234,7 @@
 
     /// Whether a call without a reply is the exception, so that its reply is lost rather than slow.
     fn lost_calls_are_rare(&self) -> bool {
-        let calls = self.window.sum(Metric::Calls, MEASUREMENT_WINDOW);
-        self.window.sum(Metric::CallsTimedOut, MEASUREMENT_WINDOW) <= MAX_LOST_CALL_FRACTION * calls
+        let calls = self.metrics.recent(Metric::Calls);
+        self.metrics.recent(Metric::CallsTimedOut) <= MAX_LOST_CALL_FRACTION * calls
     }
 }
--- a/src/controller/dispatch.rs
+++ b/src/controller/dispatch.rs
@@ -2,15 +2,12 @@
 
 use super::Controller;
 use super::queueing::queue_order;
-use super::tuning::{
-    BUCKET_WIDTH, BUSY_FRACTION, MEASUREMENT_WINDOW, MIN_RUNNING_CORE_FRACTION,
-    READ_BACKLOG_FRACTION,
-};
+use super::tuning::{BUSY_FRACTION, MIN_RUNNING_CORE_FRACTION, READ_BACKLOG_FRACTION};
 use crate::action::{Action, Reason};
 use crate::event::RequestIndex;
 use crate::limits::USABLE_LIMIT_FRACTION;
+use crate::metrics::{BUCKET_WIDTH, Metric};
 use crate::request::Stage;
-use crate::sliding_window::Metric;
 
 impl Controller {
     /// Starts queued requests while concurrency and memory allow.
@@ -52,9 +49,9 @@
         let spare = self.capacity.cores - self.capacity.reading;
         // With a read backlog, what is read is late already, and answers reach nobody until reading
         // has caught up. It does not catch up where nothing completes for a whole window.
-        let unread = self.window.per_arrival(Metric::UnreadTime, BUCKET_WIDTH);
+        let unread = self.metrics.mean_unread_seconds(BUCKET_WIDTH);
         let has_read_backlog = unread > READ_BACKLOG_FRACTION * self.brownout.setpoint
-            && self.window.sum(Metric::Completed, MEASUREMENT_WINDOW) > 0.0;
+            && self.metrics.recent(Metric::Completed) > 0.0;
         let floor = self.capacity.cores * MIN_RUNNING_CORE_FRACTION;
         let limit = if has_read_backlog {
             spare
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -5,7 +5,7 @@
 use super::Controller;
 use crate::action::Action;
 use crate::event::{Event, Gauges};
-use crate::sliding_window::Metric;
+use crate::metrics::Metric;
 
 impl Controller {
     /// Takes what happened, in order, and returns what is to be done, in order. `now` is the time
@@ -43,9 +43,9 @@
         let before = self.clock.now();
         let passed_seconds = self.clock.advance(now, &self.schedule);
         self.calls.lingering.retain(|&end| end > before);
-        self.window.advance(self.clock.now());
+        self.metrics.advance(self.clock.now());
         let in_flight = (self.requests.calling + self.calls.lingering.len()) as f64;
-        self.window
+        self.metrics
             .add(Metric::CallsInFlight, in_flight * passed_seconds);
     }
 
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -2,18 +2,18 @@
 
 use super::Controller;
 use super::tuning::{
-    DEGRADED_PACE_FACTOR, HIGH_FAILURE_FRACTION, MEASUREMENT_WINDOW, MIN_FAILURES, PACE_GAIN,
-    PACE_LEARNING_TIME, PACE_PRIOR_REQUESTS, SLOWER_PACE_GAIN,
+    DEGRADED_PACE_FACTOR, HIGH_FAILURE_FRACTION, MIN_FAILURES, PACE_GAIN, PACE_LEARNING_TIME,
+    PACE_PRIOR_REQUESTS, SLOWER_PACE_GAIN,
 };
+use crate::metrics::Metric;
 use crate::request::Stage;
-use crate::sliding_window::Metric;
 
 impl Controller {
     /// Measures seconds on a core for a unit of work, from recent runs and from those that run
     /// longer.
     pub(super) fn update_pace(&mut self) {
-        let mut core_time = self.window.sum(Metric::CoreTime, MEASUREMENT_WINDOW);
-        let mut work = self.window.sum(Metric::Work, MEASUREMENT_WINDOW);
+        let mut core_time = self.metrics.recent(Metric::CoreTime);
+        let mut work = self.metrics.recent(Metric::Work);
         for request in self.requests.in_stage(Stage::Running) {
             let so_far = request.core_time + self.clock.awake_seconds() - request.running_since;
             if so_far > request.work * self.pace.measured {
@@ -25,7 +25,7 @@
         // it look degraded, and it would reject with idle cores. The usual pace counts as so many
         // requests more, and is all that counts once nothing runs: a server that hung would
         // otherwise reject for ever. The price is that a slow server is noticed later.
-        let prior = PACE_PRIOR_REQUESTS * self.mean_work();
+        let prior = PACE_PRIOR_REQUESTS * self.metrics.mean_work_seconds();
         let pace = &mut self.pace;
         pace.measured = (core_time + prior * pace.usual) / (work + prior);
         // A warm start learns in its first seconds how fast this machine is: a slow kind would
@@ -51,8 +51,8 @@
     /// a server that fails fast and so attracts more than its share. It does harm where every
     /// server fails alike: a rejected request then finds no better one.
     pub(super) fn high_failure_fraction(&self) -> f64 {
-        let failed = self.window.sum(Metric::Failed, MEASUREMENT_WINDOW);
-        let completed = self.window.sum(Metric::Completed, MEASUREMENT_WINDOW);
+        let failed = self.metrics.recent(Metric::Failed);
+        let completed = self.metrics.recent(Metric::Completed);
         let fraction = failed / (failed + completed).max(1.0);
         if failed >= MIN_FAILURES && fraction > HIGH_FAILURE_FRACTION {
             fraction
--- a/src/controller/lifecycle.rs
+++ b/src/controller/lifecycle.rs
@@ -4,8 +4,8 @@
 use crate::action::{Action, Reason};
 use crate::event::{Outcome, RequestIndex};
 use crate::handlers::CompletedRun;
+use crate::metrics::Metric;
 use crate::request::Stage;
-use crate::sliding_window::Metric;
 
 impl Controller {
     pub(super) fn run_finished(
@@ -29,7 +29,7 @@
             Outcome::Succeeded if stage == Stage::Running => self.learn_from_run(request),
             // A coalesced request fails with the run that it waits for: that was no run of this
             // one.
-            Outcome::Failed if stage != Stage::Coalesced => self.window.add(Metric::Failed, 1.0),
+            Outcome::Failed if stage != Stage::Coalesced => self.metrics.add(Metric::Failed, 1.0),
             Outcome::Cancelled if !is_answered => {
                 out.push(Action::Fail {
                     request,
@@ -46,12 +46,12 @@
         if !entry.is_answered {
             let stalled = self.clock.stalled_seconds() - entry.stalled_before;
             let response_time = (self.clock.now() - entry.arrived_at).as_secs_f64() - stalled;
-            self.window.add(Metric::Completed, 1.0);
-            self.window
+            self.metrics.add(Metric::Completed, 1.0);
+            self.metrics
                 .add(Metric::ResponseTime, response_time.max(0.0));
         }
-        self.window.add(Metric::CoreTime, entry.core_time);
-        self.window.add(Metric::Work, entry.work);
+        self.metrics.add(Metric::CoreTime, entry.core_time);
+        self.metrics.add(Metric::Work, entry.work);
         self.handlers[entry.handler].learn(&CompletedRun {
             core_seconds: entry.core_time,
             calls_made: entry.calls_made,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -21,13 +21,13 @@
 use crate::config::{Cancellation, Config, ConfigError};
 use crate::handlers::{HandlerProfile, handler_profiles};
 use crate::limits::USABLE_LIMIT_FRACTION;
+use crate::metrics::Metrics;
 use crate::request_table::RequestTable;
-use crate::sliding_window::SlidingWindow;
 use crate::state::{
     Brownout, Capacity, Connections, DependencyCalls, Drain, Feedback, Memory, Pace, Quotas,
 };
 use caller_feedback::max_wasted_fraction;
-use tuning::{BUCKET_WIDTH, INITIAL_SLOPE, SETPOINT_FRACTION, WORK_WINDOW};
+use tuning::{INITIAL_SLOPE, SETPOINT_FRACTION};
 
 /// Decides for one server. It owns all state.
 pub struct Controller {
@@ -46,7 +46,7 @@
     can_cancel: bool,
     clock: Clock,
     schedule: Schedule,
-    window: SlidingWindow,
+    metrics: Metrics,
     requests: RequestTable,
     rng: fastrand::Rng,
 }
@@ -65,9 +65,9 @@
             .map(|h| h.latency_objective.as_secs_f64())
             .sum();
         let setpoint = SETPOINT_FRACTION * objectives / handlers.len() as f64;
+        let schedule = Schedule::new(config.response_slack);
         let calls = DependencyCalls::new(config, &handlers, USABLE_LIMIT_FRACTION);
-        let window =
-            SlidingWindow::new(BUCKET_WIDTH, calls.window.max(WORK_WINDOW), priority_levels);
+        let metrics = Metrics::new(config.dependency, schedule.tick_interval, priority_levels);
         Ok(Controller {
             priority_levels,
             quotas: Quotas::new(config),
@@ -81,12 +81,12 @@
             drain: None,
             can_cancel: config.cancellation != Cancellation::Unsupported,
             clock: Clock::default(),
-            schedule: Schedule::new(config.response_slack),
             requests: RequestTable::default(),
             rng: fastrand::Rng::with_seed(seed),
             handlers,
             calls,
-            window,
+            metrics,
+            schedule,
         })
     }
 }
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -6,11 +6,12 @@
 
 use super::Controller;
 use super::tuning::{
-    IDLE_CORE_TOLERANCE, IDLE_CORE_TOLERANCE_DEGRADED, MAX_OVERTAKING_FRACTION, MEASUREMENT_WINDOW,
+    IDLE_CORE_TOLERANCE, IDLE_CORE_TOLERANCE_DEGRADED, MAX_OVERTAKING_FRACTION,
     OVERTAKING_FRACTION, QUEUED_OBJECTIVE_FRACTION,
 };
 use crate::action::{Action, Reason};
 use crate::event::RequestIndex;
+use crate::metrics::MEASUREMENT_WINDOW;
 use crate::request::Request;
 
 /// The order of the queue: falling priority levels, then the earlier latency objective.
@@ -67,11 +68,12 @@
             0.0
         } else {
             // Arrivals of higher priority go first too while it waits.
-            let work = (work_ahead + self.mean_work()) * self.pace.measured;
+            let work = (work_ahead + self.metrics.mean_work_seconds()) * self.pace.measured;
             work / self.capacity.running_limit / (1.0 - self.overtaking_fraction(request.level))
         };
         let profile = &self.handlers[request.handler];
-        let calling = self.mean_call_time() * profile.expected_calls(self.brownout.dimmer);
+        let calling =
+            self.metrics.mean_call_seconds() * profile.expected_calls(self.brownout.dimmer);
         let age = (self.clock.now() - request.arrived_at).as_secs_f64();
         let response_time = age + wait + request.work * self.pace.measured + calling;
         // On a free core an attempt delays nobody, so an estimate that may be wrong gets some
@@ -96,8 +98,8 @@
 
     /// The fraction of the running limit that work of higher levels takes as it arrives.
     fn overtaking_fraction(&self, level: usize) -> f64 {
-        let higher = self.arrivals_at(level + 1..self.priority_levels);
-        let work = higher * self.mean_work() / MEASUREMENT_WINDOW.as_secs_f64();
+        let higher = self.metrics.arrivals_at(level + 1..self.priority_levels);
+        let work = higher * self.metrics.mean_work_seconds() / MEASUREMENT_WINDOW.as_secs_f64();
         let fraction =
             OVERTAKING_FRACTION * work * self.pace.measured / self.capacity.running_limit;
         fraction.min(MAX_OVERTAKING_FRACTION)
--- a/src/controller/tuning.rs
+++ b/src/controller/tuning.rs
@@ -3,15 +3,6 @@
 
 use std::time::Duration;
 
-/// The longest and the shortest interval between two ticks: how late an overdue answer can be.
-/// By how many tick intervals a tick is late when the process counts as having stood still.
-/// The width of the buckets in which metrics are kept.
-pub(super) const BUCKET_WIDTH: Duration = Duration::from_millis(250);
-/// The interval between two steps of the control loops, and the window of their means.
-pub(super) const MEASUREMENT_WINDOW: Duration = Duration::from_millis(2000);
-/// The window of the mean work of arrivals.
-pub(super) const WORK_WINDOW: Duration = Duration::from_secs(5);
-
 /// The pole of the brownout loop in closed loop, and its derivative gain.
 pub(super) const BROWNOUT_POLE: f64 = 0.6;
 pub(super) const BROWNOUT_DERIVATIVE_GAIN: f64 = 0.2;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -75,9 +75,9 @@
 mod event;
 mod handlers;
 mod limits;
+mod metrics;
 mod request;
 mod request_table;
-mod sliding_window;
 mod state;
 #[cfg(test)]
 mod tests;
