--- a/src/controller/caller_feedback.rs
+++ b/src/controller/caller_feedback.rs
@@ -5,9 +5,9 @@
 
 use super::Controller;
 use super::tuning::{
-    DEGRADED_PACE_FACTOR, EXTRA_CREDIT_PER_CORE, MAX_REJECTED_FRACTION, MAX_RETRY_FRACTION,
-    MAX_WASTED_FRACTION, MAX_WASTED_FRACTION_BY_WEIGHT, MIN_CREDIT_PER_CORE, MIN_TRAFFIC_FRACTION,
-    TRAFFIC_CUT_ON_WASTE, TRAFFIC_RECOVERY_STEP, UNREAD_SETPOINT_FRACTION,
+    EXTRA_CREDIT_PER_CORE, MAX_REJECTED_FRACTION, MAX_RETRY_FRACTION, MAX_WASTED_FRACTION,
+    MAX_WASTED_FRACTION_BY_WEIGHT, MIN_CREDIT_PER_CORE, MIN_TRAFFIC_FRACTION, TRAFFIC_CUT_ON_WASTE,
+    TRAFFIC_RECOVERY_STEP, UNREAD_SETPOINT_FRACTION,
 };
 use crate::action::Action;
 use crate::clock::{CONTROL_INTERVAL, seconds};
@@ -59,7 +59,9 @@
         let willingness = match self.drain {
             Some(ref drain) if self.clock.now() >= drain.welcome_until => 0.0,
             _ if is_failing => 0.0,
-            _ => (DEGRADED_PACE_FACTOR * self.pace.usual / self.pace.measured)
+            _ => self
+                .slowdown
+                .traffic_fraction()
                 .min(self.feedback.wanted_traffic),
         };
         let value = match self.feedback.kind {
@@ -92,7 +94,7 @@
             return Some(longest);
         }
         let work: f64 = self.requests.queued().map(|request| request.work).sum();
-        let until_done = seconds(work * self.pace.measured / self.capacity.running_limit);
+        let until_done = seconds(work * self.slowdown.measured() / self.capacity.running_limit);
         Some(until_done.clamp(self.schedule.tick_interval, longest))
     }
 
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -59,7 +59,7 @@
         self.memory.expire_keys(now);
         self.read_gauges(gauges);
         self.expire_requests(out);
-        self.update_pace();
+        self.update_slowdown();
         if self.schedule.take_control_step(now) {
             self.adjust_running_limit();
             self.update_brownout();
--- a/src/controller/lifecycle.rs
+++ b/src/controller/lifecycle.rs
@@ -56,7 +56,7 @@
             core_seconds: entry.core_time,
             calls_made: entry.calls_made,
             work_is_learnt: entry.work_is_learnt,
-            slowdown: self.pace.measured,
+            slowdown: self.slowdown.measured(),
         });
     }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -20,11 +20,12 @@
 use crate::clock::{Clock, Schedule};
 use crate::config::{Cancellation, Config, ConfigError};
 use crate::handlers::{HandlerProfile, handler_profiles};
+use crate::health::Slowdown;
 use crate::limits::USABLE_LIMIT_FRACTION;
 use crate::metrics::Metrics;
 use crate::request_table::RequestTable;
 use crate::state::{
-    Brownout, Capacity, Connections, DependencyCalls, Drain, Feedback, Memory, Pace, Quotas,
+    Brownout, Capacity, Connections, DependencyCalls, Drain, Feedback, Memory, Quotas,
 };
 use caller_feedback::max_wasted_fraction;
 use tuning::{INITIAL_SLOPE, SETPOINT_FRACTION};
@@ -38,7 +39,7 @@
     memory: Memory,
     calls: DependencyCalls,
     brownout: Brownout,
-    pace: Pace,
+    slowdown: Slowdown,
     feedback: Feedback,
     connections: Connections,
     drain_grace: Duration,
@@ -74,7 +75,7 @@
             capacity: Capacity::new(config),
             memory: Memory::new(config, USABLE_LIMIT_FRACTION),
             brownout: Brownout::new(setpoint, INITIAL_SLOPE),
-            pace: Pace::new(config),
+            slowdown: Slowdown::new(config),
             feedback: Feedback::new(config, max_wasted_fraction(config.feedback)),
             connections: Connections::new(config.idle_timeout),
             drain_grace: config.drain_grace,
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -68,14 +68,14 @@
             0.0
         } else {
             // Arrivals of higher priority go first too while it waits.
-            let work = (work_ahead + self.metrics.mean_work_seconds()) * self.pace.measured;
+            let work = (work_ahead + self.metrics.mean_work_seconds()) * self.slowdown.measured();
             work / self.capacity.running_limit / (1.0 - self.overtaking_fraction(request.level))
         };
         let profile = &self.handlers[request.handler];
         let calling =
             self.metrics.mean_call_seconds() * profile.expected_calls(self.brownout.dimmer);
         let age = (self.clock.now() - request.arrived_at).as_secs_f64();
-        let response_time = age + wait + request.work * self.pace.measured + calling;
+        let response_time = age + wait + request.work * self.slowdown.measured() + calling;
         // On a free core an attempt delays nobody, so an estimate that may be wrong gets some
         // tolerance.
         let is_degraded = self.is_degraded();
@@ -101,7 +101,7 @@
         let higher = self.metrics.arrivals_at(level + 1..self.priority_levels);
         let work = higher * self.metrics.mean_work_seconds() / MEASUREMENT_WINDOW.as_secs_f64();
         let fraction =
-            OVERTAKING_FRACTION * work * self.pace.measured / self.capacity.running_limit;
+            OVERTAKING_FRACTION * work * self.slowdown.measured() / self.capacity.running_limit;
         fraction.min(MAX_OVERTAKING_FRACTION)
     }
 
--- a/src/controller/tuning.rs
+++ b/src/controller/tuning.rs
@@ -101,20 +101,13 @@
 pub(super) const MIN_DIMMER_CEILING: f64 = 0.3;
 
 /// How many times slower than usual a server counts as degraded.
-pub(super) const DEGRADED_PACE_FACTOR: f64 = 1.7;
 /// The work of a request without an estimate, at first, how fast it is learnt from each run, and
 /// its floor; and from how many times the mean such a request counts as long.
 /// Requests of mean work at the usual pace that the measured pace starts from.
-pub(super) const PACE_PRIOR_REQUESTS: f64 = 6.0;
 /// The gain of the usual pace each tick while the measured one is better or new, and while it is
 /// worse.
-pub(super) const PACE_GAIN: f64 = 0.02;
-pub(super) const SLOWER_PACE_GAIN: f64 = 0.0005;
-pub(super) const PACE_LEARNING_TIME: Duration = Duration::from_secs(4);
 /// The fraction of recent runs that failed, and how many at least, from which a server rejects
 /// traffic.
-pub(super) const HIGH_FAILURE_FRACTION: f64 = 0.4;
-pub(super) const MIN_FAILURES: f64 = 3.0;
 /// The busy fraction of the cores from which traffic stays welcome after the shutdown notice.
 pub(super) const DRAIN_BUSY_FRACTION: f64 = 0.7;
 /// The time before termination by which everything must be answered, so that a pause carries
--- /dev/null
+++ b/src/health/slowdown.rs
@@ -0,0 +1,121 @@
+//! How slow this server is: seconds on a core for a second of work, measured and usual.
+//!
+//! Work is stated in seconds on an average core, so the slowdown is 1 there, 2 on a core of half
+//! that speed. Every prediction is multiplied by it. A server whose slowdown is far above its usual
+//! one is degraded (a neighbour takes its cores, its disk is slow), and another server would do
+//! better: it then asks for less traffic and sends longer retry-afters.
+//!
+//! A few requests with rough estimates show little: on a server of two cores two long requests
+//! would make it look degraded, and it would reject with idle cores. The usual slowdown therefore
+//! counts as several requests more. It is all that counts once nothing runs, because a server that
+//! hung would otherwise reject for ever. The price: a slow server is noticed later.
+
+use std::time::Duration;
+
+use crate::config::Config;
+
+/// Slowest speed of a cold start that is assumed, as a fraction of the warm one.
+const MIN_COLD_SPEED_FRACTION: f64 = 0.05;
+
+/// Slowdown of an average core.
+const AVERAGE_CORE_SLOWDOWN: f64 = 1.0;
+
+/// Requests of mean work at the usual slowdown that are added to what was measured.
+const PRIOR_REQUESTS: f64 = 6.0;
+
+/// Fraction by which a tick moves the usual slowdown while the measured one is better or new.
+const USUAL_SLOWDOWN_GAIN: f64 = 0.02;
+
+/// Fraction by which a tick moves the usual slowdown while the measured one is worse: a fault must
+/// not become usual while it lasts.
+const USUAL_SLOWDOWN_GAIN_WHEN_WORSE: f64 = 0.0005;
+
+/// Age up to which a warm start learns how fast its machine is.
+const LEARNING_TIME: Duration = Duration::from_secs(4);
+
+/// Multiple of the usual slowdown above which a server is degraded.
+const DEGRADED_FACTOR: f64 = 1.7;
+
+/// Time on a core, and the work that was done or expected in it.
+pub(crate) struct RunTimes {
+    pub(crate) core_seconds: f64,
+    pub(crate) work_seconds: f64,
+}
+
+/// What the slowdown is measured from.
+pub(crate) struct SlowdownSample {
+    /// All runs that recently succeeded.
+    pub(crate) completed: RunTimes,
+    /// Mean seconds of work of recent arrivals.
+    pub(crate) mean_work_seconds: f64,
+    /// The time since the start of the process.
+    pub(crate) age: Duration,
+    /// The server was warm when it started.
+    pub(crate) started_warm: bool,
+}
+
+/// Seconds on a core for a second of work. Both are above 0.
+pub(crate) struct Slowdown {
+    measured: f64,
+    usual: f64,
+}
+
+impl Slowdown {
+    /// The slowdown of a server that starts now, warm or cold.
+    pub(crate) fn new(config: &Config) -> Self {
+        let measured = if config.starts_cold {
+            AVERAGE_CORE_SLOWDOWN / config.cold_speed.max(MIN_COLD_SPEED_FRACTION)
+        } else {
+            AVERAGE_CORE_SLOWDOWN
+        };
+        Slowdown {
+            measured,
+            usual: AVERAGE_CORE_SLOWDOWN,
+        }
+    }
+
+    /// The measured slowdown, as a factor.
+    pub(crate) fn measured(&self) -> f64 {
+        self.measured
+    }
+
+    /// Measures anew, from recent runs and from those of `running` that take longer than expected,
+    /// and moves the usual slowdown towards the result.
+    pub(crate) fn update(
+        &mut self,
+        sample: &SlowdownSample,
+        running: impl Iterator<Item = RunTimes>,
+    ) {
+        let mut core_seconds = sample.completed.core_seconds;
+        let mut work_seconds = sample.completed.work_seconds;
+        for run in running {
+            if run.core_seconds > run.work_seconds * self.measured {
+                core_seconds += run.core_seconds;
+                work_seconds += run.work_seconds;
+            }
+        }
+        let prior_seconds = PRIOR_REQUESTS * sample.mean_work_seconds;
+        self.measured =
+            (core_seconds + prior_seconds * self.usual) / (work_seconds + prior_seconds);
+        // A slow kind of machine would otherwise look degraded from its start on.
+        let is_learning = sample.started_warm && sample.age < LEARNING_TIME;
+        let is_better = self.measured < self.usual;
+        let gain = if is_better || is_learning {
+            USUAL_SLOWDOWN_GAIN
+        } else {
+            USUAL_SLOWDOWN_GAIN_WHEN_WORSE
+        };
+        self.usual += gain * (self.measured - self.usual);
+    }
+
+    /// Whether this server is so slow that another would serve better.
+    pub(crate) fn is_degraded(&self) -> bool {
+        self.measured > DEGRADED_FACTOR * self.usual
+    }
+
+    /// The fraction of the usual traffic that a server of this slowdown serves as quickly as usual,
+    /// above 1 while it is not degraded.
+    pub(crate) fn traffic_fraction(&self) -> f64 {
+        DEGRADED_FACTOR * self.usual / self.measured
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -74,6 +74,7 @@
 mod controller;
 mod event;
 mod handlers;
+mod health;
 mod limits;
 mod metrics;
 mod request;
--- a/src/state.rs
+++ b/src/state.rs
@@ -181,30 +181,6 @@
     }
 }
 
-/// The slowest start that is believed, as a fraction of the warm speed.
-const MIN_COLD_SPEED: f64 = 0.05;
-
-/// Seconds on a core for a unit of work, measured and usual. Owner: `controller/health.rs`.
-pub(crate) struct Pace {
-    pub(crate) measured: f64,
-    pub(crate) usual: f64,
-}
-
-impl Pace {
-    /// The pace of a server that starts now, warm or cold.
-    pub(crate) fn new(config: &Config) -> Self {
-        let measured = if config.starts_cold {
-            1.0 / config.cold_speed.max(MIN_COLD_SPEED)
-        } else {
-            1.0
-        };
-        Pace {
-            measured,
-            usual: 1.0,
-        }
-    }
-}
-
 /// Calls to the dependency. Owner: `controller/dependency_calls.rs`.
 pub(crate) struct DependencyCalls {
     /// Seconds of calls in flight that the dependency grants over `window`, where it states them.
