--- /dev/null
+++ b/src/brownout/dimmer_ceiling.rs
@@ -0,0 +1,41 @@
+//! The ceiling of the dimmer, which slow dependency calls lower.
+//!
+//! A shared dependency goes over its knee within a few hundred milliseconds, and from then on does
+//! less the more it is called. The mean response time shows nothing of this, because such calls
+//! time out early. So each call that takes far longer than usual cuts the ceiling, and the ceiling
+//! recovers in small steps, because the knee shows only once it is passed again. The price: where
+//! calls get slower for good, optional calls are skipped until the usual call time has followed.
+
+/// Factor by which one slow call cuts the ceiling.
+const CUT_FACTOR: f64 = 0.7;
+
+/// Probability by which the ceiling recovers at each control step.
+const RECOVERY_STEP: f64 = 0.05;
+
+/// Least ceiling, so that some calls still show whether the dependency has recovered.
+const MIN_CEILING: f64 = 0.3;
+
+/// The ceiling, a probability from [`MIN_CEILING`] to 1.
+pub(super) struct DimmerCeiling(f64);
+
+impl DimmerCeiling {
+    /// A ceiling that does not bind.
+    pub(super) fn new() -> Self {
+        DimmerCeiling(1.0)
+    }
+
+    /// The largest value that the dimmer may take.
+    pub(super) fn value(&self) -> f64 {
+        self.0
+    }
+
+    /// A call was slow.
+    pub(super) fn cut(&mut self) {
+        self.0 = (self.0 * CUT_FACTOR).max(MIN_CEILING);
+    }
+
+    /// A control step has passed.
+    pub(super) fn recover(&mut self) {
+        self.0 = (self.0 + RECOVERY_STEP).min(1.0);
+    }
+}
--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -7,6 +7,7 @@
     ADMISSION_OBJECTIVE_FRACTION, MAX_QUEUED_MEMORY_FRACTION, QUOTA_BURST, QUOTA_WINDOW,
 };
 use crate::action::{Action, Reason};
+use crate::brownout::LevelArrivals;
 use crate::clock::seconds;
 use crate::event::{Arrival, RequestIndex, TenantIndex};
 use crate::handlers::is_long;
@@ -135,16 +136,18 @@
         queue_has_room && memory.used_kb + key_kb <= memory.limit_kb
     }
 
-    /// Spends the admitted fraction on the highest levels first; a draw decides only within the
-    /// marginal one.
+    /// Whether the brownout loops admit a request of this level.
     fn passes_admission_control(&mut self, level: usize) -> bool {
-        if self.brownout.admitted_fraction >= 1.0 {
+        if !self.brownout.admitted_fraction().is_cut() {
             return true;
         }
-        let own = self.metrics.arrivals_at(level..level + 1);
-        let above = self.metrics.arrivals_at(level + 1..self.priority_levels);
-        let all = self.metrics.arrivals_at(0..self.priority_levels);
-        self.rng.f64() * own < self.brownout.admitted_fraction * all - above
+        let arrivals = LevelArrivals {
+            own: self.metrics.arrivals_at(level..level + 1),
+            higher: self.metrics.arrivals_at(level + 1..self.priority_levels),
+            all: self.metrics.arrivals_at(0..self.priority_levels),
+        };
+        let draw = self.rng.f64();
+        self.brownout.admitted_fraction().admits(&arrivals, draw)
     }
 
     /// The tokens under which a tenant is over its quota. While arrivals stay within what all
--- a/src/controller/caller_feedback.rs
+++ b/src/controller/caller_feedback.rs
@@ -31,7 +31,7 @@
     /// server grown slow.
     pub(super) fn update_wanted_traffic(&mut self) {
         let unread = self.metrics.mean_unread_seconds(CONTROL_INTERVAL);
-        let bearable = UNREAD_SETPOINT_FRACTION * self.brownout.setpoint;
+        let bearable = UNREAD_SETPOINT_FRACTION * self.brownout.setpoint_seconds();
         // Reading what is then rejected costs cores too; where that is much, callers should not
         // send it.
         let rejected = self.metrics.rejected_fraction();
--- a/src/controller/dependency_calls.rs
+++ b/src/controller/dependency_calls.rs
@@ -43,7 +43,7 @@
     fn try_call(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
         let draw = self.rng.f64();
         let now = self.clock.now();
-        let dimmer = self.brownout.dimmer;
+        let dimmer = self.brownout.dimmer();
         let is_drawn = *self.requests[request]
             .makes_optional_calls
             .get_or_insert(draw < dimmer);
@@ -198,7 +198,7 @@
         let is_slow =
             has_duration && usual_is_known && duration > SLOW_CALL_FACTOR * self.calls.usual_time;
         if is_slow {
-            self.cut_dimmer_ceiling();
+            self.brownout.cut_dimmer_ceiling();
         }
         if outcome == Outcome::Succeeded {
             self.calls.observed += 1.0;
--- a/src/controller/dispatch.rs
+++ b/src/controller/dispatch.rs
@@ -50,7 +50,7 @@
         // With a read backlog, what is read is late already, and answers reach nobody until reading
         // has caught up. It does not catch up where nothing completes for a whole window.
         let unread = self.metrics.mean_unread_seconds(BUCKET_WIDTH);
-        let has_read_backlog = unread > READ_BACKLOG_FRACTION * self.brownout.setpoint
+        let has_read_backlog = unread > READ_BACKLOG_FRACTION * self.brownout.setpoint_seconds()
             && self.metrics.recent(Metric::Completed) > 0.0;
         let floor = self.capacity.cores * MIN_RUNNING_CORE_FRACTION;
         let limit = if has_read_backlog {
--- a/src/controller/drain.rs
+++ b/src/controller/drain.rs
@@ -21,7 +21,7 @@
         // Guards a fleet that is short of servers: what may still run here stays welcome until
         // callers must leave. It costs as much as one full server does.
         let fleet_is_short = self.capacity.busy >= DRAIN_BUSY_FRACTION;
-        let last_welcome = run_until.saturating_sub(seconds(self.brownout.setpoint));
+        let last_welcome = run_until.saturating_sub(seconds(self.brownout.setpoint_seconds()));
         self.drain = Some(Drain {
             run_until,
             answer_by: now.saturating_add(left).saturating_sub(TERMINATION_MARGIN),
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -3,6 +3,7 @@
 use std::time::Duration;
 
 use super::Controller;
+use super::tuning::BUSY_FRACTION;
 use crate::action::Action;
 use crate::event::{Event, Gauges};
 use crate::metrics::Metric;
@@ -62,7 +63,10 @@
         self.update_slowdown();
         if self.schedule.take_control_step(now) {
             self.adjust_running_limit();
-            self.update_brownout();
+            self.brownout.update(
+                self.metrics.mean_response_seconds(),
+                self.capacity.busy >= BUSY_FRACTION,
+            );
             self.update_wanted_traffic();
             self.adjust_idle_timeout(gauges.open_connections.unwrap_or(0.0), out);
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -3,7 +3,6 @@
 
 mod admission;
 mod bookkeeping;
-mod brownout;
 mod caller_feedback;
 mod connections;
 mod dependency_calls;
@@ -17,6 +16,7 @@
 
 use std::time::Duration;
 
+use crate::brownout::Brownout;
 use crate::clock::{Clock, Schedule};
 use crate::config::{Cancellation, Config, ConfigError};
 use crate::handlers::{HandlerProfile, handler_profiles};
@@ -24,11 +24,8 @@
 use crate::limits::USABLE_LIMIT_FRACTION;
 use crate::metrics::Metrics;
 use crate::request_table::RequestTable;
-use crate::state::{
-    Brownout, Capacity, Connections, DependencyCalls, Drain, Feedback, Memory, Quotas,
-};
+use crate::state::{Capacity, Connections, DependencyCalls, Drain, Feedback, Memory, Quotas};
 use caller_feedback::max_wasted_fraction;
-use tuning::{INITIAL_SLOPE, SETPOINT_FRACTION};
 
 /// Decides for one server. It owns all state.
 pub struct Controller {
@@ -61,11 +58,6 @@
     pub fn new(config: &Config, seed: u64) -> Result<Self, ConfigError> {
         config.validate()?;
         let (handlers, priority_levels) = handler_profiles(config);
-        let objectives: f64 = handlers
-            .iter()
-            .map(|h| h.latency_objective.as_secs_f64())
-            .sum();
-        let setpoint = SETPOINT_FRACTION * objectives / handlers.len() as f64;
         let schedule = Schedule::new(config.response_slack);
         let calls = DependencyCalls::new(config, &handlers, USABLE_LIMIT_FRACTION);
         let metrics = Metrics::new(config.dependency, schedule.tick_interval, priority_levels);
@@ -74,7 +66,7 @@
             quotas: Quotas::new(config),
             capacity: Capacity::new(config),
             memory: Memory::new(config, USABLE_LIMIT_FRACTION),
-            brownout: Brownout::new(setpoint, INITIAL_SLOPE),
+            brownout: Brownout::new(&handlers),
             slowdown: Slowdown::new(config),
             feedback: Feedback::new(config, max_wasted_fraction(config.feedback)),
             connections: Connections::new(config.idle_timeout),
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -73,7 +73,7 @@
         };
         let profile = &self.handlers[request.handler];
         let calling =
-            self.metrics.mean_call_seconds() * profile.expected_calls(self.brownout.dimmer);
+            self.metrics.mean_call_seconds() * profile.expected_calls(self.brownout.dimmer());
         let age = (self.clock.now() - request.arrived_at).as_secs_f64();
         let response_time = age + wait + request.work * self.slowdown.measured() + calling;
         // On a free core an attempt delays nobody, so an estimate that may be wrong gets some
--- a/src/controller/tuning.rs
+++ b/src/controller/tuning.rs
@@ -4,19 +4,10 @@
 use std::time::Duration;
 
 /// The pole of the brownout loop in closed loop, and its derivative gain.
-pub(super) const BROWNOUT_POLE: f64 = 0.6;
-pub(super) const BROWNOUT_DERIVATIVE_GAIN: f64 = 0.2;
 /// The slope of the response time over the dimmer that the brownout loop starts from.
-pub(super) const INITIAL_SLOPE: f64 = 0.1;
 /// The setpoint of the mean response time, as a fraction of the mean latency objective.
-pub(super) const SETPOINT_FRACTION: f64 = 0.6;
 /// Below this the dimmer counts as zero, and its estimator is frozen.
-pub(super) const DIMMER_NEAR_ZERO: f64 = 0.02;
 /// Gains of the admission loop on the relative error, its floor, and its recovery a step.
-pub(super) const ADMISSION_PROPORTIONAL_GAIN: f64 = 0.3;
-pub(super) const ADMISSION_INTEGRAL_GAIN: f64 = 0.15;
-pub(super) const MIN_ADMITTED_FRACTION: f64 = 0.05;
-pub(super) const ADMISSION_RECOVERY_STEP: f64 = 0.05;
 /// The cores count as busy from this gauge on.
 pub(super) const BUSY_FRACTION: f64 = 0.9;
 
@@ -96,9 +87,6 @@
 pub(super) const MIN_CALLS_FOR_USUAL_TIME: f64 = 20.0;
 pub(super) const CALL_TIME_GAIN: f64 = 0.02;
 pub(super) const SLOW_CALL_TIME_GAIN: f64 = 0.002;
-pub(super) const CEILING_CUT: f64 = 0.7;
-pub(super) const CEILING_RECOVERY_STEP: f64 = 0.05;
-pub(super) const MIN_DIMMER_CEILING: f64 = 0.3;
 
 /// How many times slower than usual a server counts as degraded.
 /// The work of a request without an estimate, at first, how fast it is learnt from each run, and
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -69,6 +69,7 @@
 //! ```
 
 mod action;
+mod brownout;
 mod clock;
 mod config;
 mod controller;
--- a/src/state.rs
+++ b/src/state.rs
@@ -154,33 +154,6 @@
     }
 }
 
-/// The two control loops on the mean response time. Owner: `controller/brownout.rs`.
-pub(crate) struct Brownout {
-    /// The mean response time to reach, in seconds.
-    pub(crate) setpoint: f64,
-    /// The probability that a request makes its optional calls, and its present upper bound.
-    pub(crate) dimmer: f64,
-    pub(crate) ceiling: f64,
-    /// The estimated slope of the response time over the dimmer.
-    pub(crate) slope: f64,
-    pub(crate) previous_error: f64,
-    pub(crate) admitted_fraction: f64,
-}
-
-impl Brownout {
-    /// Both loops at rest: everything is admitted, and makes its optional calls.
-    pub(crate) fn new(setpoint: f64, initial_slope: f64) -> Self {
-        Brownout {
-            setpoint,
-            dimmer: 1.0,
-            ceiling: 1.0,
-            slope: initial_slope,
-            previous_error: 0.0,
-            admitted_fraction: 1.0,
-        }
-    }
-}
-
 /// Calls to the dependency. Owner: `controller/dependency_calls.rs`.
 pub(crate) struct DependencyCalls {
     /// Seconds of calls in flight that the dependency grants over `window`, where it states them.
