--- a/src/controller/dispatch.rs
+++ b/src/controller/dispatch.rs
@@ -21,8 +21,7 @@
                 continue;
             }
             let queued_kb = self.requests[request].queued_kb;
-            if self.memory.used_kb + self.memory.running_extra_kb(queued_kb) > self.memory.limit_kb
-            {
+            if !self.memory.has_room_to_run(queued_kb) {
                 return;
             }
             self.requests.remove_from_queue(request);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -16,6 +16,7 @@
 
 use std::time::Duration;
 
+use crate::admission::{Memory, TenantQuotas};
 use crate::brownout::Brownout;
 use crate::clock::{Clock, Schedule};
 use crate::config::{Cancellation, Config, ConfigError};
@@ -24,14 +25,14 @@
 use crate::limits::USABLE_LIMIT_FRACTION;
 use crate::metrics::Metrics;
 use crate::request_table::RequestTable;
-use crate::state::{Capacity, Connections, DependencyCalls, Drain, Feedback, Memory, Quotas};
+use crate::state::{Capacity, Connections, DependencyCalls, Drain, Feedback};
 use caller_feedback::max_wasted_fraction;
 
 /// Decides for one server. It owns all state.
 pub struct Controller {
     handlers: Vec<HandlerProfile>,
     priority_levels: usize,
-    quotas: Quotas,
+    quotas: TenantQuotas,
     capacity: Capacity,
     memory: Memory,
     calls: DependencyCalls,
@@ -63,9 +64,9 @@
         let metrics = Metrics::new(config.dependency, schedule.tick_interval, priority_levels);
         Ok(Controller {
             priority_levels,
-            quotas: Quotas::new(config),
+            quotas: TenantQuotas::new(config),
             capacity: Capacity::new(config),
-            memory: Memory::new(config, USABLE_LIMIT_FRACTION),
+            memory: Memory::new(config),
             brownout: Brownout::new(&handlers),
             slowdown: Slowdown::new(config),
             feedback: Feedback::new(config, max_wasted_fraction(config.feedback)),
--- a/src/controller/tuning.rs
+++ b/src/controller/tuning.rs
@@ -36,8 +36,6 @@
 pub(super) const TRAFFIC_CUT_ON_WASTE: f64 = 0.9;
 /// Requests by which a tenant may exceed its quota of what is admitted, or fall short, and the
 /// window over which arrivals are compared with the quotas of all tenants.
-pub(super) const QUOTA_BURST: f64 = 5.0;
-pub(super) const QUOTA_WINDOW: Duration = Duration::from_secs(5);
 /// The fraction of arrivals that are retries, or that are rejected (retries need not be marked),
 /// from which callers are asked not to try another server.
 pub(super) const MAX_RETRY_FRACTION: f64 = 0.1;
@@ -67,7 +65,6 @@
 
 /// The fraction of survivable concurrency, memory and calls that is used.
 /// The fraction of the memory that queued requests may take.
-pub(super) const MAX_QUEUED_MEMORY_FRACTION: f64 = 0.5;
 /// Calls in flight per core, where the dependency states no share.
 pub(super) const MAX_CALLS_PER_CORE: f64 = 4.0;
 /// Attempts of one call, where the one before is known not to have run or the request is
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -69,6 +69,7 @@
 //! ```
 
 mod action;
+mod admission;
 mod brownout;
 mod clock;
 mod config;
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,4 +1,4 @@
-//! What the controller keeps of a request and a tenant. No decision is taken here.
+//! What the controller keeps of a request. No decision is taken here.
 
 use std::time::Duration;
 
@@ -56,11 +56,3 @@
     /// When its idempotency key is forgotten, where it has one.
     pub(crate) key_expires_at: Option<Duration>,
 }
-
-/// A tenant's quota on this server: filled by its fraction of every admitted request, emptied by
-/// its own. It counts fractions of what is admitted here and not a rate, because one server may see
-/// far more of a tenant than the others do.
-pub(crate) struct TokenBucket {
-    pub(crate) fraction: f64,
-    pub(crate) tokens: f64,
-}
--- a/src/state.rs
+++ b/src/state.rs
@@ -5,7 +5,6 @@
 
 use crate::config::{CallerFeedback, Config, Dependency};
 use crate::handlers::HandlerProfile;
-use crate::request::TokenBucket;
 
 /// The cores and what wants them. Owner: `controller/dispatch.rs`.
 pub(crate) struct Capacity {
@@ -53,107 +52,6 @@
     }
 }
 
-/// The memory that requests and keys take, in kilobytes. Owner: `controller/admission.rs`.
-pub(crate) struct Memory {
-    pub(crate) limit_kb: f64,
-    pub(crate) used_kb: f64,
-    pub(crate) queued_kb: f64,
-    pub(crate) running_factor: f64,
-    pub(crate) key_kb: f64,
-    /// When each remembered key is forgotten.
-    pub(crate) key_expiries: Vec<Duration>,
-}
-
-impl Memory {
-    /// An empty memory of which `usable_fraction` is used.
-    pub(crate) fn new(config: &Config, usable_fraction: f64) -> Self {
-        Memory {
-            limit_kb: config.memory_kb * usable_fraction,
-            used_kb: 0.0,
-            queued_kb: 0.0,
-            running_factor: config.running_memory_factor,
-            key_kb: config.key_kb,
-            key_expiries: Vec::new(),
-        }
-    }
-
-    pub(crate) fn add_queued(&mut self, queued_kb: f64) {
-        self.used_kb += queued_kb;
-        self.queued_kb += queued_kb;
-    }
-
-    pub(crate) fn remove_queued(&mut self, queued_kb: f64) {
-        self.queued_kb -= queued_kb;
-        self.used_kb -= queued_kb;
-    }
-
-    /// What a request takes when it runs beyond what it took while queued.
-    pub(crate) fn running_extra_kb(&self, queued_kb: f64) -> f64 {
-        queued_kb * (self.running_factor - 1.0)
-    }
-
-    pub(crate) fn start_running(&mut self, queued_kb: f64) {
-        self.used_kb += self.running_extra_kb(queued_kb);
-        self.queued_kb -= queued_kb;
-    }
-
-    pub(crate) fn remove_running(&mut self, queued_kb: f64) {
-        self.used_kb -= queued_kb * self.running_factor;
-    }
-
-    pub(crate) fn remember_key(&mut self, expires_at: Duration) {
-        self.key_expiries.push(expires_at);
-        self.used_kb += self.key_kb;
-    }
-
-    pub(crate) fn forget_key(&mut self, expires_at: Duration) {
-        if let Some(at) = self
-            .key_expiries
-            .iter()
-            .position(|&other| other == expires_at)
-        {
-            self.key_expiries.swap_remove(at);
-            self.used_kb -= self.key_kb;
-        }
-    }
-
-    pub(crate) fn expire_keys(&mut self, now: Duration) {
-        let before = self.key_expiries.len();
-        self.key_expiries.retain(|&expires_at| expires_at > now);
-        self.used_kb -= (before - self.key_expiries.len()) as f64 * self.key_kb;
-    }
-}
-
-/// The quotas of tenants. Owner: `controller/admission.rs`.
-pub(crate) struct Quotas {
-    pub(crate) buckets: Vec<TokenBucket>,
-    /// Requests per second that all tenants together may send to one server, where that is known.
-    pub(crate) rate_per_s: Option<f64>,
-}
-
-impl Quotas {
-    pub(crate) fn new(config: &Config) -> Self {
-        let rates: f64 = config
-            .tenants
-            .iter()
-            .map(|tenant| tenant.rate_quota_per_s)
-            .sum();
-        let bucket = |rate: f64| TokenBucket {
-            fraction: rate / rates.max(f64::MIN_POSITIVE),
-            tokens: 1.0,
-        };
-        Quotas {
-            buckets: config
-                .tenants
-                .iter()
-                .map(|tenant| bucket(tenant.rate_quota_per_s))
-                .collect(),
-            rate_per_s: (config.servers > 0 && rates > 0.0)
-                .then(|| rates / f64::from(config.servers)),
-        }
-    }
-}
-
 /// Calls to the dependency. Owner: `controller/dependency_calls.rs`.
 pub(crate) struct DependencyCalls {
     /// Seconds of calls in flight that the dependency grants over `window`, where it states them.
