--- a/src/controller/bookkeeping.rs
+++ b/src/controller/bookkeeping.rs
@@ -9,15 +9,11 @@
 
 impl Controller {
     pub(super) fn read_gauges(&mut self, gauges: &Gauges) {
-        let running = self.requests.running as f64;
-        let runs_fill_cores = running >= self.capacity.cores;
-        self.capacity.busy = gauges
-            .cores_busy
-            .unwrap_or(if runs_fill_cores { 1.0 } else { 0.0 });
-        self.capacity.reading = gauges.runnable.map_or(0.0, |all| (all - running).max(0.0));
+        self.cores.update(gauges, self.requests.running as f64);
         self.metrics
-            .add(Metric::ReadingCores, self.capacity.reading);
-        self.metrics.add(Metric::CoresBusy, self.capacity.busy);
+            .add(Metric::ReadingCores, self.cores.reading_cores);
+        self.metrics
+            .add(Metric::CoresBusy, self.cores.busy_fraction);
     }
 
     pub(super) fn record_arrival(&mut self, arrival: &Arrival, request: &Request) {
--- a/src/controller/caller_feedback.rs
+++ b/src/controller/caller_feedback.rs
@@ -35,8 +35,7 @@
         // Reading what is then rejected costs cores too; where that is much, callers should not
         // send it.
         let rejected = self.metrics.rejected_fraction();
-        let wasted =
-            rejected * self.metrics.mean_per_tick(Metric::ReadingCores) / self.capacity.cores;
+        let wasted = rejected * self.metrics.mean_per_tick(Metric::ReadingCores) / self.cores.cores;
         let factor = if unread > bearable {
             (bearable / unread).max(0.5)
         } else if wasted > self.feedback.max_wasted_fraction {
@@ -69,11 +68,11 @@
             CallerFeedback::PriorityThreshold => 1.0 - willingness,
             CallerFeedback::ConcurrencyCredit if is_failing => 0.0,
             CallerFeedback::ConcurrencyCredit if willingness >= 1.0 => {
-                self.capacity.warm_concurrency
+                self.survivable_concurrency.warm()
             }
             CallerFeedback::ConcurrencyCredit => {
                 let credit = MIN_CREDIT_PER_CORE + EXTRA_CREDIT_PER_CORE * willingness;
-                self.capacity.cores * credit / self.feedback.callers
+                self.cores.cores * credit / self.feedback.callers
             }
             CallerFeedback::None => return,
         };
@@ -94,7 +93,7 @@
             return Some(longest);
         }
         let work: f64 = self.requests.queued().map(|request| request.work).sum();
-        let until_done = seconds(work * self.slowdown.measured() / self.capacity.running_limit);
+        let until_done = seconds(work * self.slowdown.measured() / self.running_limit.value());
         Some(until_done.clamp(self.schedule.tick_interval, longest))
     }
 
--- a/src/controller/connections.rs
+++ b/src/controller/connections.rs
@@ -18,7 +18,7 @@
     /// connection costs too; half full it shuts nobody out. It does harm where the table is far
     /// larger than that: callers then connect anew.
     pub(super) fn adjust_idle_timeout(&mut self, open_connections: f64, out: &mut Vec<Action>) {
-        let cores = self.capacity.cores;
+        let cores = self.cores.cores;
         let is_above_limit = open_connections > SATURATED_CONNECTIONS_PER_CORE * cores;
         let is_saturated = is_above_limit && open_connections * 2.0 < self.feedback.callers;
         let arrived = self
--- a/src/controller/dependency_calls.rs
+++ b/src/controller/dependency_calls.rs
@@ -134,7 +134,7 @@
     fn fits_call_budget(&self, timeout: Duration) -> bool {
         let calls = &self.calls;
         let Some(budget) = calls.budget else {
-            return (self.requests.calling as f64) < self.capacity.cores * MAX_CALLS_PER_CORE;
+            return (self.requests.calling as f64) < self.cores.cores * MAX_CALLS_PER_CORE;
         };
         let now = self.clock.now();
         let past = self.metrics.sum_over(Metric::CallsInFlight, calls.window);
--- a/src/controller/dispatch.rs
+++ b/src/controller/dispatch.rs
@@ -2,10 +2,9 @@
 
 use super::Controller;
 use super::queueing::queue_order;
-use super::tuning::{BUSY_FRACTION, MIN_RUNNING_CORE_FRACTION, READ_BACKLOG_FRACTION};
 use crate::action::{Action, Reason};
+use crate::concurrency::CoreLimitInput;
 use crate::event::RequestIndex;
-use crate::limits::USABLE_LIMIT_FRACTION;
 use crate::metrics::{BUCKET_WIDTH, Metric};
 use crate::request::Stage;
 
@@ -34,30 +33,19 @@
 
     fn has_core_for_next(&self) -> bool {
         let requests = &self.requests;
-        let started = requests.running + requests.calling + requests.awaiting_call.len();
-        let survivable = (self.capacity.survivable_concurrency(self.clock.now())
-            * USABLE_LIMIT_FRACTION)
-            .max(1.0);
-        (requests.running as f64) < self.concurrency_limit() && (started + 1) as f64 <= survivable
-    }
-
-    /// Runs that the cores bear beside the reading that goes on: saturated cores do less in all,
-    /// and starving the reading leaves requests unread until they are late. Guards against floods;
-    /// it never binds at rest.
-    fn concurrency_limit(&self) -> f64 {
-        let spare = self.capacity.cores - self.capacity.reading;
-        // With a read backlog, what is read is late already, and answers reach nobody until reading
-        // has caught up. It does not catch up where nothing completes for a whole window.
-        let unread = self.metrics.mean_unread_seconds(BUCKET_WIDTH);
-        let has_read_backlog = unread > READ_BACKLOG_FRACTION * self.brownout.setpoint_seconds()
-            && self.metrics.recent(Metric::Completed) > 0.0;
-        let floor = self.capacity.cores * MIN_RUNNING_CORE_FRACTION;
-        let limit = if has_read_backlog {
-            spare
-        } else {
-            spare.max(floor)
+        let core_limit = CoreLimitInput {
+            cores: self.cores.cores,
+            reading_cores: self.cores.reading_cores,
+            mean_unread_seconds: self.metrics.mean_unread_seconds(BUCKET_WIDTH),
+            setpoint_seconds: self.brownout.setpoint_seconds(),
+            completed: self.metrics.recent(Metric::Completed),
+            running_limit: self.running_limit.value(),
         };
-        limit.min(self.capacity.running_limit)
+        let started = requests.running + requests.calling + requests.awaiting_call.len();
+        (requests.running as f64) < core_limit.limit()
+            && self
+                .survivable_concurrency
+                .allows_start(started, self.clock.now())
     }
 
     /// The better head of the two queues; long requests leave a core to short ones that wait.
@@ -72,7 +60,7 @@
             .in_stage(Stage::Running)
             .filter(|request| request.is_long)
             .count();
-        let long_ones_fill_cores = long_running as f64 >= self.capacity.running_limit - 1.0;
+        let long_ones_fill_cores = long_running as f64 >= self.running_limit.value() - 1.0;
         let short_is_first = queue_order(&requests[short]) <= queue_order(&requests[long]);
         Some(if long_ones_fill_cores || short_is_first {
             short
@@ -80,19 +68,4 @@
             long
         })
     }
-
-    /// The running limit grows only while cores idle with work queued.
-    pub(super) fn adjust_running_limit(&mut self) {
-        let has_queue = !self.requests.queue_is_empty();
-        let step = if has_queue && self.capacity.busy < BUSY_FRACTION {
-            1.0
-        } else {
-            -1.0
-        };
-        let highest_limit = (self.capacity.survivable_concurrency(self.clock.now())
-            * USABLE_LIMIT_FRACTION)
-            .max(self.capacity.cores);
-        self.capacity.running_limit =
-            (self.capacity.running_limit + step).clamp(self.capacity.cores, highest_limit);
-    }
 }
--- a/src/controller/drain.rs
+++ b/src/controller/drain.rs
@@ -20,7 +20,7 @@
         let run_until = now.saturating_add(self.drain_grace).saturating_sub(since);
         // Guards a fleet that is short of servers: what may still run here stays welcome until
         // callers must leave. It costs as much as one full server does.
-        let fleet_is_short = self.capacity.busy >= DRAIN_BUSY_FRACTION;
+        let fleet_is_short = self.cores.busy_fraction >= DRAIN_BUSY_FRACTION;
         let last_welcome = run_until.saturating_sub(seconds(self.brownout.setpoint_seconds()));
         self.drain = Some(Drain {
             run_until,
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -3,7 +3,6 @@
 use std::time::Duration;
 
 use super::Controller;
-use super::tuning::BUSY_FRACTION;
 use crate::action::Action;
 use crate::event::{Event, Gauges};
 use crate::metrics::Metric;
@@ -62,11 +61,13 @@
         self.expire_requests(out);
         self.update_slowdown();
         if self.schedule.take_control_step(now) {
-            self.adjust_running_limit();
-            self.brownout.update(
-                self.metrics.mean_response_seconds(),
-                self.capacity.busy >= BUSY_FRACTION,
+            self.running_limit.update(
+                !self.requests.queue_is_empty(),
+                self.cores.are_busy(),
+                self.survivable_concurrency.usable(now),
             );
+            self.brownout
+                .update(self.metrics.mean_response_seconds(), self.cores.are_busy());
             self.update_wanted_traffic();
             self.adjust_idle_timeout(gauges.open_connections.unwrap_or(0.0), out);
         }
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -14,7 +14,7 @@
             },
             mean_work_seconds: self.metrics.mean_work_seconds(),
             age: self.clock.now(),
-            started_warm: self.capacity.warm_at == 0.0,
+            started_warm: self.survivable_concurrency.started_warm(),
         };
         let awake_seconds = self.clock.awake_seconds();
         let running = self
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -19,13 +19,14 @@
 use crate::admission::{Memory, TenantQuotas};
 use crate::brownout::Brownout;
 use crate::clock::{Clock, Schedule};
+use crate::concurrency::{CoreUsage, RunningLimit, SurvivableConcurrency};
 use crate::config::{Cancellation, Config, ConfigError};
 use crate::handlers::{HandlerProfile, handler_profiles};
 use crate::health::Slowdown;
 use crate::limits::USABLE_LIMIT_FRACTION;
 use crate::metrics::Metrics;
 use crate::request_table::RequestTable;
-use crate::state::{Capacity, Connections, DependencyCalls, Drain, Feedback};
+use crate::state::{Connections, DependencyCalls, Drain, Feedback};
 use caller_feedback::max_wasted_fraction;
 
 /// Decides for one server. It owns all state.
@@ -33,7 +34,9 @@
     handlers: Vec<HandlerProfile>,
     priority_levels: usize,
     quotas: TenantQuotas,
-    capacity: Capacity,
+    cores: CoreUsage,
+    survivable_concurrency: SurvivableConcurrency,
+    running_limit: RunningLimit,
     memory: Memory,
     calls: DependencyCalls,
     brownout: Brownout,
@@ -65,7 +68,9 @@
         Ok(Controller {
             priority_levels,
             quotas: TenantQuotas::new(config),
-            capacity: Capacity::new(config),
+            cores: CoreUsage::new(config.cores),
+            survivable_concurrency: SurvivableConcurrency::new(config),
+            running_limit: RunningLimit::new(config.cores),
             memory: Memory::new(config),
             brownout: Brownout::new(&handlers),
             slowdown: Slowdown::new(config),
--- a/src/controller/queueing.rs
+++ b/src/controller/queueing.rs
@@ -63,13 +63,13 @@
     ) -> bool {
         let request = &self.requests[index];
         let has_free_core =
-            (self.requests.running as f64) < self.capacity.running_limit && work_ahead == 0.0;
+            (self.requests.running as f64) < self.running_limit.value() && work_ahead == 0.0;
         let wait = if has_free_core {
             0.0
         } else {
             // Arrivals of higher priority go first too while it waits.
             let work = (work_ahead + self.metrics.mean_work_seconds()) * self.slowdown.measured();
-            work / self.capacity.running_limit / (1.0 - self.overtaking_fraction(request.level))
+            work / self.running_limit.value() / (1.0 - self.overtaking_fraction(request.level))
         };
         let profile = &self.handlers[request.handler];
         let calling =
@@ -101,7 +101,7 @@
         let higher = self.metrics.arrivals_at(level + 1..self.priority_levels);
         let work = higher * self.metrics.mean_work_seconds() / MEASUREMENT_WINDOW.as_secs_f64();
         let fraction =
-            OVERTAKING_FRACTION * work * self.slowdown.measured() / self.capacity.running_limit;
+            OVERTAKING_FRACTION * work * self.slowdown.measured() / self.running_limit.value();
         fraction.min(MAX_OVERTAKING_FRACTION)
     }
 
--- a/src/controller/tuning.rs
+++ b/src/controller/tuning.rs
@@ -3,14 +3,6 @@
 
 use std::time::Duration;
 
-/// The pole of the brownout loop in closed loop, and its derivative gain.
-/// The slope of the response time over the dimmer that the brownout loop starts from.
-/// The setpoint of the mean response time, as a fraction of the mean latency objective.
-/// Below this the dimmer counts as zero, and its estimator is frozen.
-/// Gains of the admission loop on the relative error, its floor, and its recovery a step.
-/// The cores count as busy from this gauge on.
-pub(super) const BUSY_FRACTION: f64 = 0.9;
-
 /// A request is admitted while its predicted answer comes within this fraction of its latency
 /// objective, and stays queued within the other.
 pub(super) const ADMISSION_OBJECTIVE_FRACTION: f64 = 0.65;
@@ -40,11 +32,6 @@
 /// from which callers are asked not to try another server.
 pub(super) const MAX_RETRY_FRACTION: f64 = 0.1;
 pub(super) const MAX_REJECTED_FRACTION: f64 = 0.5;
-/// The fraction of the cores that runs keep beside reading.
-pub(super) const MIN_RUNNING_CORE_FRACTION: f64 = 0.34;
-/// Mean time unread, as a fraction of the setpoint, from which reading gets all the cores that it
-/// wants.
-pub(super) const READ_BACKLOG_FRACTION: f64 = 0.5;
 
 /// Connections per core from which the table is saturated, while most callers have none.
 pub(super) const SATURATED_CONNECTIONS_PER_CORE: f64 = 6.0;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -72,6 +72,7 @@
 mod admission;
 mod brownout;
 mod clock;
+mod concurrency;
 mod config;
 mod controller;
 mod event;
--- a/src/state.rs
+++ b/src/state.rs
@@ -6,52 +6,6 @@
 use crate::config::{CallerFeedback, Config, Dependency};
 use crate::handlers::HandlerProfile;
 
-/// The cores and what wants them. Owner: `controller/dispatch.rs`.
-pub(crate) struct Capacity {
-    pub(crate) cores: f64,
-    /// Concurrent requests that a server survives when warm, and at its coldest.
-    pub(crate) warm_concurrency: f64,
-    pub(crate) cold_concurrency: f64,
-    /// The age in seconds at which the server is warm.
-    pub(crate) warm_at: f64,
-    /// The running limit.
-    pub(crate) running_limit: f64,
-    /// The fraction of the cores that is busy.
-    pub(crate) busy: f64,
-    /// Cores wanted by anything but runs, above all by reading.
-    pub(crate) reading: f64,
-}
-
-impl Capacity {
-    pub(crate) fn new(config: &Config) -> Self {
-        let cores = f64::from(config.cores);
-        let concurrency =
-            |speed: f64| cores * (1.0 + (config.max_concurrency_per_core - 1.0) * speed);
-        Capacity {
-            cores,
-            warm_concurrency: concurrency(1.0),
-            cold_concurrency: concurrency(config.cold_speed),
-            warm_at: if config.starts_cold {
-                config.warm_up.as_secs_f64()
-            } else {
-                0.0
-            },
-            running_limit: cores,
-            busy: 0.0,
-            reading: 0.0,
-        }
-    }
-
-    /// The concurrency that the server survives at this age: lower while it is cold.
-    pub(crate) fn survivable_concurrency(&self, age: Duration) -> f64 {
-        let age = age.as_secs_f64();
-        if age >= self.warm_at {
-            return self.warm_concurrency;
-        }
-        self.cold_concurrency + (self.warm_concurrency - self.cold_concurrency) * age / self.warm_at
-    }
-}
-
 /// Calls to the dependency. Owner: `controller/dependency_calls.rs`.
 pub(crate) struct DependencyCalls {
     /// Seconds of calls in flight that the dependency grants over `window`, where it states them.
