--- a/src/controller/bookkeeping.rs
+++ b/src/controller/bookkeeping.rs
@@ -37,9 +37,7 @@
             Stage::Running => self.requests.running -= 1,
             Stage::Calling => {
                 self.requests.calling -= 1;
-                self.calls
-                    .lingering
-                    .push(self.clock.now().saturating_add(self.calls.linger));
+                self.call_budget.abandon_call(self.clock.now());
             }
             Stage::AwaitingCall => self.requests.stop_awaiting_call(request),
         }
--- a/src/controller/dependency_calls.rs
+++ b/src/controller/dependency_calls.rs
@@ -1,15 +1,13 @@
-//! Calls to the dependency: when one is made, skipped, attempted again or given up.
+//! Dependency calls: the inputs of their rules, and what is done with the results.
 
 use std::time::Duration;
 
 use super::Controller;
-use super::tuning::{
-    CALL_TIME_GAIN, CALL_TIMEOUT_FACTOR, MAX_CALL_ATTEMPTS, MAX_CALLS_PER_CORE,
-    MAX_LOST_CALL_FRACTION, MIN_CALL_TIMEOUT_FRACTION, MIN_CALLS_FOR_USUAL_TIME, SLOW_CALL_FACTOR,
-    SLOW_CALL_TIME_GAIN,
-};
 use crate::action::{Action, Reason};
-use crate::clock::seconds;
+use crate::dependency::{
+    CallTimeoutInput, DependencyLoad, FailedCall, OptionalCall, PlannedCall, lost_calls_are_rare,
+    may_attempt_again,
+};
 use crate::event::{Outcome, RequestIndex};
 use crate::metrics::Metric;
 use crate::request::{Request, Stage};
@@ -17,11 +15,11 @@
 impl Controller {
     /// A run has reached its call.
     pub(super) fn call_reached(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
-        if self
+        let is_running = self
             .requests
             .get(request)
-            .is_none_or(|entry| entry.stage != Stage::Running)
-        {
+            .is_some_and(|entry| entry.stage == Stage::Running);
+        if !is_running {
             return;
         }
         self.requests
@@ -41,118 +39,85 @@
     /// Makes the call that a request waits for, or continues without it; otherwise the request
     /// stays.
     fn try_call(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
+        // A number is drawn at each attempt; only that of the first one counts.
         let draw = self.rng.f64();
-        let now = self.clock.now();
         let dimmer = self.brownout.dimmer();
         let is_drawn = *self.requests[request]
             .makes_optional_calls
             .get_or_insert(draw < dimmer);
-        let timeout = self.call_timeout(request);
-        let has_budget = self.has_call_budget(request, timeout);
         let entry = &self.requests[request];
-        let time_left = entry.objective_at.saturating_sub(now).as_secs_f64();
-        let may_attempt = entry.call_attempts == 0 || entry.may_retry_call;
-        let is_worth_making = is_drawn
-            && has_budget
-            && may_attempt
-            && time_left * 0.5 >= self.metrics.mean_call_seconds();
-        if self.handlers[entry.handler].calls_are_optional && !is_worth_making {
-            // One skipped call degrades the answer already: the others would be made for nothing.
-            self.requests[request].makes_optional_calls = Some(false);
-            self.requests.stop_awaiting_call(request);
-            self.requests
-                .enter_core(request, self.clock.awake_seconds());
-            out.push(Action::SkipCall { request });
+        let timeout = self.call_timeout(entry);
+        let is_optional = self.handlers[entry.handler].calls_are_optional;
+        let has_budget = self.has_call_budget(&PlannedCall {
+            timeout,
+            is_optional,
+        });
+        let optional_call = OptionalCall {
+            is_drawn,
+            has_budget,
+            may_attempt: entry.call_attempts == 0 || entry.may_retry_call,
+            seconds_to_objective: entry
+                .objective_at
+                .saturating_sub(self.clock.now())
+                .as_secs_f64(),
+            mean_call_seconds: self.metrics.mean_call_seconds(),
+        };
+        if is_optional && !optional_call.should_make() {
+            self.skip_call(request, out);
         } else if has_budget {
-            self.requests.stop_awaiting_call(request);
-            self.requests.calling += 1;
-            let entry = &mut self.requests[request];
-            entry.stage = Stage::Calling;
-            entry.call_started_at = now;
-            entry.call_times_out_at = now.saturating_add(timeout);
-            entry.call_attempts += 1;
-            entry.calls_made += 1;
-            out.push(Action::StartCall { request, timeout });
+            self.start_call(request, timeout, out);
         }
     }
 
-    fn call_timeout(&self, request: RequestIndex) -> Duration {
-        let entry = &self.requests[request];
-        let profile = &self.handlers[entry.handler];
-        let time_left = entry
-            .objective_at
-            .saturating_sub(self.clock.now())
-            .as_secs_f64();
-        let mut timeout = if profile.calls_are_optional {
-            seconds(time_left * 0.5)
-        } else {
-            entry.deadline.saturating_sub(self.clock.now())
-        };
-        // Guards against replies that never come: given up early, the call can be made again in
-        // time. It does harm where a few calls take far longer than most; where many do, the
-        // dependency is slow, and this does not act.
-        let may_retry = profile.calls_are_optional
-            && profile.is_idempotent()
-            && entry.call_attempts + 1 < MAX_CALL_ATTEMPTS;
-        let mean = self.metrics.mean_call_seconds();
-        if may_retry && mean > 0.0 && self.lost_calls_are_rare() {
-            let early = (CALL_TIMEOUT_FACTOR * mean).max(MIN_CALL_TIMEOUT_FRACTION * time_left);
-            timeout = timeout.min(seconds(early));
-        }
-        match self.calls.budget {
-            Some(budget) => timeout.min(seconds(budget / 4.0)),
-            None => timeout,
-        }
+    fn skip_call(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
+        // One skipped call degrades the answer already: the others would be made for nothing.
+        self.requests[request].makes_optional_calls = Some(false);
+        self.requests.stop_awaiting_call(request);
+        self.requests
+            .enter_core(request, self.clock.awake_seconds());
+        out.push(Action::SkipCall { request });
     }
 
-    /// Whether a call with this timeout can be made now.
-    fn has_call_budget(&self, request: RequestIndex, timeout: Duration) -> bool {
-        let is_optional = self.handlers[self.requests[request].handler].calls_are_optional;
-        let reserved = if is_optional {
-            self.reserved_for_mandatory_calls(timeout)
-        } else {
-            0.0
-        };
-        self.fits_call_budget(timeout.saturating_add(seconds(reserved)))
-            && timeout > self.schedule.tick_interval
+    fn start_call(&mut self, request: RequestIndex, timeout: Duration, out: &mut Vec<Action>) {
+        let now = self.clock.now();
+        self.requests.stop_awaiting_call(request);
+        self.requests.calling += 1;
+        let entry = &mut self.requests[request];
+        entry.stage = Stage::Calling;
+        entry.call_started_at = now;
+        entry.call_times_out_at = now.saturating_add(timeout);
+        entry.call_attempts += 1;
+        entry.calls_made += 1;
+        out.push(Action::StartCall { request, timeout });
     }
 
-    /// Seconds of calls that an optional call leaves for a mandatory one, as far as two of its own
-    /// fit. Guards against mandatory calls that wait while the budget is spent, and return all at
-    /// once.
-    fn reserved_for_mandatory_calls(&self, timeout: Duration) -> f64 {
-        let Some(budget) = self.calls.budget.filter(|_| self.calls.has_mandatory) else {
-            return 0.0;
-        };
-        let (linger, own) = (self.calls.linger.as_secs_f64(), timeout.as_secs_f64());
-        (budget / 4.0 + linger)
-            .min(budget - 2.0 * (own + linger))
-            .max(0.0)
+    fn call_timeout(&self, entry: &Request) -> Duration {
+        let now = self.clock.now();
+        let handler = &self.handlers[entry.handler];
+        CallTimeoutInput {
+            seconds_to_objective: entry.objective_at.saturating_sub(now).as_secs_f64(),
+            time_to_deadline: entry.deadline.saturating_sub(now),
+            is_optional: handler.calls_are_optional,
+            may_retry: handler.is_idempotent() && may_attempt_again(entry.call_attempts + 1),
+            mean_call_seconds: self.metrics.mean_call_seconds(),
+            lost_calls_are_rare: self.lost_calls_are_rare(),
+            max_call_seconds: self.call_budget.max_call_seconds(),
+        }
+        .timeout()
     }
 
-    /// Whether one more call keeps this server within its share of what the dependency survives.
-    fn fits_call_budget(&self, timeout: Duration) -> bool {
-        let calls = &self.calls;
-        let Some(budget) = calls.budget else {
-            return (self.requests.calling as f64) < self.cores.cores * MAX_CALLS_PER_CORE;
-        };
-        let now = self.clock.now();
-        let past = self.metrics.sum_over(Metric::CallsInFlight, calls.window);
-        let until_end = |entry: &Request| {
-            entry
-                .call_times_out_at
-                .saturating_add(calls.linger)
-                .saturating_sub(now)
-                .as_secs_f64()
+    fn has_call_budget(&self, call: &PlannedCall) -> bool {
+        let window = self.call_budget.window();
+        let load = DependencyLoad {
+            now: self.clock.now(),
+            calls_in_flight: self.requests.calling,
+            past_call_seconds: self.metrics.sum_over(Metric::CallsInFlight, window),
         };
-        let in_flight: f64 = self.requests.in_stage(Stage::Calling).map(until_end).sum();
-        let lingering: f64 = calls
-            .lingering
-            .iter()
-            .map(|&end| end.saturating_sub(now).as_secs_f64())
-            .sum();
-        let ahead = in_flight + lingering;
-        past + ahead + timeout.saturating_add(calls.linger).as_secs_f64() <= budget
+        let calls_time_out_at = self
+            .requests
+            .in_stage(Stage::Calling)
+            .map(|entry| entry.call_times_out_at);
+        self.call_budget.allows_call(call, &load, calls_time_out_at)
     }
 
     pub(super) fn call_finished(
@@ -161,6 +126,7 @@
         outcome: Outcome,
         out: &mut Vec<Action>,
     ) {
+        let now = self.clock.now();
         let Some(entry) = self
             .requests
             .get(request)
@@ -168,14 +134,13 @@
         else {
             return;
         };
-        let duration = (self.clock.now() - entry.call_started_at).as_secs_f64();
+        let call_seconds = (now - entry.call_started_at).as_secs_f64();
         self.requests.calling -= 1;
+        self.requests[request].stage = Stage::AwaitingCall;
         if matches!(outcome, Outcome::TimedOut | Outcome::ConnectionLost) {
-            self.calls
-                .lingering
-                .push(self.clock.now().saturating_add(self.calls.linger));
+            self.call_budget.abandon_call(now);
         }
-        self.record_call(duration, outcome);
+        self.record_call(call_seconds, outcome);
         if outcome == Outcome::Succeeded {
             self.requests[request].call_attempts = 0;
             self.requests
@@ -185,56 +150,45 @@
         }
     }
 
-    fn record_call(&mut self, duration: f64, outcome: Outcome) {
+    fn record_call(&mut self, call_seconds: f64, outcome: Outcome) {
         self.metrics
             .count_if(Metric::CallsTimedOut, outcome == Outcome::TimedOut);
-        // A call whose connection was lost, or that never left, shows nothing of the dependency's
-        // pace.
-        let has_duration = !outcome.is_connection_failure();
-        let weight = f64::from(u8::from(has_duration));
-        self.metrics.add(Metric::Calls, weight);
-        self.metrics.add(Metric::CallTime, duration * weight);
-        let usual_is_known = self.calls.observed >= MIN_CALLS_FOR_USUAL_TIME;
-        let is_slow =
-            has_duration && usual_is_known && duration > SLOW_CALL_FACTOR * self.calls.usual_time;
-        if is_slow {
-            self.brownout.cut_dimmer_ceiling();
+        // A call whose connection failed shows nothing of how long the dependency takes.
+        if !outcome.is_connection_failure() {
+            self.metrics.add(Metric::Calls, 1.0);
+            self.metrics.add(Metric::CallTime, call_seconds);
         }
-        if outcome == Outcome::Succeeded {
-            self.calls.observed += 1.0;
-            let gain = CALL_TIME_GAIN.max(1.0 / self.calls.observed);
-            let gain = if is_slow { SLOW_CALL_TIME_GAIN } else { gain };
-            self.calls.usual_time += gain * (duration - self.calls.usual_time);
+        if self.usual_call_time.observe(call_seconds, outcome) {
+            self.brownout.cut_dimmer_ceiling();
         }
     }
 
-    /// Decides whether a call that failed is attempted again.
     fn call_failed(&mut self, request: RequestIndex, outcome: Outcome, out: &mut Vec<Action>) {
         let lost_calls_are_rare = self.lost_calls_are_rare();
         let entry = &mut self.requests[request];
-        let profile = &self.handlers[entry.handler];
-        let never_ran = outcome.never_ran();
-        let may_run_again = never_ran || profile.is_idempotent();
-        let may_retry = may_run_again && entry.call_attempts < MAX_CALL_ATTEMPTS;
-        entry.stage = Stage::AwaitingCall;
-        // An optional call is attempted again only where its connection or reply was lost: a
-        // dependency that rejects is full.
-        let was_lost =
-            outcome.is_connection_failure() || outcome == Outcome::TimedOut && lost_calls_are_rare;
-        entry.may_retry_call = may_retry && was_lost;
+        let handler = &self.handlers[entry.handler];
+        let call = FailedCall {
+            outcome,
+            attempts: entry.call_attempts,
+            is_idempotent: handler.is_idempotent(),
+            lost_calls_are_rare,
+        };
+        entry.may_retry_call = call.may_retry_optional();
         if entry.is_answered {
             return;
         }
-        if profile.calls_are_optional || may_retry {
+        // An optional call that is not attempted again is skipped once the request is looked at.
+        if handler.calls_are_optional || call.may_retry() {
             self.requests.awaiting_call.push(request);
         } else {
             self.finish_early(request, false, Reason::CallFailed, out);
         }
     }
 
-    /// Whether a call without a reply is the exception, so that its reply is lost rather than slow.
     fn lost_calls_are_rare(&self) -> bool {
-        let calls = self.metrics.recent(Metric::Calls);
-        self.metrics.recent(Metric::CallsTimedOut) <= MAX_LOST_CALL_FRACTION * calls
+        lost_calls_are_rare(
+            self.metrics.recent(Metric::Calls),
+            self.metrics.recent(Metric::CallsTimedOut),
+        )
     }
 }
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -42,9 +42,9 @@
     fn advance_clock(&mut self, now: Duration) {
         let before = self.clock.now();
         let passed_seconds = self.clock.advance(now, &self.schedule);
-        self.calls.lingering.retain(|&end| end > before);
+        self.call_budget.forget_ended_calls(before);
         self.metrics.advance(self.clock.now());
-        let in_flight = (self.requests.calling + self.calls.lingering.len()) as f64;
+        let in_flight = (self.requests.calling + self.call_budget.abandoned_calls()) as f64;
         self.metrics
             .add(Metric::CallsInFlight, in_flight * passed_seconds);
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -21,12 +21,12 @@
 use crate::clock::{Clock, Schedule};
 use crate::concurrency::{CoreUsage, RunningLimit, SurvivableConcurrency};
 use crate::config::{Cancellation, Config, ConfigError};
+use crate::dependency::{CallBudget, UsualCallTime};
 use crate::handlers::{HandlerProfile, handler_profiles};
 use crate::health::Slowdown;
-use crate::limits::USABLE_LIMIT_FRACTION;
 use crate::metrics::Metrics;
 use crate::request_table::RequestTable;
-use crate::state::{Connections, DependencyCalls, Drain, Feedback};
+use crate::state::{Connections, Drain, Feedback};
 use caller_feedback::max_wasted_fraction;
 
 /// Decides for one server. It owns all state.
@@ -38,7 +38,8 @@
     survivable_concurrency: SurvivableConcurrency,
     running_limit: RunningLimit,
     memory: Memory,
-    calls: DependencyCalls,
+    call_budget: CallBudget,
+    usual_call_time: UsualCallTime,
     brownout: Brownout,
     slowdown: Slowdown,
     feedback: Feedback,
@@ -63,7 +64,7 @@
         config.validate()?;
         let (handlers, priority_levels) = handler_profiles(config);
         let schedule = Schedule::new(config.response_slack);
-        let calls = DependencyCalls::new(config, &handlers, USABLE_LIMIT_FRACTION);
+        let call_budget = CallBudget::new(config, &handlers, schedule.tick_interval);
         let metrics = Metrics::new(config.dependency, schedule.tick_interval, priority_levels);
         Ok(Controller {
             priority_levels,
@@ -83,7 +84,8 @@
             requests: RequestTable::default(),
             rng: fastrand::Rng::with_seed(seed),
             handlers,
-            calls,
+            call_budget,
+            usual_call_time: UsualCallTime::default(),
             metrics,
             schedule,
         })
--- a/src/controller/tuning.rs
+++ b/src/controller/tuning.rs
@@ -50,28 +50,6 @@
 pub(super) const MIN_CREDIT_PER_CORE: f64 = 0.5;
 pub(super) const EXTRA_CREDIT_PER_CORE: f64 = 3.5;
 
-/// The fraction of survivable concurrency, memory and calls that is used.
-/// The fraction of the memory that queued requests may take.
-/// Calls in flight per core, where the dependency states no share.
-pub(super) const MAX_CALLS_PER_CORE: f64 = 4.0;
-/// Attempts of one call, where the one before is known not to have run or the request is
-/// idempotent.
-pub(super) const MAX_CALL_ATTEMPTS: u32 = 3;
-/// A call that may be attempted again has a timeout of so many usual durations, or of this fraction
-/// of the time left, if that is more.
-pub(super) const CALL_TIMEOUT_FACTOR: f64 = 8.0;
-pub(super) const MIN_CALL_TIMEOUT_FRACTION: f64 = 0.15;
-/// The fraction of recent calls without a reply in time up to which these count as lost, and not as
-/// slow.
-pub(super) const MAX_LOST_CALL_FRACTION: f64 = 0.1;
-/// How many usual durations make a call slow, once so many were seen; the gain of the usual
-/// duration, and that for slow calls; how the dimmer's ceiling is cut by each, recovers, and its
-/// floor.
-pub(super) const SLOW_CALL_FACTOR: f64 = 6.0;
-pub(super) const MIN_CALLS_FOR_USUAL_TIME: f64 = 20.0;
-pub(super) const CALL_TIME_GAIN: f64 = 0.02;
-pub(super) const SLOW_CALL_TIME_GAIN: f64 = 0.002;
-
 /// How many times slower than usual a server counts as degraded.
 /// The work of a request without an estimate, at first, how fast it is learnt from each run, and
 /// its floor; and from how many times the mean such a request counts as long.
--- /dev/null
+++ b/src/dependency/call_timeout.rs
@@ -0,0 +1,67 @@
+//! The timeout of a dependency call.
+//!
+//! A mandatory call may take until the deadline of its request, an optional one only a part of the
+//! time that is left until the latency objective: after it the run must still end in time.
+//!
+//! Some replies never come (the connection broke without notice, the dependency lost the request).
+//! Waiting for the whole timeout then costs the request its objective. A call that may be
+//! attempted again is therefore given up after a multiple of the mean call time. Where more than a
+//! few calls get no reply, the dependency is slow and replies are not lost, so this does not act.
+//! The price: where a few calls take far longer than most, they are made twice.
+
+use std::time::Duration;
+
+use crate::clock::seconds;
+
+/// Fraction of the time until the latency objective that an optional call may take.
+const OPTIONAL_CALL_TIME_FRACTION: f64 = 0.5;
+
+/// Multiple of the mean call time after which a reply counts as lost.
+const LOST_REPLY_FACTOR: f64 = 8.0;
+
+/// Least fraction of the time until the latency objective after which a reply counts as lost.
+const MIN_LOST_REPLY_TIME_FRACTION: f64 = 0.15;
+
+/// What the timeout follows from.
+pub(crate) struct CallTimeoutInput {
+    /// Seconds until the latency objective of the request.
+    pub(crate) seconds_to_objective: f64,
+    /// The time until its deadline.
+    pub(crate) time_to_deadline: Duration,
+    /// The call may be skipped.
+    pub(crate) is_optional: bool,
+    /// The call may be attempted again if this attempt gets no reply.
+    pub(crate) may_retry: bool,
+    /// Mean seconds of recent calls; 0 where there was none.
+    pub(crate) mean_call_seconds: f64,
+    /// Calls without a reply are the exception.
+    pub(crate) lost_calls_are_rare: bool,
+    /// Seconds that the budget allows for one call, where there is one.
+    pub(crate) max_call_seconds: Option<f64>,
+}
+
+/// Seconds that an optional call may take.
+pub(super) fn optional_call_seconds(seconds_to_objective: f64) -> f64 {
+    seconds_to_objective * OPTIONAL_CALL_TIME_FRACTION
+}
+
+impl CallTimeoutInput {
+    /// The timeout of the call.
+    pub(crate) fn timeout(&self) -> Duration {
+        let mut timeout = if self.is_optional {
+            seconds(optional_call_seconds(self.seconds_to_objective))
+        } else {
+            self.time_to_deadline
+        };
+        let expects_reply = self.mean_call_seconds > 0.0 && self.lost_calls_are_rare;
+        if self.is_optional && self.may_retry && expects_reply {
+            let lost_after_seconds = (LOST_REPLY_FACTOR * self.mean_call_seconds)
+                .max(MIN_LOST_REPLY_TIME_FRACTION * self.seconds_to_objective);
+            timeout = timeout.min(seconds(lost_after_seconds));
+        }
+        match self.max_call_seconds {
+            Some(max_call_seconds) => timeout.min(seconds(max_call_seconds)),
+            None => timeout,
+        }
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -75,6 +75,7 @@
 mod concurrency;
 mod config;
 mod controller;
+mod dependency;
 mod event;
 mod handlers;
 mod health;
--- a/src/state.rs
+++ b/src/state.rs
@@ -3,52 +3,7 @@
 
 use std::time::Duration;
 
-use crate::config::{CallerFeedback, Config, Dependency};
-use crate::handlers::HandlerProfile;
-
-/// Calls to the dependency. Owner: `controller/dependency_calls.rs`.
-pub(crate) struct DependencyCalls {
-    /// Seconds of calls in flight that the dependency grants over `window`, where it states them.
-    pub(crate) budget: Option<f64>,
-    pub(crate) window: Duration,
-    pub(crate) linger: Duration,
-    /// When calls that were given up leave the dependency.
-    pub(crate) lingering: Vec<Duration>,
-    /// Some requests make calls that may not be skipped.
-    pub(crate) has_mandatory: bool,
-    /// Seconds that a call usually takes, and from how many calls that is known.
-    pub(crate) usual_time: f64,
-    pub(crate) observed: f64,
-}
-
-impl DependencyCalls {
-    /// No calls yet; `usable_fraction` of what the dependency grants is used.
-    pub(crate) fn new(config: &Config, handlers: &[HandlerProfile], usable_fraction: f64) -> Self {
-        let (budget, window, linger) = match config.dependency {
-            Dependency::Shared {
-                share,
-                window,
-                linger,
-            } => (
-                Some(share * window.as_secs_f64() * usable_fraction),
-                window,
-                linger,
-            ),
-            Dependency::None | Dependency::Tier => (None, Duration::ZERO, Duration::ZERO),
-        };
-        DependencyCalls {
-            budget,
-            window,
-            linger,
-            lingering: Vec::new(),
-            has_mandatory: handlers
-                .iter()
-                .any(|handler| handler.makes_calls && !handler.calls_are_optional),
-            usual_time: 0.0,
-            observed: 0.0,
-        }
-    }
-}
+use crate::config::{CallerFeedback, Config};
 
 /// A feedback value that no caller is ever sent, so that the first one always is.
 const NO_VALUE: f64 = -1.0;
