--- /dev/null
+++ b/src/caller_feedback/retry_other_server.rs
@@ -0,0 +1,79 @@
+//! Whether a rejected request is worth an attempt on another server.
+//!
+//! With few retries among arrivals, and most of them admitted, other servers still admit what this
+//! one rejects. Otherwise the fleet is full, and one more attempt only costs a reading: in a retry
+//! storm every request is read by every server and answered by none. Retries that are not marked
+//! cannot be counted; there only a server that is draining or failing sends requests to others.
+//! The rule binds on every rejection. The price: it does harm on the only full server of a fleet.
+
+use std::time::Duration;
+
+/// Fraction of arrivals that are retries, above which the fleet counts as full.
+const MAX_RETRY_FRACTION: f64 = 0.1;
+
+/// Fraction of arrivals that are rejected, above which the fleet counts as full.
+const MAX_REJECTED_FRACTION: f64 = 0.5;
+
+/// Retries or rejections that prove nothing among the few requests that arrive in a window.
+const TOLERATED_REQUESTS: f64 = 1.0;
+
+/// Part of the latency objective, as a divisor, that must be left for another attempt.
+const MIN_TIME_LEFT_DIVISOR: u32 = 2;
+
+/// The request that is rejected.
+pub(crate) struct RejectedRequest {
+    /// Its tenant is over its quota.
+    pub(crate) is_over_quota: bool,
+    /// It is marked as a retry or a hedged request.
+    pub(crate) is_retry: bool,
+    /// Its latency objective, from its arrival.
+    pub(crate) objective: Duration,
+    /// The time that is left until then.
+    pub(crate) time_left: Duration,
+}
+
+/// The state of this server.
+pub(crate) struct ServerState {
+    /// The shutdown notice has come.
+    pub(crate) is_draining: bool,
+    /// Runs on this server fail often.
+    pub(crate) is_failing: bool,
+    /// Another server would do better, for these or other reasons.
+    pub(crate) is_degraded: bool,
+}
+
+/// What recent arrivals show of the fleet.
+pub(crate) struct FleetSample {
+    /// Retries and hedged requests are marked as such.
+    pub(crate) retries_are_marked: bool,
+    /// Requests that arrived recently.
+    pub(crate) arrived: f64,
+    /// Those that are marked as retries.
+    pub(crate) retries: f64,
+    /// Those that were rejected at once.
+    pub(crate) rejected: f64,
+}
+
+impl FleetSample {
+    fn has_capacity(&self) -> bool {
+        let is_rare =
+            |count: f64, fraction: f64| count <= fraction * self.arrived + TOLERATED_REQUESTS;
+        is_rare(self.retries, MAX_RETRY_FRACTION) && is_rare(self.rejected, MAX_REJECTED_FRACTION)
+    }
+}
+
+impl RejectedRequest {
+    /// Whether its caller should try another server.
+    pub(crate) fn should_retry_other_server(
+        &self,
+        server: &ServerState,
+        fleet: &FleetSample,
+    ) -> bool {
+        let has_time_left = self.objective / MIN_TIME_LEFT_DIVISOR < self.time_left;
+        if self.is_over_quota || self.is_retry || !has_time_left {
+            return false;
+        }
+        let is_impaired = server.is_draining || server.is_failing;
+        is_impaired || fleet.retries_are_marked && (server.is_degraded || fleet.has_capacity())
+    }
+}
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -69,7 +69,7 @@
             self.brownout
                 .update(self.metrics.mean_response_seconds(), self.cores.are_busy());
             self.update_wanted_traffic();
-            self.adjust_idle_timeout(gauges.open_connections.unwrap_or(0.0), out);
+            self.update_idle_timeout(gauges.open_connections.unwrap_or(0.0), out);
         }
         self.send_feedback(out);
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -4,7 +4,6 @@
 mod admission;
 mod bookkeeping;
 mod caller_feedback;
-mod connections;
 mod dependency_calls;
 mod dispatch;
 mod drain;
@@ -18,16 +17,17 @@
 
 use crate::admission::{Memory, TenantQuotas};
 use crate::brownout::Brownout;
+use crate::caller_feedback::{Feedback, WantedTraffic};
 use crate::clock::{Clock, Schedule};
 use crate::concurrency::{CoreUsage, RunningLimit, SurvivableConcurrency};
 use crate::config::{Cancellation, Config, ConfigError};
 use crate::dependency::{CallBudget, UsualCallTime};
 use crate::handlers::{HandlerProfile, handler_profiles};
 use crate::health::Slowdown;
+use crate::idle_timeout::IdleTimeout;
 use crate::metrics::Metrics;
 use crate::request_table::RequestTable;
-use crate::state::{Connections, Drain, Feedback};
-use caller_feedback::max_wasted_fraction;
+use crate::state::Drain;
 
 /// Decides for one server. It owns all state.
 pub struct Controller {
@@ -42,8 +42,11 @@
     usual_call_time: UsualCallTime,
     brownout: Brownout,
     slowdown: Slowdown,
+    wanted_traffic: WantedTraffic,
     feedback: Feedback,
-    connections: Connections,
+    max_retry_after: Option<Duration>,
+    retries_are_marked: bool,
+    idle_timeout: IdleTimeout,
     drain_grace: Duration,
     drain: Option<Drain>,
     can_cancel: bool,
@@ -75,8 +78,11 @@
             memory: Memory::new(config),
             brownout: Brownout::new(&handlers),
             slowdown: Slowdown::new(config),
-            feedback: Feedback::new(config, max_wasted_fraction(config.feedback)),
-            connections: Connections::new(config.idle_timeout),
+            wanted_traffic: WantedTraffic::new(config.feedback),
+            feedback: Feedback::new(config),
+            max_retry_after: config.max_retry_after,
+            retries_are_marked: config.marks_retries,
+            idle_timeout: IdleTimeout::new(config.idle_timeout),
             drain_grace: config.drain_grace,
             drain: None,
             can_cancel: config.cancellation != Cancellation::Unsupported,
--- /dev/null
+++ b/src/idle_timeout.rs
@@ -0,0 +1,121 @@
+//! When idle connections are closed.
+//!
+//! Many callers that each come rarely leave connections open, which shut other callers out and cost
+//! cores. While open connections saturate the table, the idle timeout falls at each control step,
+//! and recovers afterwards. In a retry storm it rises instead: opening a connection costs more than
+//! the request on it, so a full table is the cheapest limit. Half full it shuts nobody out. The
+//! storm is over for the table once the cores starve behind it. The price: where the table is far
+//! larger than the saturation limit, callers open new connections that they would have kept.
+
+#[cfg(test)]
+mod tests;
+
+use std::time::Duration;
+
+use crate::clock::seconds;
+
+/// Open connections per core above which the table may be saturated.
+const SATURATED_CONNECTIONS_PER_CORE: f64 = 6.0;
+
+/// Callers for each open connection above which the table is saturated: most callers have none.
+const MIN_CALLERS_PER_CONNECTION: f64 = 2.0;
+
+/// Arrivals per completed request above which there may be a retry storm.
+const STORM_ARRIVALS_PER_COMPLETION: f64 = 6.0;
+
+/// Cores wanted by reading, per core, above which such a surplus of arrivals is a retry storm.
+const STORM_READING_CORES_PER_CORE: f64 = 1.75;
+
+/// Window over which arrivals are compared with completed requests.
+pub(crate) const STORM_WINDOW: Duration = Duration::from_millis(4000);
+
+/// Mean fraction of the cores that is busy, below which the cores starve behind a full table.
+const STARVED_BUSY_FRACTION: f64 = 0.4;
+
+/// Factor of the idle timeout at each control step while the table is saturated.
+const CUT_FACTOR: f64 = 0.3;
+
+/// Factor of the idle timeout at each control step of a retry storm.
+const STORM_RISE_FACTOR: f64 = 3.0;
+
+/// Factor of the idle timeout at each other control step.
+const RECOVERY_FACTOR: f64 = 1.02;
+
+/// Least idle timeout, unless callers close idle connections earlier by themselves.
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// What one control step follows from.
+pub(crate) struct ConnectionLoad {
+    /// The number of open connections.
+    pub(crate) open_connections: f64,
+    /// The number of callers.
+    pub(crate) callers: f64,
+    /// The number of cores.
+    pub(crate) cores: f64,
+    /// Requests that arrived in [`STORM_WINDOW`].
+    pub(crate) arrived: f64,
+    /// Requests that completed in [`STORM_WINDOW`].
+    pub(crate) completed: f64,
+    /// Mean number of cores wanted by reading.
+    pub(crate) mean_reading_cores: f64,
+    /// Mean fraction of the cores that was busy.
+    pub(crate) mean_busy_fraction: f64,
+}
+
+impl ConnectionLoad {
+    fn is_saturated(&self) -> bool {
+        self.open_connections > SATURATED_CONNECTIONS_PER_CORE * self.cores
+            && self.open_connections * MIN_CALLERS_PER_CONNECTION < self.callers
+    }
+
+    fn is_retry_storm(&self) -> bool {
+        self.arrived / self.completed.max(1.0) > STORM_ARRIVALS_PER_COMPLETION
+            && self.mean_reading_cores > STORM_READING_CORES_PER_CORE * self.cores
+    }
+
+    fn cores_starve(&self) -> bool {
+        self.mean_busy_fraction < STARVED_BUSY_FRACTION
+    }
+}
+
+/// State of the rule.
+pub(crate) struct IdleTimeout {
+    timeout: Duration,
+    /// Callers close an idle connection by themselves after this time.
+    longest: Duration,
+    /// A retry storm goes on, and the table may stay full.
+    is_storm: bool,
+}
+
+impl IdleTimeout {
+    /// Connections are kept as long as callers keep them.
+    pub(crate) fn new(longest: Duration) -> Self {
+        IdleTimeout {
+            timeout: longest,
+            longest,
+            is_storm: false,
+        }
+    }
+
+    /// One control step. Returns the new idle timeout if it has changed.
+    pub(crate) fn update(&mut self, load: &ConnectionLoad) -> Option<Duration> {
+        let is_saturated = load.is_saturated();
+        if load.is_retry_storm() {
+            self.is_storm = true;
+        } else if is_saturated && load.cores_starve() {
+            self.is_storm = false;
+        }
+        let factor = match (self.is_storm, is_saturated) {
+            (true, _) => STORM_RISE_FACTOR,
+            (false, true) => CUT_FACTOR,
+            (false, false) => RECOVERY_FACTOR,
+        };
+        let timeout = seconds(self.timeout.as_secs_f64() * factor);
+        let timeout = timeout.clamp(MIN_IDLE_TIMEOUT.min(self.longest), self.longest);
+        if timeout == self.timeout {
+            return None;
+        }
+        self.timeout = timeout;
+        Some(timeout)
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -71,6 +71,7 @@
 mod action;
 mod admission;
 mod brownout;
+mod caller_feedback;
 mod clock;
 mod concurrency;
 mod config;
@@ -79,6 +80,7 @@
 mod event;
 mod handlers;
 mod health;
+mod idle_timeout;
 mod limits;
 mod metrics;
 mod request;
