--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -24,6 +24,7 @@
         }
         self.record_arrival(arrival, &request);
         self.memory.add_queued(request.queued_kb);
+        let arrived_at = request.arrived_at;
         self.requests.insert(index, request);
         let handler = &self.handlers[arrival.handler];
         let is_keyed = handler.is_keyed();
@@ -31,7 +32,7 @@
         if must_coalesce(arrival.is_duplicate, handler) {
             return self.coalesce(index, out);
         }
-        if self.arrived_too_late_to_run(index) {
+        if !self.drain.allows_run(arrived_at, self.clock.now()) {
             return self.finish_early(index, true, Reason::Draining, out);
         }
         if let Some(reason) = self.rejection_reason(index) {
@@ -97,7 +98,7 @@
 
     fn coalesce(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
         self.requests[request].stage = Stage::Coalesced;
-        if self.is_terminating() {
+        if self.drain.is_terminating(self.clock.now()) {
             self.finish_early(request, false, Reason::Terminating, out);
         } else if self.memory.is_exceeded() {
             self.finish_early(request, false, Reason::MemoryLimit, out);
--- a/src/controller/caller_feedback.rs
+++ b/src/controller/caller_feedback.rs
@@ -38,10 +38,7 @@
 
     pub(super) fn send_feedback(&mut self, out: &mut Vec<Action>) {
         let changed = self.feedback.update(&FeedbackInput {
-            is_draining: self
-                .drain
-                .as_ref()
-                .is_some_and(|drain| self.clock.now() >= drain.welcome_until),
+            is_draining: self.drain.callers_should_leave(self.clock.now()),
             is_failing: self.high_failure_fraction() > 0.0,
             slowdown_traffic_fraction: self.slowdown.traffic_fraction(),
             wanted_traffic_fraction: self.wanted_traffic.fraction(),
@@ -72,7 +69,7 @@
             time_left: request.objective_at.saturating_sub(self.clock.now()),
         };
         let server = ServerState {
-            is_draining: self.drain.is_some(),
+            is_draining: self.drain.has_started(),
             is_failing: self.high_failure_fraction() > 0.0,
             is_degraded: self.is_degraded(),
         };
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -4,6 +4,7 @@
 
 use super::Controller;
 use crate::action::Action;
+use crate::drain::ShutdownNotice;
 use crate::event::{Event, Gauges};
 use crate::metrics::Metric;
 
@@ -49,6 +50,21 @@
             .add(Metric::CallsInFlight, in_flight * passed_seconds);
     }
 
+    fn start_drain(&mut self, since: Duration, left: Duration, out: &mut Vec<Action>) {
+        let has_started = self.drain.start(&ShutdownNotice {
+            now: self.clock.now(),
+            since,
+            left,
+            grace: self.drain_grace,
+            busy_fraction: self.cores.busy_fraction,
+            setpoint_seconds: self.brownout.setpoint_seconds(),
+        });
+        if has_started {
+            out.push(Action::SetHealth { healthy: false });
+            self.expire_requests(out);
+        }
+    }
+
     /// Everything that goes by the clock.
     fn tick(&mut self, gauges: &Gauges, out: &mut Vec<Action>) {
         let now = self.clock.now();
--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -37,6 +37,8 @@
 
     /// Whether this server does worse than it should, so that another would serve better.
     pub(super) fn is_degraded(&self) -> bool {
-        self.drain.is_some() || self.high_failure_fraction() > 0.0 || self.slowdown.is_degraded()
+        self.drain.has_started()
+            || self.high_failure_fraction() > 0.0
+            || self.slowdown.is_degraded()
     }
 }
--- a/src/controller/lifecycle.rs
+++ b/src/controller/lifecycle.rs
@@ -72,7 +72,7 @@
     pub(super) fn expire_requests(&mut self, out: &mut Vec<Action>) {
         self.reject_overtaken(out);
         let now = self.clock.now();
-        let answer_by = self.answer_by();
+        let answer_by = self.drain.answer_by();
         for request in 0..self.requests.len() {
             let Some(entry) = self.requests.get(request) else {
                 continue;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -6,7 +6,6 @@
 mod caller_feedback;
 mod dependency_calls;
 mod dispatch;
-mod drain;
 mod events;
 mod health;
 mod lifecycle;
@@ -22,12 +21,12 @@
 use crate::concurrency::{CoreUsage, RunningLimit, SurvivableConcurrency};
 use crate::config::{Cancellation, Config, ConfigError};
 use crate::dependency::{CallBudget, UsualCallTime};
+use crate::drain::Drain;
 use crate::handlers::{HandlerProfile, handler_profiles};
 use crate::health::Slowdown;
 use crate::idle_timeout::IdleTimeout;
 use crate::metrics::Metrics;
 use crate::request_table::RequestTable;
-use crate::state::Drain;
 
 /// Decides for one server. It owns all state.
 pub struct Controller {
@@ -48,7 +47,7 @@
     retries_are_marked: bool,
     idle_timeout: IdleTimeout,
     drain_grace: Duration,
-    drain: Option<Drain>,
+    drain: Drain,
     can_cancel: bool,
     clock: Clock,
     schedule: Schedule,
@@ -84,7 +83,7 @@
             retries_are_marked: config.marks_retries,
             idle_timeout: IdleTimeout::new(config.idle_timeout),
             drain_grace: config.drain_grace,
-            drain: None,
+            drain: Drain::default(),
             can_cancel: config.cancellation != Cancellation::Unsupported,
             clock: Clock::default(),
             requests: RequestTable::default(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -77,6 +77,7 @@
 mod config;
 mod controller;
 mod dependency;
+mod drain;
 mod event;
 mod handlers;
 mod health;
@@ -85,7 +86,6 @@
 mod metrics;
 mod request;
 mod request_table;
-mod state;
 #[cfg(test)]
 mod tests;
 
