--- /dev/null
+++ b/src/early_answer.rs
@@ -0,0 +1,75 @@
+//! When a request is given up, and how it is answered then.
+//!
+//! Every request gets exactly one final answer by its deadline. One that cannot be served in time
+//! any more is answered in the last tick before its deadline, or before the termination of the
+//! process: its client would otherwise learn nothing. A started request that is late is given up
+//! before that, because its cores or its call serve nobody. If it may not run again, it is given up
+//! only where it waits at a call: that call would be made for nobody, together with those of all
+//! that wait as long. The price: a late answer that still had some worth is not given.
+//!
+//! The answer is a rejection only where the request certainly had no effect or may run again. Any
+//! other is a failure, because a caller may repeat what was rejected, and its effect would happen
+//! twice.
+
+#[cfg(test)]
+mod tests;
+
+use std::time::Duration;
+
+use crate::action::Reason;
+use crate::requests::Stage;
+
+/// A request that has no final answer yet.
+pub(crate) struct OpenRequest {
+    pub(crate) stage: Stage,
+    /// It may run any number of times.
+    pub(crate) is_idempotent: bool,
+    /// An answer until then meets its latency objective.
+    pub(crate) objective_at: Duration,
+    /// Its client waits until then.
+    pub(crate) deadline: Duration,
+}
+
+/// The times at a tick.
+pub(crate) struct TickTimes {
+    pub(crate) now: Duration,
+    /// The time until the next tick.
+    pub(crate) tick_interval: Duration,
+    /// Everything must be answered by then because the process is terminated.
+    pub(crate) answer_by: Duration,
+}
+
+impl OpenRequest {
+    /// Why the request is given up at this tick, if it is.
+    pub(crate) fn give_up_reason(&self, times: &TickTimes) -> Option<Reason> {
+        let answer_by = self.deadline.min(times.answer_by);
+        if answer_by <= times.now + times.tick_interval {
+            let is_terminated_first = times.answer_by < self.deadline;
+            return Some(if is_terminated_first {
+                Reason::Terminating
+            } else {
+                Reason::DeadlineNear
+            });
+        }
+        let is_late = self.objective_at < times.now;
+        (is_late && self.may_give_up_when_late()).then_some(Reason::ObjectiveMissed)
+    }
+
+    /// A queued request is not given up here: it is rejected once it is not likely to be in time.
+    fn may_give_up_when_late(&self) -> bool {
+        match self.stage {
+            Stage::Queued | Stage::Coalesced => false,
+            Stage::AwaitingCall => true,
+            Stage::Running | Stage::Calling => self.is_idempotent,
+        }
+    }
+}
+
+/// Whether a request in this stage may be rejected; otherwise it fails.
+pub(crate) fn may_reject(stage: Stage, is_idempotent: bool) -> bool {
+    match stage {
+        Stage::Queued => true,
+        Stage::Coalesced => false,
+        Stage::Running | Stage::AwaitingCall | Stage::Calling => is_idempotent,
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -78,14 +78,15 @@
 mod controller;
 mod dependency;
 mod drain;
+mod early_answer;
 mod event;
 mod handlers;
 mod health;
 mod idle_timeout;
 mod limits;
 mod metrics;
-mod request;
-mod request_table;
+mod queue;
+mod requests;
 #[cfg(test)]
 mod tests;
 
--- /dev/null
+++ b/src/queue/mod.rs
@@ -0,0 +1,12 @@
+//! The queue: the order in which requests wait, and whether a request that waits there is likely to
+//! be answered in time.
+
+mod order;
+mod prediction;
+#[cfg(test)]
+mod tests;
+
+pub(crate) use order::{Queue, QueueHeads};
+pub(crate) use prediction::{
+    ADMISSION_OBJECTIVE_FRACTION, QUEUED_OBJECTIVE_FRACTION, RequestForecast, ServerForecast,
+};
--- /dev/null
+++ b/src/queue/tests.rs
@@ -0,0 +1,130 @@
+//! The order of the queue and the prediction at their thresholds.
+
+use std::time::Duration;
+
+use super::order::{Queue, QueueHeads};
+use super::prediction::{RequestForecast, ServerForecast};
+use crate::requests::{Request, RequestTable};
+
+fn request(level: usize, objective_ms: u64, is_long: bool) -> Request {
+    Request {
+        level,
+        objective_at: Duration::from_millis(objective_ms),
+        is_long,
+        work_seconds: 0.1,
+        ..Request::default()
+    }
+}
+
+#[test]
+fn higher_levels_go_first_and_then_the_earlier_objective() {
+    let mut requests = RequestTable::default();
+    let mut queue = Queue::default();
+    let arrivals = [
+        request(1, 500, false),
+        request(1, 400, false),
+        request(2, 900, true),
+        request(0, 100, false),
+        request(1, 400, false),
+    ];
+    for (index, arrival) in arrivals.into_iter().enumerate() {
+        requests.insert(index, arrival);
+        queue.insert(index, &requests);
+    }
+    assert_eq!(queue.in_order(&requests), [2, 1, 4, 0, 3]);
+    assert_eq!(queue.indices().collect::<Vec<_>>(), [1, 4, 0, 3, 2]);
+    assert_eq!(queue.heads(), Some((1, 2)));
+    let ahead = queue.work_seconds_ahead_of(&request(1, 450, false), &requests);
+    assert!((ahead - 0.3).abs() < 1e-9);
+    queue.remove(2);
+    assert_eq!(queue.heads(), None);
+    assert!((queue.work_seconds(&requests) - 0.4).abs() < 1e-9);
+}
+
+#[test]
+fn long_requests_leave_one_core_to_short_ones() {
+    let (short, long) = (request(1, 500, false), request(2, 400, true));
+    let short_is_first = |long_running| {
+        QueueHeads {
+            short: &short,
+            long: &long,
+            long_running,
+            running_limit: 4.0,
+        }
+        .short_is_first()
+    };
+    assert!(!short_is_first(2));
+    assert!(short_is_first(3));
+}
+
+fn server() -> ServerForecast {
+    ServerForecast {
+        running: 4.0,
+        running_limit: 4.0,
+        slowdown: 1.0,
+        mean_work_seconds: 0.1,
+        mean_call_seconds: 0.05,
+        is_degraded: false,
+    }
+}
+
+fn forecast(work_seconds: f64, work_seconds_ahead: f64) -> RequestForecast {
+    RequestForecast {
+        age_seconds: 0.1,
+        work_seconds,
+        work_seconds_ahead,
+        higher_arrivals: 0.0,
+        expected_calls: 2.0,
+        objective: Duration::from_secs(1),
+    }
+}
+
+#[test]
+fn the_prediction_adds_age_wait_work_and_calls() {
+    // 0.1 s of age, (0.7 + 0.1) / 4 of wait, two calls of 0.05 s: 0.4 s beside its own work.
+    let meets = |work_seconds| server().meets_objective(&forecast(work_seconds, 0.7), 0.65);
+    assert!(meets(0.249));
+    assert!(!meets(0.251));
+}
+
+#[test]
+fn arrivals_of_higher_priority_lengthen_the_wait() {
+    let meets = |higher_arrivals| {
+        let request = RequestForecast {
+            higher_arrivals,
+            ..forecast(0.2, 0.7)
+        };
+        server().meets_objective(&request, 0.65)
+    };
+    // Ten arrivals a second with 0.1 s each take 0.4 of one of four cores, so a tenth.
+    assert!(meets(20.0));
+    assert!(!meets(60.0));
+}
+
+#[test]
+fn overtaking_takes_at_most_three_fifths_of_the_cores() {
+    let request = RequestForecast {
+        higher_arrivals: 1e9,
+        ..forecast(0.0, 0.7)
+    };
+    // 0.2 s of wait become 0.5 s, beside 0.2 s of age and calls.
+    assert!(server().meets_objective(&request, 0.701));
+    assert!(!server().meets_objective(&request, 0.699));
+}
+
+#[test]
+fn a_wrong_estimate_is_tolerated_where_a_core_is_free() {
+    let free = |is_degraded| ServerForecast {
+        running: 3.0,
+        is_degraded,
+        ..server()
+    };
+    let meets = |server: ServerForecast, work_seconds| {
+        server.meets_objective(&forecast(work_seconds, 0.0), 0.5)
+    };
+    assert!(meets(free(false), 1.79));
+    assert!(!meets(free(false), 1.81));
+    assert!(meets(free(true), 0.79));
+    assert!(!meets(free(true), 0.81));
+    assert!(!meets(server(), 1.79));
+}
--- /dev/null
+++ b/src/requests/deadlines.rs
@@ -0,0 +1,49 @@
+//! Until when an answer meets a request's latency objective, and until when it reaches anyone.
+//!
+//! The deadline is what the caller states, or else the client timeout of the handler, counted from
+//! the arrival at the machine: a request that stood unread has less time left. The latency
+//! objective may grow with the request's work but never beyond the deadline, so that no rule plans
+//! an answer for a client that has gone.
+
+use std::time::Duration;
+
+use crate::clock::seconds;
+use crate::handlers::HandlerProfile;
+
+/// Both times, since the start of the process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Deadlines {
+    /// An answer until then meets the latency objective.
+    pub(crate) objective_at: Duration,
+    /// The client waits until then.
+    pub(crate) deadline: Duration,
+}
+
+/// When a request arrived, and what its caller says of it.
+pub(crate) struct ArrivalTimes {
+    pub(crate) now: Duration,
+    /// When it reached the machine.
+    pub(crate) arrived_at: Duration,
+    /// How long its caller still waits, where the caller says so.
+    pub(crate) client_wait: Option<Duration>,
+}
+
+impl Deadlines {
+    /// The deadlines of a request with this work.
+    pub(crate) fn new(profile: &HandlerProfile, times: &ArrivalTimes, work_seconds: f64) -> Self {
+        let deadline = match times.client_wait {
+            Some(wait) => times.now.saturating_add(wait),
+            None => times.arrived_at.saturating_add(profile.client_timeout),
+        };
+        let stretch = seconds(profile.objective_stretch * work_seconds);
+        let objective_at = times
+            .arrived_at
+            .saturating_add(profile.latency_objective)
+            .saturating_add(stretch)
+            .min(deadline);
+        Deadlines {
+            objective_at,
+            deadline,
+        }
+    }
+}
--- a/src/request.rs
+++ b/src/requests/request.rs
@@ -1,4 +1,4 @@
-//! What the controller keeps of a request. No decision is taken here.
+//! What the controller keeps of a request.
 
 use std::time::Duration;
 
@@ -7,13 +7,16 @@
 /// Where a request stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Stage {
+    /// It waits for a core.
     #[default]
     Queued,
     /// It waits for the result of the request that it duplicates.
     Coalesced,
+    /// It is on a core.
     Running,
     /// It has left the cores and waits until its call is made.
     AwaitingCall,
+    /// Its dependency call is in flight.
     Calling,
 }
 
@@ -21,26 +24,32 @@
 #[derive(Default)]
 pub(crate) struct Request {
     pub(crate) handler: HandlerIndex,
+    /// Its priority level; higher levels go first.
     pub(crate) level: usize,
+    /// Kilobytes that it takes while it is queued.
     pub(crate) queued_kb: f64,
     /// Expected seconds on an average core.
-    pub(crate) work: f64,
+    pub(crate) work_seconds: f64,
     /// The work was not stated by the caller but learnt from its handler's runs.
     pub(crate) work_is_learnt: bool,
     /// It belongs to the queue of long requests.
     pub(crate) is_long: bool,
+    /// Its tenant is over its quota.
     pub(crate) is_over_quota: bool,
+    /// It is marked as a retry or a hedged request.
     pub(crate) is_retry: bool,
     pub(crate) arrived_at: Duration,
     /// An answer until then meets the latency objective.
     pub(crate) objective_at: Duration,
+    /// Its client waits until then.
     pub(crate) deadline: Duration,
-    /// Seconds that the process had stood still before it arrived.
-    pub(crate) stalled_before: f64,
+    /// Seconds that the process had been stalled before it arrived.
+    pub(crate) stalled_before_seconds: f64,
     pub(crate) stage: Stage,
-    /// Seconds on a core in earlier stretches, and the start (awake time) of the present one.
-    pub(crate) core_time: f64,
-    pub(crate) running_since: f64,
+    /// Seconds on a core before it last entered one.
+    pub(crate) core_seconds: f64,
+    /// When it last entered a core, in seconds that the process was awake.
+    pub(crate) on_core_since_seconds: f64,
     pub(crate) call_started_at: Duration,
     pub(crate) call_times_out_at: Duration,
     /// Attempts of the present call.
@@ -56,3 +65,15 @@
     /// When its idempotency key is forgotten, where it has one.
     pub(crate) key_expires_at: Option<Duration>,
 }
+
+impl Request {
+    /// Seconds on a core so far, while it runs; `awake_seconds` is how long the process was awake.
+    pub(crate) fn core_seconds_so_far(&self, awake_seconds: f64) -> f64 {
+        self.core_seconds + awake_seconds - self.on_core_since_seconds
+    }
+
+    /// Seconds that are left until its latency objective; 0 where that has passed.
+    pub(crate) fn seconds_to_objective(&self, now: Duration) -> f64 {
+        self.objective_at.saturating_sub(now).as_secs_f64()
+    }
+}
