--- a/src/caller_feedback/retry_after.rs
+++ b/src/caller_feedback/retry_after.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::clock::seconds;
+use crate::clock::duration_from_seconds;
 
 /// What the wait follows from.
 pub(crate) struct RetryAfterInput {
@@ -32,7 +32,8 @@
         if self.is_degraded {
             return Some(longest);
         }
-        let until_done = seconds(self.queued_work_seconds * self.slowdown / self.running_limit);
+        let until_done =
+            duration_from_seconds(self.queued_work_seconds * self.slowdown / self.running_limit);
         Some(until_done.clamp(self.min_retry_after, longest))
     }
 }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -113,7 +113,8 @@
     }
 }
 
-/// A span of this many seconds, or the longest that there is.
-pub(crate) fn seconds(span: f64) -> Duration {
-    Duration::try_from_secs_f64(span).unwrap_or(Duration::MAX)
+/// A span of this many seconds; the longest there is where that is negative, no number or out
+/// of range.
+pub(crate) fn duration_from_seconds(seconds: f64) -> Duration {
+    Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
 }
--- a/src/clock/tests.rs
+++ b/src/clock/tests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Clock, Schedule, seconds};
+use super::{Clock, Schedule, duration_from_seconds};
 
 fn ms(span: u64) -> Duration {
     Duration::from_millis(span)
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_span_out_of_range_is_the_longest_there_is() {
-    assert_eq!(seconds(0.25), ms(250));
-    assert_eq!(seconds(f64::INFINITY), Duration::MAX);
-    assert_eq!(seconds(f64::NAN), Duration::MAX);
+    assert_eq!(duration_from_seconds(0.25), ms(250));
+    assert_eq!(duration_from_seconds(f64::INFINITY), Duration::MAX);
+    assert_eq!(duration_from_seconds(f64::NAN), Duration::MAX);
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -61,14 +61,14 @@
 /// One kind of request.
 #[derive(Clone, Debug)]
 pub struct HandlerConfig {
-    /// An answer within this time is worth the full priority weight.
+    /// An answer within this time counts with the full priority weight.
     pub latency_objective: Duration,
     /// The latency objective grows by this multiple of a request's own work, up to the client
     /// timeout.
     pub objective_stretch: f64,
     /// How long a client waits.
     pub client_timeout: Duration,
-    /// The relative worth of an answer in time.
+    /// How much an answer in time counts, against those of other handlers.
     pub priority_weight: f64,
     /// Whether its requests may run more than once.
     pub idempotency: Idempotency,
@@ -95,8 +95,8 @@
     pub handlers: Vec<HandlerConfig>,
     /// The tenants, addressed by position.
     pub tenants: Vec<TenantConfig>,
-    /// The worth of a request beyond its tenant's quota, as a fraction of its handler's priority
-    /// weight.
+    /// The priority weight of a request beyond its tenant's quota, as a fraction of that of its
+    /// handler.
     pub over_quota_weight: f64,
     /// The number of cores.
     pub cores: u32,
--- a/src/controller/requests.rs
+++ b/src/controller/request_lifecycle.rs
@@ -17,10 +17,7 @@
 use crate::event::{Arrival, Outcome, RequestIndex};
 use crate::handlers::{CompletedRun, HandlerProfile, is_long};
 use crate::metrics::{BUCKET_WIDTH, Metric};
-use crate::queue::{
-    ADMISSION_OBJECTIVE_FRACTION, QUEUED_OBJECTIVE_FRACTION, QueueHeads, RequestForecast,
-    ServerForecast,
-};
+use crate::queue::{QueueHeads, RequestForecast, ServerForecast};
 use crate::requests::{ArrivalTimes, Deadlines, Request, Stage};
 
 /// From arrival to the queue.
@@ -161,10 +158,8 @@
     fn is_predicted_in_time(&self, index: RequestIndex) -> bool {
         let request = &self.requests[index];
         let work_seconds_ahead = self.queue.work_seconds_ahead_of(request, &self.requests);
-        self.server_forecast().meets_objective(
-            &self.request_forecast(request, work_seconds_ahead),
-            ADMISSION_OBJECTIVE_FRACTION,
-        )
+        let forecast = self.request_forecast(request, work_seconds_ahead);
+        self.server_forecast().may_admit(&forecast)
     }
 
     fn remember_key(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
@@ -277,7 +272,7 @@
         for index in self.queue.in_order(&self.requests) {
             let request = &self.requests[index];
             let forecast = self.request_forecast(request, work_seconds_ahead);
-            if server.meets_objective(&forecast, QUEUED_OBJECTIVE_FRACTION) {
+            if server.may_stay_queued(&forecast) {
                 work_seconds_ahead += request.work_seconds;
             } else {
                 let retry_other_server = self.should_retry_other_server(index);
--- a/src/dependency/call_budget.rs
+++ b/src/dependency/call_budget.rs
@@ -13,7 +13,7 @@
 
 use std::time::Duration;
 
-use crate::clock::seconds;
+use crate::clock::duration_from_seconds;
 use crate::config::{Config, Dependency};
 use crate::handlers::HandlerProfile;
 use crate::limits::USABLE_LIMIT_FRACTION;
@@ -132,7 +132,9 @@
         } else {
             0.0
         };
-        let booked = call.timeout.saturating_add(seconds(reserved_seconds));
+        let booked = call
+            .timeout
+            .saturating_add(duration_from_seconds(reserved_seconds));
         call.timeout > self.min_timeout && self.has_room_for(booked, load, calls_time_out_at)
     }
 
--- a/src/dependency/call_retry.rs
+++ b/src/dependency/call_retry.rs
@@ -17,6 +17,7 @@
 
 /// A call that failed.
 pub(crate) struct FailedCall {
+    /// How it ended.
     pub(crate) outcome: Outcome,
     /// Attempts of this call so far, this one included.
     pub(crate) attempts: u32,
--- a/src/dependency/call_timeout.rs
+++ b/src/dependency/call_timeout.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-use crate::clock::seconds;
+use crate::clock::duration_from_seconds;
 
 /// Fraction of the time until the latency objective that an optional call may take.
 const OPTIONAL_CALL_TIME_FRACTION: f64 = 0.5;
@@ -49,7 +49,7 @@
     /// The timeout of the call.
     pub(crate) fn timeout(&self) -> Duration {
         let mut timeout = if self.is_optional {
-            seconds(optional_call_seconds(self.seconds_to_objective))
+            duration_from_seconds(optional_call_seconds(self.seconds_to_objective))
         } else {
             self.time_to_deadline
         };
@@ -57,10 +57,10 @@
         if self.is_optional && self.may_retry && expects_reply {
             let lost_after_seconds = (LOST_REPLY_FACTOR * self.mean_call_seconds)
                 .max(MIN_LOST_REPLY_TIME_FRACTION * self.seconds_to_objective);
-            timeout = timeout.min(seconds(lost_after_seconds));
+            timeout = timeout.min(duration_from_seconds(lost_after_seconds));
         }
         match self.max_call_seconds {
-            Some(max_call_seconds) => timeout.min(seconds(max_call_seconds)),
+            Some(max_call_seconds) => timeout.min(duration_from_seconds(max_call_seconds)),
             None => timeout,
         }
     }
--- a/src/drain.rs
+++ b/src/drain.rs
@@ -13,7 +13,7 @@
 
 use std::time::Duration;
 
-use crate::clock::seconds;
+use crate::clock::duration_from_seconds;
 
 /// Busy fraction of the cores from which the fleet counts as short of servers.
 const FLEET_SHORT_BUSY_FRACTION: f64 = 0.7;
@@ -61,7 +61,8 @@
             .saturating_add(notice.grace)
             .saturating_sub(notice.since);
         let fleet_is_short = notice.busy_fraction >= FLEET_SHORT_BUSY_FRACTION;
-        let last_response = run_until.saturating_sub(seconds(notice.setpoint_seconds));
+        let last_response =
+            run_until.saturating_sub(duration_from_seconds(notice.setpoint_seconds));
         self.0 = Some(DrainTimes {
             run_until,
             answer_by: now
--- a/src/early_answer.rs
+++ b/src/early_answer.rs
@@ -21,6 +21,7 @@
 
 /// A request that has no final answer yet.
 pub(crate) struct OpenRequest {
+    /// Where it stands.
     pub(crate) stage: Stage,
     /// It may run any number of times.
     pub(crate) is_idempotent: bool,
@@ -32,6 +33,7 @@
 
 /// The times at a tick.
 pub(crate) struct TickTimes {
+    /// The time since the start of the process.
     pub(crate) now: Duration,
     /// The time until the next tick.
     pub(crate) tick_interval: Duration,
--- a/src/handlers.rs
+++ b/src/handlers.rs
@@ -44,17 +44,23 @@
 
 /// What rules need to know of a handler.
 pub(crate) struct HandlerProfile {
+    /// An answer within this time after the arrival counts with the full priority weight.
     pub(crate) latency_objective: Duration,
     /// Multiple of a request's work by which its latency objective grows.
     pub(crate) objective_stretch: f64,
+    /// How long a client waits that does not say so itself.
     pub(crate) client_timeout: Duration,
+    /// Whether its requests may run more than once.
     pub(crate) idempotency: Idempotency,
+    /// How long after its arrival a keyed request may be duplicated.
     pub(crate) key_retention: Duration,
     /// Its calls may be skipped.
     pub(crate) calls_are_optional: bool,
+    /// Its requests may call the dependency.
     pub(crate) makes_calls: bool,
-    /// The rank of its priority weight, within and beyond a tenant's quota; higher ranks go first.
+    /// The priority level of requests within their tenant's quota; higher levels go first.
     pub(crate) level: usize,
+    /// The priority level of requests beyond it.
     pub(crate) over_quota_level: usize,
     /// Seconds of work of a request that brings no estimate, learnt from runs.
     pub(crate) learnt_work_seconds: f64,
--- a/src/health/slowdown.rs
+++ b/src/health/slowdown.rs
@@ -38,7 +38,9 @@
 
 /// Time on a core, and the work that was done or expected in it.
 pub(crate) struct RunTimes {
+    /// Seconds on a core.
     pub(crate) core_seconds: f64,
+    /// Seconds of work, on an average core.
     pub(crate) work_seconds: f64,
 }
 
--- a/src/idle_timeout.rs
+++ b/src/idle_timeout.rs
@@ -12,7 +12,7 @@
 
 use std::time::Duration;
 
-use crate::clock::seconds;
+use crate::clock::duration_from_seconds;
 
 /// Open connections per core above which the table may be saturated.
 const SATURATED_CONNECTIONS_PER_CORE: f64 = 6.0;
@@ -110,7 +110,7 @@
             (false, true) => CUT_FACTOR,
             (false, false) => RECOVERY_FACTOR,
         };
-        let timeout = seconds(self.timeout.as_secs_f64() * factor);
+        let timeout = duration_from_seconds(self.timeout.as_secs_f64() * factor);
         let timeout = timeout.clamp(MIN_IDLE_TIMEOUT.min(self.longest), self.longest);
         if timeout == self.timeout {
             return None;
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -2,6 +2,8 @@
 //! decision is taken here.
 
 mod sliding_window;
+#[cfg(test)]
+mod tests;
 
 use std::ops::Range;
 use std::time::Duration;
--- a/src/queue/mod.rs
+++ b/src/queue/mod.rs
@@ -7,6 +7,4 @@
 mod tests;
 
 pub(crate) use order::{Queue, QueueHeads};
-pub(crate) use prediction::{
-    ADMISSION_OBJECTIVE_FRACTION, QUEUED_OBJECTIVE_FRACTION, RequestForecast, ServerForecast,
-};
+pub(crate) use prediction::{RequestForecast, ServerForecast};
--- a/src/queue/prediction.rs
+++ b/src/queue/prediction.rs
@@ -17,11 +17,11 @@
 
 /// Fraction of the latency objective within which an answer must be predicted for a request to be
 /// admitted. It is below 1 because callers may give an attempt up before its objective.
-pub(crate) const ADMISSION_OBJECTIVE_FRACTION: f64 = 0.65;
+const ADMISSION_OBJECTIVE_FRACTION: f64 = 0.65;
 
 /// Fraction of the latency objective within which an answer must be predicted for a request to
 /// stay queued.
-pub(crate) const QUEUED_OBJECTIVE_FRACTION: f64 = 1.0;
+const QUEUED_OBJECTIVE_FRACTION: f64 = 1.0;
 
 /// Fraction of the arriving work of higher priority that is expected to overtake a request while
 /// it waits.
@@ -69,8 +69,18 @@
 }
 
 impl ServerForecast {
+    /// Whether an arrival is likely enough to be in time.
+    pub(crate) fn may_admit(&self, request: &RequestForecast) -> bool {
+        self.meets_objective(request, ADMISSION_OBJECTIVE_FRACTION)
+    }
+
+    /// Whether a queued request is still likely enough to be in time.
+    pub(crate) fn may_stay_queued(&self, request: &RequestForecast) -> bool {
+        self.meets_objective(request, QUEUED_OBJECTIVE_FRACTION)
+    }
+
     /// Whether a request is likely to be answered within `objective_fraction` of its objective.
-    pub(crate) fn meets_objective(
+    pub(super) fn meets_objective(
         &self,
         request: &RequestForecast,
         objective_fraction: f64,
--- a/src/requests/deadlines.rs
+++ b/src/requests/deadlines.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::clock::seconds;
+use crate::clock::duration_from_seconds;
 use crate::handlers::HandlerProfile;
 
 /// Both times, since the start of the process.
@@ -21,6 +21,7 @@
 
 /// When a request arrived, and what its caller says of it.
 pub(crate) struct ArrivalTimes {
+    /// The time since the start of the process.
     pub(crate) now: Duration,
     /// When it reached the machine.
     pub(crate) arrived_at: Duration,
@@ -35,7 +36,7 @@
             Some(wait) => times.now.saturating_add(wait),
             None => times.arrived_at.saturating_add(profile.client_timeout),
         };
-        let stretch = seconds(profile.objective_stretch * work_seconds);
+        let stretch = duration_from_seconds(profile.objective_stretch * work_seconds);
         let objective_at = times
             .arrived_at
             .saturating_add(profile.latency_objective)
--- a/src/requests/request.rs
+++ b/src/requests/request.rs
@@ -23,6 +23,7 @@
 /// A request from its arrival to its release. Times are since the start of the process.
 #[derive(Default)]
 pub(crate) struct Request {
+    /// The handler that serves it.
     pub(crate) handler: HandlerIndex,
     /// Its priority level; higher levels go first.
     pub(crate) level: usize,
@@ -38,6 +39,7 @@
     pub(crate) is_over_quota: bool,
     /// It is marked as a retry or a hedged request.
     pub(crate) is_retry: bool,
+    /// When it reached the machine.
     pub(crate) arrived_at: Duration,
     /// An answer until then meets the latency objective.
     pub(crate) objective_at: Duration,
@@ -45,12 +47,15 @@
     pub(crate) deadline: Duration,
     /// Seconds that the process had been stalled before it arrived.
     pub(crate) stalled_before_seconds: f64,
+    /// Where it stands.
     pub(crate) stage: Stage,
     /// Seconds on a core before it last entered one.
     pub(crate) core_seconds: f64,
     /// When it last entered a core, in seconds that the process was awake.
     pub(crate) on_core_since_seconds: f64,
+    /// When its present or last call was made.
     pub(crate) call_started_at: Duration,
+    /// When that call times out.
     pub(crate) call_times_out_at: Duration,
     /// Attempts of the present call.
     pub(crate) call_attempts: u32,
