--- a/src/brownout/admitted_fraction.rs
+++ b/src/brownout/admitted_fraction.rs
@@ -6,8 +6,8 @@
 //! cores show that the responses are late for another reason, such as a slow dependency, which
 //! fewer requests do not mend.
 //!
-//! Requests differ in worth, so the fraction is spent on the highest priority levels first, and a
-//! draw decides only within the marginal level. The price: a level far below the margin gets
+//! Requests differ in priority, so the fraction is spent on the highest priority levels first, and
+//! a draw decides only within the marginal level. The price: a level far below the margin gets
 //! nothing at all while the loop cuts.
 
 use super::ResponseTimeSample;
--- a/src/brownout/dimmer_ceiling.rs
+++ b/src/brownout/dimmer_ceiling.rs
@@ -5,6 +5,8 @@
 //! time out early. So each call that takes far longer than usual cuts the ceiling, and the ceiling
 //! recovers in small steps, because the knee shows only once it is passed again. The price: where
 //! calls get slower for good, optional calls are skipped until the usual call time has followed.
+//!
+//! It is additive increase, multiplicative decrease, as in `caller_feedback/wanted_traffic.rs`.
 
 /// Factor by which one slow call cuts the ceiling.
 const CUT_FACTOR: f64 = 0.7;
--- a/src/caller_feedback/retry_other_server.rs
+++ b/src/caller_feedback/retry_other_server.rs
@@ -1,10 +1,12 @@
-//! Whether a rejected request is worth an attempt on another server.
+//! Whether the caller of a rejected request should try another server.
 //!
 //! With few retries among arrivals, and most of them admitted, other servers still admit what this
 //! one rejects. Otherwise the fleet is full, and one more attempt only costs a reading: in a retry
 //! storm every request is read by every server and answered by none. Retries that are not marked
-//! cannot be counted; there only a server that is draining or failing sends requests to others.
-//! The rule binds on every rejection. The price: it does harm on the only full server of a fleet.
+//! cannot be counted; there only a server that is draining or failing sends requests to others. The
+//! rule binds on every rejection. The price: it does harm on the only full server of a fleet.
+//!
+//! Compare the retry budgets in "Handling Overload" of Google's "Site Reliability Engineering".
 
 use std::time::Duration;
 
--- a/src/caller_feedback/wanted_traffic.rs
+++ b/src/caller_feedback/wanted_traffic.rs
@@ -3,9 +3,12 @@
 //! What stands unread cannot be rejected, and reading it takes the cores from what can still be in
 //! time: only callers that send less help. The rule binds in a flood, with uneven callers and on a
 //! server that has become slow. It shows as requests that are old when they are read, or as cores
-//! that go into reading what is then rejected. The fraction falls in proportion to the time
-//! unread, or a little at a time where reading is wasted, and recovers in even steps. The price:
-//! callers that were told less send less for some steps after the flood.
+//! that go into reading what is then rejected. The fraction falls in proportion to the time unread,
+//! or a little at a time where reading is wasted, and recovers in even steps. The price: callers
+//! that were told less send less for some steps after the flood.
+//!
+//! It is additive increase, multiplicative decrease: D. Chiu, R. Jain, "Analysis of the increase
+//! and decrease algorithms for congestion avoidance in computer networks" (1989).
 
 use crate::config::CallerFeedback;
 
--- a/src/concurrency/core_limit.rs
+++ b/src/concurrency/core_limit.rs
@@ -7,6 +7,9 @@
 //! caught up. Where nothing completes for a whole window it does not catch up, and runs get their
 //! third again. At rest the rule never binds. The price: connections or health checks that want a
 //! core for long count as reading.
+//!
+//! Compare: J. Mogul, K. Ramakrishnan, "Eliminating receive livelock in an interrupt-driven kernel"
+//! (1997).
 
 /// Fraction of the cores that runs keep beside reading.
 const MIN_RUNNING_CORE_FRACTION: f64 = 0.34;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -3,8 +3,8 @@
 //! [`Controller`] owns the state of every rule, hands each event to the rules that it concerns,
 //! passes on what one rule knows to another as a value, and turns their results into actions. The
 //! rules stand in the modules beside this one and never import it; docs/design.md lists them. This
-//! file has the order of decisions on events, ticks and control steps; `request_lifecycle.rs` has the
-//! way of a request from its arrival to its release.
+//! file has the order of decisions on events, ticks and control steps; `request_lifecycle.rs` has
+//! the way of a request from its arrival to its release.
 
 mod request_lifecycle;
 
--- a/src/dependency/usual_call_time.rs
+++ b/src/dependency/usual_call_time.rs
@@ -1,9 +1,10 @@
 //! How long a dependency call usually takes, and whether one was slow.
 //!
 //! A slow call shows that the dependency is past its knee, long before the mean response time does.
-//! The usual time follows the calls that succeeded, a slow one far more slowly, because a fault
-//! must not become usual while it lasts. It is known only after some calls. The price: where calls
-//! get slower for good, each counts as slow until the usual time has followed.
+//! The usual time is an exponentially weighted moving average of the calls that succeeded; a slow
+//! one moves it far less, because a fault must not become usual while it lasts. It is known only
+//! after some calls. The price: where calls get slower for good, each counts as slow until the
+//! usual time has followed.
 
 use crate::event::Outcome;
 
--- a/src/early_answer.rs
+++ b/src/early_answer.rs
@@ -5,7 +5,8 @@
 //! process: its client would otherwise learn nothing. A started request that is late is given up
 //! before that, because its cores or its call serve nobody. If it may not run again, it is given up
 //! only where it waits at a call: that call would be made for nobody, together with those of all
-//! that wait as long. The price: a late answer that still had some worth is not given.
+//! that wait as long. The price: a late answer is not given, though its client may still have
+//! waited.
 //!
 //! The answer is a rejection only where the request certainly had no effect or may run again. Any
 //! other is a failure, because a caller may repeat what was rejected, and its effect would happen
--- a/src/health/failure_rate.rs
+++ b/src/health/failure_rate.rs
@@ -2,9 +2,11 @@
 //!
 //! A server that fails fast looks idle, and balancers that follow the load send it more than its
 //! share: the fleet then fails most of its requests although only one server is faulty. While the
-//! fraction of failed runs is high, that fraction of arrivals is rejected and callers are asked
-//! for no traffic. What is still admitted shows when the fault is over. The price: where every
-//! server fails alike, a rejected request finds no better one.
+//! fraction of failed runs is high, that fraction of arrivals is rejected and callers are asked for
+//! no traffic. What is still admitted shows when the fault is over. The price: where every server
+//! fails alike, a rejected request finds no better one.
+//!
+//! Outlier detection in load balancers does the same from outside; this is the server's own view.
 
 /// Fraction of recent runs that failed, above which the server counts as failing.
 const HIGH_FAILURE_FRACTION: f64 = 0.4;
--- a/src/queue/order.rs
+++ b/src/queue/order.rs
@@ -2,11 +2,16 @@
 //!
 //! Two lists hold short and long requests apart (size-based queues), because a few long requests
 //! would otherwise take every core and short ones would miss their objectives behind them. In each
-//! list higher priority levels go first, and within a level the earlier latency objective
-//! (earliest deadline first), which answers most requests in time while the server keeps up. The
-//! rule binds whenever more requests wait than cores are free. While long requests fill all cores
-//! but one, that core is left to short ones that wait. The price: a long request may wait although
-//! its objective is earlier.
+//! list higher priority levels go first, and within a level the earlier latency objective (earliest
+//! deadline first), which answers most requests in time while the server keeps up. The rule binds
+//! whenever more requests wait than cores are free. While long requests fill all cores but one,
+//! that core is left to short ones that wait. The price: a long request may wait although its
+//! objective is earlier.
+//!
+//! Compare: C. L. Liu, J. W. Layland, "Scheduling algorithms for multiprogramming in a
+//! hard-real-time environment" (1973), for earliest deadline first; M. Harchol-Balter, M. Crovella,
+//! C. Murta, "On choosing a task assignment policy for a distributed server system" (1999), for
+//! queues by size.
 
 use std::cmp::Reverse;
 use std::time::Duration;
