--- a/src/lib.rs
+++ b/src/lib.rs
@@ -69,13 +69,26 @@
 //! ```
 
 mod action;
+mod admission;
+mod brownout;
+mod caller_feedback;
+mod clock;
+mod concurrency;
 mod config;
 mod controller;
+mod dependency;
+mod drain;
+mod early_answer;
 mod event;
-mod request;
-mod request_table;
-mod sliding_window;
-mod state;
+mod handlers;
+mod health;
+mod idle_timeout;
+mod limits;
+mod metrics;
+mod queue;
+mod requests;
+#[cfg(test)]
+mod tests;
 
 pub use action::{Action, Reason};
 pub use config::{
