--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -141,3 +141,35 @@
     assert_eq!(key_expiry(ms(1_000), ms(2_000), ms(1_100)), ms(3_250));
     assert_eq!(key_expiry(ms(1_000), ms(2_000), ms(4_000)), ms(4_000));
 }
+
+#[test]
+fn a_tenant_falls_short_of_its_quota_by_a_burst_at_most() {
+    let mut quotas = quotas(0);
+    for _ in 0..100 {
+        quotas.charge(Some(1));
+    }
+    // Five tokens short, it gains a quarter with each request of the other tenant.
+    for _ in 0..23 {
+        quotas.charge(Some(0));
+    }
+    assert!(quotas.is_over_quota(Some(1), &arrivals(1.0, 0.0)));
+    quotas.charge(Some(0));
+    assert!(!quotas.is_over_quota(Some(1), &arrivals(1.0, 0.0)));
+}
+
+#[test]
+fn the_rate_of_a_new_process_is_taken_over_a_second() {
+    let mut quotas = quotas(2);
+    for _ in 0..100 {
+        quotas.charge(Some(1));
+    }
+    let over_quota = |requests| {
+        let arrivals = RecentArrivals {
+            age: Duration::from_millis(100),
+            ..arrivals(requests, 0.0)
+        };
+        quotas.is_over_quota(Some(1), &arrivals)
+    };
+    assert!(!over_quota(20.0));
+    assert!(over_quota(21.0));
+}
--- a/src/brownout/tests.rs
+++ b/src/brownout/tests.rs
@@ -47,9 +47,9 @@
 fn a_tiny_mean_does_not_make_the_gain_explode() {
     let mut dimmer = Dimmer::new();
     dimmer.lower_to(0.5);
-    // The slope is floored at 0.05 s, so the step is at most 0.4 / 0.05 * 0.5 + 0.2 * 0.5.
-    dimmer.update(&sample(Some(1e-6)), 10.0);
-    assert!(dimmer.value() < 4.7, "{}", dimmer.value());
+    // The slope is floored at 0.05 s: 0.5 + 0.4 / 0.05 * 0.5 + 0.2 * 0.5.
+    dimmer.update(&sample(Some(1e-9)), 10.0);
+    assert!((dimmer.value() - 4.6).abs() < 1e-6, "{}", dimmer.value());
 }
 
 #[test]
@@ -61,7 +61,9 @@
         values.push((ceiling.value() * 1_000.0).round());
     }
     assert_eq!(values, [700.0, 490.0, 343.0, 300.0]);
-    for _ in 0..15 {
+    ceiling.recover();
+    assert!((ceiling.value() - 0.35).abs() < 1e-9);
+    for _ in 0..14 {
         ceiling.recover();
     }
     assert_eq!(ceiling.value(), 1.0);
@@ -112,3 +114,42 @@
     assert!(!fraction.admits(&level(20.0, 50.0), 0.26));
     assert!(!fraction.admits(&level(30.0, 70.0), 0.0));
 }
+
+#[test]
+fn the_slope_is_frozen_near_zero() {
+    let mut dimmer = Dimmer::new();
+    dimmer.lower_to(0.021);
+    assert!(!dimmer.is_near_zero());
+    dimmer.lower_to(0.02);
+    assert!(dimmer.is_near_zero());
+    // The slope is still 0.1 s: 0.02 + 0.4 / 0.1 * 0.1 + 0.2 * 0.1.
+    dimmer.update(&sample(Some(0.4)), 10.0);
+    assert!((dimmer.value() - 0.44).abs() < 1e-9, "{}", dimmer.value());
+}
+
+#[test]
+fn the_gain_stays_finite_at_a_tiny_setpoint() {
+    let mut dimmer = Dimmer::new();
+    dimmer.lower_to(0.5);
+    let tiny = ResponseTimeSample {
+        mean_seconds: Some(0.0),
+        setpoint_seconds: 0.001,
+    };
+    // The slope counts as 0.001 s: 0.5 + 0.4 + 0.2 * 0.001.
+    dimmer.update(&tiny, 10.0);
+    assert!((dimmer.value() - 0.9002).abs() < 1e-9, "{}", dimmer.value());
+}
+
+#[test]
+fn the_admitted_fraction_recovers_by_a_twentieth_a_step() {
+    let mut fraction = AdmittedFraction::new();
+    fraction.update(&sample(Some(9.0)), true);
+    fraction.update(&sample(Some(0.1)), true);
+    let only_level = LevelArrivals {
+        own: 100.0,
+        higher: 0.0,
+        all: 100.0,
+    };
+    assert!(fraction.admits(&only_level, 0.599));
+    assert!(!fraction.admits(&only_level, 0.601));
+}
--- a/src/caller_feedback/tests.rs
+++ b/src/caller_feedback/tests.rs
@@ -227,3 +227,28 @@
         ..rejected()
     }));
 }
+
+#[test]
+fn credit_is_granted_by_core_and_shared_by_all_callers() {
+    let many_cores = FeedbackInput {
+        cores: 40.0,
+        ..input(1.7, 0.5)
+    };
+    let credit = feedback(CallerFeedback::ConcurrencyCredit).update(&many_cores);
+    assert_eq!(credit, Some(22.5));
+}
+
+#[test]
+fn one_retry_or_rejection_among_no_arrivals_proves_nothing() {
+    let retries = |rejected_requests| {
+        let fleet = FleetSample {
+            arrived: 0.0,
+            retries: 1.0,
+            rejected: rejected_requests,
+            ..ROOMY_FLEET
+        };
+        rejected().should_retry_other_server(&HEALTHY, &fleet)
+    };
+    assert!(retries(1.0));
+    assert!(!retries(1.05));
+}
--- a/src/dependency/tests.rs
+++ b/src/dependency/tests.rs
@@ -203,7 +203,7 @@
         ..failed(Outcome::TimedOut, 1, true)
     };
     assert!(!slow.may_retry_optional());
-    assert!(lost_calls_are_rare(20.0, 2.0) && !lost_calls_are_rare(20.0, 3.0));
+    assert!(lost_calls_are_rare(100.0, 10.0) && !lost_calls_are_rare(100.0, 10.5));
 }
 
 #[test]
@@ -252,6 +252,38 @@
     };
     // Twenty calls of 50 ms, which are not slow, raise the usual time to 23 ms; twenty of 100 ms,
     // which are, raise it to 14 ms.
-    assert!(!usual_after(0.05).observe(0.13, Outcome::TimedOut));
-    assert!(usual_after(0.1).observe(0.085, Outcome::TimedOut));
+    assert!(!usual_after(0.05).observe(0.1397, Outcome::TimedOut));
+    assert!(usual_after(0.05).observe(0.1399, Outcome::TimedOut));
+    assert!(!usual_after(0.1).observe(0.0811, Outcome::TimedOut));
+    assert!(usual_after(0.1).observe(0.0813, Outcome::TimedOut));
+}
+
+#[test]
+fn a_small_share_is_reserved_only_as_far_as_two_optional_calls_fit() {
+    let mut config = shared_config(&[0.5, 0.0]);
+    config.dependency = Dependency::Shared {
+        share: 0.2,
+        window: ms(5_000),
+        linger: ms(200),
+    };
+    // Of 0.9 s two calls of 0.2 s and their linger time leave 0.1 s.
+    let allows =
+        |past| budget(&config).allows_call(&call(200, true), &load(past), std::iter::empty());
+    assert!(allows(0.399));
+    assert!(!allows(0.401));
+}
+
+#[test]
+fn the_window_of_a_shared_dependency_has_a_longest_span() {
+    let is_valid = |window| {
+        let mut config = shared_config(&[0.0]);
+        config.dependency = Dependency::Shared {
+            share: 2.0,
+            window,
+            linger: ms(200),
+        };
+        config.validate().is_ok()
+    };
+    assert!(is_valid(ms(600_000)));
+    assert!(!is_valid(ms(600_001)));
 }
--- a/src/health/tests.rs
+++ b/src/health/tests.rs
@@ -23,7 +23,7 @@
     assert_eq!(high_failure_fraction(2.0, 0.0), 0.0);
     assert_eq!(high_failure_fraction(3.0, 0.0), 1.0);
     assert_eq!(high_failure_fraction(4.0, 6.0), 0.0);
-    assert_eq!(high_failure_fraction(5.0, 5.0), 0.5);
+    assert_eq!(high_failure_fraction(41.0, 59.0), 0.41);
     assert_eq!(high_failure_fraction(0.0, 0.0), 0.0);
 }
 
@@ -91,3 +91,20 @@
     config.cold_speed = 0.01;
     assert_eq!(Slowdown::new(&config).measured(), 20.0);
 }
+
+#[test]
+fn the_usual_slowdown_moves_by_its_gain_each_tick() {
+    let traffic_fraction_at = |age| {
+        let mut slowdown = Slowdown::new(&config());
+        let sample = SlowdownSample {
+            age,
+            ..sample(1.8, 0.6)
+        };
+        slowdown.update(&sample, std::iter::empty());
+        slowdown.traffic_fraction()
+    };
+    // The measured slowdown is 2 and the usual one moves from 1 to 1.0005, or to 1.02 at first.
+    let (settled, new) = (Duration::from_secs(60), Duration::from_secs(1));
+    assert!((traffic_fraction_at(settled) - 1.7 * 1.0005 / 2.0).abs() < 1e-9);
+    assert!((traffic_fraction_at(new) - 1.7 * 1.02 / 2.0).abs() < 1e-9);
+}
--- a/src/idle_timeout/tests.rs
+++ b/src/idle_timeout/tests.rs
@@ -52,12 +52,12 @@
     timeout.update(&load(13.0));
     assert_eq!(timeout.update(&storm()), Some(ms(9_000)));
     assert_eq!(timeout.update(&storm()), Some(ms(10_000)));
-    assert_eq!(timeout.update(&load(13.0)), None);
-    let starved = ConnectionLoad {
-        mean_busy_fraction: 0.39,
+    let with_busy_fraction = |mean_busy_fraction| ConnectionLoad {
+        mean_busy_fraction,
         ..load(13.0)
     };
-    assert_eq!(timeout.update(&starved), Some(ms(3_000)));
+    assert_eq!(timeout.update(&with_busy_fraction(0.4)), None);
+    assert_eq!(timeout.update(&with_busy_fraction(0.39)), Some(ms(3_000)));
 }
 
 #[test]
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -78,3 +78,14 @@
     }
     assert_eq!(metrics.mean_per_tick(Metric::CoresBusy), 0.5);
 }
+
+#[test]
+fn the_mean_work_forgets_arrivals_after_its_window() {
+    let mut metrics = metrics();
+    metrics.add(Metric::Arrived, 1.0);
+    metrics.add(Metric::ArrivedWork, 0.7);
+    metrics.advance(ms(5_249));
+    assert_eq!(metrics.mean_work_seconds(), 0.7);
+    metrics.advance(ms(5_250));
+    assert_eq!(metrics.mean_work_seconds(), 0.1);
+}
--- a/src/queue/tests.rs
+++ b/src/queue/tests.rs
@@ -44,17 +44,18 @@
 #[test]
 fn long_requests_leave_one_core_to_short_ones() {
     let (short, long) = (request(1, 500, false), request(2, 400, true));
-    let short_is_first = |long_running| {
+    let short_is_first = |long_running, running_limit| {
         QueueHeads {
             short: &short,
             long: &long,
             long_running,
-            running_limit: 4.0,
+            running_limit,
         }
         .short_is_first()
     };
-    assert!(!short_is_first(2));
-    assert!(short_is_first(3));
+    assert!(!short_is_first(2, 4.0));
+    assert!(short_is_first(3, 4.0));
+    assert!(!short_is_first(3, 4.05));
 }
 
 fn server() -> ServerForecast {
@@ -82,9 +83,12 @@
 #[test]
 fn the_prediction_adds_age_wait_work_and_calls() {
     // 0.1 s of age, (0.7 + 0.1) / 4 of wait, two calls of 0.05 s: 0.4 s beside its own work.
-    let meets = |work_seconds| server().meets_objective(&forecast(work_seconds, 0.7), 0.65);
-    assert!(meets(0.249));
-    assert!(!meets(0.251));
+    let admits = |work_seconds| server().may_admit(&forecast(work_seconds, 0.7));
+    assert!(admits(0.249));
+    assert!(!admits(0.251));
+    let stays = |work_seconds| server().may_stay_queued(&forecast(work_seconds, 0.7));
+    assert!(stays(0.599));
+    assert!(!stays(0.601));
 }
 
 #[test]
@@ -96,9 +100,10 @@
         };
         server().meets_objective(&request, 0.65)
     };
-    // Ten arrivals a second with 0.1 s each take 0.4 of one of four cores, so a tenth.
-    assert!(meets(20.0));
-    assert!(!meets(60.0));
+    // 0.25 s are left to wait. 40 arrivals in two seconds with 0.1 s each take two cores, and two
+    // fifths of that a fifth of the four: 0.2 s of wait become 0.25 s.
+    assert!(meets(39.9));
+    assert!(!meets(40.1));
 }
 
 #[test]
