--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,6 +1,13 @@
 //! The controller alone: on generated days against the four rules, and on each failure that was
-//! found.
+//! found. A test of such a failure begins with its story.
 
+mod admission;
 mod common;
-mod failures;
+mod configuration;
+mod connections;
+mod dependency_calls;
+mod drain;
+mod helpers;
+mod overload;
+mod retries;
 mod rules;
