--- a/src/admission/idempotency.rs
+++ b/src/admission/idempotency.rs
@@ -8,6 +8,7 @@
 
 use std::time::Duration;
 
+use crate::action::Reason;
 use crate::handlers::HandlerProfile;
 use crate::metrics::BUCKET_WIDTH;
 
@@ -20,6 +21,15 @@
     is_duplicate && !handler.is_idempotent()
 }
 
+/// Why a duplicate fails at once, if it does; otherwise it is coalesced. It cannot be rejected.
+pub(crate) fn coalescing_failure(is_terminating: bool, memory_is_exceeded: bool) -> Option<Reason> {
+    if is_terminating {
+        Some(Reason::Terminating)
+    } else {
+        memory_is_exceeded.then_some(Reason::MemoryLimit)
+    }
+}
+
 /// When the key of a request that arrived then is forgotten.
 pub(crate) fn key_expiry(arrived_at: Duration, key_retention: Duration, now: Duration) -> Duration {
     arrived_at
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -2,9 +2,10 @@
 
 use std::time::Duration;
 
-use super::idempotency::{key_expiry, must_coalesce};
+use super::idempotency::{coalescing_failure, key_expiry, must_coalesce};
 use super::memory::Memory;
 use super::quota::{RecentArrivals, TenantQuotas};
+use crate::action::Reason;
 use crate::config::{Idempotency, TenantConfig};
 use crate::handlers::handler_profiles;
 use crate::tests::{config, handler};
@@ -173,3 +174,10 @@
     assert!(!over_quota(20.0));
     assert!(over_quota(21.0));
 }
+
+#[test]
+fn a_duplicate_fails_where_it_can_neither_wait_nor_be_kept() {
+    assert_eq!(coalescing_failure(false, false), None);
+    assert_eq!(coalescing_failure(false, true), Some(Reason::MemoryLimit));
+    assert_eq!(coalescing_failure(true, true), Some(Reason::Terminating));
+}
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -21,7 +21,7 @@
 use crate::drain::{Drain, ShutdownNotice};
 use crate::event::{Event, Gauges};
 use crate::handlers::{HandlerProfile, handler_profiles};
-use crate::health::{RunTimes, Slowdown, SlowdownSample, high_failure_fraction};
+use crate::health::{RunTimes, Slowdown, SlowdownSample, high_failure_fraction, is_degraded};
 use crate::idle_timeout::{ConnectionLoad, IdleTimeout, STORM_WINDOW};
 use crate::metrics::{Metric, Metrics};
 use crate::queue::Queue;
@@ -263,8 +263,10 @@
 
     /// Whether this server does worse than it should, so that another would serve better.
     fn is_degraded(&self) -> bool {
-        self.drain.has_started()
-            || self.high_failure_fraction() > 0.0
-            || self.slowdown.is_degraded()
+        is_degraded(
+            self.drain.has_started(),
+            self.high_failure_fraction() > 0.0,
+            self.slowdown.is_far_above_usual(),
+        )
     }
 }
--- a/src/controller/request_lifecycle.rs
+++ b/src/controller/request_lifecycle.rs
@@ -4,18 +4,19 @@
 
 use super::Controller;
 use crate::action::{Action, Reason};
-use crate::admission::idempotency::{key_expiry, must_coalesce};
+use crate::admission::idempotency::{coalescing_failure, key_expiry, must_coalesce};
 use crate::admission::{QUOTA_WINDOW, RecentArrivals};
 use crate::brownout::LevelArrivals;
 use crate::caller_feedback::{FleetSample, RejectedRequest, RetryAfterInput, ServerState};
 use crate::concurrency::CoreLimitInput;
 use crate::dependency::{
-    CallTimeoutInput, DependencyLoad, FailedCall, OptionalCall, PlannedCall, lost_calls_are_rare,
-    may_attempt_again,
+    CallDecision, CallTimeoutInput, DependencyLoad, FailedCall, PendingCall, PlannedCall,
+    lost_calls_are_rare, may_attempt_again,
 };
-use crate::early_answer::{OpenRequest, TickTimes, may_reject};
+use crate::early_answer::{OpenRequest, TickTimes, has_missed_objective, may_reject};
 use crate::event::{Arrival, Outcome, RequestIndex};
 use crate::handlers::{CompletedRun, HandlerProfile, is_long};
+use crate::health::is_shed_for_failures;
 use crate::metrics::{BUCKET_WIDTH, Metric};
 use crate::queue::{QueueHeads, RequestForecast, ServerForecast};
 use crate::requests::{ArrivalTimes, Deadlines, Request, Stage};
@@ -114,19 +115,17 @@
 
     fn coalesce(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
         self.requests[request].stage = Stage::Coalesced;
-        if self.drain.is_terminating(self.clock.now()) {
-            self.finish_early(request, false, Reason::Terminating, out);
-        } else if self.memory.is_exceeded() {
-            self.finish_early(request, false, Reason::MemoryLimit, out);
-        } else {
-            out.push(Action::Coalesce { request });
+        let is_terminating = self.drain.is_terminating(self.clock.now());
+        match coalescing_failure(is_terminating, self.memory.is_exceeded()) {
+            Some(reason) => self.finish_early(request, false, reason, out),
+            None => out.push(Action::Coalesce { request }),
         }
     }
 
     /// Why a request is rejected on arrival, if it is.
     fn rejection_reason(&mut self, index: RequestIndex) -> Option<Reason> {
         let failure_fraction = self.high_failure_fraction();
-        let is_shed_for_failures = failure_fraction > 0.0 && self.rng.f64() < failure_fraction;
+        let is_shed_for_failures = is_shed_for_failures(failure_fraction, &mut self.rng);
         let level = self.requests[index].level;
         let is_keyed = self.handler_of(&self.requests[index]).is_keyed();
         if !self.memory.has_room_to_queue(is_keyed) {
@@ -213,7 +212,8 @@
             let Some(request) = self.next_queued() else {
                 return;
             };
-            if self.requests[request].objective_at < self.clock.now() {
+            let objective_at = self.requests[request].objective_at;
+            if has_missed_objective(objective_at, self.clock.now()) {
                 self.finish_early(request, false, Reason::ObjectiveMissed, out);
                 continue;
             }
@@ -323,17 +323,18 @@
             timeout,
             is_optional,
         });
-        let optional_call = OptionalCall {
+        let call = PendingCall {
+            is_optional,
             is_drawn,
             has_budget,
             may_attempt: entry.call_attempts == 0 || entry.may_retry_call,
             seconds_to_objective: entry.seconds_to_objective(self.clock.now()),
             mean_call_seconds: self.metrics.mean_call_seconds(),
         };
-        if is_optional && !optional_call.should_make() {
-            self.skip_call(request, out);
-        } else if has_budget {
-            self.start_call(request, timeout, out);
+        match call.decide() {
+            CallDecision::Make => self.start_call(request, timeout, out),
+            CallDecision::Skip => self.skip_call(request, out),
+            CallDecision::Wait => {}
         }
     }
 
@@ -402,7 +403,7 @@
         };
         let call_seconds = (now - entry.call_started_at).as_secs_f64();
         self.requests.end_call(request);
-        if matches!(outcome, Outcome::TimedOut | Outcome::ConnectionLost) {
+        if outcome.may_go_on() {
             self.call_budget.abandon_call(now);
         }
         self.record_call(call_seconds, outcome);
@@ -436,14 +437,14 @@
             outcome,
             attempts: entry.call_attempts,
             is_idempotent: handler.is_idempotent(),
+            is_optional: handler.calls_are_optional,
             lost_calls_are_rare,
         };
         entry.may_retry_call = call.may_retry_optional();
         if entry.is_answered {
             return;
         }
-        // An optional call that is not attempted again is skipped once the request is looked at.
-        if handler.calls_are_optional || call.may_retry() {
+        if call.may_request_go_on() {
             self.requests.await_call(request);
         } else {
             self.finish_early(request, false, Reason::CallFailed, out);
--- a/src/dependency/call_retry.rs
+++ b/src/dependency/call_retry.rs
@@ -23,6 +23,8 @@
     pub(crate) attempts: u32,
     /// Its request may run any number of times.
     pub(crate) is_idempotent: bool,
+    /// It may be skipped.
+    pub(crate) is_optional: bool,
     /// Calls without a reply are the exception.
     pub(crate) lost_calls_are_rare: bool,
 }
@@ -39,11 +41,16 @@
 
 impl FailedCall {
     /// Whether it may be attempted again if it is mandatory.
-    pub(crate) fn may_retry(&self) -> bool {
+    fn may_retry(&self) -> bool {
         let may_run_again = self.outcome.never_ran() || self.is_idempotent;
         may_run_again && may_attempt_again(self.attempts)
     }
 
+    /// Whether its request goes on, to attempt it again or to skip it. Otherwise the request fails.
+    pub(crate) fn may_request_go_on(&self) -> bool {
+        self.is_optional || self.may_retry()
+    }
+
     /// Whether it may be attempted again if it is optional.
     pub(crate) fn may_retry_optional(&self) -> bool {
         let reply_was_lost = self.outcome == Outcome::TimedOut && self.lost_calls_are_rare;
--- a/src/dependency/tests.rs
+++ b/src/dependency/tests.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use super::call_budget::{CallBudget, DependencyLoad, PlannedCall};
+use super::call_decision::{CallDecision, PendingCall};
 use super::call_retry::{FailedCall, lost_calls_are_rare, may_attempt_again};
 use super::call_timeout::CallTimeoutInput;
-use super::optional_call::OptionalCall;
 use super::usual_call_time::UsualCallTime;
 use crate::config::{Config, Dependency, Idempotency};
 use crate::event::Outcome;
@@ -170,6 +170,7 @@
         outcome,
         attempts,
         is_idempotent,
+        is_optional: false,
         lost_calls_are_rare: true,
     }
 }
@@ -177,19 +178,29 @@
 #[test]
 fn a_call_that_may_have_run_is_retried_only_where_it_may_run_again() {
     for outcome in [Outcome::Failed, Outcome::TimedOut, Outcome::ConnectionLost] {
-        assert!(failed(outcome, 1, true).may_retry());
-        assert!(!failed(outcome, 1, false).may_retry());
+        assert!(failed(outcome, 1, true).may_request_go_on());
+        assert!(!failed(outcome, 1, false).may_request_go_on());
     }
     for outcome in [Outcome::Rejected, Outcome::Unreachable] {
-        assert!(failed(outcome, 1, false).may_retry());
+        assert!(failed(outcome, 1, false).may_request_go_on());
     }
 }
 
+#[test]
+fn a_request_goes_on_without_an_optional_call() {
+    let optional = FailedCall {
+        is_optional: true,
+        ..failed(Outcome::Failed, 3, false)
+    };
+    assert!(optional.may_request_go_on());
+    assert!(!optional.may_retry_optional());
+}
+
 #[test]
 fn a_call_is_attempted_at_most_three_times() {
     assert!(may_attempt_again(2) && !may_attempt_again(3));
     assert!(failed(Outcome::Unreachable, 2, true).may_retry_optional());
-    assert!(!failed(Outcome::Unreachable, 3, true).may_retry());
+    assert!(!failed(Outcome::Unreachable, 3, true).may_request_go_on());
 }
 
 #[test]
@@ -206,24 +217,45 @@
     assert!(lost_calls_are_rare(100.0, 10.0) && !lost_calls_are_rare(100.0, 10.5));
 }
 
+fn decision(change: fn(&mut PendingCall)) -> CallDecision {
+    let mut call = PendingCall {
+        is_optional: true,
+        is_drawn: true,
+        has_budget: true,
+        may_attempt: true,
+        seconds_to_objective: 0.2,
+        mean_call_seconds: 0.1,
+    };
+    change(&mut call);
+    call.decide()
+}
+
 #[test]
 fn an_optional_call_is_made_only_where_all_allows_it() {
-    let made = |change: fn(&mut OptionalCall)| {
-        let mut call = OptionalCall {
-            is_drawn: true,
-            has_budget: true,
-            may_attempt: true,
-            seconds_to_objective: 0.2,
-            mean_call_seconds: 0.1,
-        };
-        change(&mut call);
-        call.should_make()
+    assert_eq!(decision(|_| {}), CallDecision::Make);
+    assert_eq!(decision(|call| call.is_drawn = false), CallDecision::Skip);
+    assert_eq!(decision(|call| call.has_budget = false), CallDecision::Skip);
+    assert_eq!(
+        decision(|call| call.may_attempt = false),
+        CallDecision::Skip
+    );
+    assert_eq!(
+        decision(|call| call.mean_call_seconds = 0.101),
+        CallDecision::Skip
+    );
+}
+
+#[test]
+fn a_mandatory_call_is_made_or_waits_for_budget() {
+    let late = |call: &mut PendingCall| {
+        (call.is_optional, call.is_drawn, call.may_attempt) = (false, false, false);
+        call.mean_call_seconds = 9.0;
+    };
+    assert_eq!(decision(late), CallDecision::Make);
+    let without_budget = |call: &mut PendingCall| {
+        (call.is_optional, call.has_budget) = (false, false);
     };
-    assert!(made(|_| {}));
-    assert!(!made(|call| call.is_drawn = false));
-    assert!(!made(|call| call.has_budget = false));
-    assert!(!made(|call| call.may_attempt = false));
-    assert!(!made(|call| call.mean_call_seconds = 0.101));
+    assert_eq!(decision(without_budget), CallDecision::Wait);
 }
 
 #[test]
--- a/src/early_answer.rs
+++ b/src/early_answer.rs
@@ -54,7 +54,7 @@
                 Reason::DeadlineNear
             });
         }
-        let is_late = self.objective_at < times.now;
+        let is_late = has_missed_objective(self.objective_at, times.now);
         (is_late && self.may_give_up_when_late()).then_some(Reason::ObjectiveMissed)
     }
 
@@ -68,6 +68,11 @@
     }
 }
 
+/// Whether the latency objective of a request has passed, so that it is not started any more.
+pub(crate) fn has_missed_objective(objective_at: Duration, now: Duration) -> bool {
+    objective_at < now
+}
+
 /// Whether a request in this stage may be rejected; otherwise it fails.
 pub(crate) fn may_reject(stage: Stage, is_idempotent: bool) -> bool {
     match stage {
--- a/src/event.rs
+++ b/src/event.rs
@@ -63,6 +63,11 @@
         matches!(self, Outcome::Rejected | Outcome::Unreachable)
     }
 
+    /// Whether the dependency may still work on the call.
+    pub(crate) fn may_go_on(self) -> bool {
+        matches!(self, Outcome::TimedOut | Outcome::ConnectionLost)
+    }
+
     /// Whether the connection, and not the dependency, ended the call.
     pub(crate) fn is_connection_failure(self) -> bool {
         matches!(self, Outcome::ConnectionLost | Outcome::Unreachable)
--- a/src/health/failure_rate.rs
+++ b/src/health/failure_rate.rs
@@ -23,3 +23,9 @@
         0.0
     }
 }
+
+/// Whether an arrival is rejected because runs fail: as many are as failed. Nothing is drawn while
+/// the fraction is 0.
+pub(crate) fn is_shed_for_failures(high_failure_fraction: f64, rng: &mut fastrand::Rng) -> bool {
+    high_failure_fraction > 0.0 && rng.f64() < high_failure_fraction
+}
--- a/src/health/slowdown.rs
+++ b/src/health/slowdown.rs
@@ -111,7 +111,7 @@
     }
 
     /// Whether this server is so slow that another would serve better.
-    pub(crate) fn is_degraded(&self) -> bool {
+    pub(crate) fn is_far_above_usual(&self) -> bool {
         self.measured > DEGRADED_FACTOR * self.usual
     }
 
--- a/src/health/tests.rs
+++ b/src/health/tests.rs
@@ -2,7 +2,8 @@
 
 use std::time::Duration;
 
-use super::failure_rate::high_failure_fraction;
+use super::degraded::is_degraded;
+use super::failure_rate::{high_failure_fraction, is_shed_for_failures};
 use super::slowdown::{RunTimes, Slowdown, SlowdownSample};
 use crate::tests::config;
 
@@ -33,10 +34,10 @@
     slowdown.update(&sample(1.8, 0.6), std::iter::empty());
     // (1.8 + 0.6) / (0.6 + 0.6).
     assert!((slowdown.measured() - 2.0).abs() < 1e-9);
-    assert!(slowdown.is_degraded());
+    assert!(slowdown.is_far_above_usual());
     slowdown.update(&sample(0.0, 0.0), std::iter::empty());
     assert!((slowdown.measured() - 1.0).abs() < 1e-2);
-    assert!(!slowdown.is_degraded());
+    assert!(!slowdown.is_far_above_usual());
 }
 
 #[test]
@@ -47,8 +48,8 @@
         slowdown
     };
     let (almost, degraded) = (after(1.43), after(1.45));
-    assert!(!almost.is_degraded() && almost.traffic_fraction() >= 1.0);
-    assert!(degraded.is_degraded() && degraded.traffic_fraction() < 1.0);
+    assert!(!almost.is_far_above_usual() && almost.traffic_fraction() >= 1.0);
+    assert!(degraded.is_far_above_usual() && degraded.traffic_fraction() < 1.0);
 }
 
 #[test]
@@ -77,7 +78,7 @@
             };
             slowdown.update(&sample, std::iter::empty());
         }
-        slowdown.is_degraded()
+        slowdown.is_far_above_usual()
     };
     assert!(degraded_after(Duration::from_secs(4)));
     assert!(!degraded_after(Duration::from_millis(3_999)));
@@ -108,3 +109,26 @@
     assert!((traffic_fraction_at(settled) - 1.7 * 1.0005 / 2.0).abs() < 1e-9);
     assert!((traffic_fraction_at(new) - 1.7 * 1.02 / 2.0).abs() < 1e-9);
 }
+
+#[test]
+fn as_many_arrivals_are_shed_as_runs_failed() {
+    let mut rng = fastrand::Rng::with_seed(7);
+    let shed = |fraction: f64, rng: &mut fastrand::Rng| {
+        (0..10_000)
+            .filter(|_| is_shed_for_failures(fraction, rng))
+            .count()
+    };
+    assert_eq!(shed(0.0, &mut rng), 0);
+    assert_eq!(rng, fastrand::Rng::with_seed(7), "nothing was drawn");
+    let at_half = shed(0.5, &mut rng);
+    assert!((4_800..5_200).contains(&at_half), "{at_half}");
+    assert_eq!(shed(1.0, &mut rng), 10_000);
+}
+
+#[test]
+fn a_server_is_degraded_for_any_of_three_reasons() {
+    assert!(!is_degraded(false, false, false));
+    assert!(is_degraded(true, false, false));
+    assert!(is_degraded(false, true, false));
+    assert!(is_degraded(false, false, true));
+}
