--- a/crates/consensus/src/voter/ready.rs
+++ b/crates/consensus/src/voter/ready.rs
@@ -58,7 +58,7 @@
         let Some(node) = &mut self.node else {
             return Ok(());
         };
-        let must_sync = ready.must_sync();
+        let needs_sync = ready.must_sync();
         let snapshot = ready.snapshot().clone();
         let has_snapshot = snapshot.get_metadata().index > 0;
         let entries = ready.take_entries();
@@ -70,7 +70,7 @@
         if let Some(hard_state) = &hard_state {
             store.set_hard_state(hard_state.clone());
         }
-        if must_sync && !has_snapshot {
+        if needs_sync && !has_snapshot {
             // A commit index alone is not worth a write: whoever reads the log finds it out again.
             let change = LogStore::encode_change(hard_state.as_ref(), &entries);
             actions.push(Action::AppendRecord(change));
--- a/crates/fault-injection/src/lease_simulation/mod.rs
+++ b/crates/fault-injection/src/lease_simulation/mod.rs
@@ -212,10 +212,10 @@
             } => {
                 let repaired_at = repaired_at.unwrap_or(*at + DEFAULT_DISK_FAULT_SECONDS);
                 for member in matching(&self.members, target) {
-                    let broken = SimulationEvent::SetDiskFaults(disk_faults(*fault));
-                    self.schedule_at(*at, member, broken);
-                    let repaired = SimulationEvent::SetDiskFaults(DiskFaults::default());
-                    self.schedule_at(repaired_at, member, repaired);
+                    let begin = SimulationEvent::SetDiskFaults(disk_faults(*fault));
+                    self.schedule_at(*at, member, begin);
+                    let end = SimulationEvent::SetDiskFaults(DiskFaults::default());
+                    self.schedule_at(repaired_at, member, end);
                 }
             }
             Fault::ReplaceVoter { at, old, new } => {
--- a/crates/fault-injection/src/plan/network.rs
+++ b/crates/fault-injection/src/plan/network.rs
@@ -46,8 +46,8 @@
     fn draw_transit(&self, rng: &mut fastrand::Rng) -> Option<Duration> {
         let latency = MIN_LATENCY_SECONDS + (MAX_LATENCY_SECONDS - MIN_LATENCY_SECONDS) * rng.f64();
         let transit = latency + self.draw_delay(rng);
-        let is_lost = self.draw_loss(rng);
-        (!is_lost).then(|| Duration::from_secs_f64(transit))
+        let is_dropped = self.draw_loss(rng);
+        (!is_dropped).then(|| Duration::from_secs_f64(transit))
     }
 }
 
--- a/crates/leases/src/client.rs
+++ b/crates/leases/src/client.rs
@@ -132,8 +132,8 @@
             for (lease, wanted) in &mut self.leases {
                 wanted.pending.clear();
                 wanted.next_request_at = now;
-                let lost = wanted.forget_grant();
-                report_lost(lease, lost, LossReason::ClockWentBackwards, actions);
+                let ended = wanted.forget_grant();
+                report_ended(lease, ended, LossReason::ClockWentBackwards, actions);
             }
         }
         self.now = now;
@@ -270,8 +270,8 @@
         match wanted.accept_grant(grant) {
             GrantOutcome::Ignored => return,
             GrantOutcome::ReleasedBefore => return self.release(lease, token, actions),
-            GrantOutcome::Held { replaced } => {
-                report_lost(lease, replaced, LossReason::Expired, actions);
+            GrantOutcome::Active { replaced } => {
+                report_ended(lease, replaced, LossReason::Expired, actions);
             }
         }
         if wanted.announce(self.now, valid_until) {
@@ -310,8 +310,8 @@
         };
         match wanted.status {
             LeaseStatus::Active { .. } => {
-                let lost = wanted.begin_release();
-                report_lost(lease, lost, reason, actions);
+                let ended = wanted.begin_release();
+                report_ended(lease, ended, reason, actions);
             }
             LeaseStatus::Queued { .. } if wanted.is_released => {
                 self.leases.remove(lease);
@@ -384,8 +384,8 @@
             return;
         };
         if wanted.has_expired(self.now) {
-            let lost = wanted.forget_grant();
-            report_lost(lease, lost, LossReason::Expired, actions);
+            let ended = wanted.forget_grant();
+            report_ended(lease, ended, LossReason::Expired, actions);
         }
     }
 
@@ -455,7 +455,7 @@
 }
 
 /// Reports that a grant ended, where the host knows of it.
-fn report_lost(
+fn report_ended(
     lease: &Name,
     token: Option<FencingToken>,
     reason: LossReason,
--- a/crates/leases/src/client/tests.rs
+++ b/crates/leases/src/client/tests.rs
@@ -31,9 +31,9 @@
     }
 }
 
-fn held(replaced: Option<u64>) -> GrantOutcome {
+fn active(replaced: Option<u64>) -> GrantOutcome {
     let replaced = replaced.map(FencingToken);
-    GrantOutcome::Held { replaced }
+    GrantOutcome::Active { replaced }
 }
 
 /// The release of a token may still be on its way when a late response grants it once more. A
@@ -47,14 +47,14 @@
     };
     assert_eq!(wanted.accept_grant(released), GrantOutcome::ReleasedBefore);
     assert_eq!(wanted.status, LeaseStatus::Requested);
-    assert_eq!(wanted.accept_grant(grant(5, 1900)), held(None));
+    assert_eq!(wanted.accept_grant(grant(5, 1900)), active(None));
 }
 
 #[test]
 fn a_late_grant_neither_shortens_nor_replaces_a_newer_one() {
     let mut wanted = wanted();
-    assert_eq!(wanted.accept_grant(grant(5, 1900)), held(None));
-    assert_eq!(wanted.accept_grant(grant(5, 1500)), held(None));
+    assert_eq!(wanted.accept_grant(grant(5, 1900)), active(None));
+    assert_eq!(wanted.accept_grant(grant(5, 1500)), active(None));
     assert!(!wanted.has_expired(millis(1899)));
     assert!(wanted.has_expired(millis(1900)));
     assert_eq!(wanted.accept_grant(grant(4, 9000)), GrantOutcome::Ignored);
@@ -65,9 +65,9 @@
 fn a_grant_that_replaces_an_announced_one_reports_it_as_lost() {
     let mut wanted = wanted();
     wanted.accept_grant(grant(5, 1900));
-    assert_eq!(wanted.accept_grant(grant(6, 1900)), held(None));
+    assert_eq!(wanted.accept_grant(grant(6, 1900)), active(None));
     assert!(wanted.announce(millis(10), millis(1900)));
-    assert_eq!(wanted.accept_grant(grant(7, 1900)), held(Some(6)));
+    assert_eq!(wanted.accept_grant(grant(7, 1900)), active(Some(6)));
 }
 
 #[test]
--- a/crates/leases/src/client/wanted_lease.rs
+++ b/crates/leases/src/client/wanted_lease.rs
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GrantOutcome {
     /// The lease is held.
-    Held {
+    Active {
         /// An earlier grant of which the host knows and which ended unnoticed.
         replaced: Option<FencingToken>,
     },
@@ -136,7 +136,7 @@
                 ..
             } if *current == token => {
                 *until = valid_until.max(*until);
-                return GrantOutcome::Held { replaced: None };
+                return GrantOutcome::Active { replaced: None };
             }
             LeaseStatus::Active { token: current, .. } if *current > token => {
                 return GrantOutcome::Ignored;
@@ -155,7 +155,7 @@
             valid_until,
             announced: false,
         };
-        GrantOutcome::Held { replaced }
+        GrantOutcome::Active { replaced }
     }
 
     /// Whether the host is to be told that the lease is held: once for a grant, and only while
