--- a/crates/fault-injection/src/lease_simulation/voters.rs
+++ b/crates/fault-injection/src/lease_simulation/voters.rs
@@ -5,8 +5,9 @@
 use tulipgap_consensus::{Action, Event, Notice};
 use tulipgap_leases::{FencingToken, LeaseStateMachine, Name};
 
+use super::invariants::ObservedLeader;
 use super::network::Message;
-use super::{LeaseInvariant, LeaseSimulation, ProcessEvent};
+use super::{LeaseSimulation, ProcessEvent};
 use crate::plan::MemberIndex;
 
 impl LeaseSimulation<'_> {
@@ -91,36 +92,25 @@
     }
 
     fn check_replica(&mut self, member: MemberIndex, applied_index: u64, state_hash: u64) {
-        let expected = *self
+        let name = &self.processes[member].name;
+        let checked = self
             .invariants
-            .state_hashes
-            .entry(applied_index)
-            .or_insert(state_hash);
-        if expected != state_hash {
-            let name = &self.processes[member].name;
-            let details = format!("{name} has other leases after entry {applied_index}");
-            self.violate(LeaseInvariant::ReplicasAgree, details);
-        }
+            .record_replica(name, applied_index, state_hash);
+        self.record(checked);
     }
 
     fn check_leader(&mut self, member: MemberIndex, term: u64) {
-        let first_leader = *self.invariants.leaders.entry(term).or_insert(member);
-        if first_leader != member {
-            let (first, second) = (&self.members[first_leader].name, &self.members[member].name);
-            let details = format!("{first} and {second} in term {term}");
-            self.violate(LeaseInvariant::OneLeaderPerTerm, details);
-        }
         let voter = self.processes[member].voter.as_ref();
         let last_token = voter.map_or(FencingToken(u64::MAX), |voter| {
             voter.voter().leases().last_token()
         });
-        let notified = self.invariants.last_notified_token;
-        if last_token < notified {
-            let details = format!(
-                "an owner was notified of token {notified}, and the leader of term {term} has {last_token}"
-            );
-            self.violate(LeaseInvariant::GrantsSurvive, details);
-        }
+        let leader = ObservedLeader {
+            member,
+            term,
+            last_token,
+        };
+        let checked = self.invariants.record_leader(&leader, &self.members);
+        self.record(checked);
     }
 
     /// Has whoever leads replace a voter, as an operator would.
