--- a/crates/consensus/src/log_store.rs
+++ b/crates/consensus/src/log_store.rs
@@ -13,6 +13,11 @@
 use crate::peer_message::VoterId;
 use crate::replicated_state::ReplicatedState;
 
+/// The entry that the log of all initial voters begins after.
+const BOOTSTRAP_INDEX: u64 = 1;
+/// The term of that entry.
+const BOOTSTRAP_TERM: u64 = 1;
+
 /// Raft's hard state, as it is stored.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 struct StoredHardState {
@@ -82,13 +87,25 @@
     message.write_to_bytes().unwrap_or_default()
 }
 
-fn new_snapshot(index: u64, term: u64, conf_state: ConfState, state: &ReplicatedState) -> Snapshot {
-    let mut snapshot = Snapshot::default();
-    snapshot.set_data(state.encode().into());
-    let metadata = snapshot.mut_metadata();
-    (metadata.index, metadata.term) = (index, term);
-    metadata.set_conf_state(conf_state);
-    snapshot
+/// What a snapshot holds.
+pub(crate) struct SnapshotContent<'a> {
+    /// The entry up to which the state is applied.
+    pub(crate) index: u64,
+    /// Who votes and who learns, as the consensus has it.
+    pub(crate) membership: ConfState,
+    pub(crate) state: &'a ReplicatedState,
+}
+
+impl SnapshotContent<'_> {
+    /// `term` is that of the entry of [`Self::index`].
+    fn encode(self, term: u64) -> Snapshot {
+        let mut snapshot = Snapshot::default();
+        snapshot.set_data(self.state.encode().into());
+        let metadata = snapshot.mut_metadata();
+        (metadata.index, metadata.term) = (self.index, term);
+        metadata.set_conf_state(self.membership);
+        snapshot
+    }
 }
 
 impl LogStore {
@@ -98,14 +115,19 @@
             .iter()
             .map(|(name, id)| (*id, name.clone()))
             .collect();
-        let mut conf_state = ConfState::default();
-        conf_state.set_voters(voters.keys().map(|id| id.0).collect());
+        let mut membership = ConfState::default();
+        membership.set_voters(voters.keys().map(|id| id.0).collect());
         let state = ReplicatedState {
             voters,
             ..ReplicatedState::default()
         };
         let mut store = LogStore::default();
-        store.install_snapshot(new_snapshot(1, 1, conf_state, &state));
+        let content = SnapshotContent {
+            index: BOOTSTRAP_INDEX,
+            membership,
+            state: &state,
+        };
+        store.install_snapshot(content.encode(BOOTSTRAP_TERM));
         store
     }
 
@@ -241,20 +263,14 @@
         self.snapshot = snapshot;
     }
 
-    /// Takes a snapshot as of that entry. The last `keep` entries before it stay for voters that
-    /// are a little behind.
-    pub(crate) fn compact(
-        &mut self,
-        index: u64,
-        conf_state: ConfState,
-        state: &ReplicatedState,
-        keep: u64,
-    ) {
+    /// Takes a snapshot and removes the entries that it covers, but for the last `kept_entries`.
+    pub(crate) fn compact(&mut self, content: SnapshotContent<'_>, kept_entries: u64) {
+        let index = content.index;
         let Ok(term) = Storage::term(self, index) else {
             return;
         };
-        self.snapshot = new_snapshot(index, term, conf_state, state);
-        let last_removed = index.saturating_sub(keep);
+        self.snapshot = content.encode(term);
+        let last_removed = index.saturating_sub(kept_entries);
         if last_removed > self.compacted.index
             && let Ok(term) = Storage::term(self, last_removed)
         {
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -60,6 +60,7 @@
     identity: Identity,
     /// The configured initial voters, this one among them or not.
     initial_voter_names: Vec<Name>,
+    /// Seed of the election timeouts.
     seed: u64,
     /// The latest time of an event. It never goes backwards.
     now: Duration,
--- a/crates/consensus/src/voter/ready.rs
+++ b/crates/consensus/src/voter/ready.rs
@@ -16,7 +16,7 @@
 use super::snapshot::KEPT_ENTRIES;
 use crate::error::LoadError;
 use crate::event::Action;
-use crate::log_store::LogStore;
+use crate::log_store::{LogStore, SnapshotContent};
 use crate::notice::{InvalidData, Notice};
 use crate::peer_message::{PeerMessage, VoterId};
 use crate::replicated_state::ReplicatedState;
@@ -223,9 +223,13 @@
             return;
         }
         let Some(node) = &mut self.node else { return };
-        let membership = node.membership();
+        let content = SnapshotContent {
+            index: self.applied_index,
+            membership: node.membership(),
+            state: &self.state,
+        };
         let store = node.store_mut();
-        store.compact(self.applied_index, membership, &self.state, KEPT_ENTRIES);
+        store.compact(content, KEPT_ENTRIES);
         self.snapshots.record(self.applied_index);
         actions.push(Action::WriteSnapshot(store.encode()));
     }
--- a/crates/leases/src/client/renewal.rs
+++ b/crates/leases/src/client/renewal.rs
@@ -10,6 +10,7 @@
 
 use super::Config;
 use crate::injected_bug::{BugSwitch, InjectedBug};
+use crate::protocol::PERMILLE;
 
 /// Renewals in a usable TTL where each is answered.
 const RENEWALS_PER_TTL: u32 = 3;
@@ -48,7 +49,7 @@
         if self.bug.is_on(InjectedBug::NoClockMargin) {
             return ttl;
         }
-        ttl * (1000 - self.config.max_clock_drift_permille) / 1000
+        ttl * (PERMILLE - self.config.max_clock_drift_permille) / PERMILLE
     }
 
     /// Whether a step may take as long as `max_step`: a renewal must come before the guard is
@@ -89,6 +90,6 @@
         let mut random = fastrand::Rng::with_seed(self.seed);
         let permille = random.u32(0..=self.config.jitter_permille);
         self.seed = random.get_seed();
-        pause * permille / 1000
+        pause * permille / PERMILLE
     }
 }
--- a/crates/leases/src/expiry.rs
+++ b/crates/leases/src/expiry.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use crate::injected_bug::{BugSwitch, InjectedBug};
-use crate::protocol::{Command, Incarnation, Name, Owner, RenewalNumber};
+use crate::protocol::{Command, Incarnation, Name, Owner, PERMILLE, RenewalNumber};
 use crate::state_machine::LeaseStateMachine;
 
 /// The most time that is counted between two readings of the clock.
@@ -153,7 +153,7 @@
         if self.bug.is_on(InjectedBug::NoClockMargin) {
             return ttl;
         }
-        ttl * (1000 + self.max_clock_drift_permille) / 1000
+        ttl * (PERMILLE + self.max_clock_drift_permille) / PERMILLE
     }
 
     fn read_clock(&mut self, now: Duration) {
--- a/crates/leases/src/protocol.rs
+++ b/crates/leases/src/protocol.rs
@@ -10,6 +10,8 @@
 /// The name of a process or a lease, shared without copying.
 pub type Name = Arc<str>;
 
+/// The whole of which rates are given in thousandths.
+pub(crate) const PERMILLE: u32 = 1000;
 /// The longest name, in bytes. The shortest has one.
 pub const MAX_NAME_BYTES: usize = 64;
 /// Leases that exist at a time, at most. Bounds the replicated state and its snapshots.
