--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -4,9 +4,9 @@
 //! The algorithm is Raft (Ongaro and Ousterhout, "In search of an understandable consensus
 //! algorithm", 2014) with pre-vote and the leader's check of its quorum, as implemented by the
 //! crate `raft`. Sections that modules name are those of that paper, or of Ongaro's dissertation
-//! ("Consensus: bridging theory and practice", 2014) where they say so. A [`Voter`] drives the crate
-//! without a clock and with everything random drawn from a seed, so that a simulation repeats to
-//! the last message.
+//! ("Consensus: bridging theory and practice", 2014) where they say so. A [`Voter`] drives the
+//! crate without a clock and with everything random drawn from a seed, so that a simulation repeats
+//! to the last message.
 //!
 //! Input: an [`Event`] and the time. Output: [`Action`]s, to be performed in their order, since
 //! what is to be written must be durable before what follows it is sent. A [`DurableVoter`] holds a
--- a/crates/consensus/src/voter/leadership.rs
+++ b/crates/consensus/src/voter/leadership.rs
@@ -52,8 +52,8 @@
 /// Whether the voter acts as the leader: counts TTLs and answers reads.
 ///
 /// It begins with the first entry of the leader's own term that is applied: only then is everything
-/// known that was committed before (Raft, sections 5.4.2 and 8). A leader that began at its election could
-/// expire an owner whose renewal it has not applied yet.
+/// known that was committed before (Raft, sections 5.4.2 and 8). A leader that began at its
+/// election could expire an owner whose renewal it has not applied yet.
 #[derive(Default)]
 pub(super) struct Leadership {
     /// The term in which the voter leads and counts TTLs.
--- a/crates/consensus/src/voter/tests/timing.rs
+++ b/crates/consensus/src/voter/tests/timing.rs
@@ -58,8 +58,8 @@
     assert_eq!(drawn, (10..20).collect::<Vec<_>>());
 }
 
-/// A new leader that expired leases from its election on would do so from a state in which committed
-/// renewals are not applied yet.
+/// A new leader that expired leases from its election on would do so from a state in which
+/// committed renewals are not applied yet.
 #[test]
 fn a_leader_acts_once_an_entry_of_its_own_term_is_applied() {
     let mut leadership = Leadership::default();
--- a/crates/fault-injection/src/lease_simulation/clients.rs
+++ b/crates/fault-injection/src/lease_simulation/clients.rs
@@ -13,11 +13,11 @@
 use crate::history_checker::OperationError;
 use crate::plan::MemberIndex;
 
-/// Between two operations, in seconds.
+/// How long a process rests between two operations under a lease, in seconds.
 const REST_SECONDS: Range<f64> = 0.01..0.05;
-/// How much of the longest time that an operation may take it does take.
+/// How long an operation takes, as a fraction of the longest that it may take.
 const OPERATION_FRACTION: Range<f64> = 0.4..0.95;
-/// After a lease was lost, until its process looks whether it has it again.
+/// How long after a lease ended its process checks whether it holds the lease again.
 const REACQUIRE_DELAY: Duration = Duration::from_millis(10);
 
 fn draw(rng: &mut fastrand::Rng, range: Range<f64>) -> f64 {
--- a/crates/fault-injection/src/lease_simulation/network.rs
+++ b/crates/fault-injection/src/lease_simulation/network.rs
@@ -8,10 +8,10 @@
 use super::{LeaseInvariant, LeaseSimulation, ProcessEvent, READ_INTERVAL, SimulationEvent};
 use crate::plan::MemberIndex;
 
-/// Reads that may wait for a response; older ones are forgotten.
+/// Reads that wait for a response, at most; older ones are forgotten.
 const MAX_PENDING_READS: usize = 1000;
 
-/// What processes send each other.
+/// A message from one process to another.
 #[derive(Clone, Debug)]
 pub(super) enum Message {
     Peer(PeerMessage),
@@ -80,38 +80,32 @@
                 self.handle_voter_event(to, VoterEvent::PeerMessage { from, message });
             }
             Message::Propose { request, command } => {
-                self.handle_voter_event(
-                    to,
-                    VoterEvent::Propose {
-                        from,
-                        request,
-                        command,
-                    },
-                );
+                let propose = VoterEvent::Propose {
+                    from,
+                    request,
+                    command,
+                };
+                self.handle_voter_event(to, propose);
             }
             Message::Read { request, lease } => {
-                self.handle_voter_event(
-                    to,
-                    VoterEvent::Read {
-                        from,
-                        request,
-                        lease: Some(lease),
-                    },
-                );
+                let read = VoterEvent::Read {
+                    from,
+                    request,
+                    lease: Some(lease),
+                };
+                self.handle_voter_event(to, read);
             }
             Message::Response {
                 incarnation,
                 request,
                 response,
             } => {
-                self.handle_client_event(
-                    to,
-                    ClientEvent::Response {
-                        incarnation,
-                        request,
-                        response,
-                    },
-                );
+                let response = ClientEvent::Response {
+                    incarnation,
+                    request,
+                    response,
+                };
+                self.handle_client_event(to, response);
             }
             Message::NotLeader { request, leader } => {
                 self.handle_client_event(to, ClientEvent::NotLeader { request, leader });
--- a/crates/fault-injection/src/membership_simulation/processes.rs
+++ b/crates/fault-injection/src/membership_simulation/processes.rs
@@ -27,6 +27,7 @@
     detected_after: BTreeMap<MemberIndex, Duration>,
 }
 
+/// One process of a run. Owns its state machine and what waits while it is paused.
 pub(super) struct Process {
     pub(super) address: SocketAddr,
     /// `None` while the process is dead or has not started yet.
--- a/crates/fault-injection/src/processes/configuration.rs
+++ b/crates/fault-injection/src/processes/configuration.rs
@@ -45,6 +45,7 @@
     fs::write(process.settings_file(), settings)
 }
 
+/// The configuration that a platform gives a process, as its pages define it.
 fn config_json(name: &str, listen: SocketAddr, executor: SocketAddr) -> String {
     format!(
         r#"{{"name":{name:?},"listen":"{listen}","kernel":"{executor}","seed":"1","stop_ms":1000,
@@ -58,6 +59,7 @@
     )
 }
 
+/// The settings of a process: its cluster, and what the run observes and injects.
 fn settings_hcl(
     plan: &Plan,
     processes: &[MemberProcess],
@@ -126,7 +128,7 @@
     )
 }
 
-/// NAME TTL_MS CAPACITY MAX_OPERATION_MS
+/// A lease in the settings: `NAME TTL_MS CAPACITY MAX_OPERATION_MS`.
 fn lease_setting(lease: &PlannedLease) -> String {
     let milliseconds = |seconds: f64| (seconds * 1000.0).round() as u64;
     let PlannedLease {
--- a/crates/fault-injection/src/processes/history.rs
+++ b/crates/fault-injection/src/processes/history.rs
@@ -77,8 +77,8 @@
     lease: String,
 }
 
-/// Records the history of a run. Owns the history checker, the outcome as it grows, and who is
-/// under way with what.
+/// Records the history of a run. Owns the history checker, the outcome as it grows, and which
+/// member has which operations under way.
 pub(super) struct HistoryRecorder {
     checker: HistoryChecker,
     start: Instant,
@@ -114,7 +114,7 @@
 }
 
 impl HistoryRecorder {
-    /// Records a report; whether it is accepted.
+    /// Records a report. Returns whether it is accepted.
     fn record(&mut self, report: OperationReport) -> bool {
         let OperationReport {
             phase,
--- a/crates/fault-injection/src/processes/schedule.rs
+++ b/crates/fault-injection/src/processes/schedule.rs
@@ -1,4 +1,4 @@
-//! When which fault begins and ends at which process.
+//! The schedule of a run: which fault begins and ends at which process, and when.
 
 use crate::plan::{
     BACKUP_AT, DirectoryAfterCrash, DiskFault, Fault, Member, MemberIndex, Plan, matching,
