--- a/crates/consensus/src/voter/ready.rs
+++ b/crates/consensus/src/voter/ready.rs
@@ -16,7 +16,7 @@
 use super::snapshot::KEPT_ENTRIES;
 use crate::error::LoadError;
 use crate::event::Action;
-use crate::log_store::LogStore;
+use crate::log_store::{LogStore, SnapshotContent};
 use crate::notice::{InvalidData, Notice};
 use crate::peer_message::{PeerMessage, VoterId};
 use crate::replicated_state::ReplicatedState;
@@ -58,7 +58,7 @@
         let Some(node) = &mut self.node else {
             return Ok(());
         };
-        let must_sync = ready.must_sync();
+        let needs_sync = ready.must_sync();
         let snapshot = ready.snapshot().clone();
         let has_snapshot = snapshot.get_metadata().index > 0;
         let entries = ready.take_entries();
@@ -70,7 +70,7 @@
         if let Some(hard_state) = &hard_state {
             store.set_hard_state(hard_state.clone());
         }
-        if must_sync && !has_snapshot {
+        if needs_sync && !has_snapshot {
             // A commit index alone is not worth a write: whoever reads the log finds it out again.
             let change = LogStore::encode_change(hard_state.as_ref(), &entries);
             actions.push(Action::AppendRecord(change));
@@ -223,9 +223,13 @@
             return;
         }
         let Some(node) = &mut self.node else { return };
-        let membership = node.membership();
+        let content = SnapshotContent {
+            index: self.applied_index,
+            membership: node.membership(),
+            state: &self.state,
+        };
         let store = node.store_mut();
-        store.compact(self.applied_index, membership, &self.state, KEPT_ENTRIES);
+        store.compact(content, KEPT_ENTRIES);
         self.snapshots.record(self.applied_index);
         actions.push(Action::WriteSnapshot(store.encode()));
     }
