--- a/crates/server/src/net/connect.rs
+++ b/crates/server/src/net/connect.rs
@@ -51,9 +51,7 @@
             },
         }
         if !is_wanted() {
-            return Err(io::Error::other(
-                "a connect that is not wanted any more is left",
-            ));
+            return Err(io::Error::other("the connection is no longer wanted"));
         }
         if end <= Instant::now() {
             return Err(io::ErrorKind::TimedOut.into());
