--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -56,10 +56,12 @@
 pub(crate) struct CurrentAddress<T>(Mutex<T>);
 
 impl<T: Copy + PartialEq> CurrentAddress<T> {
+    /// An address that was read at the start.
     pub(crate) fn new(address: T) -> Self {
         CurrentAddress(Mutex::new(address))
     }
 
+    /// The address now.
     pub(crate) fn get(&self) -> T {
         *self.0.lock()
     }
--- a/crates/server/src/invariant.rs
+++ b/crates/server/src/invariant.rs
@@ -14,6 +14,7 @@
     };
 }
 
+/// Reports a violation: it panics in debug builds, and is counted and logged in release builds.
 #[cold]
 pub(crate) fn violated(what: &str) {
     debug_assert!(false, "invariant violated: {what}");
--- a/crates/server/src/log.rs
+++ b/crates/server/src/log.rs
@@ -86,6 +86,7 @@
     /// After the first lines, one in this many is logged.
     const INTERVAL: u64 = 1000;
 
+    /// A limit for one kind of line, which has not occurred yet.
     pub(crate) const fn new() -> Self {
         LogLimit(AtomicU64::new(0))
     }
--- a/crates/server/src/net/executor/gauges.rs
+++ b/crates/server/src/net/executor/gauges.rs
@@ -12,10 +12,12 @@
 pub(super) struct LastGauges(Option<(Instant, Gauges)>);
 
 impl LastGauges {
+    /// Stores a reading that is received now.
     pub(super) fn set(&mut self, gauges: Gauges) {
         self.0 = Some((Instant::now(), gauges));
     }
 
+    /// The reading that counts now.
     pub(super) fn get(&self) -> Gauges {
         self.at(Instant::now())
     }
--- a/crates/server/src/net/executor/mod.rs
+++ b/crates/server/src/net/executor/mod.rs
@@ -56,6 +56,8 @@
 }
 
 impl ExecutorClient {
+    /// A client of the executor at `address`; [`ExecutorClient::run`] opens its link. `gauge_names`
+    /// are the gauges in the order in which the executor reports them.
     pub(crate) fn new(
         address: SocketAddr,
         registry: Arc<RequestRegistry>,
--- a/crates/server/src/net/executor/protocol.rs
+++ b/crates/server/src/net/executor/protocol.rs
@@ -15,6 +15,7 @@
 }
 
 impl Command<'_> {
+    /// The command for the run of the request `id`, as it is written.
     pub(super) fn encode(&self, id: &str) -> Vec<u8> {
         match *self {
             Command::Start { class, body } => {
@@ -42,6 +43,7 @@
 }
 
 impl Query {
+    /// The query with this tag, as it is written.
     pub(super) fn encode(self, tag: u64) -> String {
         match self {
             Query::Gauges => line(format_args!("SYSINFO {tag}")),
@@ -110,6 +112,10 @@
 pub(super) struct NotANotice(Vec<String>);
 
 impl<'a> Message<'a> {
+    /// Decodes a message.
+    ///
+    /// # Errors
+    /// [`NotANotice`] where the line is not of the protocol.
     pub(super) fn decode(line: &'a Line<'a>) -> Result<Self, NotANotice> {
         Message::of(line)
             .ok_or_else(|| NotANotice(line.words.iter().map(|&word| word.to_owned()).collect()))
--- a/crates/server/src/net/frontend/connection.rs
+++ b/crates/server/src/net/frontend/connection.rs
@@ -57,6 +57,7 @@
 }
 
 impl Connection {
+    /// A connection that is accepted now.
     pub(super) fn new(id: ConnectionId, output: Arc<Output>) -> Self {
         Connection {
             id,
@@ -116,6 +117,7 @@
         self.output.wake();
     }
 
+    /// Replies to a message that is not among the open requests and health checks.
     pub(super) fn reply(&self, method: &str, sequence: i32, reply: &Reply) {
         self.output
             .send(&[&codec::encode_reply(method, sequence, reply)]);
--- a/crates/server/src/net/frontend/connection_table.rs
+++ b/crates/server/src/net/frontend/connection_table.rs
@@ -57,6 +57,7 @@
 }
 
 impl ConnectionTable {
+    /// An empty table. The clock of the limiter starts now.
     pub(super) fn new(limiter: Limiter) -> Self {
         ConnectionTable {
             connections: Mutex::new(Slab::new()),
--- a/crates/server/src/net/frontend/health.rs
+++ b/crates/server/src/net/frontend/health.rs
@@ -25,6 +25,7 @@
 }
 
 impl HealthChecks {
+    /// Health checks of the connections of `table`.
     pub(super) fn new(
         registry: Arc<RequestRegistry>,
         executor: Arc<ExecutorClient>,
--- a/crates/server/src/net/frontend/listener.rs
+++ b/crates/server/src/net/frontend/listener.rs
@@ -86,6 +86,7 @@
 }
 
 impl Acceptor {
+    /// An acceptor for the connections of `table`. It does not accept before [`Acceptor::run`].
     pub(super) fn new(table: Arc<ConnectionTable>, rejects_connections: bool) -> Self {
         Acceptor {
             table,
--- a/crates/server/src/net/frontend/parse.rs
+++ b/crates/server/src/net/frontend/parse.rs
@@ -145,6 +145,7 @@
 }
 
 impl RequestParser {
+    /// A parser for requests of these handlers and tenants.
     pub(super) fn new(names: Names, client_timeouts: Vec<Duration>, is_recording: bool) -> Self {
         RequestParser {
             names,
--- a/crates/server/src/net/frontend/request.rs
+++ b/crates/server/src/net/frontend/request.rs
@@ -41,6 +41,7 @@
 }
 
 impl<'a> PendingReply<'a> {
+    /// The pending reply to the open request of this sequence number.
     pub(super) fn new(
         table: &'a ConnectionTable,
         connection: &'a Connection,
@@ -116,6 +117,7 @@
 }
 
 impl RequestHandler {
+    /// A handler for the requests of `table`.
     pub(super) fn new(
         services: Services,
         table: Arc<ConnectionTable>,
--- a/crates/server/src/net/frontend/session.rs
+++ b/crates/server/src/net/frontend/session.rs
@@ -61,6 +61,7 @@
 }
 
 impl<'a, H: MessageHandler> Session<'a, H> {
+    /// The session of a connection that has read nothing yet.
     pub(super) fn new(
         table: &'a ConnectionTable,
         handler: &'a H,
--- a/crates/server/src/net/frontend/summary.rs
+++ b/crates/server/src/net/frontend/summary.rs
@@ -16,6 +16,7 @@
 }
 
 impl FrontendSummary {
+    /// Logs the counts.
     pub(crate) fn log(&self) {
         let FrontendSummary {
             connections,
--- a/crates/server/src/net/ring_buffer.rs
+++ b/crates/server/src/net/ring_buffer.rs
@@ -25,6 +25,7 @@
         }
     }
 
+    /// The number of bytes that it holds.
     pub(crate) fn len(&self) -> usize {
         self.len
     }
--- a/crates/server/src/net/store/connection.rs
+++ b/crates/server/src/net/store/connection.rs
@@ -26,6 +26,8 @@
 static STRAY_REPLIES: LogLimit = LogLimit::new();
 
 impl StoreClient {
+    /// Opens the connection with this id, serves its calls until it ends, and reports a call that
+    /// is lost with it.
     pub(super) fn run(self: &Arc<Self>, address: SocketAddr, id: ConnectionId) {
         // The connection is no longer wanted once its call is given up or the store has moved.
         let is_wanted = || self.pool.lock().is_wanted(id) && self.address.get() == Some(address);
--- a/crates/server/src/net/store/mod.rs
+++ b/crates/server/src/net/store/mod.rs
@@ -57,10 +57,12 @@
         })
     }
 
+    /// The limit on connections.
     pub(crate) fn max_connections(&self) -> usize {
         self.max_connections
     }
 
+    /// The address of the store; none without a store.
     pub(crate) fn address(&self) -> Option<SocketAddr> {
         self.address.get()
     }
--- a/crates/server/src/net/stream.rs
+++ b/crates/server/src/net/stream.rs
@@ -90,6 +90,7 @@
 }
 
 impl BufferedStream {
+    /// A stream with buffers of at most these sizes, in bytes.
     pub(crate) fn new(stream: TcpStream, max_input_bytes: usize, max_output_bytes: usize) -> Self {
         // A socket without this option works, with longer delays.
         let _ = stream.set_nodelay(true);
--- a/crates/server/src/requests/idempotency.rs
+++ b/crates/server/src/requests/idempotency.rs
@@ -49,6 +49,7 @@
 }
 
 impl IdempotencyKeys {
+    /// No keys. A request may be read up to `max_read_delay` after it reached the machine.
     pub(super) fn new(max_read_delay: Duration) -> Self {
         IdempotencyKeys {
             entries: HashMap::new(),
--- a/crates/server/src/requests/open_request.rs
+++ b/crates/server/src/requests/open_request.rs
@@ -38,6 +38,7 @@
 }
 
 impl OpenRequest {
+    /// A request that is registered now; `waiter` wakes its coroutine.
     pub(super) fn new(
         incoming: &IncomingRequest,
         key: Option<IdempotencyKey>,
--- a/crates/server/src/requests/registry.rs
+++ b/crates/server/src/requests/registry.rs
@@ -29,6 +29,8 @@
 }
 
 impl RequestRegistry {
+    /// A registry whose controller starts with [`RequestRegistry::start`], with random draws from
+    /// `seed`.
     pub(crate) fn new(config: Config, seed: u64, tracer: Option<Arc<Tracer>>) -> Self {
         let state = RegistryState::new(&config, tracer.clone());
         RequestRegistry {
@@ -144,6 +146,7 @@
         }
     }
 
+    /// Fires the timers that are due.
     pub(super) fn fire_timers(&self, gauges: Gauges) {
         self.state.lock().fire_timers(gauges);
     }
@@ -179,6 +182,7 @@
         self.state.lock().open()
     }
 
+    /// The requests since the start, by their outcome.
     pub(crate) fn counts(&self) -> RequestCounts {
         self.state.lock().counts()
     }
--- a/crates/server/src/requests/state.rs
+++ b/crates/server/src/requests/state.rs
@@ -53,6 +53,7 @@
 }
 
 impl RegistryState {
+    /// No open requests, and a controller that has not started.
     pub(super) fn new(config: &Config, tracer: Option<Arc<Tracer>>) -> Self {
         let client_timeouts = config.handlers.iter().map(|handler| handler.client_timeout);
         RegistryState {
@@ -82,22 +83,27 @@
         self.pass_on_shutdown_notice();
     }
 
+    /// Whether the controller has started.
     pub(super) fn is_started(&self) -> bool {
         self.running.is_some()
     }
 
+    /// Whether a request with this id is open.
     pub(super) fn is_open(&self, id: &RequestId) -> bool {
         self.indices.contains_key(id)
     }
 
+    /// The index of the open request with this id.
     pub(super) fn index_of(&self, id: &str) -> Option<usize> {
         self.indices.get(id).copied()
     }
 
+    /// The number of open requests.
     pub(super) fn open(&self) -> usize {
         self.requests.len()
     }
 
+    /// The requests since the start, by their outcome.
     pub(super) fn counts(&self) -> RequestCounts {
         RequestCounts {
             open: self.requests.len(),
@@ -129,6 +135,7 @@
         self.tracer.as_ref().map(|_| Instant::now())
     }
 
+    /// Adds an open request, and returns its index.
     pub(super) fn insert(&mut self, request: OpenRequest) -> usize {
         let id = request.id.clone();
         let index = self.requests.insert(request);
@@ -146,6 +153,7 @@
         }
     }
 
+    /// Removes the idempotency keys that have expired.
     pub(super) fn expire_keys(&mut self) {
         self.keys.expire(self.now());
     }
@@ -161,6 +169,7 @@
             .duplicated_body(key, self.now().saturating_sub(age))
     }
 
+    /// Takes the next command for the coroutine of a request.
     pub(super) fn next_command(&mut self, index: usize) -> Option<Command> {
         self.requests[index].next_command()
     }
@@ -189,6 +198,7 @@
         }
     }
 
+    /// Stores the shutdown notice, and notifies the controller once it has started.
     pub(super) fn shutdown_notice(&mut self, received_at: Instant, termination: Duration) {
         self.shutdown = Some(ShutdownNotice {
             received_at,
--- a/crates/server/src/requests/timers.rs
+++ b/crates/server/src/requests/timers.rs
@@ -10,6 +10,7 @@
 }
 
 impl Timers {
+    /// Sets a timer for this time of the controller's clock.
     pub(super) fn set(&mut self, at: Duration) {
         self.due.insert(at);
     }
--- a/crates/simulator-host/src/backend.rs
+++ b/crates/simulator-host/src/backend.rs
@@ -8,7 +8,7 @@
 use tulipgap_settings::{Names, Settings};
 
 use crate::action::ActionWriter;
-use crate::fields::{Fields, WireError};
+use crate::fields::{Fields, SETTINGS, WireError};
 use crate::message::EventKind;
 
 /// A backend and the ids of the requests that its controller knows by index.
@@ -31,8 +31,8 @@
     /// [`WireError`] where the seed or the settings are missing or invalid.
     pub(crate) fn spawn(fields: &Fields, now: f64) -> Result<Self, WireError> {
         let seed = fields.integer("prng")?;
-        let text = fields.text("facts")?;
-        let invalid = |error: &dyn std::error::Error| fields.error("facts", error.to_string());
+        let text = fields.text(SETTINGS)?;
+        let invalid = |error: &dyn std::error::Error| fields.error(SETTINGS, error.to_string());
         let settings: Settings = text.parse().map_err(|error| invalid(&error))?;
         let config = settings
             .controller_config()
--- a/crates/simulator-host/src/fields.rs
+++ b/crates/simulator-host/src/fields.rs
@@ -19,6 +19,7 @@
 }
 
 impl WireError {
+    /// An error in that field of a line.
     pub(crate) fn at(line: usize, field: &str, problem: impl Into<String>) -> Self {
         WireError::Malformed {
             line,
@@ -28,6 +29,9 @@
     }
 }
 
+/// The field with a backend's settings, in JSON. It takes the rest of its line, as it may hold
+/// spaces.
+pub(crate) const SETTINGS: &str = "facts";
 /// The fields of most lines, for which space is reserved.
 const USUAL_FIELDS: usize = 14;
 
@@ -38,14 +42,17 @@
 }
 
 impl<'a> Fields<'a> {
+    /// Parses the fields of a line.
+    ///
+    /// # Errors
+    /// [`WireError`] where a field has no `=`.
     pub(crate) fn parse(line: usize, mut rest: &'a str) -> Result<Self, WireError> {
         let mut pairs = Vec::with_capacity(USUAL_FIELDS);
         while !rest.is_empty() {
             let Some((name, after)) = rest.split_once('=') else {
                 return Err(WireError::at(line, rest, "it is no name=value pair"));
             };
-            let text = name == "facts";
-            let (value, next) = if text {
+            let (value, next) = if name == SETTINGS {
                 (after, "")
             } else {
                 after.split_once(' ').unwrap_or((after, ""))
@@ -63,6 +70,7 @@
             .map(|(_, value)| *value)
     }
 
+    /// An error in the field of this name.
     pub(crate) fn error(&self, name: &str, problem: impl Into<String>) -> WireError {
         WireError::at(self.line, name, problem)
     }
