--- a/crates/server/src/net/executor/link.rs
+++ b/crates/server/src/net/executor/link.rs
@@ -89,7 +89,7 @@
     }
 
     /// Ends the sending over this link: commands wait for the next one. A final query for the
-    /// gauges has the executor confirm everything sent before, so that no run counts as lost;
+    /// gauges has the executor confirm everything sent before, so that no outcome is unknown;
     /// without a reply in time, the link is left all the same. Returns the tag of that query.
     fn send_final_query(self: &Arc<Self>, output: &Arc<Output>) -> Option<u64> {
         let mut state = self.state.lock();
@@ -239,15 +239,15 @@
     }
 
     /// Resynchronizes the runs once all missed notices were read from a link (`resync` has the
-    /// rule): reports those that are lost, and sends commands again that may be lost.
+    /// rule): reports those whose outcome is unknown, and sends commands again that may be lost.
     pub(super) fn resync(&self, output: &Arc<Output>) {
         let Some(resync) = self.state.lock().activate(output) else {
             return;
         };
-        if !resync.lost.is_empty() {
-            log::warn!("executor runs lost count={}", resync.lost.len());
+        if !resync.outcome_unknown.is_empty() {
+            log::warn!("executor runs lost count={}", resync.outcome_unknown.len());
         }
-        for id in resync.lost {
+        for id in resync.outcome_unknown {
             let event = RequestEvent::RunFinished {
                 outcome: Outcome::ConnectionLost,
                 result: Bytes::default(),
--- a/crates/server/src/net/executor/resync.rs
+++ b/crates/server/src/net/executor/resync.rs
@@ -12,11 +12,12 @@
 //!   its call. A reply could meet the next call of its run, so the call is skipped instead, which
 //!   has no effect where the reply has arrived.
 //! - Where notices are missing, because the executor keeps a limited number, a run whose end was
-//!   not read may have ended. It counts as lost, and nothing is sent for it.
+//!   not read may have ended. Its outcome is unknown, and nothing is sent for it.
 //! - A run may end behind the notices that were read and before its start arrives again: it would
-//!   run a second time. One that may run at most once counts as lost, where its start was sent.
+//!   run a second time. For one that may run at most once and whose start was sent, the outcome is
+//!   unknown.
 //!
-//! The price: requests that count as lost fail although their run may have succeeded.
+//! The price: requests with an unknown outcome fail although their run may have succeeded.
 
 use super::protocol::Command;
 use crate::requests::{Bytes, ClassName};
@@ -60,7 +61,7 @@
     /// Its last command is sent again.
     Resend,
     /// It may have ended without its notice.
-    Lost,
+    OutcomeUnknown,
 }
 
 /// The inputs of the rule besides the run.
@@ -82,7 +83,7 @@
         let start_may_run_twice =
             may_be_missing && self.at_most_once && matches!(self.last_command, LastCommand::Start);
         if facts.notices_are_missing || start_may_run_twice {
-            Fate::Lost
+            Fate::OutcomeUnknown
         } else if may_be_missing || self.delivery == Delivery::NotSent {
             Fate::Resend
         } else {
--- a/crates/server/src/net/executor/resync_tests.rs
+++ b/crates/server/src/net/executor/resync_tests.rs
@@ -32,23 +32,26 @@
 
 /// A link that broke as such a run started had it run twice, when its start was sent again.
 #[test]
-fn a_run_at_most_once_whose_start_may_have_arrived_is_lost() {
+fn a_start_that_may_have_arrived_is_not_sent_again_where_its_request_runs_once() {
     let once = |last_command, delivery| run(true, last_command, delivery).fate(FACTS);
-    assert_eq!(once(LastCommand::Start, Delivery::Sent(6)), Fate::Lost);
+    assert_eq!(
+        once(LastCommand::Start, Delivery::Sent(6)),
+        Fate::OutcomeUnknown
+    );
     assert_eq!(once(LastCommand::Start, Delivery::Sent(5)), Fate::Unchanged);
     assert_eq!(once(LastCommand::Start, Delivery::NotSent), Fate::Resend);
     assert_eq!(once(LastCommand::SkipCall, Delivery::Sent(6)), Fate::Resend);
 }
 
 #[test]
-fn every_run_is_lost_where_notices_are_missing() {
+fn the_outcome_of_every_run_is_unknown_where_notices_are_missing() {
     let facts = ResyncFacts {
         notices_are_missing: true,
         ..FACTS
     };
     for delivery in [Delivery::NotSent, Delivery::Sent(5), Delivery::Confirmed] {
         let run = run(false, LastCommand::Reply, delivery);
-        assert_eq!(run.fate(facts), Fate::Lost);
+        assert_eq!(run.fate(facts), Fate::OutcomeUnknown);
     }
 }
 
--- a/crates/server/src/net/executor/state.rs
+++ b/crates/server/src/net/executor/state.rs
@@ -31,7 +31,9 @@
 
 /// The runs that a new link affects, each list in the order of the ids.
 pub(super) struct Resync {
-    pub(super) lost: Vec<RequestId>,
+    /// They may have ended without their notices.
+    pub(super) outcome_unknown: Vec<RequestId>,
+    /// Their last commands are sent again.
     pub(super) resend: Vec<RequestId>,
 }
 
@@ -68,7 +70,7 @@
             commands_arrived: self.commands_arrived,
             notices_are_missing: self.notices.take_gap(),
         };
-        let (mut lost, mut resend) = (Vec::new(), Vec::new());
+        let (mut outcome_unknown, mut resend) = (Vec::new(), Vec::new());
         self.runs.retain(|id, run| match run.fate(facts) {
             Fate::Unchanged => true,
             Fate::Resend => {
@@ -78,13 +80,16 @@
                 resend.push(id.clone());
                 true
             }
-            Fate::Lost => {
-                lost.push(id.clone());
+            Fate::OutcomeUnknown => {
+                outcome_unknown.push(id.clone());
                 false
             }
         });
-        lost.sort_unstable();
+        outcome_unknown.sort_unstable();
         resend.sort_unstable();
-        Some(Resync { lost, resend })
+        Some(Resync {
+            outcome_unknown,
+            resend,
+        })
     }
 }
--- a/crates/server/src/net/frontend/closing_tests.rs
+++ b/crates/server/src/net/frontend/closing_tests.rs
@@ -13,13 +13,13 @@
 
 #[test]
 fn a_connection_with_something_open_stays_open() {
-    let broken = ConnectionState {
+    let unfinished = ConnectionState {
         is_done: false,
         is_read_closed: true,
         is_readable: false,
         ..CLOSING
     };
-    assert_eq!(close_step(&broken), CloseStep::StayOpen);
+    assert_eq!(close_step(&unfinished), CloseStep::StayOpen);
 }
 
 #[test]
--- a/crates/server/src/net/store/connection.rs
+++ b/crates/server/src/net/store/connection.rs
@@ -38,18 +38,18 @@
             Err(_) => {}
         }
         let end = stream.and_then(|stream| self.serve(stream, id));
-        let lost = {
+        let failed_call = {
             let mut pool = self.pool.lock();
-            let lost = pool.remove(id);
+            let failed_call = pool.remove(id);
             // Its place in the pool is free for a call that is queued.
             if let Some(address) = self.address.get()
                 && let Some(call) = pool.next_waiting()
             {
                 self.open(&mut pool, address, call);
             }
-            lost
+            failed_call
         };
-        if let Some((request, outcome)) = lost {
+        if let Some((request, outcome)) = failed_call {
             self.report(&request, outcome, Bytes::default());
         }
         if let Err(error) = end
