--- a/crates/server/src/clock_tests.rs
+++ b/crates/server/src/clock_tests.rs
@@ -1,4 +1,4 @@
-//! Waits of many spans, ended by the clock and by others.
+//! Waits of many durations, ended by the clock or by a wake-up.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Weak};
@@ -9,20 +9,21 @@
 
 use super::{park, sleep};
 
-/// Waits of many different spans, some ended by the clock and some before: each ends, and the clock
-/// goes on.
+/// The timer thread of `may` failed an assertion after waits of over 1,024 different durations, and
+/// no wait ended any more. Waits of many durations, some ended by the clock and some by a wake-up
+/// before, must all end here.
 #[test]
 fn waits_of_many_spans_end() {
-    const EACH: u64 = 400;
-    const ALL: u64 = 64;
+    const WAITS_PER_COROUTINE: u64 = 400;
+    const COROUTINES: u64 = 64;
     let (ended, waiters) = (
         Arc::new(AtomicU64::new(0)),
         Arc::new(Mutex::new(Vec::new())),
     );
-    for at in 0..ALL {
+    for at in 0..COROUTINES {
         let (ended, waiters) = (ended.clone(), waiters.clone());
         crate::net::spawn(move || {
-            for turn in 0..EACH {
+            for turn in 0..WAITS_PER_COROUTINE {
                 sleep(Duration::from_nanos(1000 * at + turn));
                 let waiter = Arc::new(Blocker::new(true));
                 waiters.lock().push(Arc::downgrade(&waiter));
@@ -35,7 +36,7 @@
         });
     }
     let start = Instant::now();
-    while ended.load(Ordering::Acquire) < ALL {
+    while ended.load(Ordering::Acquire) < COROUTINES {
         assert!(
             start.elapsed() < Duration::from_secs(60),
             "a wait does not end"
--- a/crates/server/src/cluster/tests.rs
+++ b/crates/server/src/cluster/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the words of the control socket, and of timers.
+//! Tests of the control socket's protocol, and of timers.
 
 use std::time::Duration;
 
--- a/crates/server/src/net/executor/tests.rs
+++ b/crates/server/src/net/executor/tests.rs
@@ -1,4 +1,4 @@
-//! The link's bookkeeping against links that break, without an executor.
+//! The state of the executor's link when links break, without an executor.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,6 +11,8 @@
 use crate::net::stream::{BufferedStream, MAX_LINE_BUFFER_BYTES};
 use crate::requests::{Bytes, ClassName, Gauges, RequestId, RequestRegistry};
 
+/// A broken link delivers no gauges, and idle cores would raise the admitted traffic. The last
+/// gauges stay in force for a while, and are unknown after that, but never idle.
 #[test]
 fn cores_are_not_idle_because_a_link_broke() {
     let (at, busy) = (
@@ -39,10 +41,11 @@
     )
 }
 
-/// The reply that shows a link to be caught up may be handled after that link has ended. Taken up
-/// then, the dead link would swallow all commands until the next one broke.
+/// The reply that completes the resynchronisation of a link may be handled after that link has
+/// ended. Commands were then sent to the dead link and lost until the next link broke. A link is
+/// now used only while it is the current one.
 #[test]
-fn a_link_that_has_ended_is_not_taken_up() {
+fn a_link_that_has_ended_is_not_used() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let client = client(address);
@@ -73,10 +76,10 @@
     assert!(client.state.lock().output.is_none());
 }
 
-/// Commands that waited for room as a link was taken up had their positions already: the reply to a
-/// query that overtook them showed them as arrived, and they were never sent again. A start that
-/// may have arrived is sent again where it may run again, and its run counts as lost where it may
-/// not.
+/// Commands that waited for room while a link was resynchronised already had their positions: the
+/// reply to a query that overtook them marked them as arrived, and they were never sent again. A
+/// command now gets its position when it enters the buffer. A start that may have arrived is sent
+/// again if its request is idempotent; otherwise its run counts as lost.
 #[test]
 fn a_command_that_waits_for_room_has_no_position_and_an_at_most_once_start_is_not_resent() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -105,7 +108,7 @@
         let mut state = client.state.lock();
         (state.link, state.commands_sent, state.commands_arrived) =
             (Some(link.output.clone()), 7, 2);
-        // Known to have arrived, maybe arrived, and never sent.
+        // Starts that have arrived, may have arrived, were never sent, and are confirmed.
         let runs = [
             (false, Delivery::Sent(2)),
             (false, Delivery::Sent(3)),
@@ -133,7 +136,7 @@
                 buffer.consume(one);
             }
         }
-        // A command that still waits for room then does not wait for ever.
+        // A command that still waits for room must not wait for ever.
         link.output
             .is_closed
             .store(true, std::sync::atomic::Ordering::Release);
--- a/crates/server/src/net/frontend/codec_tests.rs
+++ b/crates/server/src/net/frontend/codec_tests.rs
@@ -1,4 +1,4 @@
-//! Messages as they are written, cut, mutilated and hostile.
+//! Messages that are valid, truncated, corrupted or hostile.
 
 use thrift::protocol::{TMapIdentifier, TMessageType, TOutputProtocol, TType};
 
@@ -30,7 +30,8 @@
 }
 
 quickcheck::quickcheck! {
-    /// A call is decoded as it was written; cut at any byte or followed by more it is malformed.
+    /// A call is decoded as it was encoded; truncated at any byte, or with bytes behind it, it is
+    /// malformed.
     fn a_request_is_decoded_as_written(value: String, body: Vec<u8>, cut: usize) -> bool {
         let frame = process(&[("kind", value.clone())], &body);
         let read = decode(&frame).unwrap();
@@ -43,8 +44,8 @@
             && matches!(longer.call, Err(CallError::Malformed(_)))
     }
 
-    /// One byte changed anywhere is decoded or rejected, and never panics.
-    fn a_mutilated_request_does_no_harm(at: usize, byte: u8) -> bool {
+    /// A request with one corrupted byte is decoded or rejected without a panic.
+    fn a_corrupted_request_causes_no_panic(at: usize, byte: u8) -> bool {
         let mut frame = process(&[("kind", "page".to_owned()), ("req", "x".to_owned())], b"body");
         let at = at % frame.len();
         frame[at] = byte;
--- a/crates/server/src/net/frontend/tests.rs
+++ b/crates/server/src/net/frontend/tests.rs
@@ -1,4 +1,4 @@
-//! Replies and connections against coroutines that fail and connections that close.
+//! Replies of coroutines that panic, and connections that close while a request is answered.
 
 use std::io::Read;
 use std::sync::Arc;
@@ -14,8 +14,9 @@
 use super::{ExecutorClient, Frontend, IDLE_MARGIN, MESSAGE_TIMEOUT, StoreClient};
 use crate::requests::RequestRegistry;
 
-/// A bug makes the coroutine of one request panic while it holds locks: its caller is answered all
-/// the same, the locks are free again, and the connection goes on.
+/// A bug makes the coroutine of one request panic while it holds locks. Without a guard its caller
+/// would wait for ever and the locks would stay poisoned. The pending reply answers `Failed` when
+/// it is dropped, the locks are not poisoned, and the connection goes on.
 #[test]
 fn a_request_whose_coroutine_panics_is_answered() {
     let (controller_config, names) = crate::net::test_config();
@@ -67,26 +68,27 @@
                 frontend.table.limiter.lock(),
                 connection.open_requests.lock(),
             );
-            panic!("a fault, as this test plays it");
+            panic!("a fault that this test injects");
         }));
         assert!(failed.is_err());
-        assert_eq!(connection.open(), 0, "its place is free");
+        assert_eq!(connection.open(), 0, "the request is no longer open");
         let answer = encode_reply("process", sequence, &Reply::Failed { fields: &[] });
-        let mut came = vec![0; answer.len()];
-        edge.read_exact(&mut came).unwrap();
-        assert_eq!(came, answer);
+        let mut received = vec![0; answer.len()];
+        edge.read_exact(&mut received).unwrap();
+        assert_eq!(received, answer);
     }
 }
 
-/// A request was removed before its answer was queued; a connection that was to close looked done
-/// in between and closed without the answer, once in six runs of a suite. At any time the request
-/// is open or its answer is queued.
+/// A request was removed before its answer was queued. A connection that was about to close looked
+/// done in between and closed without the answer, once in six runs of a suite. Both steps now
+/// happen under the lock of the open requests, so at any time the request is open or its answer is
+/// queued.
 #[test]
 fn a_connection_is_never_done_between_a_request_and_its_answer() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = new_stream(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
     let connection = Connection::new(ConnectionId(0), stream.output.clone());
-    // Odd while an answer is owed or there to send.
+    // The value is odd while an answer is due or queued.
     let step = AtomicUsize::new(0);
     std::thread::scope(|scope| {
         scope.spawn(|| {
@@ -113,7 +115,7 @@
             let after = step.load(Ordering::Acquire);
             assert!(
                 !(done && before == after && before % 2 == 1),
-                "done with an answer owed"
+                "done while an answer is due"
             );
             if after == usize::MAX - 1 {
                 break;
--- a/crates/server/src/net/lines_tests.rs
+++ b/crates/server/src/net/lines_tests.rs
@@ -1,4 +1,4 @@
-//! Lines as they are written, cut and malformed.
+//! Lines that are complete, truncated or malformed.
 
 use super::{LineError, MAX_LINE_BYTES, line, next};
 
@@ -7,7 +7,8 @@
 }
 
 quickcheck::quickcheck! {
-    /// A line cut at any byte is not there yet; whole, it is what was written, whatever follows.
+    /// A line that is truncated at any byte is incomplete; a complete one is read as it was
+    /// written, whatever follows.
     fn a_line_is_read_completely_or_not_at_all(body: Vec<u8>, rest: Vec<u8>, cut: usize) -> bool {
         let head = line(format_args!("REAP 7 9b1f success 3.5 {}", body.len()));
         let bytes = [head.as_bytes(), &body, b"\r\n"].concat();
@@ -20,7 +21,7 @@
             && read.used == bytes.len()
     }
 
-    /// Anything else is turned down or waited for, within its bounds.
+    /// Any other bytes are rejected or incomplete, and nothing beyond them is read.
     fn any_bytes_can_be_read(bytes: Vec<u8>) -> bool {
         match next(&bytes, |_| true) {
             Ok(Some(read)) => read.used <= bytes.len(),
--- a/crates/server/src/net/ring_buffer_tests.rs
+++ b/crates/server/src/net/ring_buffer_tests.rs
@@ -1,11 +1,12 @@
-//! The buffer beside a plain queue.
+//! The ring buffer compared with a plain queue.
 
 use std::collections::VecDeque;
 
 use super::RingBuffer;
 
 quickcheck::quickcheck! {
-    /// Beside a plain queue: the same bytes in the same order, never more than the bound.
+    /// The ring buffer holds the same bytes in the same order as a plain queue, and never more than
+    /// its capacity.
     fn a_ring_buffer_is_a_bounded_queue(steps: Vec<(u8, u16)>) -> bool {
         let (mut ring, mut queue, mut next) = (RingBuffer::new(9000), VecDeque::new(), 0u8);
         for (kind, size) in steps {
--- a/crates/server/tests/program/cancellation.rs
+++ b/crates/server/tests/program/cancellation.rs
@@ -62,8 +62,10 @@
 
 /// Where the settings announce cancellations, callers cancel requests before, with and behind their
 /// answer, twice, and for requests that never existed. A cancellation used to be taken for garbage:
-/// its connection was closed, and requests that arrived over it meanwhile were lost. A cancellation
-/// that arrived in the same read as its request let that request run for nobody.
+/// its connection was closed, and requests that arrived over it meanwhile were lost. One that
+/// arrived in the same read as its request let that request run for nobody. A cancellation is now
+/// matched to its request by sequence, and a request that is cancelled before it is registered has
+/// no time left to wait, so it is rejected at once.
 #[test]
 fn a_cancellation_affects_its_own_request_alone() {
     let mut backend = start_backend_that_sees_cancellations();
--- a/crates/server/tests/program/store_calls.rs
+++ b/crates/server/tests/program/store_calls.rs
@@ -1,5 +1,5 @@
-//! Calls to the store: a store that is down, silent or malformed, replies that break off, and pooled
-//! connections that close.
+//! Calls to the store: a store that is down, silent or malformed, replies that break off, and
+//! pooled connections that close.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
