--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The command line as a user meets it: what it prints, what it writes, its exit codes.
+//! Tests of the command line from outside: its output, the files it writes and its exit codes.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -16,12 +16,13 @@
         self.0.path().join(name)
     }
 
-    /// Runs a command in the folder, its words parted by spaces.
+    /// Runs a command in the directory; its words are separated by spaces.
     fn run(&self, words: &str) -> Output {
-        self.run_with(words, b"")
+        self.run_with_input(words, b"")
     }
 
-    fn run_with(&self, words: &str, input: &[u8]) -> Output {
+    /// Runs a command with that standard input.
+    fn run_with_input(&self, words: &str, input: &[u8]) -> Output {
         let mut child = Command::new(env!("CARGO_BIN_EXE_tulipgap"))
             .args(words.split(' '))
             .current_dir(self.0.path())
@@ -38,23 +39,36 @@
         output
     }
 
-    fn json(&self, words: &str) -> serde_json::Value {
+    /// Runs a command that must succeed, and parses its output as JSON.
+    fn run_json(&self, words: &str) -> serde_json::Value {
         let output = self.run(words);
-        assert_eq!(output.status.code(), Some(0), "{words}: {}", err(&output));
+        assert_eq!(
+            output.status.code(),
+            Some(0),
+            "{words}: {}",
+            stderr_of(&output)
+        );
         serde_json::from_slice(&output.stdout).unwrap()
     }
 
-    fn fine(&self, words: &str) -> String {
+    /// Runs a command that must succeed, and returns its output.
+    fn run_ok(&self, words: &str) -> String {
         let output = self.run(words);
-        assert_eq!(output.status.code(), Some(0), "{words}: {}", err(&output));
+        assert_eq!(
+            output.status.code(),
+            Some(0),
+            "{words}: {}",
+            stderr_of(&output)
+        );
         String::from_utf8(output.stdout).unwrap()
     }
 }
 
-fn err(output: &Output) -> String {
+fn stderr_of(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
+/// Flips one bit in the middle of a file.
 fn damage(path: &Path) {
     let mut bytes = std::fs::read(path).unwrap();
     let middle = bytes.len() / 2;
@@ -66,18 +80,18 @@
 fn synthetic_recording_is_cut_summarised_and_exported() {
     let workspace = Workspace::new();
     workspace
-        .fine("trace synth --minutes 3 --rate 60 --seed 1 --cores 4 -o day.tgt --raw day.jsonl");
-    // The same seed, the same bytes.
-    workspace.fine("trace synth --minutes 3 --rate 60 --seed 1 --cores 4 -o again.tgt");
+        .run_ok("trace synth --minutes 3 --rate 60 --seed 1 --cores 4 -o day.tgt --raw day.jsonl");
+    // The same seed gives the same bytes.
+    workspace.run_ok("trace synth --minutes 3 --rate 60 --seed 1 --cores 4 -o again.tgt");
     assert_eq!(
         std::fs::read(workspace.path("day.tgt")).unwrap(),
         std::fs::read(workspace.path("again.tgt")).unwrap()
     );
     let raw = std::fs::read_to_string(workspace.path("day.jsonl")).unwrap();
-    let info = workspace.json("trace info --json day.tgt");
+    let info = workspace.run_json("trace info --json day.tgt");
     assert_eq!(info["records"], raw.lines().count());
     // The export has the lines of the raw log, in another order.
-    let exported = workspace.fine("trace export day.tgt");
+    let exported = workspace.run_ok("trace export day.tgt");
     let lines = |text: &str| {
         let mut lines: Vec<serde_json::Value> = text
             .lines()
@@ -87,7 +101,7 @@
         lines
     };
     assert!(lines(&exported) == lines(&raw));
-    // A minute by offsets, and by times.
+    // A minute is selected by offsets, and then by times.
     let cut = workspace.run("trace cut day.tgt --from 1m --to 2m -o -");
     std::fs::write(workspace.path("minute.tgt"), &cut.stdout).unwrap();
     let first = info["from"].as_i64().unwrap();
@@ -95,18 +109,18 @@
         let reached = line["reached"].as_i64().unwrap();
         (first + 60_000_000..first + 120_000_000).contains(&reached)
     };
-    let minute = workspace.json("trace info --json minute.tgt")["records"].clone();
+    let minute = workspace.run_json("trace info --json minute.tgt")["records"].clone();
     assert_eq!(minute, lines(&raw).iter().filter(within).count());
     let times = "--from 2025-12-01T08:01:00Z --to 2025-12-01T08:01:30.5Z";
     assert!(
-        workspace.json(&format!("trace summary --json day.tgt {times}"))[0]["asked"]
+        workspace.run_json(&format!("trace summary --json day.tgt {times}"))[0]["asked"]
             .as_u64()
             .unwrap()
             > 0
     );
-    // By handler and outcome; a stream in.
+    // Records are selected by handler and outcome, from standard input.
     let bytes = std::fs::read(workspace.path("day.tgt")).unwrap();
-    let shed = workspace.run_with(
+    let shed = workspace.run_with_input(
         "trace export - --handler page --outcome shed --form csv",
         &bytes,
     );
@@ -116,7 +130,7 @@
         .filter(|l| l["handler"] == "page" && l["outcome"] == "shed")
         .count();
     assert_eq!(shed.lines().count(), expected + 1);
-    let summary = workspace.fine("trace summary day.tgt --by-minute");
+    let summary = workspace.run_ok("trace summary day.tgt --by-minute");
     assert!(
         summary.contains("service") && summary.contains("rejected with reason late: "),
         "{summary}"
@@ -126,8 +140,8 @@
 #[test]
 fn damage_is_reported_with_exit_code_1_after_all_intact_data() {
     let workspace = Workspace::new();
-    workspace.fine("trace synth --minutes 1 --rate 50 -o day.tgt");
-    let whole = workspace.json("trace info --json day.tgt")["records"]
+    workspace.run_ok("trace synth --minutes 1 --rate 50 -o day.tgt");
+    let whole = workspace.run_json("trace info --json day.tgt")["records"]
         .as_u64()
         .unwrap();
     damage(&workspace.path("day.tgt"));
@@ -137,25 +151,34 @@
     let output = workspace.run("trace export day.tgt");
     assert_eq!(output.status.code(), Some(1));
     assert!(
-        err(&output).contains("records are lost there"),
+        stderr_of(&output).contains("records are lost there"),
         "{}",
-        err(&output)
+        stderr_of(&output)
     );
     let given = String::from_utf8_lossy(&output.stdout).lines().count() as u64;
     assert!(given > whole / 2 && given < whole);
     let output = workspace.run("trace repair day.tgt -o whole.tgt");
     assert_eq!(output.status.code(), Some(1));
-    assert!(workspace.fine("trace check whole.tgt").contains(": sound"));
-    assert!(workspace.fine("trace info whole.tgt").contains("damaged: "));
-    // Torn off, as when a server dies.
+    assert!(
+        workspace
+            .run_ok("trace check whole.tgt")
+            .contains(": sound")
+    );
+    assert!(
+        workspace
+            .run_ok("trace info whole.tgt")
+            .contains("damaged: ")
+    );
+    // The file is cut off, as after a crash of the server.
     let bytes = std::fs::read(workspace.path("whole.tgt")).unwrap();
     std::fs::write(workspace.path("torn.tgt"), &bytes[..bytes.len() * 2 / 3]).unwrap();
     let output = workspace.run("trace summary torn.tgt");
     assert_eq!(output.status.code(), Some(1));
     assert!(
-        err(&output).contains("torn off at byte") && err(&output).contains("no end mark"),
+        stderr_of(&output).contains("torn off at byte")
+            && stderr_of(&output).contains("no end mark"),
         "{}",
-        err(&output)
+        stderr_of(&output)
     );
     // A command that fails leaves neither a new file nor a damaged old one.
     std::fs::write(workspace.path("old.tgt"), "old").unwrap();
@@ -175,39 +198,39 @@
 #[test]
 fn files_of_both_formats_and_several_servers_merge() {
     let workspace = Workspace::new();
-    workspace.fine("trace synth --rate 40 --server a --seed 1 --format 1 -o a.tgt");
-    workspace.fine("trace synth --rate 40 --server b --seed 2 -o b.tgt");
+    workspace.run_ok("trace synth --rate 40 --server a --seed 1 --format 1 -o a.tgt");
+    workspace.run_ok("trace synth --rate 40 --server b --seed 2 -o b.tgt");
     std::fs::copy(workspace.path("b.tgt"), workspace.path("b2.tgt")).unwrap();
     let output = workspace.run("trace merge a.tgt b.tgt b2.tgt -o all.tgt --offset b=-1.5s");
-    assert_eq!(output.status.code(), Some(0), "{}", err(&output));
+    assert_eq!(output.status.code(), Some(0), "{}", stderr_of(&output));
     assert!(
-        err(&output).contains("b2.tgt is the same file as b.tgt"),
+        stderr_of(&output).contains("b2.tgt is the same file as b.tgt"),
         "{}",
-        err(&output)
+        stderr_of(&output)
     );
     let count = |name: &str| {
-        workspace.json(&format!("trace info --json {name}"))["records"]
+        workspace.run_json(&format!("trace info --json {name}"))["records"]
             .as_u64()
             .unwrap()
     };
     assert_eq!(count("all.tgt"), count("a.tgt") + count("b.tgt"));
-    let from = workspace.json("trace info --json all.tgt")["from"]
+    let from = workspace.run_json("trace info --json all.tgt")["from"]
         .as_i64()
         .unwrap();
     assert_eq!(
         from,
-        workspace.json("trace info --json b.tgt")["from"]
+        workspace.run_json("trace info --json b.tgt")["from"]
             .as_i64()
             .unwrap()
             - 1_500_000
     );
-    let together = workspace.json("trace summary --json a.tgt b.tgt")[0]["tries"].as_u64();
+    let together = workspace.run_json("trace summary --json a.tgt b.tgt")[0]["tries"].as_u64();
     assert_eq!(together, Some(count("all.tgt")));
     let unknown = workspace.run("trace merge a.tgt -o c.tgt --offset nobody=1s");
     assert_eq!(unknown.status.code(), Some(2));
     // The columns that format 1 lacks are reported.
     assert!(
-        err(&workspace.run("trace cut b.tgt -o lean.tgt --format 1"))
+        stderr_of(&workspace.run("trace cut b.tgt -o lean.tgt --format 1"))
             .contains("format 1 has no column for server")
     );
 }
@@ -215,37 +238,37 @@
 #[test]
 fn anonymised_copies_hide_ids_and_weak_keys_are_rejected() {
     let workspace = Workspace::new();
-    workspace.fine("trace synth --rate 20 -o day.tgt");
+    workspace.run_ok("trace synth --rate 20 -o day.tgt");
     std::fs::write(workspace.path("weak"), "secret").unwrap();
     let output = workspace.run("trace anonymise day.tgt -o out.tgt --key-file weak");
     assert_eq!(output.status.code(), Some(2));
     assert!(
-        err(&output).contains("the key has 6 bytes"),
+        stderr_of(&output).contains("the key has 6 bytes"),
         "{}",
-        err(&output)
+        stderr_of(&output)
     );
     assert!(!workspace.path("out.tgt").exists());
     let key = b"0123456789abcdef00112233445566778899aabbccddeeff1032547698badcfe\n";
-    let output = workspace.run_with(
+    let output = workspace.run_with_input(
         "trace anonymise day.tgt -o out.tgt --key-file - --tenants --servers",
         key,
     );
-    assert_eq!(output.status.code(), Some(0), "{}", err(&output));
+    assert_eq!(output.status.code(), Some(0), "{}", stderr_of(&output));
     let ids = |name: &str| -> std::collections::BTreeSet<String> {
-        let text = workspace.fine(&format!("trace export {name}"));
+        let text = workspace.run_ok(&format!("trace export {name}"));
         text.lines()
             .map(|line| serde_json::from_str::<serde_json::Value>(line).unwrap()["id"].to_string())
             .collect()
     };
     let (old, new) = (ids("day.tgt"), ids("out.tgt"));
     assert!(old.len() == new.len() && old.is_disjoint(&new));
-    assert!(!workspace.fine("trace info out.tgt").contains("harbour"));
+    assert!(!workspace.run_ok("trace info out.tgt").contains("harbour"));
 }
 
 #[test]
 fn invalid_usage_ends_with_exit_code_2() {
     let workspace = Workspace::new();
-    workspace.fine("trace synth --minutes 0.1 --rate 20 -o day.tgt");
+    workspace.run_ok("trace synth --minutes 0.1 --rate 20 -o day.tgt");
     for words in [
         "trace cut day.tgt --from soon -o out.tgt",
         "trace cut day.tgt --from 2s --to 1s -o out.tgt",
@@ -261,7 +284,7 @@
         let output = workspace.run(words);
         assert_eq!(output.status.code(), Some(2), "{words}");
         assert!(
-            !err(&output).is_empty() && !err(&output).contains("panicked"),
+            !stderr_of(&output).is_empty() && !stderr_of(&output).contains("panicked"),
             "{words}"
         );
     }
@@ -272,7 +295,7 @@
             .code(),
         Some(1)
     );
-    assert!(workspace.fine("--version").starts_with("tulipgap "));
+    assert!(workspace.run_ok("--version").starts_with("tulipgap "));
 }
 
 #[test]
@@ -284,7 +307,10 @@
         "trace {\n  foldre = \"t\"\n  format = 9.5\n}\n",
     )
     .unwrap();
-    assert_eq!(workspace.fine("config check good.hcl"), "good.hcl: fine\n");
+    assert_eq!(
+        workspace.run_ok("config check good.hcl"),
+        "good.hcl: fine\n"
+    );
     let output = workspace.run("config check good.hcl bad.hcl");
     assert_eq!(output.status.code(), Some(1));
     let report = String::from_utf8(output.stdout).unwrap();
@@ -302,12 +328,13 @@
     );
 }
 
-/// A file of frame headers that claim the longest payloads and longer ones, with a long hole behind
-/// them, is read in little memory.
+/// A hostile file has frame headers that claim the longest payloads and longer ones, with a long
+/// hole behind them. A reader that allocated what is claimed would run out of memory; it is limited
+/// to 96 MB here.
 #[test]
 fn claimed_lengths_of_a_hostile_file_allocate_no_memory() {
     let workspace = Workspace::new();
-    workspace.fine("trace synth --minutes 0.2 --rate 50 -o day.tgt");
+    workspace.run_ok("trace synth --minutes 0.2 --rate 50 -o day.tgt");
     let mut bytes = std::fs::read(workspace.path("day.tgt")).unwrap();
     for length in [u32::MAX, 2_000_000_000, 8 * 1024 * 1024] {
         let mut head = vec![0xF7, b't', b'g', b'B'];
@@ -322,7 +349,7 @@
         .open(workspace.path("hostile.tgt"))
         .and_then(|file| file.set_len(160 * 1024 * 1024))
         .unwrap();
-    // With 96 MB of address space, the program itself included.
+    // 96 MB of address space, which include the program itself.
     let output = Command::new("sh")
         .args([
             "-c",
@@ -332,11 +359,11 @@
         .current_dir(workspace.0.path())
         .output()
         .unwrap();
-    assert_eq!(output.status.code(), Some(1), "{}", err(&output));
+    assert_eq!(output.status.code(), Some(1), "{}", stderr_of(&output));
     assert!(
         String::from_utf8_lossy(&output.stdout).contains("not sound"),
         "{}",
-        err(&output)
+        stderr_of(&output)
     );
 }
 
@@ -349,14 +376,14 @@
     ))
     .unwrap();
     std::fs::write(workspace.path("plan.hcl"), &plan).unwrap();
-    let report = workspace.json("chaos simulate plan.hcl --seeds 0..2 --json");
+    let report = workspace.run_json("chaos simulate plan.hcl --seeds 0..2 --json");
     assert_eq!(
         (&report["runs"], &report["broken"]),
         (&2.into(), &serde_json::Value::Null)
     );
     assert!(
         workspace
-            .fine("chaos simulate plan.hcl --seeds 0..2")
+            .run_ok("chaos simulate plan.hcl --seeds 0..2")
             .contains("held_dead  longest ")
     );
     // No run can keep this bound: the report names the seed that violates it.
@@ -376,9 +403,9 @@
     let output = workspace.run("chaos simulate wrong.hcl");
     assert_eq!(output.status.code(), Some(2));
     assert!(
-        err(&output).contains("no zone and no member"),
+        stderr_of(&output).contains("no zone and no member"),
         "{}",
-        err(&output)
+        stderr_of(&output)
     );
     assert_eq!(
         workspace
@@ -389,8 +416,8 @@
     );
 }
 
-/// `chaos` was named `rig`, and its flag `--random-faults` was `--chaos`. Scripts use the old names,
-/// so both are taken and print the same.
+/// `chaos` was named `rig`, and its flag `--random-faults` was `--chaos`. Scripts use the old
+/// names, so both are taken and print the same.
 #[test]
 fn rig_and_its_chaos_flag_are_aliases_of_chaos_and_random_faults() {
     let workspace = Workspace::new();
@@ -400,13 +427,13 @@
     ))
     .unwrap();
     std::fs::write(workspace.path("plan.hcl"), plan).unwrap();
-    let new = workspace.fine("chaos simulate plan.hcl --random-faults --seeds 0..2");
-    let old = workspace.fine("rig simulate plan.hcl --chaos --seeds 0..2");
+    let new = workspace.run_ok("chaos simulate plan.hcl --random-faults --seeds 0..2");
+    let old = workspace.run_ok("rig simulate plan.hcl --chaos --seeds 0..2");
     assert!(new.starts_with("2 runs of "), "{new}");
     assert_eq!(new, old);
-    let without = workspace.fine("chaos simulate plan.hcl --seeds 0..2");
+    let without = workspace.run_ok("chaos simulate plan.hcl --seeds 0..2");
     assert_ne!(new, without, "the faults are drawn");
-    let help = workspace.fine("--help");
+    let help = workspace.run_ok("--help");
     assert!(help.contains("chaos") && help.contains("rig"), "{help}");
 }
 
@@ -424,14 +451,14 @@
         let output = workspace.run(words);
         assert_eq!(output.status.code(), Some(2), "{words}");
         assert!(
-            err(&output).contains("missing: No such file"),
+            stderr_of(&output).contains("missing: No such file"),
             "{words}: {}",
-            err(&output)
+            stderr_of(&output)
         );
     }
 }
 
-/// The recordings and what version 0.1.0 exported of them stand beside the tests of the trace
+/// The recordings, and what version 0.1.0 exported of them, are beside the tests of the trace
 /// crate.
 #[test]
 fn recordings_of_version_0_1_0_export_the_same_lines() {
@@ -442,7 +469,7 @@
         std::fs::copy(recording, workspace.path("golden.tgt")).unwrap();
         let expected = std::fs::read_to_string(golden.join(format!("{name}.jsonl"))).unwrap();
         assert!(
-            workspace.fine("trace export golden.tgt") == expected,
+            workspace.run_ok("trace export golden.tgt") == expected,
             "{name}"
         );
     }
--- a/crates/server/tests/program/address_limits.rs
+++ b/crates/server/tests/program/address_limits.rs
@@ -12,7 +12,7 @@
     TestBackend, start_backend_with_descriptor_limit, start_backend_with_settings,
 };
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, request_fields};
-use crate::harness::{LONG_TIMEOUT, wait_until};
+use crate::harness::{EDGE_PORT, LONG_TIMEOUT, wait_until};
 
 /// Ends the flood when it is dropped, also where the test fails before.
 struct StopOnDrop(Arc<AtomicBool>);
@@ -41,7 +41,7 @@
         .ok()?;
     let host: Ipv4Addr = backend.host.parse().unwrap();
     socket
-        .connect_timeout(&SocketAddr::from((host, 6565)).into(), PROMPT)
+        .connect_timeout(&SocketAddr::from((host, EDGE_PORT)).into(), PROMPT)
         .ok()?;
     let stream: TcpStream = socket.into();
     stream.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
@@ -115,7 +115,7 @@
     for turn in 0..5 {
         for &address in &known {
             let start = Instant::now();
-            let mut edge = connect_from(&backend, address).expect("it connects");
+            let mut edge = connect_from(&backend, address).expect("a connection");
             assert!(
                 is_served(&mut edge, 1, ids.fetch_add(1, Ordering::Relaxed).into()),
                 "turn {turn}, {address:?}"
@@ -155,7 +155,7 @@
     let mut other = connect_from(&backend, [127, 98, 1, 2]).unwrap();
     assert!(is_served(&mut other, 1, 77), "another address has its own");
     drop(edges);
-    wait_until("the place is free again", || {
+    wait_until("the descriptor is free again", || {
         connect_from(&backend, [127, 98, 1, 1])
             .is_some_and(|mut edge| is_served(&mut edge, 1, 99 + u64::from(fastrand::u32(..))))
     });
@@ -175,7 +175,7 @@
     for (id, edge) in (1u32..).zip(&mut early) {
         edge.send_request(1, &format!("{id:016x}"), b"hang");
     }
-    wait_until("they run", || backend.executor().runs.len() == 3);
+    wait_until("the requests run", || backend.executor().runs.len() == 3);
     // Far more connections than descriptors: each is accepted, rejected or waits, and the server
     // goes on.
     let many: Vec<EdgeConnection> = (0..120)
@@ -183,7 +183,7 @@
         .collect();
     assert!(backend.child.try_wait().unwrap().is_none());
     drop(many);
-    wait_until("it takes new ones again", || {
+    wait_until("the backend accepts connections again", || {
         connect_from(&backend, [127, 95, 1, 1])
             .is_some_and(|mut edge| is_served(&mut edge, 1, fastrand::u64(..)))
     });
--- a/crates/server/tests/program/cancellation.rs
+++ b/crates/server/tests/program/cancellation.rs
@@ -35,7 +35,9 @@
     for turn in 0..30u32 {
         let id = format!("0000000000f5{turn:04x}");
         edge.send_request(100 + turn, &id, b"hang");
-        wait_until("it runs", || backend.executor().runs.contains_key(&id));
+        wait_until("the request runs", || {
+            backend.executor().runs.contains_key(&id)
+        });
         if turn % 2 == 0 {
             backend.executor().end_run(&id, "success", b"crossing");
             edge.cancel(100 + turn);
@@ -73,10 +75,10 @@
     let mut edge = backend.connect();
     edge.send_request(1, "0000000000f40001", b"hang");
     edge.send_request(2, "0000000000f40002", b"hang");
-    wait_until("both run", || backend.executor().runs.len() == 2);
+    wait_until("both requests run", || backend.executor().runs.len() == 2);
     edge.cancel(1);
     // The executor acknowledges that the run is stopped; no answer is due after that.
-    wait_until("it is stopped", || {
+    wait_until("the run is cancelled", || {
         backend.executor().ends.contains_key("0000000000f40001")
     });
     // Cancellations of a finished request, of one that never existed, and a repeated one.
--- a/crates/server/tests/program/connection_close.rs
+++ b/crates/server/tests/program/connection_close.rs
@@ -242,7 +242,9 @@
         let mut cut = backend.connect();
         let id = format!("0000000000f6{turn:04x}");
         cut.send_request(1, &id, b"hang");
-        wait_until("it runs", || backend.executor().runs.contains_key(&id));
+        wait_until("the request runs", || {
+            backend.executor().runs.contains_key(&id)
+        });
         socket2::SockRef::from(&cut.stream)
             .set_linger(Some(std::time::Duration::ZERO))
             .unwrap();
--- a/crates/server/tests/program/connection_floods.rs
+++ b/crates/server/tests/program/connection_floods.rs
@@ -123,7 +123,7 @@
         edge
     };
     let mut edges: Vec<EdgeConnection> = (0..12).map(connection_with_open_request).collect();
-    wait_until("it runs", || {
+    wait_until("the request runs", || {
         backend.executor().runs.contains_key("0000000000fa0000")
     });
     let mut last = backend.connect();
--- a/crates/server/tests/program/executor_link.rs
+++ b/crates/server/tests/program/executor_link.rs
@@ -19,7 +19,7 @@
     edge.send_request(1, "00000000000000b1", b"run");
     edge.expect_answer(1, AnswerKind::Answer);
     edge.send_request(2, "00000000000000b2", b"hang");
-    wait_until("it runs", || {
+    wait_until("the request runs", || {
         backend.executor().runs.contains_key("00000000000000b2")
     });
     {
@@ -35,7 +35,7 @@
             .contains(b"ended unheard")
     );
     // The request that arrived in between is run once.
-    wait_until("it runs", || {
+    wait_until("the request runs", || {
         backend.executor().runs.contains_key("00000000000000b3")
     });
     let mut executor = backend.executor();
@@ -55,7 +55,7 @@
     let mut edge = backend.connect();
     edge.send_request(1, "00000000000000e1", b"hang");
     edge.send_request(2, "00000000000000e2", b"hang");
-    wait_until("both run", || backend.executor().runs.len() == 2);
+    wait_until("both requests run", || backend.executor().runs.len() == 2);
     {
         let mut executor = backend.executor();
         executor
@@ -130,7 +130,7 @@
     }
     // Messages without a meaning and a rejected command leave the link as it is.
     edge.send_request(9, "00000000000000f9", b"hang");
-    wait_until("it runs", || !backend.executor().runs.is_empty());
+    wait_until("the request runs", || !backend.executor().runs.is_empty());
     let links = backend.executor().link_count;
     backend.executor().send_line(
         "EINVAL NOIO x\r\nINFO 999999 x\r\nEINVAL SCHED 00000000000000f9\r\n".to_owned(),
@@ -246,7 +246,9 @@
     for turn in 0..6u32 {
         let id = format!("000000000a0c{turn:04x}");
         edge.send_request(turn + 1, &id, b"hang");
-        wait_until("it runs", || backend.executor().runs.contains_key(&id));
+        wait_until("the request runs", || {
+            backend.executor().runs.contains_key(&id)
+        });
         backend.signal("STOP");
         {
             let mut executor = backend.executor();
--- a/crates/server/tests/program/graceful_shutdown.rs
+++ b/crates/server/tests/program/graceful_shutdown.rs
@@ -10,7 +10,7 @@
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, request_fields};
 use crate::harness::executor::{SharedExecutor, serve_executor};
 use crate::harness::store::start_store;
-use crate::harness::{unique_address, wait_until};
+use crate::harness::{EDGE_PORT, unique_address, wait_until};
 
 /// A shutdown notice that came before the executor was connected was forgotten: requests that
 /// arrived behind the drain grace were run. The registry now keeps the notice and passes it to the
@@ -20,8 +20,8 @@
     let host = unique_address();
     let store = start_store(&host);
     let mut backend = BackendSetup::with_peers(host, SharedExecutor::default(), store).spawn();
-    wait_until("it listens", || {
-        TcpStream::connect((&backend.host[..], 6565)).is_ok()
+    wait_until("the backend listens", || {
+        TcpStream::connect((&backend.host[..], EDGE_PORT)).is_ok()
     });
     let mut edge = backend.connect();
     edge.send_call(1, "probe", b"\0");
@@ -110,12 +110,12 @@
     for (at, edge) in (0u32..).zip(&mut edges) {
         edge.send_request(1, &format!("0000000000f8{at:04x}"), b"hang");
     }
-    wait_until("they run or are held", || {
+    wait_until("the requests run or are queued", || {
         !backend.executor().runs.is_empty()
     });
     backend.signal("TERM");
     for (at, edge) in (0x10u32..).zip(&mut edges) {
-        while edge.read_answer().expect("the wish").kind != AnswerKind::NoMore {}
+        while edge.read_answer().expect("a drain notification").kind != AnswerKind::NoMore {}
         // Behind the grace by more than the resolution of the request's timestamp.
         std::thread::sleep(std::time::Duration::from_millis(5));
         let message = edge.encode_request(
--- a/crates/server/tests/program/harness/backend.rs
+++ b/crates/server/tests/program/harness/backend.rs
@@ -10,7 +10,7 @@
 use super::edge_node::{AnswerKind, EdgeConnection, ReceivedAnswer};
 use super::executor::{ExecutorStub, SharedExecutor, serve_executor};
 use super::store::{StoreStub, start_store};
-use super::{LONG_TIMEOUT, unique_address, wait_until};
+use super::{EDGE_PORT, LONG_TIMEOUT, unique_address, wait_until};
 
 /// A process of the program, the stubs around it, and its configuration file.
 pub(crate) struct TestBackend {
@@ -21,6 +21,7 @@
     pub(crate) config_file: PathBuf,
 }
 
+/// Writes the configuration file of a backend.
 pub(crate) fn write_config(host: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("tulipgapd-{host}.json"));
     std::fs::write(&path, text).unwrap();
@@ -36,7 +37,10 @@
         if let Some(status) = child.try_wait().unwrap() {
             break status;
         }
-        assert!(start.elapsed() < LONG_TIMEOUT, "it ends by itself");
+        assert!(
+            start.elapsed() < LONG_TIMEOUT,
+            "the program exits by itself"
+        );
         std::thread::sleep(Duration::from_millis(5));
     };
     let mut written = String::new();
@@ -49,6 +53,7 @@
     (status, written)
 }
 
+/// Starts the program with a configuration file.
 pub(crate) fn spawn_program(file: &Path) -> Child {
     spawn_program_with_settings(file, None)
 }
@@ -76,6 +81,7 @@
         .unwrap()
 }
 
+/// The configuration of a backend with one handler, `page`, and the peers of its host.
 pub(crate) fn config_json(host: &str) -> String {
     let settings = r#"{"classes":[{"name":"page","objective":10000.0,"deadline":20000.0,"worth":1.0,"effect":"pure"}],
         "family_info":{"below":"shared","calls_out":20.0,"share_span":5000.0,"stays_for":100.0,"blowup":4.0,"cores":4,
@@ -159,6 +165,7 @@
     }
 }
 
+/// A backend with 1,024 descriptors that serves.
 pub(crate) fn start_backend() -> TestBackend {
     start_backend_with_sockets(1024)
 }
@@ -221,8 +228,8 @@
     /// Waits for a health check that succeeds: a connection alone shows nothing, because requests
     /// are rejected until the executor is up.
     pub(crate) fn wait_until_healthy(&self, is_expected: impl Fn(&ReceivedAnswer) -> bool) {
-        wait_until("it serves", || {
-            let Ok(stream) = TcpStream::connect((&self.host[..], 6565)) else {
+        wait_until("the backend serves", || {
+            let Ok(stream) = TcpStream::connect((&self.host[..], EDGE_PORT)) else {
                 return false;
             };
             let mut edge = EdgeConnection { stream };
@@ -246,12 +253,14 @@
         executor.runs.contains_key(id) || executor.ends.contains_key(id)
     }
 
+    /// A new connection of an edge node.
     pub(crate) fn connect(&self) -> EdgeConnection {
-        let stream = TcpStream::connect((&self.host[..], 6565)).unwrap();
+        let stream = TcpStream::connect((&self.host[..], EDGE_PORT)).unwrap();
         stream.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
         EdgeConnection { stream }
     }
 
+    /// Sends a signal by its short name, such as `TERM`.
     pub(crate) fn signal(&self, signal: &str) {
         let pid = self.child.id().to_string();
         let kill = Command::new("sh")
@@ -260,13 +269,14 @@
         assert!(kill.unwrap().success());
     }
 
+    /// Waits until the process exits.
     pub(crate) fn wait_for_exit(&mut self) -> ExitStatus {
         let start = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(start.elapsed() < LONG_TIMEOUT, "it ends");
+            assert!(start.elapsed() < LONG_TIMEOUT, "the program exits");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
--- a/crates/server/tests/program/harness/edge_node.rs
+++ b/crates/server/tests/program/harness/edge_node.rs
@@ -1,4 +1,4 @@
-//! The messages of an edge node, written by hand.
+//! Connections of an edge node, whose messages are encoded by hand so that they can be invalid.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -11,18 +11,27 @@
 use super::LONG_TIMEOUT;
 use super::backend::TestBackend;
 
+/// The kinds of messages from the backend.
 #[derive(Debug, PartialEq)]
 pub(crate) enum AnswerKind {
+    /// The result of a request, or the reply to a health check.
     Answer,
+    /// The request was rejected, so it may be sent again.
     Rejected,
+    /// The request failed, perhaps after it was run.
     Crashed,
+    /// The message was invalid.
     Exception,
+    /// The drain notification.
     NoMore,
 }
 
+/// A message from the backend.
 pub(crate) struct ReceivedAnswer {
     pub(crate) kind: AnswerKind,
+    /// The sequence of the message that it answers.
     pub(crate) sequence: u32,
+    /// The message without its length.
     pub(crate) bytes: Vec<u8>,
 }
 
@@ -37,10 +46,12 @@
     pub(crate) stream: TcpStream,
 }
 
+/// A string as it is sent: its length and its bytes.
 pub(crate) fn encode_string(bytes: &[u8]) -> Vec<u8> {
     [&(bytes.len() as u32).to_be_bytes(), bytes].concat()
 }
 
+/// The fields of a valid request with that id, which needs so many KB of memory.
 pub(crate) fn request_fields(id: &str, need: &str) -> Vec<(&'static str, String)> {
     let ts = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -180,6 +191,7 @@
         }
     }
 
+    /// Reads the next answer and asserts its sequence and kind.
     pub(crate) fn expect_answer(&mut self, sequence: u32, kind: AnswerKind) -> ReceivedAnswer {
         let answer = self.read_answer().expect("an answer");
         assert_eq!((answer.sequence, &answer.kind), (sequence, &kind));
@@ -211,6 +223,7 @@
     counts
 }
 
+/// Reads answers until the drain notification.
 pub(crate) fn wait_for_drain_notification(edge: &mut EdgeConnection) {
     while edge.read_answer().expect("a drain notification").kind != AnswerKind::NoMore {}
 }
--- a/crates/server/tests/program/harness/executor.rs
+++ b/crates/server/tests/program/harness/executor.rs
@@ -5,9 +5,13 @@
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 
-/// A stub of the executor. It does what a request's body says: `run` ends at once, `large` too with
-/// a result of almost 4 KiB, `hang` when it is cancelled or the test ends it, `call` once its call
-/// is over.
+use super::EXECUTOR_PORT;
+
+/// A stub of the executor. The body of a request selects what its run does:
+/// - `run` ends at once with a result that names the id; `large` does so with almost 4 KiB;
+/// - `hang` ends when it is cancelled or the test ends it;
+/// - `call` makes one call, and ends with `richer` after a reply or `poorer` where it is skipped;
+/// - `unknown` is reported as an invalid id.
 #[derive(Default)]
 pub(crate) struct ExecutorStub {
     /// All notices so far; the first has number 1.
@@ -16,15 +20,20 @@
     pub(crate) runs: HashMap<String, u32>,
     /// How often each has ended.
     pub(crate) ends: HashMap<String, u32>,
+    /// The current link; none while the backend is not connected.
     pub(crate) link: Option<TcpStream>,
+    /// How many links were opened.
     pub(crate) link_count: u32,
     /// The next reply to a call is lost with the link that carried it.
     pub(crate) loses_link_at_reply: bool,
     /// The link breaks as the next run starts. The run ends behind the first gauges over the next
     /// link, and its notice is delayed until more is received there.
     pub(crate) cuts_link_at_start: bool,
+    /// The run that ends behind the next gauges.
     pub(crate) ending_run: Option<String>,
+    /// The notice that is delayed until the next command.
     pub(crate) delayed_notice: Vec<u8>,
+    /// The replies that calls got.
     pub(crate) replies: Vec<Vec<u8>>,
 }
 
@@ -36,6 +45,7 @@
 pub(crate) type SharedExecutor = Arc<Mutex<ExecutorStub>>;
 
 impl ExecutorStub {
+    /// Sends a numbered notice, which is sent again over the next link.
     pub(crate) fn send_notice(&mut self, word: &str, rest: String, body: &[u8]) {
         let head = format!(
             "{word} {} {rest} {}\r\n",
@@ -49,6 +59,7 @@
         self.notices.push(bytes);
     }
 
+    /// Ends a run with that word and result, unless it has ended.
     pub(crate) fn end_run(&mut self, id: &str, end: &str, result: &[u8]) {
         if self.runs.remove(id).is_some() {
             *self.ends.entry(id.to_owned()).or_default() += 1;
@@ -56,12 +67,14 @@
         }
     }
 
+    /// Sends a line as it is, which may be invalid.
     pub(crate) fn send_line(&mut self, line: String) {
         if let Some(link) = &mut self.link {
             let _ = link.write_all(line.as_bytes());
         }
     }
 
+    /// Carries out a command of the backend.
     pub(crate) fn handle_command(&mut self, words: &[&str], body: Vec<u8>) {
         if let Some(link) = &mut self.link {
             let _ = link.write_all(&std::mem::take(&mut self.delayed_notice));
@@ -110,9 +123,12 @@
     }
 }
 
-/// Lets the stub listen at that address.
+/// Makes the stub listen on the executor's port of that host.
 pub(crate) fn serve_executor(executor: SharedExecutor, host: &str) -> SharedExecutor {
-    let (shared, listener) = (executor.clone(), TcpListener::bind((host, 7300)).unwrap());
+    let (shared, listener) = (
+        executor.clone(),
+        TcpListener::bind((host, EXECUTOR_PORT)).unwrap(),
+    );
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let executor = shared.clone();
@@ -122,6 +138,7 @@
     executor
 }
 
+/// Reads commands from one link until it is closed or replaced.
 pub(crate) fn serve_executor_link(executor: &SharedExecutor, stream: TcpStream) {
     let mut input = BufReader::new(stream.try_clone().unwrap());
     let mut line = String::new();
--- a/crates/server/tests/program/harness/mod.rs
+++ b/crates/server/tests/program/harness/mod.rs
@@ -11,6 +11,15 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
+/// Port of the program for edge nodes, in `config_json`.
+pub(crate) const EDGE_PORT: u16 = 6565;
+/// Port of the executor, in `config_json`.
+pub(crate) const EXECUTOR_PORT: u16 = 7300;
+/// Port of the store, in `config_json`.
+pub(crate) const STORE_PORT: u16 = 7700;
+/// Port of the service registry, for datagrams, in `config_json`.
+pub(crate) const REGISTRY_PORT: u16 = 7946;
+
 /// Far longer than anything takes, on a busy machine too.
 pub(crate) const LONG_TIMEOUT: Duration = Duration::from_secs(30);
 
--- a/crates/server/tests/program/harness/store.rs
+++ b/crates/server/tests/program/harness/store.rs
@@ -6,11 +6,15 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
 
+use super::STORE_PORT;
+
 /// A stub of the store. It answers every call with its body, unless it is down or another reply is
 /// planned.
 #[derive(Clone, Default)]
 pub(crate) struct StoreStub {
+    /// Whether the store closes connections instead of answering.
     pub(crate) is_down: Arc<AtomicBool>,
+    /// How many calls were received.
     pub(crate) calls: Arc<AtomicU32>,
     /// The replies to the next calls, with ID in place of theirs; an empty one is no reply.
     pub(crate) planned_replies: Arc<Mutex<VecDeque<String>>>,
@@ -28,6 +32,7 @@
             .extend(replies.iter().map(|reply| reply.to_string()));
     }
 
+    /// Serves one connection until it is closed.
     pub(crate) fn serve(&self, stream: TcpStream) {
         let mut input = BufReader::new(stream.try_clone().unwrap());
         let mut line = String::new();
@@ -66,9 +71,13 @@
     }
 }
 
+/// Starts a stub on the store's port of that host.
 pub(crate) fn start_store(host: &str) -> StoreStub {
     let store = StoreStub::default();
-    let (shared, listener) = (store.clone(), TcpListener::bind((host, 7700)).unwrap());
+    let (shared, listener) = (
+        store.clone(),
+        TcpListener::bind((host, STORE_PORT)).unwrap(),
+    );
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let store = shared.clone();
--- a/crates/server/tests/program/idempotency.rs
+++ b/crates/server/tests/program/idempotency.rs
@@ -116,7 +116,7 @@
             b"hang",
         );
     }
-    wait_until("there is no room", || {
+    wait_until("there is no memory for another request", || {
         let mut probing = backend.connect();
         let id = format!(
             "{:016x}",
--- a/crates/server/tests/program/leases.rs
+++ b/crates/server/tests/program/leases.rs
@@ -18,6 +18,7 @@
 use crate::harness::store::{StoreStub, start_store};
 use crate::harness::{unique_address, wait_until};
 
+/// Five members with three voters, which use two leases, and these faults.
 fn plan(faults: &str) -> Plan {
     let text = format!(
         r#"length = 150
@@ -58,11 +59,12 @@
 /// may be violated on the way.
 fn run_until_operations_resume(what: &str, faults: &str) -> RunOutcome {
     let (plan, folder) = (plan(faults), tempfile::tempdir().unwrap());
+    // The run calls `is_finished` for the first time after its last fault.
     let (operations_at_last_fault, has_resumed) = (Cell::new(None), Cell::new(false));
     let is_finished = |out: &RunOutcome| {
         let since = operations_at_last_fault.get().unwrap_or(out.history.len());
         operations_at_last_fault.set(Some(since));
-        let acts = |lease: &str| {
+        let count_operations = |lease: &str| {
             let is_accepted_begin = |record: &&OperationRecord| {
                 record.phase == OperationPhase::Begin
                     && record.rejection.is_none()
@@ -73,7 +75,7 @@
                 .filter(is_accepted_begin)
                 .count()
         };
-        has_resumed.set(acts("one") >= 10 && acts("two") >= 10);
+        has_resumed.set(count_operations("one") >= 10 && count_operations("two") >= 10);
         has_resumed.get()
     };
     let outcome = run(&plan, program(), folder.path(), |_| {}, is_finished)
@@ -81,7 +83,7 @@
     assert_eq!(outcome.violation, None, "{what}");
     assert!(
         has_resumed.get(),
-        "{what}: no acts after the last fault: {:?}",
+        "{what}: no operations after the last fault: {:?}",
         outcome.tokens
     );
     println!(
@@ -201,6 +203,7 @@
     run_until_operations_resume("disks and clocks", text);
 }
 
+/// Sends one command to a control socket and returns the answer.
 fn ask_control_socket(socket: &Path, request: &str) -> Value {
     let mut stream = UnixStream::connect(socket).unwrap();
     stream.write_all(format!("{request}\n").as_bytes()).unwrap();
@@ -396,7 +399,9 @@
     std::fs::write(&file, config_json(&host)).unwrap();
 
     let mut child = start(&settings(""));
-    wait_until("it listens", || UnixStream::connect(at("control")).is_ok());
+    wait_until("the backend listens", || {
+        UnixStream::connect(at("control")).is_ok()
+    });
     send_garbage(&host);
     let members = ask_control_socket(&at("control"), r#"{"do":"members"}"#);
     assert_eq!(
@@ -467,7 +472,7 @@
         edge.expect_answer(1, AnswerKind::Answer)
             .contains(b"richer")
     };
-    wait_until("all have the verdict of one", || {
+    wait_until("all members have the verdict of one", || {
         assert!(!backends.iter().any(&calls), "nobody answers at the store");
         (0..3).all(|at| verdicts(at).len() == 1) && (1..3).all(|at| verdicts(at) == verdicts(0))
     });
--- a/crates/server/tests/program/listener_close.rs
+++ b/crates/server/tests/program/listener_close.rs
@@ -20,7 +20,7 @@
     for round in 0..5u32 {
         let mut backend = start_backend();
         backend.signal("TERM");
-        wait_until("it is told", || {
+        wait_until("the backend reports bad health", || {
             let mut edge = backend.connect();
             edge.send_call(1, "probe", b"\0");
             edge.read_answer()
@@ -38,7 +38,7 @@
         for edge in &mut edges {
             let answer = edge
                 .read_answer()
-                .expect("an answer to what the machine had taken");
+                .expect("an answer on a connection from the backlog");
             let rest = std::iter::from_fn(|| edge.read_answer())
                 .filter(|more| more.kind != AnswerKind::NoMore)
                 .count();
@@ -96,7 +96,9 @@
                     }
                 });
             }
-            wait_until("they are served", || answered.load(Ordering::Acquire) > 100);
+            wait_until("callers are served", || {
+                answered.load(Ordering::Acquire) > 100
+            });
             backend.signal("TERM");
             backend.signal("STOP");
             // Each caller stops after the request that it waits for.
@@ -127,7 +129,7 @@
         for (at, edge) in (0u32..).zip(&mut edges) {
             edge.send_request(1, &format!("{id_prefix}{round:02x}{at:02x}"), b"hang");
         }
-        wait_until("they run or are queued", || {
+        wait_until("the requests run or are queued", || {
             !backend.executor().runs.is_empty()
         });
         backend.signal("TERM");
@@ -171,7 +173,7 @@
 #[test]
 fn a_connect_as_the_listener_closes_does_not_hang() {
     run_at_drain_notifications("0000000000ed", 6, |address| {
-        wait_until("refused", || !is_connect_accepted(address))
+        wait_until("a connect is refused", || !is_connect_accepted(address))
     });
 }
 
--- a/crates/server/tests/program/load.rs
+++ b/crates/server/tests/program/load.rs
@@ -164,7 +164,7 @@
         if done {
             // The processes end with the run, so open requests must be answered before.
             load.over.store(true, Ordering::Relaxed);
-            wait_until("the last are answered", || {
+            wait_until("the last requests are answered", || {
                 let count = |count: &AtomicU64| count.load(Ordering::Relaxed);
                 count(&load.sent) == count(&load.answered) + count(&load.lost)
             });
--- a/crates/server/tests/program/malformed_messages.rs
+++ b/crates/server/tests/program/malformed_messages.rs
@@ -45,7 +45,7 @@
         other.expect_answer(3, AnswerKind::Exception);
     }
     other.send_request(4, "00000000000000d8", b"run");
-    wait_until("it runs", || {
+    wait_until("the request runs", || {
         backend.executor().runs.contains_key("00000000000000d7")
     });
     backend
@@ -116,7 +116,7 @@
     // A connection that is dropped loses its request, and others are served.
     let mut cut = backend.connect();
     cut.send_request(1, "00000000000000d5", b"hang");
-    wait_until("it runs", || {
+    wait_until("the request runs", || {
         backend.executor().runs.contains_key("00000000000000d5")
     });
     let mut edge = backend.connect();
--- a/crates/server/tests/program/peer_moves.rs
+++ b/crates/server/tests/program/peer_moves.rs
@@ -11,7 +11,9 @@
 use crate::harness::edge_node::AnswerKind;
 use crate::harness::executor::{SharedExecutor, serve_executor};
 use crate::harness::store::start_store;
-use crate::harness::{LONG_TIMEOUT, unique_address, wait_until};
+use crate::harness::{
+    EXECUTOR_PORT, LONG_TIMEOUT, REGISTRY_PORT, STORE_PORT, unique_address, wait_until,
+};
 
 impl TestBackend {
     /// Moves the peers of these ports to another host, by the configuration file and SIGHUP.
@@ -30,9 +32,9 @@
     /// Moves these peers and the service registry, and waits for the first report at the new
     /// registry: it shows that the other peers have been moved.
     fn move_peers_and_wait(&self, new_host: &str, ports: &[u16]) {
-        let announce = std::net::UdpSocket::bind((new_host, 7946)).unwrap();
+        let announce = std::net::UdpSocket::bind((new_host, REGISTRY_PORT)).unwrap();
         announce.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
-        self.move_peers(new_host, &[ports, &[7946]].concat());
+        self.move_peers(new_host, &[ports, &[REGISTRY_PORT]].concat());
         announce.recv(&mut [0; 64]).unwrap();
     }
 }
@@ -74,7 +76,7 @@
     let mut edge = backend.connect();
     edge.send_request(1, "0000000000000aa1", b"hang");
     edge.send_request(2, "0000000000000aa2", b"hang");
-    wait_until("both run", || backend.executor().runs.len() == 2);
+    wait_until("both requests run", || backend.executor().runs.len() == 2);
     // A half-written file changes nothing.
     std::fs::write(&backend.config_file, "{\"name\":").unwrap();
     backend.signal("HUP");
@@ -83,10 +85,10 @@
     let new_host = unique_address();
     serve_executor(backend.executor.clone(), &new_host);
     let store = start_store(&new_host);
-    let announce = std::net::UdpSocket::bind((&new_host[..], 7946)).unwrap();
+    let announce = std::net::UdpSocket::bind((&new_host[..], REGISTRY_PORT)).unwrap();
     announce.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
     let mut text = config_json(&backend.host);
-    for port in [7300, 7700, 7946] {
+    for port in [EXECUTOR_PORT, STORE_PORT, REGISTRY_PORT] {
         text = text.replace(
             &format!("{}:{port}", backend.host),
             &format!("{new_host}:{port}"),
@@ -145,12 +147,12 @@
     let backend = start_backend();
     let mut edge = backend.connect();
     edge.send_request(1, "0000000000fe0001", b"hang");
-    wait_until("it runs", || !backend.executor().runs.is_empty());
+    wait_until("the request runs", || !backend.executor().runs.is_empty());
     let (hanging_host, new_host) = (unique_address(), unique_address());
-    let _full_backlog = fill_backlog(&hanging_host, 7300);
-    backend.move_peers(&hanging_host, &[7300]);
+    let _full_backlog = fill_backlog(&hanging_host, EXECUTOR_PORT);
+    backend.move_peers(&hanging_host, &[EXECUTOR_PORT]);
     // The backend has closed the old link, so the new connect hangs by now or is about to.
-    wait_until("it leaves", || {
+    wait_until("the old link is closed", || {
         let executor = backend.executor();
         let mut one = [0];
         let link = executor.link.as_ref().unwrap().try_clone().unwrap();
@@ -160,7 +162,7 @@
         left
     });
     serve_executor(backend.executor.clone(), &new_host);
-    backend.move_peers(&new_host, &[7300]);
+    backend.move_peers(&new_host, &[EXECUTOR_PORT]);
     wait_until("the link moves on", || backend.executor().link_count == 2);
     backend
         .executor()
@@ -179,12 +181,12 @@
     let backend = start_backend();
     let mut edge = backend.connect();
     edge.send_request(1, "0000000000ff0001", b"hang");
-    wait_until("it runs", || !backend.executor().runs.is_empty());
+    wait_until("the request runs", || !backend.executor().runs.is_empty());
     let other_host = unique_address();
     {
         // The executor stub answers nothing while its lock is held.
         let _held = backend.executor();
-        backend.move_peers(&other_host, &[7300]);
+        backend.move_peers(&other_host, &[EXECUTOR_PORT]);
         std::thread::sleep(std::time::Duration::from_millis(30));
         backend.move_peers(&other_host, &[]);
         std::thread::sleep(std::time::Duration::from_millis(30));
@@ -212,8 +214,8 @@
     let backend = start_backend_with_sockets(32);
     let mut edge = backend.connect();
     let (hanging_host, new_host) = (unique_address(), unique_address());
-    let _full_backlog = fill_backlog(&hanging_host, 7700);
-    backend.move_peers_and_wait(&hanging_host, &[7700]);
+    let _full_backlog = fill_backlog(&hanging_host, STORE_PORT);
+    backend.move_peers_and_wait(&hanging_host, &[STORE_PORT]);
     // More calls than may be open at once; each ends at its time limit.
     for sequence in 1..9 {
         edge.send_request(sequence, &format!("0000000000fd{sequence:04x}"), b"call");
@@ -223,8 +225,8 @@
     }
     assert_eq!(backend.store.calls.load(Ordering::Acquire), 0);
     let store = start_store(&new_host);
-    backend.move_peers_and_wait(&new_host, &[7700]);
-    wait_until("calls are made there", || {
+    backend.move_peers_and_wait(&new_host, &[STORE_PORT]);
+    wait_until("calls reach the new store", || {
         let mut edge = backend.connect();
         edge.send_request(
             1,
@@ -256,16 +258,16 @@
         edge.send_request(sequence, &format!("0000000000fc{sequence:04x}"), b"call");
     }
     let pool_size = 32 / 8;
-    wait_until("all places are taken", || {
+    wait_until("all pooled connections are in use", || {
         backend.store.unanswered_calls.lock().unwrap().len() == pool_size
     });
     edge.send_request(5, "0000000000fc0005", b"call");
-    wait_until("it stands at its call", || {
+    wait_until("the request waits for its call", || {
         backend.executor().runs.contains_key("0000000000fc0005")
     });
     let new_host = unique_address();
     let store = start_store(&new_host);
-    backend.move_peers_and_wait(&new_host, &[7700]);
+    backend.move_peers_and_wait(&new_host, &[STORE_PORT]);
     let open = std::mem::take(&mut *backend.store.unanswered_calls.lock().unwrap());
     for (id, mut stream) in open {
         let _ = stream.write_all(format!("{id} OK 4\r\ngood\r\n").as_bytes());
@@ -294,11 +296,11 @@
     for sequence in 1..5 {
         edge.send_request(sequence, &format!("0000000000ee{sequence:04x}"), b"call");
     }
-    wait_until("all places are taken", || {
+    wait_until("all pooled connections are in use", || {
         backend.store.unanswered_calls.lock().unwrap().len() == 32 / 8
     });
     edge.send_request(5, "0000000000ee0005", b"call");
-    wait_until("it stands at its call", || {
+    wait_until("the request waits for its call", || {
         backend.executor().runs.contains_key("0000000000ee0005")
     });
     // The backend reads the executor's call request before the end of the run behind it.
--- a/crates/server/tests/program/recording.rs
+++ b/crates/server/tests/program/recording.rs
@@ -109,16 +109,16 @@
     // A request whose caller disconnects.
     let mut other = backend.connect();
     other.send_request(1, "00000000000000a6", b"hang");
-    wait_until("it runs", || {
+    wait_until("the request runs", || {
         backend.executor().runs.contains_key("00000000000000a6")
     });
     // An unread answer turns the close of the connection into a reset.
     other.send_request(2, "00000000000000a7", b"run");
-    wait_until("an answer has come", || {
+    wait_until("an answer has arrived", || {
         other.stream.peek(&mut [0; 16]).is_ok_and(|count| count > 0)
     });
     drop(other);
-    wait_until("its run is stopped", || {
+    wait_until("the run is cancelled", || {
         backend.executor().ends.contains_key("00000000000000a6")
     });
     backend.signal("TERM");
--- a/crates/server/tests/program/registration.rs
+++ b/crates/server/tests/program/registration.rs
@@ -1,7 +1,7 @@
 //! Registration with the service registry.
 
-use crate::harness::LONG_TIMEOUT;
 use crate::harness::backend::start_backend;
+use crate::harness::{LONG_TIMEOUT, REGISTRY_PORT};
 
 /// The service registry is down when the backend starts, and falls silent later. The backend
 /// repeats its report, so it is registered as soon as the registry listens. The deregistration is
@@ -15,7 +15,7 @@
         &report[..length] == expected
     };
     let listen = |host: &str| {
-        let socket = std::net::UdpSocket::bind((host, 7946)).unwrap();
+        let socket = std::net::UdpSocket::bind((host, REGISTRY_PORT)).unwrap();
         socket.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
         socket
     };
--- a/crates/server/tests/program/restart.rs
+++ b/crates/server/tests/program/restart.rs
@@ -14,7 +14,7 @@
     for (sequence, body) in (1..).zip([&b"hang"[..], b"hang", b"call", b"run"]) {
         edge.send_request(sequence, &format!("0000000000fa{sequence:04x}"), body);
     }
-    wait_until("two run", || backend.executor().runs.len() >= 2);
+    wait_until("two requests run", || backend.executor().runs.len() >= 2);
     backend.child.kill().unwrap();
     backend.child.wait().unwrap();
     let answered: Vec<u32> = std::iter::from_fn(|| edge.read_answer())
@@ -43,7 +43,7 @@
         .send_line("EINVAL SCHED 0000000000fa0003\r\nEINVAL PREEMPT 0000000000fa0001\r\n".into());
     let mut edge = backend.connect();
     edge.send_request(1, "0000000000fa0009", b"hang");
-    wait_until("it runs", || {
+    wait_until("the request runs", || {
         backend.executor().runs.contains_key("0000000000fa0009")
     });
     // An id of the previous process, one of whose runs ends just now.
--- a/crates/server/tests/program/socket_options.rs
+++ b/crates/server/tests/program/socket_options.rs
@@ -6,6 +6,7 @@
 
 use crate::harness::backend::start_backend;
 use crate::harness::edge_node::AnswerKind;
+use crate::harness::{EDGE_PORT, EXECUTOR_PORT, STORE_PORT};
 
 /// Without TCP_NODELAY a small message can wait for the acknowledgement of the one before it. The
 /// option must be set on each TCP connection that the backend writes to: callers', the executor's
@@ -28,8 +29,8 @@
             continue;
         };
         if socket.r#type().unwrap() == Type::STREAM {
-            let port = if local.port() == 6565 {
-                6565
+            let port = if local.port() == EDGE_PORT {
+                EDGE_PORT
             } else {
                 peer.port()
             };
@@ -37,7 +38,7 @@
             ports.push(port);
         }
     }
-    for port in [6565, 7300, 7700] {
+    for port in [EDGE_PORT, EXECUTOR_PORT, STORE_PORT] {
         assert!(
             ports.contains(&port),
             "no connection of port {port}: {ports:?}"
--- a/crates/server/tests/program/startup.rs
+++ b/crates/server/tests/program/startup.rs
@@ -7,7 +7,9 @@
 use crate::harness::edge_node::{AnswerKind, EdgeConnection};
 use crate::harness::executor::{SharedExecutor, serve_executor, serve_executor_link};
 use crate::harness::store::{StoreStub, start_store};
-use crate::harness::{LONG_TIMEOUT, unique_address};
+use crate::harness::{
+    EDGE_PORT, EXECUTOR_PORT, LONG_TIMEOUT, REGISTRY_PORT, STORE_PORT, unique_address,
+};
 
 /// The rule allows 30 s from the start of the process to the first answer.
 const MAX_TIME_TO_FIRST_ANSWER: Duration = Duration::from_secs(5);
@@ -95,14 +97,16 @@
         Presence::Absent => StoreStub::default(),
         Presence::Slow => {
             // Connections stay in the backlog of this listener.
-            silent_store = Some(TcpListener::bind((&host[..], 7700)).unwrap());
+            silent_store = Some(TcpListener::bind((&host[..], STORE_PORT)).unwrap());
             StoreStub::default()
         }
         Presence::Present => start_store(&host),
     };
     let registry = match presence_of(Peer::Registry) {
         Presence::Absent => None,
-        Presence::Slow | Presence::Present => Some(UdpSocket::bind((&host[..], 7946)).unwrap()),
+        Presence::Slow | Presence::Present => {
+            Some(UdpSocket::bind((&host[..], REGISTRY_PORT)).unwrap())
+        }
     };
     let mut begin = Instant::now();
     let mut backend = BackendSetup::with_peers(host, executor, store).spawn();
@@ -156,7 +160,7 @@
 }
 
 fn answer_on_new_connection(backend: &TestBackend, begin: Instant) -> Option<AnswerKind> {
-    let stream = TcpStream::connect((&backend.host[..], 6565)).ok()?;
+    let stream = TcpStream::connect((&backend.host[..], EDGE_PORT)).ok()?;
     stream.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
     let mut edge = EdgeConnection { stream };
     let id = format!("{:016x}", begin.elapsed().as_nanos());
@@ -166,7 +170,7 @@
 
 /// An executor that accepts a link at once and answers it a second later.
 fn serve_executor_late(executor: SharedExecutor, host: &str) {
-    let listener = TcpListener::bind((host, 7300)).unwrap();
+    let listener = TcpListener::bind((host, EXECUTOR_PORT)).unwrap();
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let executor = executor.clone();
--- a/crates/server/tests/program/store_calls.rs
+++ b/crates/server/tests/program/store_calls.rs
@@ -13,7 +13,7 @@
 use crate::harness::edge_node::AnswerKind;
 use crate::harness::executor::{SharedExecutor, serve_executor};
 use crate::harness::store::StoreStub;
-use crate::harness::{LONG_TIMEOUT, unique_address, wait_until};
+use crate::harness::{LONG_TIMEOUT, STORE_PORT, unique_address, wait_until};
 
 /// While the store is down, requests are completed without the call, in the cheaper variant. Once
 /// it is back, calls are made again without a restart.
@@ -57,7 +57,7 @@
         edge.expect_answer(1, AnswerKind::Answer)
             .contains(b"poorer")
     );
-    wait_until("its connection is left", || {
+    wait_until("the connection of the call is closed", || {
         backend.store.closed_connections.load(Ordering::Acquire) > 0
     });
 }
@@ -81,7 +81,7 @@
         let other = format!("00000000000cc{at:02}0");
         backend.store.plan_replies(&["", spoilt, spoilt, spoilt]);
         edge.send_request(1, &other, b"call");
-        wait_until("it is open", || {
+        wait_until("the call waits for its reply", || {
             backend
                 .store
                 .unanswered_calls
@@ -146,7 +146,7 @@
 #[test]
 fn a_pooled_connection_that_closes_as_it_is_assigned_costs_one_call_at_most() {
     let host = unique_address();
-    let listener = std::net::TcpListener::bind((&host[..], 7700)).unwrap();
+    let listener = std::net::TcpListener::bind((&host[..], STORE_PORT)).unwrap();
     let resets = AtomicBool::new(false);
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
@@ -231,7 +231,7 @@
 /// A backend whose store hands each call to the test.
 fn start_backend_with_test_store() -> (TestBackend, std::sync::mpsc::Receiver<Call>) {
     let host = unique_address();
-    let listener = TcpListener::bind((&host[..], 7700)).unwrap();
+    let listener = TcpListener::bind((&host[..], STORE_PORT)).unwrap();
     let (sender, calls) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
