--- a/crates/server/src/requests/metrics.rs
+++ b/crates/server/src/requests/metrics.rs
@@ -1,18 +1,40 @@
-//! Counts of requests by what became of them.
+//! Counts of requests by their outcome.
 
-/// What became of requests since the start.
+/// The requests since the start, by their outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct RequestCounts {
     pub(super) received: u64,
     pub(super) completed: u64,
     pub(super) rejected: u64,
     pub(super) failed: u64,
-    /// Their callers were gone first.
+    /// Those whose callers were gone before their final response.
     pub(super) abandoned: u64,
     pub(super) open: usize,
 }
 
+/// How a request counts once it has its final response.
+#[derive(Clone, Copy)]
+pub(super) enum FinalOutcome {
+    Completed,
+    Rejected,
+    Failed,
+    /// Its caller was gone before.
+    Abandoned,
+}
+
 impl RequestCounts {
+    /// Counts a request that has its final response.
+    pub(super) fn count(&mut self, outcome: FinalOutcome) {
+        let count = match outcome {
+            FinalOutcome::Completed => &mut self.completed,
+            FinalOutcome::Rejected => &mut self.rejected,
+            FinalOutcome::Failed => &mut self.failed,
+            FinalOutcome::Abandoned => &mut self.abandoned,
+        };
+        *count += 1;
+    }
+
+    /// Logs the counts.
     pub(crate) fn log(&self) {
         let RequestCounts {
             received,
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -32,11 +32,13 @@
 const MIN_CLOSE_TIME: Duration = Duration::from_secs(1);
 /// The time before the termination at which a drain ends, whether or not everything is answered.
 const TERMINATION_MARGIN: Duration = Duration::from_millis(100);
+/// The time before the termination by which the cluster is left.
+const CLUSTER_SHUTDOWN_MARGIN: Duration = Duration::from_millis(50);
 /// How often a drain checks whether everything is answered and closed.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The parts of a running server. Each owns its own state; the server owns the parts, and whether it
-/// is draining.
+/// The parts of a running server. Each owns its own state; the server owns the parts, and whether
+/// it is draining.
 pub(crate) struct Server {
     registry: Arc<RequestRegistry>,
     executor: Arc<ExecutorClient>,
@@ -154,8 +156,8 @@
         self.service_registry.set(peers.registry);
     }
 
-    /// Drains after the notice that was received at `notice`, and returns once everything is answered
-    /// and closed, or shortly before the termination.
+    /// Drains after the notice that was received at `notice`, and returns once everything is
+    /// answered and closed, or shortly before the termination.
     pub(crate) fn drain(&self, notice: Instant, cluster: Option<Cluster>) {
         ::log::info!("shutdown notice received");
         self.log_summary();
@@ -174,7 +176,7 @@
         if let Some(cluster) = cluster {
             cluster.shutdown(
                 self.termination
-                    .saturating_sub(notice.elapsed() + TERMINATION_MARGIN / 2),
+                    .saturating_sub(notice.elapsed() + CLUSTER_SHUTDOWN_MARGIN),
             );
         }
         let took = notice.elapsed().as_millis();
@@ -186,8 +188,8 @@
 /// How long after a shutdown notice connections are still accepted. Edge nodes learn of the drain
 /// only after some time, and the controller goes on admitting for `drain_grace`; a connection that
 /// is refused in that time would be an error for its caller. Afterwards no request that arrives may
-/// be run, and a refused connection sends its caller to another server sooner than a response could.
-/// Edge nodes get `MIN_CLOSE_TIME` before the termination in any case.
+/// be run, and a refused connection sends its caller to another server sooner than a response
+/// could. Edge nodes get `MIN_CLOSE_TIME` before the termination in any case.
 fn accepting_time(drain_grace: Duration, termination: Duration) -> Duration {
     drain_grace.min(termination.saturating_sub(MIN_CLOSE_TIME))
 }
