--- a/crates/server/tests/program/registration.rs
+++ b/crates/server/tests/program/registration.rs
@@ -35,6 +35,6 @@
     registry.set_nonblocking(true).unwrap();
     assert!(
         registry.recv(&mut [0; 64]).is_err(),
-        "a report behind the farewell"
+        "a report after the deregistration"
     );
 }
--- a/crates/trace/tests/files/damage.rs
+++ b/crates/trace/tests/files/damage.rs
@@ -30,6 +30,8 @@
     ends
 }
 
+/// A server that is killed leaves a file that ends anywhere. Whatever the last byte is, all
+/// complete blocks are read, and the loss is reported.
 #[test]
 fn truncation_at_any_byte_yields_all_complete_blocks_and_reports_the_loss() {
     for version in [1, 2] {
@@ -121,6 +123,9 @@
     out
 }
 
+/// A hostile file claims frames of gigabytes and blocks with records or handlers without end, under
+/// valid checksums. Nothing is allocated for a claim: the frames are losses, and all intact blocks
+/// are read.
 #[test]
 fn claimed_lengths_beyond_the_limits_allocate_no_memory() {
     let (recorded, bytes) = small(2);
@@ -176,6 +181,8 @@
     }
 }
 
+/// A recording is read while its server still writes it, so it has neither an index nor an end
+/// mark. All complete blocks can be read and selected by time.
 #[test]
 fn a_file_still_being_written_is_readable_up_to_its_last_block() {
     let (recorded, bytes) = small(2);
@@ -205,6 +212,8 @@
     assert_eq!(done.records, expected as u64);
 }
 
+/// A block in the middle of a file is damaged. Each block states how many records precede it, so
+/// the number of missing records is known and can be marked as a gap.
 #[test]
 fn missing_records_between_blocks_are_counted() {
     let (recorded, mut bytes) = small(2);
@@ -241,6 +250,8 @@
     }));
 }
 
+/// The header with the dictionary is damaged. Records are kept, and the index repeats the names.
+/// Without the index the names are numbers, and never those of another file in a merge.
 #[test]
 fn a_damaged_header_keeps_records_and_restores_names_from_the_index() {
     let (recorded, mut bytes) = small(2);
@@ -271,6 +282,8 @@
     );
 }
 
+/// A server recorded times that contradict each other. A reader must not change them, and `check`
+/// reports them.
 #[test]
 fn out_of_order_times_are_preserved_and_reported() {
     let reversed = Record {
@@ -286,6 +299,8 @@
     assert_eq!(found.out_of_order_times["answered before it was read"], 1);
 }
 
+/// The system's clock is set back by an hour in the middle of a recording. Without a new block, one
+/// block would span the hour, and finding records by time would read everything.
 #[test]
 fn a_clock_set_back_starts_a_new_block() {
     const HOUR: Micros = 3_600_000_000;
@@ -346,6 +361,8 @@
     }
 }
 
+/// A damaged index states a block of a terabyte. No frame is that long, so the entry is rejected
+/// before anything is read or allocated.
 #[test]
 fn a_block_entry_longer_than_a_frame_is_rejected_unread() {
     let (_, mut bytes) = small(2);
--- a/crates/trace/tests/files/recorder.rs
+++ b/crates/trace/tests/files/recorder.rs
@@ -185,6 +185,8 @@
     assert_eq!(contents(&storage).0.len(), 1);
 }
 
+/// The disk is full for a while. Records are dropped and counted, the disk is retried with a
+/// growing backoff instead of for each record, and the file has a gap afterwards.
 #[test]
 fn records_dropped_on_a_full_disk_are_counted_and_noted_as_gaps() {
     let storage = MemoryStorage::default();
@@ -233,6 +235,8 @@
     );
 }
 
+/// An old file cannot be removed. Its bytes no longer count, so that the recording goes on instead
+/// of removing files in a loop.
 #[test]
 fn a_file_that_cannot_be_removed_does_not_stop_the_recording() {
     let storage = MemoryStorage::default();
@@ -246,6 +250,8 @@
     assert!(storage.0.lock().unwrap().files.contains_key(&1));
 }
 
+/// The system's clock is set during a recording, whose times go by a clock that is never set. A gap
+/// without records marks the place.
 #[test]
 fn a_clock_change_is_noted_as_a_gap() {
     let storage = MemoryStorage::default();
@@ -268,6 +274,8 @@
     );
 }
 
+/// One record has a value that does not fit its column. The record is counted as missing, and the
+/// storage is not considered faulty: other records are still written.
 #[test]
 fn an_out_of_range_record_is_counted_and_others_are_kept() {
     let storage = MemoryStorage::default();
@@ -299,6 +307,8 @@
     );
 }
 
+/// A write to the disk takes 100 ms. The server must never wait for it: records go to a bounded
+/// queue, and those beyond it are dropped and counted.
 #[test]
 fn a_slow_disk_never_blocks_the_server_and_queue_overflow_is_counted() {
     let storage = MemoryStorage::default();
@@ -328,6 +338,8 @@
     assert_eq!(records.len() as u64 + noted, recorded.len() as u64);
 }
 
+/// The process was killed and starts again on the same directory. It opens a new file with the next
+/// number, and the records of the killed process stay readable.
 #[test]
 fn recording_resumes_in_an_existing_directory() {
     let folder = tempfile::tempdir().unwrap();
