--- a/crates/consensus/src/voter/membership_change.rs
+++ b/crates/consensus/src/voter/membership_change.rs
@@ -12,8 +12,8 @@
 use crate::peer_message::VoterId;
 use crate::replicated_state::{JoiningVoter, ReplicatedState, VoterChange};
 
-/// A learner may vote once its log is at most this many entries behind the committed ones. What
-/// remains is sent within one message.
+/// A learner may vote once its log is at most this many entries behind the committed ones. Where no
+/// more are committed at all, it may vote at once, with an empty log.
 const MAX_LEARNER_LAG_ENTRIES: u64 = 50;
 
 /// One step of a change, to be proposed.
