--- a/crates/membership/src/broadcast_queue.rs
+++ b/crates/membership/src/broadcast_queue.rs
@@ -73,7 +73,9 @@
         recipient: Option<&NodeName>,
     ) -> Vec<MemberUpdate> {
         let mut names: Vec<NodeName> = self.broadcasts.keys().cloned().collect();
-        names.sort_by_key(|name| (Some(name) != recipient, self.broadcasts[name].transmissions));
+        names.sort_by_cached_key(|name| {
+            (Some(name) != recipient, self.broadcasts[name].transmissions)
+        });
         let mut updates = Vec::new();
         for name in names.into_iter().take(limits.max_updates) {
             let Some(broadcast) = self.broadcasts.get_mut(&name) else {
