--- a/tests/decisions/retries.rs
+++ b/tests/decisions/retries.rs
@@ -115,3 +115,17 @@
     };
     assert!(waits.iter().all(is_honoured), "{waits:?}");
 }
+
+/// A retry-after that callers honour may be shorter than a tick (5 to 25 ms). The time until the
+/// queue has run is then clamped between a tick and less than a tick, which panics: the first
+/// rejection on a server that is not degraded ends the process, and all its open requests with it.
+#[test]
+fn a_retry_after_shorter_than_a_tick_does_not_panic() {
+    let mut config = config();
+    config.max_retry_after = Some(ms(10));
+    let mut host = SimulatedHost::new(config, 1);
+    for turn in 1..9 {
+        host.arrive(0, 0, None, 900, turn);
+    }
+    assert!(!rejections(&host).is_empty(), "one is rejected");
+}
