--- a/crates/server/src/log.rs
+++ b/crates/server/src/log.rs
@@ -1,6 +1,11 @@
 //! The logger behind the `log` crate: a line on standard error for each record, with the time since
-//! the start. A thread writes the lines. Where standard error is a pipe that is not read, the
-//! thread blocks and lines are dropped; the server goes on.
+//! the start in seconds.
+//!
+//! A thread writes the lines, which wait for it in a queue of bounded length. The failure this
+//! guards against is a standard error that nobody reads, such as a full pipe: a server that wrote
+//! its lines itself would stop answering at its next line. Here the thread blocks, the queue fills,
+//! and further lines are dropped while the server goes on. The price: dropped lines are counted
+//! nowhere, so a gap shows only in the times of the lines.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -78,6 +83,11 @@
 
 /// Limits the log lines of one kind to the first 20 and then every thousandth, so that a peer
 /// cannot flood the log.
+///
+/// Lines are of one kind where they share a `LogLimit`: usually one message, with all its reasons.
+/// The count goes on for the life of the process. The price: when one kind of fault begins anew
+/// after its first 20 lines, nothing is logged until the count reaches the next multiple of 1,000;
+/// the counts of the summaries show it meanwhile.
 pub(crate) struct LogLimit(AtomicU64);
 
 impl LogLimit {
--- a/crates/server/src/net/executor/link.rs
+++ b/crates/server/src/net/executor/link.rs
@@ -245,7 +245,7 @@
             return;
         };
         if !resync.outcome_unknown.is_empty() {
-            log::warn!("executor runs lost count={}", resync.outcome_unknown.len());
+            log::warn!("executor runs lost runs={}", resync.outcome_unknown.len());
         }
         for id in resync.outcome_unknown {
             let event = RequestEvent::RunFinished {
--- a/crates/server/src/net/frontend/connection_table.rs
+++ b/crates/server/src/net/frontend/connection_table.rs
@@ -3,7 +3,7 @@
 //!
 //! The limiter decides and its actions are carried out under one lock. Between the two, a
 //! connection could close and its index go to another one, which would then be closed in its
-//! place.
+//! place. No other lock of the table is held when that of the limiter is taken.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -172,8 +172,9 @@
                     }
                 }
                 Action::PauseAccepting { until } => *self.accepting_paused_until.lock() = until,
-                // A new connection is served or rejected where it is admitted; the periodic sweep
-                // fires the timers.
+                // A new connection is served or rejected where it is admitted. Timers are not set:
+                // the periodic sweep hands in `TimerExpired`, so a deadline is noticed up to one
+                // sweep late where no other event comes.
                 Action::Serve { .. } | Action::Reject { .. } | Action::SetTimer { .. } => {}
             }
         }
--- a/crates/server/src/net/frontend/listener.rs
+++ b/crates/server/src/net/frontend/listener.rs
@@ -216,6 +216,8 @@
         Some(libc::ENFILE) => AcceptError::SystemDescriptorLimit,
         Some(libc::ENOBUFS | libc::ENOMEM) => AcceptError::OutOfMemory,
         _ if error.kind() == io::ErrorKind::ConnectionAborted => AcceptError::ConnectionAborted,
+        // Any other error: treated like a lack of descriptors, so that accepting pauses and does
+        // not spin. The price: a connection is evicted that did not cause it.
         _ => AcceptError::ProcessDescriptorLimit,
     }
 }
--- a/crates/server/src/net/frontend/memory.rs
+++ b/crates/server/src/net/frontend/memory.rs
@@ -4,7 +4,8 @@
 //! request takes memory until its run has ended. In a flood beyond the limit the system would end
 //! the process, and with it every request that is open. The guard: what is read beyond the limit is
 //! rejected unregistered, at the cost of one reply. The price: such a request is rejected whatever
-//! its priority.
+//! its priority. The controller has a limit of its own, by the kilobytes
+//! that requests state (`admission/memory.rs` of the library).
 
 /// What one open request takes at most, in kilobytes: its coroutine's stack as far as it is
 /// touched, body and result.
--- a/crates/server/src/net/frontend/recent_ids.rs
+++ b/crates/server/src/net/frontend/recent_ids.rs
@@ -1,9 +1,16 @@
-//! The ids of the last requests.
+//! The ids of the last requests that this process has read, over all connections.
 //!
-//! An id is new with every attempt, so a request whose id was received before is malformed. Without
-//! this guard, a caller that sends one request again and again while it is rejected would distort
-//! what the controller measures. The price is the memory for the ids that are remembered; a
-//! duplicate that is older than those is not recognized.
+//! An id is new with every attempt, so a request whose id was received before is malformed. The
+//! failure: a caller sends one request again and again while it is rejected. The controller would
+//! count each as an arrival, and the rejected fraction and the time unread, by which it asks
+//! callers for less traffic, would follow that one caller. The guard: a repeated id gets an
+//! exception before the controller sees it.
+//!
+//! The price is the memory for the ids, and that a client which repeats an id by mistake is treated
+//! as one that violates the protocol: it loses its reputation with the limiter, and its connection
+//! closes after some malformed messages. A duplicate that is older than the remembered ids is not
+//! recognized, and neither is one of a request that was rejected before for lack of memory, because
+//! the memory is checked first.
 
 use std::collections::{HashSet, VecDeque};
 
--- a/crates/server/src/net/frontend/session.rs
+++ b/crates/server/src/net/frontend/session.rs
@@ -21,7 +21,8 @@
 const MAX_STEPS_PER_TURN: usize = 64;
 /// The pause of a session that has used up its turn.
 const TURN_PAUSE: Duration = Duration::from_millis(1);
-/// Malformed messages that are answered before nothing more is read from a connection.
+/// Malformed messages that are tolerated on a connection. With the next one, which is answered like
+/// the others, reading ends.
 const MAX_MALFORMED_MESSAGES: usize = 8;
 
 static MESSAGE_TIMEOUTS: LogLimit = LogLimit::new();
@@ -174,15 +175,14 @@
         let is_closing = self.connection.is_closing();
         let has_timed_out = self.connection.has_timed_out();
         let is_cut_short = has_partial_message && is_closing && self.connection.open() == 0;
+        // A turn has more to read only while the connection was readable.
+        let became_unreadable = turn.has_more && !self.is_readable;
         if self.is_readable && (has_timed_out || is_cut_short) {
             self.is_readable = false;
             if let Some(count) = MESSAGE_TIMEOUTS.pass() {
                 log::warn!("connection closing reason=message_timeout count={count}");
             }
-        } else if turn.has_more
-            && !self.is_readable
-            && let Some(count) = MALFORMED_MESSAGES.pass()
-        {
+        } else if became_unreadable && let Some(count) = MALFORMED_MESSAGES.pass() {
             log::warn!("connection closing reason=malformed_message count={count}");
         }
         is_closing
--- a/crates/server/src/requests/mod.rs
+++ b/crates/server/src/requests/mod.rs
@@ -1,6 +1,7 @@
 //! The requests that are open on this server. [`RequestRegistry`] hosts the overload controller: it
-//! is the only place that sees the controller's events and actions. It takes no decision itself and
-//! knows no protocol.
+//! is the only place that sees the controller's events and actions, and knows no protocol. Whether
+//! a request is admitted, queued, run or rejected is the controller's decision; the registry itself
+//! turns away only what must not reach it: an id that is open, a key with another body.
 //!
 //! A request is [registered](RequestRegistry::register) when it is read. Its coroutine then takes
 //! one [`Command`] after another from its [`Ticket`] and carries it out, while the links to the
