--- a/crates/leases/src/client/renewal.rs
+++ b/crates/leases/src/client/renewal.rs
@@ -63,7 +63,8 @@
         counted_from + self.usable_ttl(ttl) / RENEWALS_PER_TTL
     }
 
-    /// Spreads the renewals of many clients.
+    /// A random delay of a renewal, up to a retry's part of the usable TTL, so that many clients do
+    /// not renew at the same time.
     pub(super) fn renewal_jitter(&mut self, ttl: Duration) -> Duration {
         let pause = self.usable_ttl(ttl) / RETRIES_PER_TTL;
         self.jitter(pause)
--- a/crates/leases/src/expiry.rs
+++ b/crates/leases/src/expiry.rs
@@ -140,15 +140,16 @@
     }
 
     /// When [`due_expirations`](Self::due_expirations) should be called next, by the voter's clock.
-    /// It is read at least twice in each step that counts.
+    /// Time counts in steps of at most [`MAX_COUNTED_STEP`], so the clock is read at least twice in
+    /// each: otherwise a late call would count less time than has passed.
     pub fn next_check_at(&self) -> Option<Duration> {
         let (deadline, _) = self.by_time.first()?;
         let remaining = deadline.saturating_sub(self.counted);
         Some(self.clock + remaining.min(MAX_COUNTED_STEP / 2))
     }
 
-    /// How long a TTL lasts on this clock at least by any other: the owner's clock may be slow and
-    /// this one fast.
+    /// How long to count on this clock until a TTL is over on every clock: the owner's clock may be
+    /// slow and this one fast.
     fn longest_ttl(&self, ttl: Duration) -> Duration {
         if self.bug.is_on(InjectedBug::NoClockMargin) {
             return ttl;
--- a/src/config.rs
+++ b/src/config.rs
@@ -35,7 +35,8 @@
     PriorityThreshold,
     /// Each caller may have this many requests outstanding here.
     ConcurrencyCredit,
-    /// The probability that a caller which comes to this server does not skip it.
+    /// When a caller's turn comes to this server, it sends its request here with this probability,
+    /// and otherwise goes on to the next server.
     TrafficWeight,
 }
 
--- a/src/idle_timeout.rs
+++ b/src/idle_timeout.rs
@@ -2,10 +2,12 @@
 //!
 //! Many callers that each come rarely leave connections open, which shut other callers out and cost
 //! cores. While open connections saturate the table, the idle timeout falls at each control step,
-//! and recovers afterwards. In a retry storm it rises instead: opening a connection costs more than
-//! the request on it, so a full table is the cheapest limit. Half full it shuts nobody out. The
-//! storm is over for the table once the cores starve behind it. The price: where the table is far
-//! larger than the saturation limit, callers open new connections that they would have kept.
+//! and recovers afterwards. In a retry storm it rises instead, until the table is full: opening a
+//! connection costs more than the request on it, and a full table keeps out connections at no cost,
+//! while one that is half full costs cores and keeps out none. The table is left full until the
+//! cores starve behind it, which shows that the limit now costs more than the storm. The price:
+//! where the table is far larger than the saturation limit, callers open new connections that they
+//! would have kept.
 
 #[cfg(test)]
 mod tests;
