--- a/src/admission/quota.rs
+++ b/src/admission/quota.rs
@@ -25,8 +25,8 @@
 /// Tokens below which a tenant is over its quota where the number of servers is unknown.
 const THRESHOLD_TOKENS_OF_UNKNOWN_FLEET: f64 = 1.0;
 
-/// Bursts between the emptiest and the fullest bucket.
-const BUCKET_DEPTH_BURSTS: f64 = 2.0;
+/// Range of a bucket's level, in bursts: from one burst short of the quota to one beyond it.
+const BUCKET_RANGE_BURSTS: f64 = 2.0;
 
 /// Window over which arrivals are compared with the quotas of all tenants.
 pub(crate) const QUOTA_WINDOW: Duration = Duration::from_secs(5);
@@ -53,6 +53,8 @@
 }
 
 impl RecentArrivals {
+    /// The sums cover up to one bucket of the metrics more than the window that divides them, so
+    /// the rate may be up to a twentieth too high on a server older than the window.
     fn first_attempts_per_second(&self) -> f64 {
         let window = QUOTA_WINDOW.min(self.age).max(MIN_RATE_WINDOW);
         (self.requests - self.retries) / window.as_secs_f64()
@@ -102,18 +104,22 @@
 
     /// The tokens below which a tenant is over its quota: those of the emptiest bucket while
     /// arrivals stay within the quotas, and more the further they exceed them.
+    ///
+    /// Bucket levels are taken to be spread evenly from `-BURST_TOKENS` to `BURST_TOKENS`. The part
+    /// of them below a threshold `t` is then `(t + BURST_TOKENS) / (2 * BURST_TOKENS)`. It is to be
+    /// the excess as a part of the arrivals, `1 - quota / rate`, which gives the threshold.
     fn threshold_tokens(&self, arrivals: &RecentArrivals) -> f64 {
         let Some(quota) = self.server_quota_per_second else {
             return THRESHOLD_TOKENS_OF_UNKNOWN_FLEET;
         };
         let rate = arrivals.first_attempts_per_second();
-        BURST_TOKENS * (1.0 - BUCKET_DEPTH_BURSTS * quota / rate.max(quota))
+        BURST_TOKENS * (1.0 - BUCKET_RANGE_BURSTS * quota / rate.max(quota))
     }
 
     /// A request of this tenant was admitted.
-    pub(crate) fn charge(&mut self, sender: Option<TenantIndex>) {
-        for (tenant, bucket) in self.buckets.iter_mut().enumerate() {
-            let spent = f64::from(u8::from(sender == Some(tenant)));
+    pub(crate) fn charge(&mut self, tenant: Option<TenantIndex>) {
+        for (index, bucket) in self.buckets.iter_mut().enumerate() {
+            let spent = f64::from(u8::from(tenant == Some(index)));
             bucket.tokens =
                 (bucket.tokens + bucket.fraction - spent).clamp(-BURST_TOKENS, BURST_TOKENS);
         }
--- a/src/brownout/admitted_fraction.rs
+++ b/src/brownout/admitted_fraction.rs
@@ -76,6 +76,10 @@
     }
 
     /// Whether a request is admitted; `draw` is uniform from 0 to 1.
+    ///
+    /// Of all arrivals the fraction is admitted. What the higher levels leave of it belongs to this
+    /// level, and a request is admitted with the probability that this is of its level's arrivals:
+    /// always where it is all of them, never where nothing is left.
     pub(crate) fn admits(&self, arrivals: &LevelArrivals, draw: f64) -> bool {
         draw * arrivals.own < self.value * arrivals.all - arrivals.higher
     }
--- a/src/brownout/mod.rs
+++ b/src/brownout/mod.rs
@@ -23,7 +23,9 @@
 
 use crate::handlers::HandlerProfile;
 
-/// Setpoint of the mean response time, as a fraction of the mean latency objective.
+/// Setpoint of the mean response time, as a fraction of the mean latency objective. That is the
+/// plain mean over the configured handlers, whatever their traffic, of the objectives without the
+/// part that grows with a request's work (`objective_stretch`).
 const SETPOINT_FRACTION: f64 = 0.6;
 
 /// What both loops follow at one step.
--- a/src/caller_feedback/feedback_value.rs
+++ b/src/caller_feedback/feedback_value.rs
@@ -1,10 +1,17 @@
 //! The feedback value that answers carry.
 //!
 //! The fraction of the usual traffic that this server can serve is put into the form that callers
-//! understand: a traffic weight, a priority threshold or a concurrency credit. It is the wanted
-//! traffic, less on a degraded server, and nothing on one that is draining or failing. Without it
-//! callers find out by rejections, each of which costs reading. The value is rounded, so that
-//! small changes are not sent. The price: callers of a server that is slow for good send less.
+//! understand: a traffic weight, a priority threshold or a concurrency credit. The fraction is the
+//! wanted one, less on a degraded server, and zero on one that is failing or whose callers are
+//! asked to leave. Without it callers find out by rejections, each of which costs reading. The
+//! value is rounded, so that small changes are not sent. The price: callers of a server that is
+//! slow for good send less.
+//!
+//! A concurrency credit is zero on a failing server only: a draining one still grants
+//! [`MIN_CREDIT_PER_CORE`] to all callers together. While less than all of the usual traffic is
+//! wanted, the credit of the cores is divided by the number of callers. Otherwise it is not
+//! divided: each caller may have as many requests outstanding as the whole server survives when
+//! warm, and only the server's own limits bound their sum.
 
 use crate::config::{CallerFeedback, Config};
 
@@ -22,7 +29,7 @@
 
 /// What the value follows from.
 pub(crate) struct FeedbackInput {
-    /// The server is draining and callers are asked to leave.
+    /// The server is draining, and its callers are asked to leave (at once or late in the grace).
     pub(crate) is_draining: bool,
     /// Runs on this server fail often.
     pub(crate) is_failing: bool,
@@ -79,6 +86,8 @@
         Some(value)
     }
 
+    /// The value before it is rounded: from 0 to 1 for a traffic weight and a priority threshold,
+    /// outstanding requests per caller for a concurrency credit.
     fn value(&self, input: &FeedbackInput) -> Option<f64> {
         let fraction = input.traffic_fraction();
         match self.kind {
--- a/src/caller_feedback/retry_other_server.rs
+++ b/src/caller_feedback/retry_other_server.rs
@@ -4,7 +4,16 @@
 //! one rejects. Otherwise the fleet is full, and one more attempt only costs a reading: in a retry
 //! storm every request is read by every server and answered by none. Retries that are not marked
 //! cannot be counted; there only a server that is draining or failing sends requests to others. The
-//! rule binds on every rejection. The price: it does harm on the only full server of a fleet.
+//! price: it does harm on the only full server of a fleet.
+//!
+//! The rule is asked about arrivals that are rejected for memory, failure rate, admitted fraction
+//! or predicted response time, and about queued requests that were overtaken. For all other
+//! rejections the controller has a fixed answer:
+//!
+//! - An arrival that a draining server may not run any more goes to another server, whatever its
+//!   quota, its time left and its attempts.
+//! - A request that has missed its objective, that is answered just before its deadline or the
+//!   termination, or whose call failed, does not.
 //!
 //! Compare the retry budgets in "Handling Overload" of Google's "Site Reliability Engineering".
 
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -4,7 +4,10 @@
 //! finds its requests old at once. Control loops that take this for load cut the dimmer, the
 //! admitted fraction and the traffic of a healthy server. A tick that fires far too late shows
 //! the stall: the time is then subtracted from response times and from time on a core. The price
-//! is that a server whose event loop is starved of cores for several ticks counts as stalled too.
+//! is that a server whose event loop is starved of cores for several ticks counts as stalled too,
+//! and so does one whose host holds the tick back. `tulipgapd` does: its tick waits up to 60 ms for
+//! the executor's gauges, and a tick counts as a stall from two intervals (10 to 50 ms) on. An
+//! executor that hangs thus looks like a stall of the process.
 
 #[cfg(test)]
 mod tests;
@@ -14,7 +17,8 @@
 /// Longest interval between two ticks. An overdue answer is late by this at most.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Shortest interval between two ticks, which bounds what ticking costs.
+/// Shortest interval between two ticks, which bounds what ticking costs. Between the two, the
+/// interval follows the response slack of the configuration.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Ticks within the time that an answer may come after its deadline.
--- a/src/concurrency/survivable.rs
+++ b/src/concurrency/survivable.rs
@@ -6,6 +6,10 @@
 //! margin. A server that was just started survives less (its caches and its compiler are cold), so
 //! the limit grows in a straight line until it is warm: slow start. The price: a cold server
 //! leaves requests queued that a warm one would start.
+//!
+//! Of the survivable concurrency, one request per core does not depend on the speed of a cold
+//! server; only what goes beyond it does. At the slowest speed the limit is thus still the number
+//! of cores, less the margin.
 
 use std::time::Duration;
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use crate::action::Action;
-use crate::admission::{Memory, TenantQuotas};
+use crate::admission::{Memory, QUOTA_WINDOW, TenantQuotas};
 use crate::brownout::Brownout;
 use crate::caller_feedback::{Feedback, FeedbackInput, WantedTraffic, WantedTrafficInput};
 use crate::clock::{CONTROL_INTERVAL, Clock, Schedule};
@@ -23,10 +23,18 @@
 use crate::handlers::{HandlerProfile, handler_profiles};
 use crate::health::{RunTimes, Slowdown, SlowdownSample, high_failure_fraction, is_degraded};
 use crate::idle_timeout::{ConnectionLoad, IdleTimeout, STORM_WINDOW};
-use crate::metrics::{Metric, Metrics};
+use crate::metrics::{MIN_RETAINED_SPAN, Metric, Metrics};
 use crate::queue::Queue;
 use crate::requests::{RequestTable, Stage};
 
+// A sum over a longer window than the metrics retain would silently be too small.
+const _: () = {
+    let retained_millis = MIN_RETAINED_SPAN.as_millis();
+    assert!(QUOTA_WINDOW.as_millis() <= retained_millis);
+    assert!(STORM_WINDOW.as_millis() <= retained_millis);
+    assert!(CONTROL_INTERVAL.as_millis() <= retained_millis);
+};
+
 /// Decides for one server. It owns all state.
 pub struct Controller {
     handlers: Vec<HandlerProfile>,
@@ -128,6 +136,8 @@
         let before = self.clock.now();
         let passed_seconds = self.clock.advance(now, &self.schedule);
         self.metrics.advance(self.clock.now());
+        // Abandoned calls that ended since `before` were in flight for a part of the interval, so
+        // they still count in it and are forgotten at the next advance.
         self.call_budget.forget_ended_calls(before);
         let calls_in_flight = self.requests.calling() + self.call_budget.abandoned_calls();
         self.metrics.add(
--- a/src/drain.rs
+++ b/src/drain.rs
@@ -61,14 +61,18 @@
             .saturating_add(notice.grace)
             .saturating_sub(notice.since);
         let fleet_is_short = notice.busy_fraction >= FLEET_SHORT_BUSY_FRACTION;
-        let last_response =
+        let callers_leave_late_at =
             run_until.saturating_sub(duration_from_seconds(notice.setpoint_seconds));
         self.0 = Some(DrainTimes {
             run_until,
             answer_by: now
                 .saturating_add(notice.left)
                 .saturating_sub(TERMINATION_MARGIN),
-            callers_leave_at: if fleet_is_short { last_response } else { now },
+            callers_leave_at: if fleet_is_short {
+                callers_leave_late_at
+            } else {
+                now
+            },
         });
         true
     }
--- a/src/health/slowdown.rs
+++ b/src/health/slowdown.rs
@@ -23,11 +23,13 @@
 /// Requests of mean work at the usual slowdown that are added to what was measured.
 const PRIOR_REQUESTS: f64 = 6.0;
 
-/// Fraction by which a tick moves the usual slowdown while the measured one is better or new.
+/// Fraction by which a tick moves the usual slowdown while the measured one is better or new. A
+/// tick is 5 to 25 ms, depending on the configured response slack (`clock.rs`), so the time that
+/// learning takes (50 ticks to 63 percent) depends on it too: 0.25 to 1.25 s.
 const USUAL_SLOWDOWN_GAIN: f64 = 0.02;
 
 /// Fraction by which a tick moves the usual slowdown while the measured one is worse: a fault must
-/// not become usual while it lasts.
+/// not become usual while it lasts. It takes 2,000 ticks to 63 percent, which is 10 to 50 s.
 const USUAL_SLOWDOWN_GAIN_WHEN_WORSE: f64 = 0.0005;
 
 /// Age up to which a warm start learns how fast its machine is.
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -23,6 +23,12 @@
 /// Window of the mean work of arrivals.
 const WORK_WINDOW: Duration = Duration::from_secs(5);
 
+/// The span that is retained at least, whatever the window of the dependency. Every window that a
+/// rule sums over must fit; the controller asserts it for those of other modules.
+pub(crate) const MIN_RETAINED_SPAN: Duration = WORK_WINDOW;
+
+const _: () = assert!(MEASUREMENT_WINDOW.as_millis() <= MIN_RETAINED_SPAN.as_millis());
+
 /// Recent measurements of one server.
 pub(crate) struct Metrics {
     window: SlidingWindow,
@@ -41,7 +47,7 @@
             Dependency::Shared { window, .. } => window,
             Dependency::None | Dependency::Tier => Duration::ZERO,
         };
-        let span = dependency_window.max(WORK_WINDOW);
+        let span = dependency_window.max(MIN_RETAINED_SPAN);
         Metrics {
             window: SlidingWindow::new(BUCKET_WIDTH, span, priority_levels),
             tick_interval,
@@ -63,12 +69,13 @@
         self.window.add(metric, f64::from(u8::from(has_occurred)));
     }
 
-    /// The sum of a metric over the last `span`.
+    /// The sum of a metric over the last `span`, and over up to one [`BUCKET_WIDTH`] more: the
+    /// present bucket comes on top of all that `span` fills.
     pub(crate) fn sum_over(&self, metric: Metric, span: Duration) -> f64 {
         self.window.sum(metric, span)
     }
 
-    /// The sum of a metric over the measurement window.
+    /// The sum of a metric over the measurement window, and over up to one [`BUCKET_WIDTH`] more.
     pub(crate) fn recent(&self, metric: Metric) -> f64 {
         self.window.sum(metric, MEASUREMENT_WINDOW)
     }
@@ -112,6 +119,10 @@
     }
 
     /// The mean over the measurement window of a metric that is added once a tick.
+    ///
+    /// The divisor is the number of ticks in the nominal window. The sum covers up to one
+    /// [`BUCKET_WIDTH`] more, so the result may be an eighth too high; where ticks came late it is
+    /// too low, as fewer readings were added.
     pub(crate) fn mean_per_tick(&self, metric: Metric) -> f64 {
         let sum = self.recent(metric);
         sum * self.tick_interval.as_secs_f64() / MEASUREMENT_WINDOW.as_secs_f64()
--- a/src/metrics/sliding_window.rs
+++ b/src/metrics/sliding_window.rs
@@ -106,7 +106,9 @@
         self.buckets[bucket][metric.column()] += amount;
     }
 
-    /// The sum over the last `span`, the present bucket included.
+    /// The sum over the present bucket and as many full ones before it as `span` needs: from
+    /// `span` to `span` and one bucket width. Who divides by `span` gets a rate that is too high by
+    /// up to that part. At most what the window retains is summed.
     pub(crate) fn sum(&self, metric: Metric, span: Duration) -> f64 {
         let length = self.buckets.len() as u64;
         let wanted = span.as_millis().div_ceil(self.bucket_width.as_millis()) as u64 + 1;
--- a/src/queue/prediction.rs
+++ b/src/queue/prediction.rs
@@ -109,7 +109,8 @@
         core_seconds / self.running_limit / (1.0 - overtaking_fraction)
     }
 
-    /// The fraction of the running limit that work of higher levels takes as it arrives.
+    /// The fraction of the running limit that work of higher levels takes as it arrives. The
+    /// arrivals may be of up to one bucket of the metrics more than the window that divides them.
     fn overtaking_fraction(&self, higher_arrivals: f64) -> f64 {
         let work = higher_arrivals * self.mean_work_seconds / MEASUREMENT_WINDOW.as_secs_f64();
         let fraction = OVERTAKING_FRACTION * work * self.slowdown / self.running_limit;
