--- a/crates/server/src/requests/idempotency.rs
+++ b/crates/server/src/requests/idempotency.rs
@@ -5,7 +5,8 @@
 //! effect twice. The guard: the controller has a key remembered for a retention; a request with
 //! that key that reached the machine within it is a duplicate, and gets the response of the first.
 //! A request may be read up to the longest client timeout after it reached the machine, so the
-//! entry is kept that much longer. The price is the memory for keys and results.
+//! entry is kept that much longer. The price is the memory for keys and results. The controller's
+//! memory rule counts a key only until its retention is over, not for that longer time.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
--- a/src/admission/memory.rs
+++ b/src/admission/memory.rs
@@ -4,6 +4,17 @@
 //! binds when a request is queued, when it starts (a running request takes a multiple of a queued
 //! one) and when a key is remembered. Queued requests may take only a part of the memory, or none
 //! would be left to run them. The price: while a few large requests run, small ones are rejected.
+//!
+//! The sizes are those that the host states for each request, and the rejection has the reason
+//! [`MemoryLimit`](crate::Reason::MemoryLimit). `tulipgapd` has another rule of that kind in front
+//! of this one, `net/frontend/memory.rs`: it limits the number of open requests by the memory of
+//! its own process.
+//!
+//! A key counts here from its admission until its retention and [`key_expiry`]'s margin are over.
+//! `tulipgapd` keeps key and result longer, by the longest client timeout
+//! (`requests/idempotency.rs` there), so the memory of keys is counted too low for that time.
+//!
+//! [`key_expiry`]: super::idempotency::key_expiry
 
 use std::time::Duration;
 
--- a/src/caller_feedback/retry_after.rs
+++ b/src/caller_feedback/retry_after.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::clock::duration_from_seconds;
+use crate::duration::duration_from_seconds;
 
 /// What the wait follows from.
 pub(crate) struct RetryAfterInput {
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -116,9 +116,3 @@
             .min(self.last_stall_seconds)
     }
 }
-
-/// A span of this many seconds; the longest there is where that is negative, no number or out
-/// of range.
-pub(crate) fn duration_from_seconds(seconds: f64) -> Duration {
-    Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
-}
--- a/src/clock/tests.rs
+++ b/src/clock/tests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Clock, Schedule, duration_from_seconds};
+use super::{Clock, Schedule};
 
 fn ms(span: u64) -> Duration {
     Duration::from_millis(span)
@@ -47,10 +47,3 @@
     assert_eq!(clock.advance(ms(10), &schedule), 0.0);
     assert_eq!(clock.now(), ms(20));
 }
-
-#[test]
-fn a_span_out_of_range_is_the_longest_there_is() {
-    assert_eq!(duration_from_seconds(0.25), ms(250));
-    assert_eq!(duration_from_seconds(f64::INFINITY), Duration::MAX);
-    assert_eq!(duration_from_seconds(f64::NAN), Duration::MAX);
-}
--- a/src/concurrency/core_limit.rs
+++ b/src/concurrency/core_limit.rs
@@ -2,16 +2,17 @@
 //!
 //! In a flood, reading and rejecting take more of the cores than there are. Runs that compete with
 //! it starve it: requests then stand unread until they are late, and the server answers nothing in
-//! time. So runs give way to what reading wants, down to a third of the cores. With a backlog of
-//! unread requests they give way entirely, because what is read is late already until reading has
-//! caught up. Where nothing completes for a whole window it does not catch up, and runs get their
-//! third again. At rest the rule never binds. The price: connections or health checks that want a
-//! core for long count as reading.
+//! time. So runs give way to what reading wants, down to 0.34 of the cores. With a backlog of
+//! unread requests they get only the cores that reading leaves, which may be none, because what is
+//! read is late already until reading has caught up. Where nothing completes for a whole window it
+//! does not catch up, and runs get their 0.34 again. At rest the rule never binds. The price:
+//! connections or health checks that want a core for long count as reading.
 //!
 //! Compare: J. Mogul, K. Ramakrishnan, "Eliminating receive livelock in an interrupt-driven kernel"
 //! (1997).
 
-/// Fraction of the cores that runs keep beside reading.
+/// Fraction of the cores that runs keep beside reading, unless there is a backlog of unread
+/// requests and some complete.
 const MIN_RUNNING_CORE_FRACTION: f64 = 0.34;
 
 /// Mean time unread, as a fraction of the response time setpoint, above which there is a backlog of
--- a/src/concurrency/running_limit.rs
+++ b/src/concurrency/running_limit.rs
@@ -2,9 +2,11 @@
 //!
 //! More runs than cores only take turns: each ends later and none sooner. Runs that wait for
 //! something on their core leave it idle, though, so the limit grows by one at each control step
-//! while cores idle with requests queued, and falls by one otherwise. It stays between the number
-//! of cores and the usable part of the survivable concurrency. The price: after a change of load it
-//! takes a few steps to fit.
+//! (0.5 s) while cores idle with requests queued, and falls by one otherwise. Cores idle while less
+//! than 0.9 of them were busy at the last tick (`cores.rs`). The limit stays between the number of
+//! cores and the usable part of the survivable concurrency. Where that part is less than the number
+//! of cores the limit is the number of cores, and `survivable.rs` holds starts back. The price:
+//! after a change of load it takes a few steps to fit.
 
 /// Requests by which a control step moves the limit.
 const STEP: f64 = 1.0;
--- a/src/controller/request_lifecycle.rs
+++ b/src/controller/request_lifecycle.rs
@@ -21,6 +21,15 @@
 use crate::queue::{QueueHeads, RequestForecast, ServerForecast};
 use crate::requests::{ArrivalTimes, Deadlines, Request, Stage};
 
+/// What a rejection tells the caller about other servers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RetryAdvice {
+    /// Another server is likely to admit the request.
+    OtherServer,
+    /// No attempt on another server is advised.
+    NoOtherServer,
+}
+
 /// From arrival to the queue.
 impl Controller {
     pub(super) fn request_arrived(&mut self, arrival: &Arrival, out: &mut Vec<Action>) {
@@ -42,12 +51,12 @@
             return self.coalesce(index, out);
         }
         if !self.drain.allows_run(arrived_at, self.clock.now()) {
-            return self.finish_early(index, true, Reason::Draining, out);
+            return self.finish_early(index, RetryAdvice::OtherServer, Reason::Draining, out);
         }
         if let Some(reason) = self.rejection_reason(index) {
             self.metrics.add(Metric::Rejected, 1.0);
-            let retry_other_server = self.should_retry_other_server(index);
-            return self.finish_early(index, retry_other_server, reason, out);
+            let advice = self.retry_advice(index);
+            return self.finish_early(index, advice, reason, out);
         }
         self.quotas.charge(arrival.tenant);
         if is_keyed {
@@ -117,7 +126,9 @@
         self.requests[request].stage = Stage::Coalesced;
         let is_terminating = self.drain.is_terminating(self.clock.now());
         match coalescing_failure(is_terminating, self.memory.is_exceeded()) {
-            Some(reason) => self.finish_early(request, false, reason, out),
+            Some(reason) => {
+                self.finish_early(request, RetryAdvice::NoOtherServer, reason, out);
+            }
             None => out.push(Action::Coalesce { request }),
         }
     }
@@ -214,7 +225,12 @@
             };
             let objective_at = self.requests[request].objective_at;
             if has_missed_objective(objective_at, self.clock.now()) {
-                self.finish_early(request, false, Reason::ObjectiveMissed, out);
+                self.finish_early(
+                    request,
+                    RetryAdvice::NoOtherServer,
+                    Reason::ObjectiveMissed,
+                    out,
+                );
                 continue;
             }
             let queued_kb = self.requests[request].queued_kb;
@@ -275,8 +291,8 @@
             if server.may_stay_queued(&forecast) {
                 work_seconds_ahead += request.work_seconds;
             } else {
-                let retry_other_server = self.should_retry_other_server(index);
-                self.finish_early(index, retry_other_server, Reason::Overtaken, out);
+                let advice = self.retry_advice(index);
+                self.finish_early(index, advice, Reason::Overtaken, out);
             }
         }
     }
@@ -447,7 +463,7 @@
         if call.may_request_go_on() {
             self.requests.await_call(request);
         } else {
-            self.finish_early(request, false, Reason::CallFailed, out);
+            self.finish_early(request, RetryAdvice::NoOtherServer, Reason::CallFailed, out);
         }
     }
 
@@ -546,7 +562,7 @@
                 deadline: entry.deadline,
             };
             if let Some(reason) = open_request.give_up_reason(&times) {
-                self.finish_early(request, false, reason, out);
+                self.finish_early(request, RetryAdvice::NoOtherServer, reason, out);
             }
         }
     }
@@ -556,7 +572,7 @@
     fn finish_early(
         &mut self,
         request: RequestIndex,
-        retry_other_server: bool,
+        advice: RetryAdvice,
         reason: Reason,
         out: &mut Vec<Action>,
     ) {
@@ -568,7 +584,7 @@
             out.push(Action::Reject {
                 request,
                 retry_after,
-                retry_other_server,
+                retry_other_server: advice == RetryAdvice::OtherServer,
                 reason,
             });
         } else {
@@ -589,7 +605,7 @@
         .retry_after()
     }
 
-    fn should_retry_other_server(&self, index: RequestIndex) -> bool {
+    fn retry_advice(&self, index: RequestIndex) -> RetryAdvice {
         let request = &self.requests[index];
         let rejected = RejectedRequest {
             is_over_quota: request.is_over_quota,
@@ -608,7 +624,11 @@
             retries: self.metrics.recent(Metric::Retries),
             rejected: self.metrics.recent(Metric::Rejected),
         };
-        rejected.should_retry_other_server(&server, &fleet)
+        if rejected.should_retry_other_server(&server, &fleet) {
+            RetryAdvice::OtherServer
+        } else {
+            RetryAdvice::NoOtherServer
+        }
     }
 
     /// Ends a request that needs no answer any more, or what can be ended of it now.
@@ -626,7 +646,7 @@
             Stage::Queued | Stage::Coalesced => self.release(request, out),
             Stage::Running if self.can_cancel => out.push(Action::Cancel { request }),
             Stage::Running | Stage::Calling => {}
-            Stage::AwaitingCall => self.requests.stop_awaiting_call(request),
+            Stage::OffCore => self.requests.stop_awaiting_call(request),
         }
     }
 
@@ -640,7 +660,7 @@
                 self.queue.remove(request);
                 self.memory.remove_queued(entry.queued_kb);
             }
-            Stage::Running | Stage::AwaitingCall => self.memory.remove_running(entry.queued_kb),
+            Stage::Running | Stage::OffCore => self.memory.remove_running(entry.queued_kb),
             Stage::Calling => {
                 self.call_budget.abandon_call(self.clock.now());
                 self.memory.remove_running(entry.queued_kb);
--- a/src/dependency/call_budget.rs
+++ b/src/dependency/call_budget.rs
@@ -8,13 +8,18 @@
 //! bounds what a hanging dependency can tie up. The price: calls that return early leave some of
 //! the share unused until they have.
 //!
+//! A call whose timeout is not above one tick is not made either, whatever the budget: the timeout
+//! would pass between two ticks and could not be kept. An optional call is skipped then, and a request with
+//! a mandatory one waits, in most cases until it is given up. The price shows where a share is so
+//! small that [`CallBudget::max_call_seconds`] is not above a tick: no call is made at all.
+//!
 //! An optional call leaves budget for a mandatory one. Otherwise mandatory calls wait while the
 //! budget is spent on optional ones, and are all made at once when it is free again.
 
 use std::time::Duration;
 
-use crate::clock::duration_from_seconds;
 use crate::config::{Config, Dependency};
+use crate::duration::duration_from_seconds;
 use crate::handlers::HandlerProfile;
 use crate::limits::USABLE_LIMIT_FRACTION;
 
@@ -120,7 +125,8 @@
             .map(|budget| budget / LONGEST_CALLS_PER_BUDGET)
     }
 
-    /// Whether a call can be made now; `calls_time_out_at` are the ends of those in flight.
+    /// Whether a call can be made now: its timeout can be kept, and the budget has room for it.
+    /// `calls_time_out_at` are the ends of those in flight.
     pub(crate) fn allows_call(
         &self,
         call: &PlannedCall,
--- a/src/dependency/call_timeout.rs
+++ b/src/dependency/call_timeout.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-use crate::clock::duration_from_seconds;
+use crate::duration::duration_from_seconds;
 
 /// Fraction of the time until the latency objective that an optional call may take.
 const OPTIONAL_CALL_TIME_FRACTION: f64 = 0.5;
--- a/src/drain.rs
+++ b/src/drain.rs
@@ -13,7 +13,7 @@
 
 use std::time::Duration;
 
-use crate::clock::duration_from_seconds;
+use crate::duration::duration_from_seconds;
 
 /// Busy fraction of the cores from which the fleet counts as short of servers.
 const FLEET_SHORT_BUSY_FRACTION: f64 = 0.7;
--- a/src/early_answer.rs
+++ b/src/early_answer.rs
@@ -62,7 +62,7 @@
     fn may_give_up_when_late(&self) -> bool {
         match self.stage {
             Stage::Queued | Stage::Coalesced => false,
-            Stage::AwaitingCall => true,
+            Stage::OffCore => true,
             Stage::Running | Stage::Calling => self.is_idempotent,
         }
     }
@@ -78,6 +78,6 @@
     match stage {
         Stage::Queued => true,
         Stage::Coalesced => false,
-        Stage::Running | Stage::AwaitingCall | Stage::Calling => is_idempotent,
+        Stage::Running | Stage::OffCore | Stage::Calling => is_idempotent,
     }
 }
--- a/src/early_answer/tests.rs
+++ b/src/early_answer/tests.rs
@@ -10,7 +10,7 @@
     Stage::Queued,
     Stage::Coalesced,
     Stage::Running,
-    Stage::AwaitingCall,
+    Stage::OffCore,
     Stage::Calling,
 ];
 
--- a/src/handlers.rs
+++ b/src/handlers.rs
@@ -23,7 +23,7 @@
 /// Least seconds of work that are learnt, so that predictions never rest on nothing.
 const MIN_LEARNT_WORK_SECONDS: f64 = 0.001;
 
-/// Calls that a run makes, before any run has shown more.
+/// Attempts of calls that a run makes, before any run has shown more.
 const INITIAL_CALLS_PER_RUN: f64 = 1.0;
 
 /// Multiple of the mean work from which a request with learnt work counts as long. It is above 1
@@ -64,7 +64,7 @@
     pub(crate) over_quota_level: usize,
     /// Seconds of work of a request that brings no estimate, learnt from runs.
     pub(crate) learnt_work_seconds: f64,
-    /// Calls that one of its runs makes, learnt from runs.
+    /// Attempts of calls that one of its runs makes, retries included, learnt from runs.
     pub(crate) calls_per_run: f64,
 }
 
@@ -97,8 +97,10 @@
         self.idempotency == Idempotency::Keyed
     }
 
-    /// The number of dependency calls that a request is expected to make. The dimmer skips only
-    /// optional ones.
+    /// The number of dependency calls that a request is expected to make. Whatever callers state,
+    /// it is the learnt number where calls are mandatory. Where they are optional it is the
+    /// dimmer, as if a request made one call with that probability: the learnt number counts runs
+    /// that skipped their calls too, so it says nothing of a request that makes them.
     pub(crate) fn expected_calls(&self, dimmer: f64) -> f64 {
         match (self.makes_calls, self.calls_are_optional) {
             (false, _) => 0.0,
--- a/src/idle_timeout.rs
+++ b/src/idle_timeout.rs
@@ -12,7 +12,7 @@
 
 use std::time::Duration;
 
-use crate::clock::duration_from_seconds;
+use crate::duration::duration_from_seconds;
 
 /// Open connections per core above which the table may be saturated.
 const SATURATED_CONNECTIONS_PER_CORE: f64 = 6.0;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -78,6 +78,7 @@
 mod controller;
 mod dependency;
 mod drain;
+mod duration;
 mod early_answer;
 mod event;
 mod handlers;
--- a/src/requests/deadlines.rs
+++ b/src/requests/deadlines.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::clock::duration_from_seconds;
+use crate::duration::duration_from_seconds;
 use crate::handlers::HandlerProfile;
 
 /// Both times, since the start of the process.
--- a/src/requests/request.rs
+++ b/src/requests/request.rs
@@ -14,8 +14,9 @@
     Coalesced,
     /// It is on a core.
     Running,
-    /// It has left the cores and waits until its call is made.
-    AwaitingCall,
+    /// It was started and is neither on a core nor at its dependency: it waits until its call is
+    /// made, or ends in this event, or is answered and kept until the host reports its end.
+    OffCore,
     /// Its dependency call is in flight.
     Calling,
 }
--- a/src/requests/table.rs
+++ b/src/requests/table.rs
@@ -9,7 +9,8 @@
 #[derive(Default)]
 pub(crate) struct RequestTable {
     slots: Vec<Option<Request>>,
-    /// Requests that wait until their call is made, in the order in which they reached it.
+    /// Requests that wait until their call is made, in the order in which they reached it. Each is
+    /// [`Stage::OffCore`], but not each of those waits for a call.
     awaiting_call: Vec<RequestIndex>,
     /// Requests on the cores.
     running: usize,
@@ -48,7 +49,7 @@
             Stage::Queued | Stage::Coalesced => {}
             Stage::Running => self.running -= 1,
             Stage::Calling => self.calling -= 1,
-            Stage::AwaitingCall => self.stop_awaiting_call(request),
+            Stage::OffCore => self.stop_awaiting_call(request),
         }
         Some(entry)
     }
@@ -71,7 +72,9 @@
         self.calling
     }
 
-    /// The number of requests that were started and have not ended.
+    /// The number of requests that are on a core, at the dependency or waiting for their call. A
+    /// request that was answered while it waited is not counted any more, although its run ends
+    /// only when the host reports it.
     pub(crate) fn started(&self) -> usize {
         self.running + self.calling + self.awaiting_call.len()
     }
@@ -93,7 +96,7 @@
     pub(crate) fn leave_core(&mut self, request: RequestIndex, awake_seconds: f64) {
         let entry = &mut self[request];
         entry.core_seconds += awake_seconds - entry.on_core_since_seconds;
-        entry.stage = Stage::AwaitingCall;
+        entry.stage = Stage::OffCore;
         self.running -= 1;
     }
 
@@ -116,7 +119,7 @@
 
     /// The call of a request is not in flight any more.
     pub(crate) fn end_call(&mut self, request: RequestIndex) {
-        self[request].stage = Stage::AwaitingCall;
+        self[request].stage = Stage::OffCore;
         self.calling -= 1;
     }
 }
