--- a/crates/server/src/net/executor/tests.rs
+++ b/crates/server/src/net/executor/tests.rs
@@ -18,7 +18,7 @@
     let (at, busy) = (
         Instant::now(),
         Gauges {
-            cores_busy: Some(0.9),
+            busy_fraction: Some(0.9),
             ..Gauges::default()
         },
     );
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -123,7 +123,7 @@
 /// The gauge of that name, if the controller reads it.
 pub fn gauge_mut<'a>(gauges: &'a mut Gauges, name: &str) -> Option<&'a mut Option<f64>> {
     match name {
-        "core_use" => Some(&mut gauges.cores_busy),
+        "core_use" => Some(&mut gauges.busy_fraction),
         "on_cores" => Some(&mut gauges.runnable),
         "links" => Some(&mut gauges.open_connections),
         _ => None,
--- a/src/concurrency/cores.rs
+++ b/src/concurrency/cores.rs
@@ -29,7 +29,7 @@
     pub(crate) fn update(&mut self, gauges: &Gauges, running: f64) {
         let runs_fill_cores = running >= self.cores;
         self.busy_fraction = gauges
-            .cores_busy
+            .busy_fraction
             .unwrap_or(if runs_fill_cores { 1.0 } else { 0.0 });
         self.reading_cores = gauges
             .runnable
--- a/src/concurrency/tests.rs
+++ b/src/concurrency/tests.rs
@@ -88,8 +88,8 @@
 #[test]
 fn cores_count_as_busy_by_their_gauge_or_once_runs_fill_them() {
     let mut cores = CoreUsage::new(2);
-    let gauges = |cores_busy, runnable| Gauges {
-        cores_busy,
+    let gauges = |busy_fraction, runnable| Gauges {
+        busy_fraction,
         runnable,
         open_connections: None,
     };
--- a/src/event.rs
+++ b/src/event.rs
@@ -78,7 +78,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
     /// The fraction of the cores that was busy recently.
-    pub cores_busy: Option<f64>,
+    pub busy_fraction: Option<f64>,
     /// Everything that wants a core now: runs, reading, health checks, new connections.
     pub runnable: Option<f64>,
     /// The number of open connections.
--- a/tests/decisions/common.rs
+++ b/tests/decisions/common.rs
@@ -270,7 +270,7 @@
                 let busy = (runnable / f64::from(self.config.cores)).min(1.0);
                 let open_connections = Some(self.open_connections);
                 let gauges = Gauges {
-                    cores_busy: Some(busy),
+                    busy_fraction: Some(busy),
                     runnable: Some(runnable),
                     open_connections,
                 };
--- a/tests/decisions/drain.rs
+++ b/tests/decisions/drain.rs
@@ -22,7 +22,7 @@
     let feedback = |busy: f64| {
         let mut host = host_without_dependency();
         let gauges = Gauges {
-            cores_busy: Some(busy),
+            busy_fraction: Some(busy),
             runnable: None,
             open_connections: None,
         };
--- a/tests/decisions/overload.rs
+++ b/tests/decisions/overload.rs
@@ -11,7 +11,7 @@
 fn runs_leave_cores_to_reading() {
     let mut host = host_without_dependency();
     let flood = Gauges {
-        cores_busy: Some(1.0),
+        busy_fraction: Some(1.0),
         runnable: Some(6.0),
         open_connections: None,
     };
--- a/tests/golden_transcripts/host.rs
+++ b/tests/golden_transcripts/host.rs
@@ -167,7 +167,7 @@
         let has_gauges = self.rng.f64() < 0.9 || background_busy > 0.0;
         let open_connections = self.phase.open_connections;
         let gauges = Gauges {
-            cores_busy: has_gauges.then(|| (own_busy + background_busy).min(1.0)),
+            busy_fraction: has_gauges.then(|| (own_busy + background_busy).min(1.0)),
             runnable: has_gauges.then_some(runnable),
             open_connections: has_gauges.then_some(open_connections),
         };
