--- a/src/concurrency/cores.rs
+++ b/src/concurrency/cores.rs
@@ -28,9 +28,10 @@
     /// Takes new readings. Where the host has none, the cores are busy once runs fill them.
     pub(crate) fn update(&mut self, gauges: &Gauges, running: f64) {
         let runs_fill_cores = running >= self.cores;
-        self.busy_fraction = gauges
-            .busy_fraction
-            .unwrap_or(if runs_fill_cores { 1.0 } else { 0.0 });
+        self.busy_fraction =
+            gauges
+                .busy_fraction
+                .unwrap_or(if runs_fill_cores { 1.0 } else { 0.0 });
         self.reading_cores = gauges
             .runnable
             .map_or(0.0, |runnable| (runnable - running).max(0.0));
