--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -209,8 +209,7 @@
             starts_cold: info.cold,
             cold_speed: self.rules.cold_from,
             warm_up: milliseconds("rules.warm_up", self.rules.warm_up)?,
-            max_concurrency_per_core: self.rules.fall_multiple,
-            concurrency_window: milliseconds("rules.fall", self.rules.fall)?,
+            max_concurrency_per_core: self.max_concurrency_per_core()?,
             response_slack: milliseconds("rules.grace_to_answer", self.rules.grace_to_answer)?,
             drain_grace: milliseconds("rules.drain_grace", self.rules.drain_grace)?,
             dependency: self.dependency()?,
@@ -239,6 +238,14 @@
         })
     }
 
+    /// Concurrent runs per core that a warm server survives as a mean over the window `rules.fall`.
+    /// The controller keeps the limit at every moment, so it needs no window; one that is no time
+    /// is still rejected.
+    fn max_concurrency_per_core(&self) -> Result<f64, SettingsError> {
+        milliseconds("rules.fall", self.rules.fall)?;
+        Ok(self.rules.fall_multiple)
+    }
+
     /// Checks that a list with an entry for each class is empty or has as many entries as classes.
     fn check_length(&self, key: &'static str, length: usize) -> Result<(), SettingsError> {
         let classes = self.classes.len();
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -76,3 +76,21 @@
             .is_err_and(|error| error.to_string().starts_with("classes[1].write: "))
     );
 }
+
+/// The controller doesn't use the averaging window of the fall-over, but a window that is no time
+/// is still a mistake in the settings.
+#[test]
+fn the_window_of_the_concurrency_must_be_a_time() {
+    let with_window = |window| {
+        let mut settings = settings(r#","say":"silent""#, r#","effect":"pure""#);
+        settings.rules.fall = window;
+        settings
+            .controller_config()
+            .map_err(|error| error.to_string())
+    };
+    assert!(with_window(2_000.0).is_ok());
+    for window in [-1.0, f64::NAN] {
+        let error = with_window(window).unwrap_err();
+        assert!(error.starts_with("rules.fall: "), "{error}");
+    }
+}
--- a/src/config.rs
+++ b/src/config.rs
@@ -112,10 +112,9 @@
     pub cold_speed: f64,
     /// The time after which it is warm at the latest.
     pub warm_up: Duration,
-    /// Concurrent runs per core that a warm server survives, as a mean over `concurrency_window`.
+    /// Concurrent runs per core that a warm server survives. The limit is kept at every moment and
+    /// not only as a mean over some time.
     pub max_concurrency_per_core: f64,
-    /// The averaging window of `max_concurrency_per_core`.
-    pub concurrency_window: Duration,
     /// How long after a request's deadline an answer still counts.
     pub response_slack: Duration,
     /// Nothing that arrives later than this after the shutdown notice may run.
--- a/src/tests/mod.rs
+++ b/src/tests/mod.rs
@@ -32,7 +32,6 @@
         cold_speed: 0.25,
         warm_up: Duration::from_secs(10),
         max_concurrency_per_core: 4.0,
-        concurrency_window: Duration::from_secs(2),
         response_slack: Duration::from_millis(60),
         drain_grace: Duration::from_secs(1),
         dependency: Dependency::None,
--- a/tests/decisions/common.rs
+++ b/tests/decisions/common.rs
@@ -55,7 +55,6 @@
         cold_speed: 0.25,
         warm_up: ms(10_000),
         max_concurrency_per_core: 4.0,
-        concurrency_window: ms(2000),
         response_slack: ms(60),
         drain_grace: ms(1000),
         dependency: Dependency::Shared {
--- a/tests/golden_transcripts/main.rs
+++ b/tests/golden_transcripts/main.rs
@@ -120,7 +120,6 @@
         cold_speed: 0.3,
         warm_up: milliseconds(8_000),
         max_concurrency_per_core: 4.0,
-        concurrency_window: milliseconds(2_000),
         response_slack: milliseconds([60, 20, 8][seed as usize % 3]),
         drain_grace: milliseconds(600),
         dependency: match seed % 3 {
