--- a/src/concurrency/survivable.rs
+++ b/src/concurrency/survivable.rs
@@ -2,11 +2,11 @@
 //!
 //! Every started request takes memory and threads until it ends, also while it waits at a
 //! dependency call. (One that is answered while it waits for its call is not counted from then on,
-//! although its run may end later.) When a dependency hangs, started requests pile up until the server falls over.
-//! The rule binds once as many are started as the configuration calls survivable, less a safety
-//! margin. A server that was just started survives less (its caches and its compiler are cold), so
-//! the limit grows in a straight line until it is warm: slow start. The price: a cold server
-//! leaves requests queued that a warm one would start.
+//! although its run may end later.) When a dependency hangs, started requests pile up until the
+//! server falls over. The rule binds once as many are started as the configuration calls
+//! survivable, less a safety margin. A server that was just started survives less (its caches and
+//! its compiler are cold), so the limit grows in a straight line until it is warm: slow start. The
+//! price: a cold server leaves requests queued that a warm one would start.
 //!
 //! Of the survivable concurrency, one request per core does not depend on the speed of a cold
 //! server; only what goes beyond it does. At the slowest speed the limit is thus still the number
--- a/src/dependency/call_budget.rs
+++ b/src/dependency/call_budget.rs
@@ -9,9 +9,9 @@
 //! the share unused until they have.
 //!
 //! A call whose timeout is not above one tick is not made either, whatever the budget: the timeout
-//! would pass between two ticks and could not be kept. An optional call is skipped then, and a request with
-//! a mandatory one waits, in most cases until it is given up. The price shows where a share is so
-//! small that [`CallBudget::max_call_seconds`] is not above a tick: no call is made at all.
+//! would pass between two ticks and could not be kept. An optional call is skipped then, and a
+//! request with a mandatory one waits, in most cases until it is given up. The price shows where a
+//! share is so small that [`CallBudget::max_call_seconds`] is not above a tick: no call is made.
 //!
 //! An optional call leaves budget for a mandatory one. Otherwise mandatory calls wait while the
 //! budget is spent on optional ones, and are all made at once when it is free again.
