--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -1,4 +1,6 @@
-//! Bootstrap: which voters are the initial ones. It is decided once, while a voter has no log.
+//! Bootstrap: which voters are the initial ones. It is decided once, while a voter has no log:
+//! [`Voter`](crate::Voter) asks this rule only in the phase `Bootstrapping`, which a directory with
+//! a log never enters.
 //!
 //! Each is known by an id that was drawn when its directory was created, not by its name: a
 //! directory that was emptied draws another id, and whoever has it is no voter. Once a voter knows
@@ -8,8 +10,11 @@
 //! The failure it guards against: a directory is emptied during the bootstrap, and two sets of
 //! voters form that share a name, each with a majority of its own, so a lease is granted twice. It
 //! would show as two leaders in one term. A promise is durable before it is sent and never changed,
-//! and a set needs the promise of every member, so two sets can't both be complete. The price: an
-//! emptied directory leaves the bootstrap incomplete, and an operator must empty all.
+//! and a set needs the promise of every member, so two sets can't both be complete. The price: a
+//! directory that is emptied before the bootstrap is complete leaves it incomplete, and an operator
+//! must empty all. Operators then see the phase `founding` in the answers of the control socket, for
+//! as long as that lasts; no log line tells them. One that is emptied later, or has another id than
+//! the voters agreed on, is outside: `voter is not a member reason=folder_not_bootstrapped`.
 
 use std::collections::BTreeMap;
 
@@ -40,7 +45,9 @@
 
 /// What this voter knows of the others before they are bootstrapped.
 pub(crate) struct Bootstrap {
+    /// The initial voters as they are configured, this one among them or not.
     names: Vec<Name>,
+    /// What the others that are configured have sent, by name.
     others: BTreeMap<Name, Candidate>,
 }
 
@@ -53,7 +60,8 @@
     Promise(BTreeMap<Name, VoterId>),
     /// These are the voters.
     Complete(BTreeMap<Name, VoterId>),
-    /// Others were bootstrapped, with another id under this name or without it.
+    /// Others were bootstrapped, with another id under this name or without it. This voter does not
+    /// vote until it replaces another.
     Outside,
 }
 
@@ -78,6 +86,10 @@
     }
 
     /// Decides what follows from another voter's handshake; `own` is this voter's identity.
+    ///
+    /// A complete set is taken over before the sender is looked at: the promises of its members
+    /// made it complete, whoever reports it, and a sender that is not configured here may have been
+    /// configured at the bootstrap. Sets that are not complete count only from configured names.
     pub(crate) fn handle_handshake(
         &mut self,
         own: &Identity,
--- a/crates/consensus/src/durable_voter.rs
+++ b/crates/consensus/src/durable_voter.rs
@@ -79,7 +79,8 @@
     }
 
     /// Handles events and returns the actions that are left to perform, in order; all writes are
-    /// done and durable.
+    /// done and durable. `now` is a clock that stood near zero when the voter was opened; see
+    /// [`Voter::handle_events`].
     ///
     /// # Errors
     /// With an error the voter has ended, and only the returned actions may still be performed:
--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -79,13 +79,14 @@
         /// What the command resulted in.
         response: Response,
     },
-    /// Reject a proposal or a read, as this voter does not lead.
+    /// Reject a proposal or a read, as this voter does not lead, or leads and can't take it now: a
+    /// read while too many are pending, a proposal while too much is uncommitted.
     RejectNotLeader {
         /// Who sent it.
         to: Name,
         /// The id of the request.
         request: RequestId,
-        /// Who leads, where that is known.
+        /// Who leads, where that is known. This voter itself, where it leads and rejects a read.
         leader: Option<Name>,
     },
     /// Tell a queued owner that a slot is free for it.
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -19,7 +19,8 @@
     Voting,
     /// Others were bootstrapped without this voter.
     Outside,
-    /// The voter's directory is an older copy: the voter votes no more.
+    /// The voter's directory is an older copy, or its state was found invalid while it ran: it
+    /// votes no more. Its [`Notice`](crate::Notice) tells which.
     RolledBack,
     /// The host ended the voter after a failed write.
     Ended,
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -54,7 +54,8 @@
 /// leases; its host owns the disk and the network and performs its [`Action`]s.
 ///
 /// Invariants: it sends nothing that depends on a write before the action of that write; it applies
-/// entries once and in order; once rolled back it sends nothing any more.
+/// entries once and in order; once rolled back, or stopped since its state was invalid, it sends
+/// nothing any more.
 pub struct Voter {
     config: Config,
     identity: Identity,
@@ -69,7 +70,7 @@
     peers: Peers,
     observed_logs: ObservedLogs,
     timer: TickTimer,
-    /// The consensus; `None` before bootstrap and after a rollback.
+    /// The consensus; `None` before bootstrap, after a rollback and where its state was invalid.
     node: Option<RaftNode>,
     leadership: Leadership,
     reads: LinearizableReads,
@@ -84,7 +85,8 @@
 
 impl Voter {
     /// A voter from what its directory holds. `initial_voter_names` are configured, this voter
-    /// among them or not.
+    /// among them or not. The clock of the later events must stand near zero now; see
+    /// [`Self::handle_events`].
     pub(crate) fn load(
         config: Config,
         name: &str,
@@ -130,6 +132,7 @@
         // The log is written before the identity says that bootstrap is complete.
         let is_voter = self.state.voters.contains_key(&self.identity.id);
         self.identity.is_bootstrapped |= self.identity.promised.is_some() && is_voter;
+        // A time on the host's clock, which begins near zero with this voter.
         let until = self.config.tick_interval * self.config.election_ticks;
         self.phase = Phase::Waiting { until };
         Ok(())
@@ -177,8 +180,12 @@
     }
 
     /// Handles events, all proposals among them as one entry, and returns the actions to perform,
-    /// in order. Once rolled back it returns none; events of the same batch that follow a rollback
-    /// drop the actions before it as well.
+    /// in order. Once rolled back, or stopped since its state was invalid, it returns none; events
+    /// of the same batch that follow a rollback drop the actions before it as well.
+    ///
+    /// `now` is the host's clock, which must stand near zero when the voter is opened: a restarted
+    /// voter waits until it shows `election_ticks` ticks. With a clock that is past that already,
+    /// the voter votes after its first tick and skips the wait that guards against a rollback.
     pub fn handle_events(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.now = now.max(self.now);
@@ -433,7 +440,10 @@
     }
 
     /// Ends the consensus for good, after a rollback or where its state is invalid: nothing sound
-    /// could follow. Operators see the same phase for both.
+    /// could follow.
+    ///
+    /// The phase is `RolledBack` (`set back` on the control socket) for both. Only the notice tells
+    /// them apart: [`Notice::RolledBack`] after a rollback, [`Notice::InvalidData`] otherwise.
     fn stop_node(&mut self) {
         self.phase = Phase::RolledBack;
         self.node = None;
@@ -452,6 +462,8 @@
         }
     }
 
+    /// Has a read confirmed, or rejects it. A leader with too many pending reads rejects as well,
+    /// and names itself as the leader; see [`linearizable_reads`].
     fn read(&mut self, read: ReadRequest, actions: &mut Vec<Action>) {
         if self.has_stale_reads() && self.is_leader() {
             return self.respond_read(read, actions);
--- a/crates/consensus/src/voter/leadership.rs
+++ b/crates/consensus/src/voter/leadership.rs
@@ -49,7 +49,10 @@
     Ended,
 }
 
-/// Whether the voter acts as the leader: counts TTLs and answers reads.
+/// Whether the voter counts TTLs as the leader. When that ends, its pending reads are dropped.
+///
+/// This is later than [`Voter::is_leader`](crate::Voter::is_leader), Raft's own state, by which
+/// proposals and reads are accepted and commands are responded to.
 ///
 /// It begins with the first entry of the leader's own term that is applied: only then is everything
 /// known that was committed before (Raft, sections 5.4.2 and 8). A leader that began at its
--- a/crates/consensus/src/voter/linearizable_reads.rs
+++ b/crates/consensus/src/voter/linearizable_reads.rs
@@ -5,14 +5,23 @@
 //! A leader that was cut off does not know that another one was elected. If it answered from its
 //! own copy, a read could show an owner of a lease after another owner acquired it. The quorum's
 //! confirmation costs one round of heartbeats and no write.
+//!
+//! A second rule bounds the memory of confirmed reads. While [`MAX_PENDING_READS`] of them wait for
+//! entries to be applied, the leader rejects further reads with `RejectNotLeader` that names itself
+//! as the leader; there is no response of its own for a leader that is busy. Reads that the quorum
+//! has not confirmed yet are in the consensus and are not counted, so that more than the limit may
+//! wait once they are confirmed.
+//!
+//! Some reads get no response, and whoever sent them has to send them again: those that the voter
+//! had when it lost leadership ([`LinearizableReads::clear`]), those that the consensus drops while
+//! a new leader has committed no entry of its own term, and those that can't be decoded.
 
 use serde::{Deserialize, Serialize};
 use tulipgap_leases::{Lease, LeaseStateMachine, Name, RequestId};
 
 use crate::event::MAX_LISTED_LEASES;
 
-/// Reads that are confirmed and wait for entries to be applied, at most; further reads are
-/// rejected.
+/// Confirmed reads that wait for entries to be applied, from which on further reads are rejected.
 pub(super) const MAX_PENDING_READS: usize = 256;
 
 /// A read. The consensus carries it in its messages, serialized by position.
@@ -32,7 +41,7 @@
 
 /// A read that a quorum has confirmed.
 struct PendingRead {
-    /// The entry that must be applied before.
+    /// Index of the log entry that must be applied before.
     index: u64,
     read: ReadRequest,
 }
@@ -44,12 +53,12 @@
 }
 
 impl LinearizableReads {
-    /// Whether there is room for a further read.
+    /// Whether a further read may be accepted. The voter asks before it has a read confirmed.
     pub(super) fn has_capacity(&self) -> bool {
         self.pending.len() < MAX_PENDING_READS
     }
 
-    /// A quorum has confirmed these reads.
+    /// A quorum has confirmed these reads. All are kept, beyond [`MAX_PENDING_READS`] too.
     pub(super) fn add_confirmed(&mut self, confirmed: Vec<raft::ReadState>) {
         for state in confirmed {
             if let Ok(read) = postcard::from_bytes(&state.request_ctx) {
@@ -69,7 +78,7 @@
         applied.into_iter().map(|pending| pending.read).collect()
     }
 
-    /// The voter leads no more: none of the reads may be answered by it.
+    /// The voter leads no more: none of the reads may be answered by it. They get no response.
     pub(super) fn clear(&mut self) {
         self.pending.clear();
     }
--- a/crates/consensus/src/voter/peers.rs
+++ b/crates/consensus/src/voter/peers.rs
@@ -25,7 +25,7 @@
 
 impl Peers {
     /// Remembers the id that a name sent. Beyond [`MAX_REMEMBERED_VOTERS`] only the initial voters
-    /// and this one are kept.
+    /// and the sender are kept.
     pub(super) fn remember(&mut self, name: &Name, id: VoterId, initial_voters: &[Name]) {
         self.ids.insert(name.clone(), id);
         if self.ids.len() > MAX_REMEMBERED_VOTERS {
--- a/crates/consensus/src/voter/phase.rs
+++ b/crates/consensus/src/voter/phase.rs
@@ -17,12 +17,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     Bootstrapping,
-    /// Restarted; votes at that time at the latest.
+    /// Restarted; votes with the first tick from that time on at the latest.
     Waiting {
+        /// On the host's clock, which must stand near zero when the voter is opened. With an older
+        /// clock there is no wait.
         until: Duration,
     },
     Voting,
     Outside,
+    /// Rolled back, or stopped since its state was invalid.
     RolledBack,
 }
 
--- a/crates/leases/src/client.rs
+++ b/crates/leases/src/client.rs
@@ -36,8 +36,8 @@
 
 /// Delay before a request is sent to the voter that a hint named as leader.
 const FOLLOW_HINT_DELAY: Duration = Duration::from_millis(10);
-/// Hints in a row that are followed at once. More would let two voters that name each other be
-/// asked in turn without a pause.
+/// `NotLeader` responses in a row, up to which a hint is followed at once. More would let two
+/// voters that name each other be asked in turn without a pause.
 const MAX_FOLLOWED_HINTS: u32 = 2;
 
 /// The leases that one process requests or holds. It owns their state: hosts learn of changes by
@@ -154,6 +154,7 @@
         }
     }
 
+    /// Requests a lease. One that is wanted already keeps its spec, step and `wait`.
     fn want(
         &mut self,
         lease: Name,
@@ -207,7 +208,7 @@
             return;
         };
         wanted.forget_requests_up_to(request);
-        wanted.followed_hints = 0;
+        wanted.not_leader_responses = 0;
         let is_undecided = wanted.is_undecided();
         match response {
             Response::Granted { token } => self.handle_grant(&lease, sent_at, token, actions),
@@ -296,8 +297,8 @@
         };
         // The voter did respond, so its silence is no reason to try the next one: the hint decides.
         wanted.forget_requests_up_to(request);
-        wanted.followed_hints += 1;
-        let follows_at_once = wanted.followed_hints <= MAX_FOLLOWED_HINTS;
+        wanted.not_leader_responses += 1;
+        let follows_at_once = wanted.not_leader_responses <= MAX_FOLLOWED_HINTS;
         if self.leader_hint.redirect(leader) && follows_at_once {
             wanted.next_request_at = self.now + self.schedule.with_jitter(FOLLOW_HINT_DELAY);
         }
--- a/crates/leases/src/client/event.rs
+++ b/crates/leases/src/client/event.rs
@@ -19,7 +19,8 @@
 /// Input events of a client.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The host wants a lease.
+    /// The host wants a lease. Where it is wanted already, or is still being released, the fields
+    /// are checked and otherwise ignored: the lease keeps those that it was first requested with.
     Acquire {
         /// The lease.
         lease: Name,
--- a/crates/leases/src/client/wanted_lease.rs
+++ b/crates/leases/src/client/wanted_lease.rs
@@ -15,7 +15,8 @@
 /// How a lease stands with its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseStatus {
-    /// The lease is requested, and no voter has answered yet.
+    /// The lease is requested and not granted: no voter has answered yet, or an earlier grant
+    /// expired or was given up since the clock went backwards.
     Requested,
     /// The client waits for a slot.
     Queued {
@@ -81,8 +82,8 @@
     /// The latest requests, the oldest first; at most [`MAX_PENDING_REQUESTS`].
     pub(super) pending: Vec<PendingRequest>,
     pub(super) next_request_at: Duration,
-    /// Hints that were followed since the last response.
-    pub(super) followed_hints: u32,
+    /// `NotLeader` responses since the last other response, with a hint or without.
+    pub(super) not_leader_responses: u32,
     /// Guards that are out.
     pub(super) guards: u32,
     /// The host no longer wants it.
@@ -98,7 +99,7 @@
             status: LeaseStatus::Requested,
             pending: Vec::new(),
             next_request_at: now,
-            followed_hints: 0,
+            not_leader_responses: 0,
             guards: 0,
             is_released: false,
         }
@@ -116,7 +117,7 @@
         self.pending.retain(|pending| pending.id > request);
     }
 
-    /// Whether no voter has granted it.
+    /// Whether no grant holds: none was made yet, or an earlier one was forgotten.
     pub(super) fn is_undecided(&self) -> bool {
         matches!(
             self.status,
--- a/crates/leases/src/expiry.rs
+++ b/crates/leases/src/expiry.rs
@@ -140,15 +140,16 @@
     }
 
     /// When [`due_expirations`](Self::due_expirations) should be called next, by the voter's clock.
-    /// It is read at least twice in each step that counts.
+    /// At most half of [`MAX_COUNTED_STEP`] after the clock was last read, so that a reading which
+    /// comes somewhat late still counts in full.
     pub fn next_check_at(&self) -> Option<Duration> {
         let (deadline, _) = self.by_time.first()?;
         let remaining = deadline.saturating_sub(self.counted);
         Some(self.clock + remaining.min(MAX_COUNTED_STEP / 2))
     }
 
-    /// How long a TTL lasts on this clock at least by any other: the owner's clock may be slow and
-    /// this one fast.
+    /// How long to count by this clock until a TTL is over by every clock: the owner's may be slow
+    /// and this one fast.
     fn longest_ttl(&self, ttl: Duration) -> Duration {
         if self.bug.is_on(InjectedBug::NoClockMargin) {
             return ttl;
