--- a/crates/connection-limits/src/eviction.rs
+++ b/crates/connection-limits/src/eviction.rs
@@ -18,8 +18,12 @@
 /// How long a connection may be silent, or in the middle of a message, before it is evicted.
 const SILENCE_GRACE: Duration = Duration::from_millis(500);
 /// How long a client has to close a connection while descriptors are short: a request that was in
-/// transit when it was asked to is sent again on another.
+/// transit when it was asked to is sent again on another. `DRAIN_CLOSE_TIMEOUT` in
+/// [`crate::timeouts`] is the same time during a drain.
 const CLOSE_GRACE: Duration = Duration::from_millis(60);
+/// How long the only silent connection is spared after it was accepted: its first message may be in
+/// transit.
+const NEWCOMER_GRACE: Duration = Duration::from_millis(60);
 /// How long a connection of a new client stays unused before it is evicted. Without this hysteresis
 /// two clients would evict each other with each message.
 const NEW_CLIENT_IDLE_GRACE: Duration = Duration::from_millis(250);
@@ -176,7 +180,7 @@
         }
         let id = self.first_in(EvictionClass::Silent)?;
         let accepted_at = connections.get(id)?.accepted_at;
-        (now.saturating_sub(accepted_at) <= CLOSE_GRACE).then_some(id)
+        (now.saturating_sub(accepted_at) <= NEWCOMER_GRACE).then_some(id)
     }
 }
 
--- a/crates/connection-limits/src/known_clients.rs
+++ b/crates/connection-limits/src/known_clients.rs
@@ -2,7 +2,13 @@
 //!
 //! Known clients get descriptors that are reserved for them and are not held to the rate of new
 //! connections. Without that a flood of strangers would keep out the clients that the server has
-//! served all day. A flood cannot earn it: reputation takes answered requests over some seconds.
+//! served all day. A flood that only connects, or whose requests are rejected, earns no reputation:
+//! that takes answered requests, over [`MIN_EARNING_PERIOD`] at least.
+//!
+//! The price: an address whose requests are answered for so long is known, whoever uses it. With a
+//! half-life far above the earning period four answers are enough, so a flood from many addresses
+//! that behave well at first is not kept out by this rule. Clients behind one address share one
+//! reputation, and one of them that violates the protocol loses it for all.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -10,15 +16,17 @@
 
 use crate::network_prefix::NetworkPrefix;
 
-/// The reputation from which a client is known.
+/// The reputation from which a client is known. An answered request adds one.
 const KNOWN_REPUTATION: f64 = 3.0;
-/// The highest reputation, so that what was earned long ago does not last for ever.
+/// The highest reputation, so that what was earned long ago does not last for ever: from here a
+/// client that is silent stays known for four half-lives (`50 / 2^4` is just above 3).
 const MAX_REPUTATION: f64 = 50.0;
 /// The reputation below which a client starts anew.
 const FORGOTTEN_REPUTATION: f64 = 0.1;
 /// The shortest time over which a client earns the reputation to be known.
 const MIN_EARNING_PERIOD: Duration = Duration::from_secs(2);
-/// The number of addresses that are compared to find the one that gives way.
+/// The number of addresses that are compared to find the one that gives way: a random sample in
+/// place of a search through all, whose cost would grow with the table.
 const EVICTION_SAMPLES: usize = 8;
 
 #[derive(Clone, Copy)]
--- a/crates/connection-limits/src/timeouts.rs
+++ b/crates/connection-limits/src/timeouts.rs
@@ -4,15 +4,20 @@
 //! A client that starts a message and stops, or that is never heard of again, would keep its
 //! descriptor for ever. A request in flight is answered before its connection is closed, so no
 //! answer is lost to a timeout.
+//!
+//! The price: a client whose message takes longer than the message timeout is cut off in its midst,
+//! an idle client has to connect anew, and a request that is in transit when its connection is
+//! closed is lost; the client has to send it again.
 
 use std::time::Duration;
 
 use crate::connection::Connection;
 use crate::event::CloseReason;
 
-/// How long a client has to close a connection when it is asked to.
+/// How long a client has to close a connection when it is asked to, outside a drain.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a client has to close a connection while the server drains.
+/// How long a client has to close a connection while the server drains: short, as the process is
+/// about to end. How late the host notices is on top.
 const DRAIN_CLOSE_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// The time limits that hold now.
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,5 +1,8 @@
 //! Local health awareness (Lifeguard's LHA-Probe): a node in bad health gives others more time.
 //!
+//! The score says how bad the health is, in points; Lifeguard and memberlist call it awareness, as
+//! in `max_awareness`. The time factor by which times are stretched is the score plus one.
+//!
 //! **Decision**: by which factor this node stretches its probe interval, its probe timeout and its
 //! suspicion timeouts.
 //!
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -3,9 +3,16 @@
 //! **Decision**: what an update about another member changes. Which update holds is the rule of
 //! [`update_precedence`](crate::update_precedence).
 //!
-//! A dead member stays on record for a time: without its record an older update that is still on
-//! its way would bring it back. The number of records is bounded, so that malformed updates cannot
-//! fill the memory; the price is that members beyond the bound are not seen at all.
+//! **When it binds**: on each well-formed update about a member other than this node.
+//!
+//! **Failure it guards against**: an older update that is still on its way would bring a dead member
+//! back, and updates with invented names would fill the memory.
+//!
+//! **Why it holds**: a dead member stays on record for a time, so that the older update is known to
+//! be older; the number of records is bounded.
+//!
+//! **Price**: members beyond the bound are not seen at all. They are counted in
+//! [`Membership::ignored_updates`](crate::Membership::ignored_updates).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -63,7 +63,7 @@
     /// Whether this node has left, or has given way to another of the same name.
     is_stopped: bool,
     /// The number of updates that were ignored since they were malformed or the table was full.
-    anomalies: u64,
+    ignored_updates: u64,
 }
 
 /// The interface to the host.
@@ -99,7 +99,7 @@
             actions: Vec::new(),
             has_joined: false,
             is_stopped: false,
-            anomalies: 0,
+            ignored_updates: 0,
             config,
         })
     }
@@ -135,16 +135,17 @@
         self.local.update()
     }
 
-    /// The score of the local health: 0 is healthy, [`Config::max_awareness`] the worst. All
-    /// intervals and time limits of this node are stretched by a factor of one more.
-    pub fn awareness(&self) -> u32 {
+    /// The score of the local health (Lifeguard's and memberlist's "awareness"): 0 is healthy,
+    /// [`Config::max_awareness`] the worst. The probe interval, the probe timeout and the suspicion
+    /// timeouts of this node are stretched by the time factor, which is one more.
+    pub fn health_score(&self) -> u32 {
         self.health.score()
     }
 
     /// The number of updates that were ignored: of an unknown protocol version, with a name or a
     /// list out of bounds, or about a new member where [`Config::max_members`] are recorded.
-    pub fn anomalies(&self) -> u64 {
-        self.anomalies
+    pub fn ignored_updates(&self) -> u64 {
+        self.ignored_updates
     }
 }
 
--- a/crates/membership/src/membership/protocol.rs
+++ b/crates/membership/src/membership/protocol.rs
@@ -155,7 +155,7 @@
 
     fn apply_update(&mut self, update: &MemberUpdate) {
         if !is_well_formed(update) {
-            self.anomalies += 1;
+            self.ignored_updates += 1;
             return;
         }
         if update.node.name == *self.local.name() {
@@ -167,7 +167,7 @@
         };
         match self.members.apply(update, self.now, &limits) {
             UpdateEffect::Ignored => {}
-            UpdateEffect::TableFull => self.anomalies += 1,
+            UpdateEffect::TableFull => self.ignored_updates += 1,
             UpdateEffect::SuspicionConfirmed => {
                 // A confirmation is sent on, since it shortens the suspicion at all members.
                 self.broadcasts.push(update.clone());
@@ -311,7 +311,8 @@
         self.send_with_updates(to, body, self.complete_state());
     }
 
-    /// Sends one update in a message of its own, beside the broadcast queue.
+    /// Sends one update in a message of its own, beside the broadcast queue. The wire has no kind
+    /// for that: it goes as the report of a relay on no probe, which answers nothing.
     pub(super) fn send_update(&mut self, to: &Recipient, update: MemberUpdate) {
         let body = MessageBody::IndirectPingResult {
             sequence_number: SequenceNumber::NO_PROBE,
--- a/crates/membership/src/reachability.rs
+++ b/crates/membership/src/reachability.rs
@@ -32,14 +32,17 @@
 /// How this node reaches another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// The member answers the probes of this node.
+    /// The member has answered a probe of this node recently or, where it never has, sent a message
+    /// recently.
     Reachable,
     /// Messages of the member arrive, but it answers no probe of this node: what is sent to it is
     /// lost.
     AsymmetricPartition,
     /// No message of the member arrives, but it answers others: the link between the two is cut.
     IndirectOnly,
-    /// No node has had an answer of the member recently.
+    /// None of the above: the member is dead or has left, or this node has had no recent answer of
+    /// it, or no recent message where it never answered this node. A member whose messages arrive,
+    /// but whose last answer is not recent, is unreachable as well.
     Unreachable,
 }
 
--- a/crates/membership/src/timer.rs
+++ b/crates/membership/src/timer.rs
@@ -2,8 +2,8 @@
 //!
 //! **Decision**: whether the host has to set a timer for a time at which something is due.
 //!
-//! **When it binds**: it sets none where one is due by then, and ignores the event of a timer that
-//! an earlier one has replaced.
+//! **When it binds**: it sets none where one is due by then, and ignores the event of a timer while
+//! the one that counts is not due yet.
 //!
 //! **Failure it guards against**: every timer that expires sets the next one, so a second one
 //! beside it would start a chain of its own and go on for ever. That showed as a simulation of 100
@@ -35,7 +35,8 @@
         true
     }
 
-    /// Takes the event of a timer. Returns whether it is the one that is set.
+    /// Takes the event of a timer. Returns `false` only where a later one is set; with none set it
+    /// returns `true`.
     pub(crate) fn expire(&mut self, now: Duration) -> bool {
         if self.due.is_some_and(|due| now < due) {
             return false;
--- a/crates/membership/src/update_precedence.rs
+++ b/crates/membership/src/update_precedence.rs
@@ -3,6 +3,9 @@
 //! **Decision**: whether an update is accepted at all, whether it overrides the one on record, and
 //! whether a death that the other half of a cluster reports holds at once.
 //!
+//! **When it binds**: on each update about another member that is well-formed, and on each death
+//! that arrives in a complete state.
+//!
 //! **Failure it guards against**: updates arrive late, twice and in any order. Without an order of
 //! their own an old one would bring a dead member back, and views would differ for ever.
 //!
@@ -19,7 +22,7 @@
 use crate::reachability::MAX_UNREACHABLE_PEERS;
 
 /// Whether the recipient of an update can make use of it: its version is known and its name and
-/// list are within bounds.
+/// list are within bounds. That a suspicion names its reporter is not checked.
 pub(crate) fn is_well_formed(update: &MemberUpdate) -> bool {
     SUPPORTED_VERSIONS.contains(&update.node.version)
         && is_valid_name(&update.node.name)
--- a/crates/membership/tests/golden_transcripts.rs
+++ b/crates/membership/tests/golden_transcripts.rs
@@ -459,9 +459,9 @@
 /// What a host can read of a membership, as text.
 fn summary(membership: &Membership) -> String {
     let members: Vec<_> = membership.members().collect();
-    let (local, awareness) = (membership.local(), membership.awareness());
+    let (local, awareness) = (membership.local(), membership.health_score());
     let state = membership.state("n1");
-    let anomalies = membership.anomalies();
+    let anomalies = membership.ignored_updates();
     format!("{local:?} {awareness} {anomalies} {state:?} {members:?}\n")
 }
 
--- a/crates/membership/tests/message_handling/updates_about_others.rs
+++ b/crates/membership/tests/message_handling/updates_about_others.rs
@@ -37,7 +37,7 @@
     long_name.node.name = "x".repeat(MAX_NAME_BYTES + 1).into();
     let membership = joined(vec![unknown_version, long_name]);
     assert_eq!(
-        (membership.members().count(), membership.anomalies()),
+        (membership.members().count(), membership.ignored_updates()),
         (0, 2)
     );
 }
@@ -63,7 +63,7 @@
         updates,
     );
     assert_eq!(
-        (membership.members().count(), membership.anomalies()),
+        (membership.members().count(), membership.ignored_updates()),
         (3, 4)
     );
 }
--- a/crates/server/src/cluster/admin.rs
+++ b/crates/server/src/cluster/admin.rs
@@ -191,7 +191,7 @@
         members: std::iter::once(MemberRow::local(membership.local()))
             .chain(remote)
             .collect(),
-        awareness: membership.awareness(),
-        anomalies: membership.anomalies(),
+        health_score: membership.health_score(),
+        ignored_updates: membership.ignored_updates(),
     }
 }
--- a/crates/server/src/cluster/control_protocol.rs
+++ b/crates/server/src/cluster/control_protocol.rs
@@ -328,12 +328,12 @@
 pub(crate) struct MemberList {
     /// This process first.
     pub(crate) members: Vec<MemberRow>,
-    /// See [`Membership::awareness`](tulipgap_membership::Membership::awareness).
+    /// See [`Membership::health_score`](tulipgap_membership::Membership::health_score).
     #[serde(rename = "badly")]
-    pub(crate) awareness: u32,
-    /// See [`Membership::anomalies`](tulipgap_membership::Membership::anomalies).
+    pub(crate) health_score: u32,
+    /// See [`Membership::ignored_updates`](tulipgap_membership::Membership::ignored_updates).
     #[serde(rename = "odd")]
-    pub(crate) anomalies: u64,
+    pub(crate) ignored_updates: u64,
 }
 
 /// A member of the cluster.
--- a/crates/server/src/cluster/tests.rs
+++ b/crates/server/src/cluster/tests.rs
@@ -253,8 +253,8 @@
     }
     let list = MemberList {
         members,
-        awareness: 2,
-        anomalies: 6,
+        health_score: 2,
+        ignored_updates: 6,
     };
     let expected = json!({ "members": rows, "badly": 2, "odd": 6 });
     assert_eq!(response(AdminResponse::Members(list)), expected);
