--- a/crates/fault-injection/src/lease_simulation/mod.rs
+++ b/crates/fault-injection/src/lease_simulation/mod.rs
@@ -3,26 +3,30 @@
 //! operation. The same plan and seed give the same run to the last message.
 
 mod clients;
+mod driver;
+mod events;
 mod injected_bugs;
 mod invariants;
 mod network;
 mod outcome;
 mod processes;
+mod reads;
+mod vacancy;
 mod voters;
 
-use std::collections::BTreeMap;
 use std::time::Duration;
 
 use tulipgap_leases::Name;
-use tulipgap_write_ahead_log::{DiskFaults, DiskUsage};
+use tulipgap_write_ahead_log::DiskUsage;
 
-use crate::plan::{
-    BACKUP_AT, DirectoryAfterCrash, DiskFault, Fault, Member, MemberIndex, Plan, matching,
-};
-use crate::scheduler::{Fingerprint, ProcessGeneration, Scheduler, Simulation, play};
+use crate::plan::{BACKUP_AT, DirectoryAfterCrash, Fault, Member, MemberIndex, Plan};
+use crate::scheduler::{Fingerprint, Scheduler, Simulation, play};
+use events::{FaultEvent, SimulationEvent, fault_events};
 use invariants::InvariantState;
-use network::{Message, PendingRead};
-use processes::Process;
+use network::Network;
+use processes::Processes;
+use reads::PendingReads;
+use vacancy::VacancyTracker;
 
 pub use injected_bugs::InjectedBugs;
 pub use outcome::{LeaseInvariant, LeaseOutcome, LeaseViolation};
@@ -33,43 +37,9 @@
 const READ_INTERVAL: Duration = Duration::from_millis(700);
 /// The time within which all members start, in seconds.
 const START_SPREAD_SECONDS: f64 = 0.2;
-/// How long a disk fault lasts where the plan does not say, in seconds.
-const DEFAULT_DISK_FAULT_SECONDS: f64 = 5.0;
 
-/// What happens to a member's machine, or on it.
-enum SimulationEvent {
-    Start { directory: DirectoryAfterCrash },
-    Crash,
-    Pause,
-    Resume,
-    BackUpDirectory,
-    SetDiskFaults(DiskFaults),
-    ReplaceVoter { old: Name, new: Name },
-    ReadLeases,
-    Process(ProcessEvent),
-}
-
-/// What a process handles itself, and what waits while it is paused.
-enum ProcessEvent {
-    Deliver {
-        from: MemberIndex,
-        message: Message,
-    },
-    VoterTimer {
-        generation: ProcessGeneration,
-    },
-    ClientTimer {
-        generation: ProcessGeneration,
-    },
-    /// The next operation under a lease begins, or the one that is under way ends.
-    Operation {
-        generation: ProcessGeneration,
-        lease: Name,
-    },
-}
-
-/// A run. Owns the processes; what the invariants need to know of the past is in its
-/// [`InvariantState`].
+/// A run. Drives its parts, each of which owns its state: it hands them events, and turns their
+/// actions into messages and timers.
 struct LeaseSimulation<'a> {
     plan: &'a Plan,
     bugs: InjectedBugs,
@@ -78,9 +48,11 @@
     voters: Vec<Name>,
     rng: fastrand::Rng,
     scheduler: Scheduler<SimulationEvent>,
-    processes: Vec<Process>,
+    network: Network<'a>,
+    processes: Processes,
     invariants: InvariantState,
-    pending_reads: BTreeMap<tulipgap_leases::RequestId, PendingRead>,
+    vacancy: VacancyTracker,
+    pending_reads: PendingReads,
     fingerprint: Fingerprint,
     outcome: LeaseOutcome,
 }
@@ -136,15 +108,10 @@
 
 impl<'a> LeaseSimulation<'a> {
     fn new(plan: &'a Plan, seed: u64, bugs: InjectedBugs) -> Self {
-        let members = plan.members();
-        let processes = members
-            .iter()
-            .map(|member| Process::new(&member.name, plan.clock_rate(member)))
-            .collect();
         LeaseSimulation {
             plan,
             bugs,
-            members,
+            members: plan.members(),
             voters: plan
                 .voters
                 .iter()
@@ -152,9 +119,11 @@
                 .collect(),
             rng: fastrand::Rng::with_seed(seed),
             scheduler: Scheduler::new(),
-            processes,
+            network: Network::new(plan),
+            processes: Processes::new(plan),
             invariants: InvariantState::new(plan),
-            pending_reads: BTreeMap::new(),
+            vacancy: VacancyTracker::new(plan),
+            pending_reads: PendingReads::default(),
             fingerprint: Fingerprint::new(),
             outcome: LeaseOutcome::default(),
         }
@@ -172,69 +141,14 @@
         }
     }
 
-    /// Schedules both ends of a fault of members. Faults of links and clocks are looked up when
-    /// they matter.
     fn schedule_fault(&mut self, fault: &Fault) {
-        match fault {
-            Fault::Crash {
-                at,
-                target,
-                restart_at,
-                directory,
-            } => {
-                for member in matching(&self.members, target) {
-                    self.schedule_at(*at, member, SimulationEvent::Crash);
-                    if let Some(restart_at) = restart_at {
-                        let start = SimulationEvent::Start {
-                            directory: *directory,
-                        };
-                        self.schedule_at(*restart_at, member, start);
-                    }
-                }
-            }
-            Fault::Pause {
-                at,
-                target,
-                resume_at,
-            } => {
-                for member in matching(&self.members, target) {
-                    self.schedule_at(*at, member, SimulationEvent::Pause);
-                    if let Some(resume_at) = resume_at {
-                        self.schedule_at(*resume_at, member, SimulationEvent::Resume);
-                    }
-                }
-            }
-            Fault::Disk {
-                at,
-                target,
-                repaired_at,
-                fault,
-            } => {
-                let repaired_at = repaired_at.unwrap_or(*at + DEFAULT_DISK_FAULT_SECONDS);
-                for member in matching(&self.members, target) {
-                    let begin = SimulationEvent::SetDiskFaults(disk_faults(*fault));
-                    self.schedule_at(*at, member, begin);
-                    let end = SimulationEvent::SetDiskFaults(DiskFaults::default());
-                    self.schedule_at(repaired_at, member, end);
-                }
-            }
-            Fault::ReplaceVoter { at, old, new } => {
-                for member in matching(&self.members, new) {
-                    let (old, new) = (old.as_str().into(), new.as_str().into());
-                    self.schedule_at(*at, member, SimulationEvent::ReplaceVoter { old, new });
-                }
-            }
-            Fault::Partition { .. } | Fault::DegradedLinks { .. } | Fault::ClockRate { .. } => {}
+        for FaultEvent { at, member, event } in fault_events(fault, &self.members) {
+            self.scheduler.schedule(at, member, event);
         }
     }
 
-    fn schedule_at(&mut self, seconds: f64, member: MemberIndex, event: SimulationEvent) {
-        self.scheduler
-            .schedule(Duration::from_secs_f64(seconds), member, event);
-    }
-
     fn into_outcome(mut self) -> LeaseOutcome {
-        for process in &self.processes {
+        for process in self.processes.iter() {
             let DiskUsage {
                 syncs,
                 written_bytes,
@@ -242,20 +156,10 @@
             self.outcome.syncs += syncs;
             self.outcome.written_bytes += written_bytes;
         }
+        self.outcome.messages = self.network.messages();
+        self.outcome.longest_vacancy = self.vacancy.longest();
+        self.outcome.longest_vacancy_after_faults = self.vacancy.longest_after_faults();
         self.outcome.fingerprint = self.fingerprint.value();
         self.outcome
     }
 }
-
-fn disk_faults(fault: DiskFault) -> DiskFaults {
-    match fault {
-        DiskFault::Full => DiskFaults {
-            is_full: true,
-            ..DiskFaults::default()
-        },
-        DiskFault::SyncFails => DiskFaults {
-            next_sync_fails: true,
-            ..DiskFaults::default()
-        },
-    }
-}
--- a/crates/fault-injection/src/lease_simulation/outcome.rs
+++ b/crates/fault-injection/src/lease_simulation/outcome.rs
@@ -3,6 +3,8 @@
 use std::fmt::{self, Display};
 use std::time::Duration;
 
+use super::invariants::Finding;
+
 /// An invariant of the leases and of the voters that grant them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseInvariant {
@@ -86,3 +88,16 @@
     /// Identifies the run: equal where all was equal.
     pub fingerprint: u64,
 }
+
+impl LeaseOutcome {
+    /// Records what a check found, if it is the first violation.
+    pub(super) fn record(&mut self, at: Duration, checked: Result<(), Finding>) {
+        if let Err(Finding { invariant, details }) = checked {
+            self.violation.get_or_insert(LeaseViolation {
+                invariant,
+                at,
+                details,
+            });
+        }
+    }
+}
--- a/crates/fault-injection/src/lease_simulation/processes.rs
+++ b/crates/fault-injection/src/lease_simulation/processes.rs
@@ -1,39 +1,38 @@
 //! The processes of a run: what each owns, and how it starts, crashes, is paused and resumes.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
+use std::ops::{Index, IndexMut};
 use std::time::Duration;
 
-use tulipgap_consensus::{Config as VoterConfig, DurableVoter, Event as VoterEvent};
-use tulipgap_leases::{
-    Config as ClientConfig, Event as ClientEvent, FencingToken, Incarnation, LeaseClient,
-    LeaseGuard, LeaseSpec, Name, Owner,
-};
+use tulipgap_leases::{FencingToken, Incarnation, Name, Owner};
 use tulipgap_write_ahead_log::FaultyDisk;
 
-use super::{LeaseSimulation, ProcessEvent, SimulationEvent};
-use crate::plan::{DirectoryAfterCrash, Fault, MemberIndex};
+use super::clients::HostedClient;
+use super::events::ProcessEvent;
+use super::injected_bugs::InjectedBugs;
+use super::voters::HostedVoter;
+use crate::plan::{DirectoryAfterCrash, Member, MemberIndex, Plan, PlannedLease};
 use crate::scheduler::ProcessGeneration;
 
-/// How far clocks may be off in rate, as the clients are configured, in thousandths.
-const MAX_CLOCK_DRIFT_PERMILLE: u32 = 50;
-/// The jitter of the clients' pauses, in thousandths of a pause.
-const JITTER_PERMILLE: u32 = 250;
 /// Events that wait for a paused process, at most, as in a socket's buffer.
 const MAX_PENDING_EVENTS: usize = 2000;
 /// How much later a timer elapses by true time. Timers are set by clocks of another rate; this
 /// covers the rounding, so that none elapses before its time.
 const TIMER_ROUNDING: Duration = Duration::from_nanos(10);
 
-/// A lease under which a client has a guard; the lease itself may have ended meanwhile.
-pub(super) struct ActiveLease {
-    pub(super) guard: LeaseGuard,
-    /// The token of the operation that is under way.
-    pub(super) operation: Option<FencingToken>,
+/// What the state machines of a process are started with.
+pub(super) struct Startup<'a> {
+    /// The initial voters.
+    pub(super) voters: &'a [Name],
+    pub(super) bugs: InjectedBugs,
+    /// Of the state machines' own random draws.
+    pub(super) seed: u64,
 }
 
 /// One process and its machine. Owns its state machines, its disk, and what waits while it is
 /// paused.
 pub(super) struct Process {
+    member: Member,
     pub(super) name: Name,
     clock_rate: f64,
     /// When the process started, by true time; its own clock starts at zero then.
@@ -41,29 +40,27 @@
     pub(super) disk: FaultyDisk,
     /// What was on the disk when it was backed up.
     backup: BTreeMap<String, Vec<u8>>,
-    pub(super) voter: Option<DurableVoter<FaultyDisk>>,
-    /// `None` while the process is dead or has not started yet.
-    pub(super) client: Option<LeaseClient>,
+    pub(super) voter: HostedVoter,
+    pub(super) client: HostedClient,
     pub(super) generation: ProcessGeneration,
-    pub(super) is_paused: bool,
+    is_paused: bool,
     pending_events: Vec<ProcessEvent>,
-    pub(super) active_leases: BTreeMap<Name, ActiveLease>,
 }
 
 impl Process {
-    pub(super) fn new(name: &str, clock_rate: f64) -> Self {
+    fn new(member: Member, clock_rate: f64) -> Self {
         Process {
-            name: name.into(),
+            name: member.name.as_str().into(),
+            member,
             clock_rate,
             started_at: Duration::ZERO,
             disk: FaultyDisk::default(),
             backup: BTreeMap::new(),
-            voter: None,
-            client: None,
+            voter: HostedVoter::default(),
+            client: HostedClient::default(),
             generation: ProcessGeneration::default(),
             is_paused: false,
             pending_events: Vec::new(),
-            active_leases: BTreeMap::new(),
         }
     }
 
@@ -78,7 +75,7 @@
     }
 
     pub(super) fn pause(&mut self) {
-        self.is_paused = self.client.is_some();
+        self.is_paused = self.client.is_running();
     }
 
     pub(super) fn back_up_directory(&mut self) {
@@ -92,156 +89,131 @@
             DirectoryAfterCrash::RolledBack => self.disk.restore_files(self.backup.clone()),
         }
     }
-}
-
-impl LeaseSimulation<'_> {
-    pub(super) fn start(&mut self, member: MemberIndex, directory: DirectoryAfterCrash) {
-        // Where two crashes of one process overlap, it is running already.
-        if self.processes[member].client.is_some() {
-            return;
-        }
-        let seed = self.rng.u64(..);
-        let process = &mut self.processes[member];
-        process.generation = process.generation.next();
-        process.started_at = self.scheduler.now();
-        process.restore_directory(directory);
-        self.start_client(member, seed);
-        if self.is_ever_voter(member) {
-            self.start_voter(member, seed);
-        }
-        self.acquire_leases(member);
-    }
 
-    fn start_client(&mut self, member: MemberIndex, seed: u64) {
-        let process = &mut self.processes[member];
+    /// Starts the process and its client. Its voter starts apart, where it has one.
+    pub(super) fn start(
+        &mut self,
+        now: Duration,
+        directory: DirectoryAfterCrash,
+        startup: &Startup,
+    ) {
+        self.generation = self.generation.next();
+        self.started_at = now;
+        self.restore_directory(directory);
         let owner = Owner {
-            name: process.name.clone(),
-            incarnation: Incarnation(process.generation.0),
-        };
-        let config = ClientConfig {
-            max_clock_drift_permille: MAX_CLOCK_DRIFT_PERMILLE,
-            jitter_permille: JITTER_PERMILLE,
-        };
-        let mut client = LeaseClient::new(owner, self.voters.clone(), config, seed);
-        self.bugs.inject_into_client(&mut client);
-        process.client = Some(client);
-    }
-
-    /// Whether the plan has the member vote, from the start or later.
-    fn is_ever_voter(&self, member: MemberIndex) -> bool {
-        let name = &self.processes[member].name;
-        let adds = |fault: &Fault| matches!(fault, Fault::ReplaceVoter { new, .. } if new.as_str() == &**name);
-        self.voters.contains(name) || self.plan.faults.iter().any(adds)
-    }
-
-    fn start_voter(&mut self, member: MemberIndex, seed: u64) {
-        let process = &mut self.processes[member];
-        let opened = DurableVoter::open(
-            VoterConfig::default(),
-            &process.name,
-            self.voters.clone(),
-            process.disk.clone(),
-            seed,
-        );
-        let Ok(mut voter) = opened else {
-            self.outcome.stopped_voters += 1;
-            return;
+            name: self.name.clone(),
+            incarnation: Incarnation(self.generation.0),
         };
-        self.bugs.inject_into_voter(&mut voter);
-        process.voter = Some(voter);
-        self.handle_voter_event(member, VoterEvent::TimerElapsed);
+        self.client.start(owner, startup);
     }
 
-    /// Has a client acquire each lease that the plan has its member want.
-    fn acquire_leases(&mut self, member: MemberIndex) {
-        let plan = self.plan;
-        for lease in &plan.leases {
-            if !self.members[member].matches(&lease.target) {
-                continue;
-            }
-            let event = ClientEvent::Acquire {
-                lease: lease.name.as_str().into(),
-                spec: LeaseSpec {
-                    ttl: Duration::from_secs_f64(lease.ttl),
-                    capacity: lease.capacity,
-                },
-                max_step: Duration::from_secs_f64(lease.max_operation),
-                wait: true,
-            };
-            self.handle_client_event(member, event);
-        }
+    /// Returns whether the voter could start from what is on the disk.
+    pub(super) fn start_voter(&mut self, startup: &Startup) -> bool {
+        self.voter.start(&self.name, &self.disk, startup)
     }
 
-    /// The process ends, or its machine: of what was not synced, some survives.
-    pub(super) fn crash(&mut self, member: MemberIndex) {
-        let process = &mut self.processes[member];
-        process.voter = None;
-        process.client = None;
-        process.is_paused = false;
-        process.pending_events.clear();
-        for (lease, active) in std::mem::take(&mut process.active_leases) {
-            if let Some(token) = active.operation {
-                self.invariants.history.abandon(&lease, token);
-            }
-        }
-        let rng = &mut self.rng;
-        process
-            .disk
+    /// The process ends, or its machine: of what was not synced, some survives. Returns the
+    /// operations that were under way.
+    pub(super) fn crash(&mut self, rng: &mut fastrand::Rng) -> Vec<(Name, FencingToken)> {
+        self.voter.stop();
+        let operations = self.client.stop();
+        self.is_paused = false;
+        self.pending_events.clear();
+        self.disk
             .crash(|unsynced_bytes| rng.usize(0..=unsynced_bytes));
+        operations
     }
 
-    pub(super) fn resume(&mut self, member: MemberIndex) {
-        if !std::mem::replace(&mut self.processes[member].is_paused, false) {
-            return;
-        }
-        for event in std::mem::take(&mut self.processes[member].pending_events) {
-            self.handle_process_event(member, event);
+    /// Returns what waited while the process was paused.
+    pub(super) fn resume(&mut self) -> Vec<ProcessEvent> {
+        match std::mem::replace(&mut self.is_paused, false) {
+            true => std::mem::take(&mut self.pending_events),
+            false => Vec::new(),
         }
     }
 
-    pub(super) fn handle_process_event(&mut self, member: MemberIndex, event: ProcessEvent) {
-        let process = &mut self.processes[member];
-        if process.is_paused {
-            if process.pending_events.len() < MAX_PENDING_EVENTS {
-                process.pending_events.push(event);
-            }
-            return;
-        }
-        let current = process.generation;
-        match event {
-            ProcessEvent::Deliver { from, message } => self.deliver(member, from, message),
-            ProcessEvent::VoterTimer { generation } if generation == current => {
-                self.handle_voter_event(member, VoterEvent::TimerElapsed);
+    /// Returns the event if the process is to handle it now: it waits while the process is paused,
+    /// and a timer of an earlier run of the process is void.
+    pub(super) fn accept_event(&mut self, event: ProcessEvent) -> Option<ProcessEvent> {
+        if self.is_paused {
+            if self.pending_events.len() < MAX_PENDING_EVENTS {
+                self.pending_events.push(event);
             }
-            ProcessEvent::ClientTimer { generation } if generation == current => {
-                self.handle_client_event(member, ClientEvent::TimerElapsed);
-            }
-            ProcessEvent::Operation { generation, lease } if generation == current => {
-                self.begin_or_end_operation(member, lease);
-            }
-            // Of an earlier run of the process.
-            ProcessEvent::VoterTimer { .. }
-            | ProcessEvent::ClientTimer { .. }
-            | ProcessEvent::Operation { .. } => {}
+            return None;
         }
+        let is_current = match event {
+            ProcessEvent::Deliver { .. } => true,
+            ProcessEvent::VoterTimer { generation }
+            | ProcessEvent::ClientTimer { generation }
+            | ProcessEvent::Operation { generation, .. } => generation == self.generation,
+        };
+        is_current.then_some(event)
     }
 
-    /// What a member's own clock shows now.
-    pub(super) fn local_time(&self, member: MemberIndex) -> Duration {
-        self.processes[member].local_time(self.scheduler.now())
+    pub(super) fn wants(&self, lease: &PlannedLease) -> bool {
+        self.member.matches(&lease.target)
     }
+}
 
-    /// Schedules a timer that a state machine set by its process's clock.
-    pub(super) fn schedule_timer(
-        &mut self,
-        member: MemberIndex,
-        local_time: Duration,
-        event: ProcessEvent,
-    ) {
-        let at = self.processes[member]
-            .true_time(local_time)
-            .max(self.scheduler.now());
-        self.scheduler
-            .schedule(at, member, SimulationEvent::Process(event));
+/// The processes of a run, by member.
+pub(super) struct Processes(Vec<Process>);
+
+impl Processes {
+    pub(super) fn new(plan: &Plan) -> Self {
+        let members = plan.members().into_iter();
+        let process = |member: Member| {
+            let clock_rate = plan.clock_rate(&member);
+            Process::new(member, clock_rate)
+        };
+        Processes(members.map(process).collect())
+    }
+
+    pub(super) fn iter(&self) -> impl Iterator<Item = &Process> {
+        self.0.iter()
+    }
+
+    /// How many owners may act now, by true time and whatever each of them believes; paused ones
+    /// count too.
+    pub(super) fn count_holders(&self, now: Duration, lease: &str) -> usize {
+        self.iter()
+            .filter(|process| process.client.may_act(process.local_time(now), lease))
+            .count()
+    }
+
+    /// How many voters vote.
+    pub(super) fn count_voting(&self) -> usize {
+        self.iter()
+            .filter(|process| !process.is_paused && process.voter.is_voting())
+            .count()
+    }
+
+    /// Whether some running process wants a lease.
+    pub(super) fn is_wanted(&self, lease: &PlannedLease) -> bool {
+        let is_running = |process: &Process| process.client.is_running() && !process.is_paused;
+        self.iter()
+            .any(|process| process.wants(lease) && is_running(process))
+    }
+
+    /// The tokens of operations of paused processes: nothing but the token keeps those from doing
+    /// harm when they resume.
+    pub(super) fn paused_operations(&self, lease: &Name) -> BTreeSet<FencingToken> {
+        let paused = self.iter().filter(|process| process.is_paused);
+        paused
+            .filter_map(|process| process.client.operation(lease))
+            .collect()
+    }
+}
+
+impl Index<MemberIndex> for Processes {
+    type Output = Process;
+
+    fn index(&self, member: MemberIndex) -> &Process {
+        &self.0[member]
+    }
+}
+
+impl IndexMut<MemberIndex> for Processes {
+    fn index_mut(&mut self, member: MemberIndex) -> &mut Process {
+        &mut self.0[member]
     }
 }
--- a/crates/fault-injection/src/lease_simulation/voters.rs
+++ b/crates/fault-injection/src/lease_simulation/voters.rs
@@ -1,132 +1,94 @@
-//! The voters' state machines: events in, actions out, and the invariants of consensus.
+//! The voter of a process: started from its disk, and stopped when the disk fails.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
+use std::time::Duration;
 
-use tulipgap_consensus::{Action, Event, Notice};
+use tulipgap_consensus::{Action, Config, DurableVoter, Event, VoterPhase};
 use tulipgap_leases::{FencingToken, LeaseStateMachine, Name};
+use tulipgap_write_ahead_log::FaultyDisk;
 
-use super::invariants::ObservedLeader;
-use super::network::Message;
-use super::{LeaseSimulation, ProcessEvent};
-use crate::plan::MemberIndex;
+use super::processes::Startup;
 
-impl LeaseSimulation<'_> {
-    pub(super) fn handle_voter_event(&mut self, member: MemberIndex, event: Event) {
-        let now = self.local_time(member);
-        let Some(voter) = &mut self.processes[member].voter else {
-            return;
+/// A voter's copy of the leases after it applied an entry.
+pub(super) struct ReplicaState {
+    pub(super) applied_index: u64,
+    pub(super) state_hash: u64,
+}
+
+/// What an event led to.
+pub(super) struct VoterProgress {
+    /// Where the voter applied entries: its copy of the leases.
+    pub(super) replica: Option<ReplicaState>,
+    /// Whether its disk failed, so that it stopped.
+    pub(super) has_stopped: bool,
+    pub(super) actions: Vec<Action>,
+}
+
+/// The voter of a process; none where the process is dead, does not vote, or the disk failed.
+#[derive(Default)]
+pub(super) struct HostedVoter {
+    voter: Option<DurableVoter<FaultyDisk>>,
+}
+
+impl HostedVoter {
+    /// Returns whether the voter could start from what is on the disk.
+    pub(super) fn start(&mut self, name: &Name, disk: &FaultyDisk, startup: &Startup) -> bool {
+        let opened = DurableVoter::open(
+            Config::default(),
+            name,
+            startup.voters.to_vec(),
+            disk.clone(),
+            startup.seed,
+        );
+        let Ok(mut voter) = opened else {
+            return false;
         };
-        let applied_before = voter.voter().applied_index();
-        let (actions, result) = voter.handle_events(now, vec![event]);
-        let applied_index = voter.voter().applied_index();
-        if applied_index != applied_before {
-            let state_hash = hash_of(voter.voter().leases());
-            self.check_replica(member, applied_index, state_hash);
-        }
-        if result.is_err() {
-            self.processes[member].voter = None;
-            self.outcome.stopped_voters += 1;
-        }
-        for action in actions {
-            self.perform_voter_action(member, action);
-        }
+        startup.bugs.inject_into_voter(&mut voter);
+        self.voter = Some(voter);
+        true
     }
 
-    fn perform_voter_action(&mut self, member: MemberIndex, action: Action) {
-        match action {
-            Action::Send { to, message } => self.send(member, &to, Message::Peer(message)),
-            Action::Respond {
-                to,
-                incarnation,
-                request,
-                response,
-            } => {
-                self.send(
-                    member,
-                    &to,
-                    Message::Response {
-                        incarnation,
-                        request,
-                        response,
-                    },
-                );
-            }
-            Action::RejectNotLeader {
-                to,
-                request,
-                leader,
-            } => {
-                self.send(member, &to, Message::NotLeader { request, leader });
-            }
-            Action::NotifySlotAvailable { to, lease } => {
-                self.send(member, &to, Message::SlotAvailable { lease });
-            }
-            Action::RespondRead {
-                to,
-                request,
-                leases,
-            } => {
-                self.send(member, &to, Message::ReadResponse { request, leases });
-            }
-            Action::SetTimer { at } => {
-                let generation = self.processes[member].generation;
-                self.schedule_timer(member, at, ProcessEvent::VoterTimer { generation });
-            }
-            Action::Notice(notice) => self.handle_notice(member, &notice),
-            // The durable voter has done these itself.
-            Action::AppendRecord(_) | Action::WriteSnapshot(_) | Action::WriteIdentity(_) => {}
-        }
+    pub(super) fn stop(&mut self) {
+        self.voter = None;
     }
 
-    fn handle_notice(&mut self, member: MemberIndex, notice: &Notice) {
-        match notice {
-            Notice::BecameLeader { term } => {
-                self.outcome.elections += 1;
-                let now = self.scheduler.now().as_micros() as u64;
-                self.fingerprint.mix([member as u64, *term, now]);
-                self.check_leader(member, *term);
-            }
-            Notice::RolledBack { .. } | Notice::InvalidData(_) => self.outcome.stopped_voters += 1,
-            _ => {}
+    /// `now` is what the process's own clock shows. `None` where no voter runs.
+    pub(super) fn handle_event(&mut self, now: Duration, event: Event) -> Option<VoterProgress> {
+        let voter = self.voter.as_mut()?;
+        let applied_before = voter.voter().applied_index();
+        let (actions, result) = voter.handle_events(now, vec![event]);
+        let applied_index = voter.voter().applied_index();
+        let replica = (applied_index != applied_before).then(|| ReplicaState {
+            applied_index,
+            state_hash: hash_of(voter.voter().leases()),
+        });
+        let has_stopped = result.is_err();
+        if has_stopped {
+            self.stop();
         }
+        Some(VoterProgress {
+            replica,
+            has_stopped,
+            actions,
+        })
     }
 
-    fn check_replica(&mut self, member: MemberIndex, applied_index: u64, state_hash: u64) {
-        let name = &self.processes[member].name;
-        let checked = self
-            .invariants
-            .record_replica(name, applied_index, state_hash);
-        self.record(checked);
+    /// The newest token in the voter's copy of the leases; `None` where no voter runs.
+    pub(super) fn last_token(&self) -> Option<FencingToken> {
+        let voter = self.voter.as_ref()?;
+        Some(voter.voter().leases().last_token())
     }
 
-    fn check_leader(&mut self, member: MemberIndex, term: u64) {
-        let voter = self.processes[member].voter.as_ref();
-        let last_token = voter.map_or(FencingToken(u64::MAX), |voter| {
-            voter.voter().leases().last_token()
-        });
-        let leader = ObservedLeader {
-            member,
-            term,
-            last_token,
-        };
-        let checked = self.invariants.record_leader(&leader, &self.members);
-        self.record(checked);
+    pub(super) fn is_leader(&self) -> bool {
+        self.voter
+            .as_ref()
+            .is_some_and(|voter| voter.voter().is_leader())
     }
 
-    /// Has whoever leads replace a voter, as an operator would.
-    pub(super) fn replace_voter(&mut self, old: &Name, new: &Name) {
-        for member in 0..self.members.len() {
-            let voter = self.processes[member].voter.as_ref();
-            if voter.is_some_and(|voter| voter.voter().is_leader()) {
-                self.handle_voter_event(
-                    member,
-                    Event::ReplaceVoter {
-                        old: old.clone(),
-                        new: new.clone(),
-                    },
-                );
-            }
-        }
+    pub(super) fn is_voting(&self) -> bool {
+        self.voter
+            .as_ref()
+            .is_some_and(|voter| voter.voter().status().phase == VoterPhase::Voting)
     }
 }
 
