--- a/crates/fault-injection/src/lease_simulation/driver.rs
+++ b/crates/fault-injection/src/lease_simulation/driver.rs
@@ -11,7 +11,7 @@
 use super::clients::{OperationStep, REACQUIRE_DELAY, acquire_event, draw_operation, draw_rest};
 use super::events::{ProcessEvent, SimulationEvent};
 use super::invariants::{Finding, ObservedGrant, ObservedLeader};
-use super::network::Message;
+use super::message::Message;
 use super::outcome::LeaseInvariant;
 use super::processes::Startup;
 use super::reads::PendingRead;
@@ -108,6 +108,7 @@
         let Some(to) = self.network.index_of(to) else {
             return;
         };
+        self.network.count_message();
         let now = self.scheduler.now();
         for transit in self.network.draw_transits(now, from, to, &mut self.rng) {
             let event = ProcessEvent::Deliver {
@@ -179,7 +180,7 @@
             return;
         }
         let newest_token = self.invariants.newest_token(&lease);
-        let reader = self.rng.usize(0..self.members.len());
+        let reader = self.rng.usize(0..self.network.members().len());
         for voter in self.voters.clone() {
             let request = RequestId(self.scheduler.next_sequence());
             self.pending_reads.insert(
@@ -285,7 +286,7 @@
 
     /// Has whoever leads replace a voter, as an operator would.
     pub(super) fn replace_voter(&mut self, old: &Name, new: &Name) {
-        for member in 0..self.members.len() {
+        for member in 0..self.network.members().len() {
             if self.processes[member].voter.is_leader() {
                 self.handle_voter_event(
                     member,
@@ -305,7 +306,9 @@
             term,
             last_token: last_token.unwrap_or(FencingToken(u64::MAX)),
         };
-        let checked = self.invariants.record_leader(&leader, &self.members);
+        let checked = self
+            .invariants
+            .record_leader(&leader, self.network.members());
         self.record(checked);
     }
 
--- a/crates/fault-injection/src/lease_simulation/events.rs
+++ b/crates/fault-injection/src/lease_simulation/events.rs
@@ -5,7 +5,7 @@
 use tulipgap_leases::Name;
 use tulipgap_write_ahead_log::DiskFaults;
 
-use super::network::Message;
+use super::message::Message;
 use crate::plan::{DirectoryAfterCrash, DiskFault, Fault, Member, MemberIndex, matching};
 use crate::scheduler::ProcessGeneration;
 
--- a/crates/fault-injection/src/lease_simulation/mod.rs
+++ b/crates/fault-injection/src/lease_simulation/mod.rs
@@ -7,7 +7,7 @@
 mod events;
 mod injected_bugs;
 mod invariants;
-mod network;
+mod message;
 mod outcome;
 mod processes;
 mod reads;
@@ -19,11 +19,11 @@
 use tulipgap_leases::Name;
 use tulipgap_write_ahead_log::DiskUsage;
 
-use crate::plan::{BACKUP_AT, DirectoryAfterCrash, Fault, Member, MemberIndex, Plan};
+use crate::plan::{BACKUP_AT, DirectoryAfterCrash, Fault, MemberIndex, Plan};
 use crate::scheduler::{Fingerprint, Scheduler, Simulation, play};
+use crate::simulated_network::{SimulatedNetwork, draw_start_time};
 use events::{FaultEvent, SimulationEvent, fault_events};
 use invariants::InvariantState;
-use network::Network;
 use processes::Processes;
 use reads::PendingReads;
 use vacancy::VacancyTracker;
@@ -35,20 +35,17 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How often some member reads who holds a lease, in simulated time.
 const READ_INTERVAL: Duration = Duration::from_millis(700);
-/// The time within which all members start, in seconds.
-const START_SPREAD_SECONDS: f64 = 0.2;
 
 /// A run. Drives its parts, each of which owns its state: it hands them events, and turns their
 /// actions into messages and timers.
 struct LeaseSimulation<'a> {
     plan: &'a Plan,
     bugs: InjectedBugs,
-    members: Vec<Member>,
     /// The initial voters.
     voters: Vec<Name>,
     rng: fastrand::Rng,
     scheduler: Scheduler<SimulationEvent>,
-    network: Network<'a>,
+    network: SimulatedNetwork<'a>,
     processes: Processes,
     invariants: InvariantState,
     vacancy: VacancyTracker,
@@ -111,7 +108,6 @@
         LeaseSimulation {
             plan,
             bugs,
-            members: plan.members(),
             voters: plan
                 .voters
                 .iter()
@@ -119,7 +115,7 @@
                 .collect(),
             rng: fastrand::Rng::with_seed(seed),
             scheduler: Scheduler::new(),
-            network: Network::new(plan),
+            network: SimulatedNetwork::new(plan),
             processes: Processes::new(plan),
             invariants: InvariantState::new(plan),
             vacancy: VacancyTracker::new(plan),
@@ -130,8 +126,8 @@
     }
 
     fn schedule_starts(&mut self) {
-        for member in 0..self.members.len() {
-            let at = Duration::from_secs_f64(self.rng.f64() * START_SPREAD_SECONDS);
+        for member in 0..self.network.members().len() {
+            let at = draw_start_time(&mut self.rng);
             let start = SimulationEvent::Start {
                 directory: DirectoryAfterCrash::Kept,
             };
@@ -142,7 +138,7 @@
     }
 
     fn schedule_fault(&mut self, fault: &Fault) {
-        for FaultEvent { at, member, event } in fault_events(fault, &self.members) {
+        for FaultEvent { at, member, event } in fault_events(fault, self.network.members()) {
             self.scheduler.schedule(at, member, event);
         }
     }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -50,6 +50,7 @@
 mod processes;
 mod random_faults;
 mod scheduler;
+mod simulated_network;
 
 pub use history_checker::{HistoryChecker, OperationError};
 pub use invariants::{MembershipInvariant, MembershipViolation, WorstDurations};
--- a/crates/fault-injection/src/membership_simulation/mod.rs
+++ b/crates/fault-injection/src/membership_simulation/mod.rs
@@ -2,27 +2,30 @@
 //! plan says, and a checker of the invariants. The same plan and seed give the same run to the last
 //! message.
 
-mod network;
+mod driver;
+mod injected_bugs;
 mod outcome;
 mod processes;
+mod views;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use tulipgap_membership::{MemberState, Message};
+use tulipgap_membership::Message;
 
 use crate::invariants::{MembershipChecker, Observation};
-use crate::plan::{Fault, Member, MemberIndex, Plan, matching};
+use crate::plan::{Fault, MemberIndex, Plan, matching};
 use crate::scheduler::{Fingerprint, ProcessGeneration, Scheduler, Simulation, play};
+use crate::simulated_network::{SimulatedNetwork, draw_start_time};
 use processes::Process;
+use views::Views;
 
-pub use outcome::{DetectionTimes, MembershipBug, MembershipOutcome};
+pub use injected_bugs::MembershipBug;
+pub use outcome::{DetectionTimes, MembershipOutcome};
 
 /// How often the invariants are checked, in simulated time.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// The time within which all members start, in seconds.
-const START_SPREAD_SECONDS: f64 = 0.2;
 
 enum SimulationEvent {
     Start,
@@ -33,20 +36,18 @@
     Deliver { from: MemberIndex, message: Message },
 }
 
-/// A run. Owns the processes and what each considers the others to be.
+/// A run. Drives its parts, each of which owns its state: the network, the processes, the views and
+/// the checker.
 struct MembershipSimulation<'a> {
     plan: &'a Plan,
-    members: Vec<Member>,
     bug: Option<MembershipBug>,
     rng: fastrand::Rng,
     scheduler: Scheduler<SimulationEvent>,
+    network: SimulatedNetwork<'a>,
     processes: Vec<Process>,
     index_by_address: HashMap<SocketAddr, MemberIndex>,
-    index_by_name: HashMap<String, MemberIndex>,
-    /// By observer and subject, as the observer reported it.
-    views: Vec<Vec<Option<MemberState>>>,
+    views: Views,
     checker: MembershipChecker,
-    messages: u64,
     false_deaths: u64,
     detections: Vec<DetectionTimes>,
     fingerprint: Fingerprint,
@@ -65,7 +66,7 @@
     MembershipOutcome {
         violation: simulation.checker.violation().cloned(),
         worst: simulation.checker.worst(),
-        messages: simulation.messages,
+        messages: simulation.network.messages(),
         false_deaths: simulation.false_deaths,
         detections: simulation.detections,
         fingerprint: simulation.fingerprint.value(),
@@ -84,11 +85,8 @@
     fn handle(&mut self, member: MemberIndex, event: SimulationEvent) {
         match event {
             SimulationEvent::Start => self.start(member),
-            SimulationEvent::Crash => self.crash(member),
-            SimulationEvent::Pause => {
-                let process = &mut self.processes[member];
-                process.is_paused = process.membership.is_some();
-            }
+            SimulationEvent::Crash => self.processes[member].crash(self.scheduler.now()),
+            SimulationEvent::Pause => self.processes[member].pause(),
             SimulationEvent::Resume => self.resume(member),
             SimulationEvent::TimerExpired { generation } => self.expire_timer(member, generation),
             SimulationEvent::Deliver { from, message } => self.deliver(member, from, message),
@@ -98,22 +96,22 @@
     fn check_invariants(&mut self) {
         let now = self.scheduler.now();
         let has_partition = self.plan.has_partition(now.as_secs_f64());
-        for observer in 0..self.members.len() {
-            if !self.is_running(observer) {
+        for observer in 0..self.processes.len() {
+            if !self.processes[observer].is_running() {
                 continue;
             }
-            for subject in (0..self.members.len()).filter(|&subject| subject != observer) {
+            for subject in (0..self.processes.len()).filter(|&subject| subject != observer) {
                 let is_reachable = match has_partition {
                     true => self.is_reachable(observer, subject),
-                    false => self.is_running(subject),
+                    false => self.processes[subject].is_running(),
                 };
                 let observation = Observation {
                     observer,
                     subject,
-                    members: &self.members,
-                    state: self.views[observer][subject],
+                    members: self.network.members(),
+                    state: self.views.state(observer, subject),
                     is_reachable,
-                    is_dead: self.processes[subject].death.is_some(),
+                    is_dead: self.processes[subject].is_dead(),
                 };
                 self.checker.check(now, &observation);
             }
@@ -127,18 +125,13 @@
 
 impl<'a> MembershipSimulation<'a> {
     fn new(plan: &'a Plan, seed: u64, bug: Option<MembershipBug>) -> Self {
-        let members = plan.members();
-        let processes: Vec<Process> = (0..members.len()).map(Process::new).collect();
+        let network = SimulatedNetwork::new(plan);
+        let processes: Vec<Process> = (0..network.members().len()).map(Process::new).collect();
         let index_by_address = processes
             .iter()
             .enumerate()
             .map(|(index, process)| (process.address, index))
             .collect();
-        let index_by_name = members
-            .iter()
-            .enumerate()
-            .map(|(index, member)| (member.name.clone(), index))
-            .collect();
         MembershipSimulation {
             plan,
             bug,
@@ -146,20 +139,18 @@
             scheduler: Scheduler::new(),
             processes,
             index_by_address,
-            index_by_name,
-            views: vec![vec![None; members.len()]; members.len()],
+            views: Views::new(network.members()),
             checker: MembershipChecker::new(plan.bounds, plan.faults_end()),
-            messages: 0,
             false_deaths: 0,
             detections: Vec::new(),
             fingerprint: Fingerprint::new(),
-            members,
+            network,
         }
     }
 
     fn schedule_starts(&mut self) {
-        for member in 0..self.members.len() {
-            let at = Duration::from_secs_f64(self.rng.f64() * START_SPREAD_SECONDS);
+        for member in 0..self.processes.len() {
+            let at = draw_start_time(&mut self.rng);
             self.scheduler.schedule(at, member, SimulationEvent::Start);
         }
     }
@@ -181,7 +172,7 @@
             else {
                 continue;
             };
-            for member in matching(&self.members, target) {
+            for member in matching(self.network.members(), target) {
                 let (begins, ends) = match is_crash {
                     true => (SimulationEvent::Crash, SimulationEvent::Start),
                     false => (SimulationEvent::Pause, SimulationEvent::Resume),
--- a/crates/fault-injection/src/membership_simulation/outcome.rs
+++ b/crates/fault-injection/src/membership_simulation/outcome.rs
@@ -1,20 +1,9 @@
-//! The outcome of a run, and which bugs can be injected into it.
+//! The outcome of a run.
 
 use std::time::Duration;
 
 use crate::invariants::{MembershipViolation, WorstDurations};
 
-/// A bug that is injected to show that a check can fail.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MembershipBug {
-    /// The first member sends nothing, though its links work.
-    MuteMember,
-    /// A dead member's pings are answered in its place.
-    DeadMemberAnswers,
-    /// No member forwards what it knows of others.
-    NoDissemination,
-}
-
 /// How long it took until a crash was detected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DetectionTimes {
--- a/crates/fault-injection/src/membership_simulation/processes.rs
+++ b/crates/fault-injection/src/membership_simulation/processes.rs
@@ -6,12 +6,11 @@
 use std::time::Duration;
 
 use tulipgap_membership::{
-    Action, Config, Event, Incarnation, MemberState, Membership, Message, Node, SUPPORTED_VERSIONS,
+    Action, Config, Event, Incarnation, Membership, Message, Node, SUPPORTED_VERSIONS,
 };
 
 use super::outcome::DetectionTimes;
-use super::{MembershipSimulation, SimulationEvent};
-use crate::plan::{Member, MemberIndex, seed_members};
+use crate::plan::{Member, MemberIndex};
 use crate::scheduler::ProcessGeneration;
 
 /// Messages that wait for a paused process, at most, as in a socket's buffer.
@@ -27,19 +26,52 @@
     detected_after: BTreeMap<MemberIndex, Duration>,
 }
 
+impl Death {
+    /// `None` where nobody has detected it.
+    fn detection_times(&self) -> Option<DetectionTimes> {
+        let times = self.detected_after.values();
+        let (&first, &last) = (times.clone().min()?, times.max()?);
+        Some(DetectionTimes { first, last })
+    }
+}
+
+/// What a process is started with.
+pub(super) struct Startup<'a> {
+    pub(super) member: &'a Member,
+    pub(super) config: Config,
+    /// Of the state machine's own random draws.
+    pub(super) seed: u64,
+}
+
+/// What waited while a process was paused.
+pub(super) struct PendingEvents {
+    pub(super) has_timer: bool,
+    pub(super) messages: Vec<(MemberIndex, Message)>,
+}
+
+/// What becomes of a message that arrives.
+pub(super) enum Arrival {
+    /// The process handles it now.
+    Accepted(Message),
+    /// The process is paused; the message waits, or is dropped where too many do.
+    Queued,
+    /// The process is dead.
+    AtDeadProcess(Message),
+}
+
 /// One process of a run. Owns its state machine and what waits while it is paused.
 pub(super) struct Process {
     pub(super) address: SocketAddr,
     /// `None` while the process is dead or has not started yet.
-    pub(super) membership: Option<Membership>,
-    started_at: Duration,
-    generation: ProcessGeneration,
-    pub(super) is_paused: bool,
+    membership: Option<Membership>,
+    pub(super) started_at: Duration,
+    pub(super) generation: ProcessGeneration,
+    is_paused: bool,
     /// What arrived while the process was paused.
     pending_messages: Vec<(MemberIndex, Message)>,
     has_pending_timer: bool,
     /// Since the last crash, until the process restarts.
-    pub(super) death: Option<Death>,
+    death: Option<Death>,
 }
 
 impl Process {
@@ -57,136 +89,98 @@
             death: None,
         }
     }
-}
 
-impl MembershipSimulation<'_> {
-    pub(super) fn start(&mut self, member: MemberIndex) {
-        self.checker.reset_observer(member);
-        self.views[member].fill(None);
-        let seeds = seed_members(&self.members)
-            .map(|index| self.processes[index].address)
-            .collect();
-        let config = Config {
-            seeds,
-            ..self.plan.membership.clone()
-        };
-        let Member { name, zone, region } = &self.members[member];
+    /// Starts the process as a member of the run. Returns how long its last death took to be
+    /// detected, where anybody detected it.
+    pub(super) fn start(&mut self, now: Duration, startup: Startup) -> Option<DetectionTimes> {
+        let Member { name, zone, region } = startup.member;
         let node = Node {
             name: name.as_str().into(),
-            address: self.processes[member].address,
+            address: self.address,
             region: region.as_str().into(),
             zone: zone.as_str().into(),
             version: *SUPPORTED_VERSIONS.end(),
         };
-        let seed = self.rng.u64(..);
-        let process = &mut self.processes[member];
-        process.membership = Membership::new(config, node, Incarnation::default(), seed).ok();
-        process.started_at = self.scheduler.now();
-        process.generation = process.generation.next();
-        if let Some(death) = process.death.take() {
-            let times = death.detected_after.values();
-            if let (Some(&first), Some(&last)) = (times.clone().min(), times.max()) {
-                self.detections.push(DetectionTimes { first, last });
-            }
-        }
-        self.handle_membership_event(member, Event::Started);
+        let incarnation = Incarnation::default();
+        self.membership = Membership::new(startup.config, node, incarnation, startup.seed).ok();
+        self.started_at = now;
+        self.generation = self.generation.next();
+        self.death.take()?.detection_times()
     }
 
-    pub(super) fn crash(&mut self, member: MemberIndex) {
-        let at = self.scheduler.now();
-        let process = &mut self.processes[member];
-        if process.membership.take().is_some() {
-            process.death = Some(Death {
-                at,
+    pub(super) fn crash(&mut self, now: Duration) {
+        if self.membership.take().is_some() {
+            self.death = Some(Death {
+                at: now,
                 detected_after: BTreeMap::new(),
             });
         }
-        process.is_paused = false;
-        process.has_pending_timer = false;
-        process.pending_messages.clear();
+        self.is_paused = false;
+        self.has_pending_timer = false;
+        self.pending_messages.clear();
     }
 
-    pub(super) fn resume(&mut self, member: MemberIndex) {
-        let process = &mut self.processes[member];
-        if !std::mem::replace(&mut process.is_paused, false) {
-            return;
-        }
-        let pending_messages = std::mem::take(&mut process.pending_messages);
-        let has_pending_timer = std::mem::replace(&mut process.has_pending_timer, false);
-        self.checker.reset_observer(member);
-        if has_pending_timer {
-            self.handle_membership_event(member, Event::TimerExpired);
-        }
-        for (from, message) in pending_messages {
-            self.receive(member, from, message);
-        }
+    pub(super) fn pause(&mut self) {
+        self.is_paused = self.membership.is_some();
     }
 
-    pub(super) fn expire_timer(&mut self, member: MemberIndex, generation: ProcessGeneration) {
-        let process = &mut self.processes[member];
-        if process.generation != generation || process.membership.is_none() {
-            return;
-        }
-        if process.is_paused {
-            process.has_pending_timer = true;
-            return;
-        }
-        self.handle_membership_event(member, Event::TimerExpired);
+    /// Returns what waited while the process was paused; `None` where it was not.
+    pub(super) fn resume(&mut self) -> Option<PendingEvents> {
+        std::mem::replace(&mut self.is_paused, false).then(|| PendingEvents {
+            has_timer: std::mem::replace(&mut self.has_pending_timer, false),
+            messages: std::mem::take(&mut self.pending_messages),
+        })
     }
 
-    pub(super) fn deliver(&mut self, to: MemberIndex, from: MemberIndex, message: Message) {
-        let process = &mut self.processes[to];
-        if process.membership.is_none() {
-            self.answer_for_dead_member(to, from, &message);
-        } else if !process.is_paused {
-            self.receive(to, from, message);
-        } else if process.pending_messages.len() < MAX_PENDING_MESSAGES {
-            process.pending_messages.push((from, message));
-        }
+    pub(super) fn is_running(&self) -> bool {
+        self.membership.is_some() && !self.is_paused
     }
 
-    fn receive(&mut self, member: MemberIndex, from: MemberIndex, message: Message) {
-        let from = self.processes[from].address;
-        self.handle_membership_event(member, Event::Received { from, message });
+    pub(super) fn is_dead(&self) -> bool {
+        self.death.is_some()
     }
 
-    fn handle_membership_event(&mut self, member: MemberIndex, event: Event) {
-        let process = &mut self.processes[member];
-        let (generation, started_at) = (process.generation, process.started_at);
-        let Some(membership) = &mut process.membership else {
-            return;
+    /// Records that an observer considers the process dead. Returns whether it is.
+    pub(super) fn record_detection(&mut self, now: Duration, observer: MemberIndex) -> bool {
+        let Some(death) = &mut self.death else {
+            return false;
         };
-        for action in membership.handle_events(self.scheduler.now() - started_at, &[event]) {
-            match action {
-                Action::Send { to, message } => self.send(member, to, message),
-                Action::SetTimer { at } => {
-                    let event = SimulationEvent::TimerExpired { generation };
-                    self.scheduler.schedule(started_at + at, member, event);
-                }
-                Action::StateChanged { name, state, .. } => self.change_view(member, &name, state),
-                Action::NameConflict { .. } | Action::MetadataRejected { .. } => {}
-            }
+        death
+            .detected_after
+            .entry(observer)
+            .or_insert(now - death.at);
+        true
+    }
+
+    /// Returns whether a timer is to be handled now: it waits while the process is paused, and one
+    /// of an earlier run of the process is void.
+    pub(super) fn accept_timer(&mut self, generation: ProcessGeneration) -> bool {
+        if self.generation != generation || self.membership.is_none() {
+            return false;
         }
+        self.has_pending_timer |= self.is_paused;
+        !self.is_paused
     }
 
-    fn change_view(&mut self, observer: MemberIndex, name: &str, state: MemberState) {
-        let now = self.scheduler.now();
-        self.fingerprint
-            .mix([observer as u64, state as u64, now.as_micros() as u64]);
-        let Some(&subject) = self.index_by_name.get(name) else {
-            return;
-        };
-        self.views[observer][subject] = Some(state);
-        if state != MemberState::Dead {
-            return;
+    /// What becomes of a message that arrives; it waits while the process is paused.
+    pub(super) fn accept_message(&mut self, from: MemberIndex, message: Message) -> Arrival {
+        if self.membership.is_none() {
+            return Arrival::AtDeadProcess(message);
+        }
+        if !self.is_paused {
+            return Arrival::Accepted(message);
         }
-        if let Some(death) = &mut self.processes[subject].death {
-            death
-                .detected_after
-                .entry(observer)
-                .or_insert(now - death.at);
-        } else if self.is_reachable(observer, subject) {
-            self.false_deaths += 1;
+        if self.pending_messages.len() < MAX_PENDING_MESSAGES {
+            self.pending_messages.push((from, message));
+        }
+        Arrival::Queued
+    }
+
+    pub(super) fn handle_event(&mut self, now: Duration, event: Event) -> Vec<Action> {
+        let local_time = now - self.started_at;
+        match &mut self.membership {
+            Some(membership) => membership.handle_events(local_time, &[event]),
+            None => Vec::new(),
         }
     }
 }
