--- a/crates/server/src/cluster/admin.rs
+++ b/crates/server/src/cluster/admin.rs
@@ -1,4 +1,9 @@
 //! Operators' commands, as the control socket hands them on.
+//!
+//! The event loop drives [`Admin`]. A command that concerns this process alone is answered at once;
+//! one that changes or reads leases is sent to the voters and waits in [`PendingRequests`] for the
+//! response of their leader. A command that fails shows as the [`AdminError`] of its reply, which
+//! the control socket sends to the operator.
 
 use std::sync::mpsc::SyncSender;
 use std::time::Duration;
@@ -39,64 +44,29 @@
         request: AdminRequest,
         reply: SyncSender<AdminResult>,
     ) {
-        let result = match request {
-            AdminRequest::Leases { lease } => {
-                let lease = lease.map(Name::from);
-                return self.submit(node, reply, |request| Message::ReadLeases {
-                    request,
-                    lease,
-                });
-            }
-            AdminRequest::Revoke { lease, token } => {
-                let command = Command::Revoke {
-                    lease: lease.into(),
-                    token: FencingToken(token),
-                };
-                return self.submit(node, reply, |request| Message::LeaseRequest {
-                    request,
-                    command,
-                });
-            }
-            AdminRequest::Transfer { lease, token, to } => {
-                let command = Command::Transfer {
-                    lease: lease.into(),
-                    token: FencingToken(token),
-                    to: to.into(),
-                };
-                return self.submit(node, reply, |request| Message::LeaseRequest {
-                    request,
-                    command,
-                });
-            }
-            AdminRequest::Members => Ok(AdminResponse::Members(list_members(node))),
-            AdminRequest::Own => Ok(AdminResponse::Own(own_status(node))),
+        match request {
+            AdminRequest::Members => respond(&reply, Ok(list_members(node))),
+            AdminRequest::Own => respond(&reply, Ok(own_status(node))),
             AdminRequest::Acquire {
                 lease,
                 ttl_ms,
                 capacity,
-            } => {
-                let spec = LeaseSpec {
-                    ttl: Duration::from_millis(ttl_ms),
-                    capacity,
-                };
-                acquire(node, &lease, spec, Duration::ZERO)
+            } => respond(&reply, acquire(node, &lease, lease_spec(ttl_ms, capacity))),
+            AdminRequest::Drain => respond(&reply, self.acquire_drain_lease(node)),
+            AdminRequest::Release { lease } => respond(&reply, release(node, lease.into())),
+            AdminRequest::ReplaceVoter { old, new } => {
+                respond(&reply, self.replace_voter(node, &old.into(), &new.into()));
             }
-            AdminRequest::Drain => match &self.drain {
-                Some(drain) => acquire(node, drain.name(), drain.spec(), drain.max_step()),
-                None => Err(AdminError::NoDrainLease),
-            },
-            AdminRequest::Release { lease } => {
-                node.handle_lease_event(LeaseEvent::Release {
-                    lease: lease.into(),
-                });
-                Ok(AdminResponse::DONE)
+            AdminRequest::Leases { lease } => {
+                self.read_leases(node, lease.map(Name::from), reply);
             }
-            AdminRequest::ReplaceVoter { old, new } => {
-                self.replace_voter(node, &old.into(), &new.into());
-                Ok(AdminResponse::REQUESTED)
+            AdminRequest::Revoke { lease, token } => {
+                self.submit_command(node, revocation(lease, token), reply);
             }
-        };
-        let _ = reply.try_send(result);
+            AdminRequest::Transfer { lease, token, to } => {
+                self.submit_command(node, transfer(lease, token, to), reply);
+            }
+        }
     }
 
     /// When [`retry_due`](Self::retry_due) is to be called next.
@@ -140,18 +110,14 @@
         }
     }
 
-    fn submit(
-        &mut self,
-        node: &LocalNode,
-        reply: SyncSender<AdminResult>,
-        message: impl FnOnce(RequestId) -> Message,
-    ) {
-        self.pending
-            .submit(node.clock().now(), node.router(), reply, message);
+    /// Acquires the drain lease of this process's zone.
+    fn acquire_drain_lease(&self, node: &mut LocalNode) -> AdminResult {
+        let drain = self.drain.as_ref().ok_or(AdminError::NoDrainLease)?;
+        acquire_lease(node, drain.name(), drain.spec(), drain.max_step())
     }
 
     /// Asks all voters; the leader carries it out.
-    fn replace_voter(&self, node: &LocalNode, old: &Name, new: &Name) {
+    fn replace_voter(&self, node: &LocalNode, old: &Name, new: &Name) -> AdminResult {
         for voter in self.pending.voters() {
             node.router().send(
                 voter,
@@ -161,16 +127,96 @@
                 },
             );
         }
+        Ok(AdminResponse::REQUESTED)
+    }
+
+    /// Has the leader read one lease, or all.
+    fn read_leases(
+        &mut self,
+        node: &LocalNode,
+        lease: Option<Name>,
+        reply: SyncSender<AdminResult>,
+    ) {
+        self.submit(node, reply, |request| Message::ReadLeases {
+            request,
+            lease,
+        });
+    }
+
+    /// Has the leader apply a command.
+    fn submit_command(
+        &mut self,
+        node: &LocalNode,
+        command: Command,
+        reply: SyncSender<AdminResult>,
+    ) {
+        self.submit(node, reply, |request| Message::LeaseRequest {
+            request,
+            command,
+        });
+    }
+
+    fn submit(
+        &mut self,
+        node: &LocalNode,
+        reply: SyncSender<AdminResult>,
+        message: impl FnOnce(RequestId) -> Message,
+    ) {
+        self.pending
+            .submit(node.clock().now(), node.router(), reply, message);
     }
 }
 
-fn acquire(node: &mut LocalNode, lease: &str, spec: LeaseSpec, max_step: Duration) -> AdminResult {
+/// Sends the result of a command that waits for no leader. An operator who has gone misses it.
+fn respond(reply: &SyncSender<AdminResult>, result: AdminResult) {
+    let _ = reply.try_send(result);
+}
+
+fn lease_spec(ttl_ms: u64, capacity: u32) -> LeaseSpec {
+    LeaseSpec {
+        ttl: Duration::from_millis(ttl_ms),
+        capacity,
+    }
+}
+
+fn revocation(lease: String, token: u64) -> Command {
+    Command::Revoke {
+        lease: lease.into(),
+        token: FencingToken(token),
+    }
+}
+
+fn transfer(lease: String, token: u64, to: String) -> Command {
+    Command::Transfer {
+        lease: lease.into(),
+        token: FencingToken(token),
+        to: to.into(),
+    }
+}
+
+/// Acquires a lease under which this process takes no steps.
+fn acquire(node: &mut LocalNode, lease: &str, spec: LeaseSpec) -> AdminResult {
+    acquire_lease(node, lease, spec, Duration::ZERO)
+}
+
+fn acquire_lease(
+    node: &mut LocalNode,
+    lease: &str,
+    spec: LeaseSpec,
+    max_step: Duration,
+) -> AdminResult {
     node.acquire_lease(lease, spec, max_step)?;
     Ok(AdminResponse::acquiring(lease))
 }
 
-fn own_status(node: &LocalNode) -> OwnStatus {
-    OwnStatus {
+fn release(node: &mut LocalNode, lease: Name) -> AdminResult {
+    node.handle_lease_event(LeaseEvent::Release { lease });
+    Ok(AdminResponse::DONE)
+}
+
+/// The leases of this process, and its voter.
+fn own_status(node: &LocalNode) -> AdminResponse {
+    AdminResponse::Own(OwnStatus {
         name: node.router().local_name().to_string(),
         wanted: node
             .leases()
@@ -179,19 +225,20 @@
             .collect(),
         voter: node.voter().map(|voter| VoterRow::from(voter.status())),
         dropped_frames: node.router().dropped_frames(),
-    }
+    })
 }
 
-fn list_members(node: &LocalNode) -> MemberList {
+/// The members of the cluster, this process first.
+fn list_members(node: &LocalNode) -> AdminResponse {
     let (now, membership) = (node.clock().now(), node.membership());
     let remote = membership
         .members()
         .map(|record| MemberRow::remote(now, &record));
-    MemberList {
+    AdminResponse::Members(MemberList {
         members: std::iter::once(MemberRow::local(membership.local()))
             .chain(remote)
             .collect(),
         awareness: membership.awareness(),
         anomalies: membership.anomalies(),
-    }
+    })
 }
--- a/crates/server/src/cluster/control_socket.rs
+++ b/crates/server/src/cluster/control_socket.rs
@@ -1,5 +1,9 @@
 //! The control socket: operators' commands over a Unix socket, one line of JSON each, answered by
 //! one line.
+//!
+//! A thread of its own serves one connection at a time, and hands each command to the event loop. A
+//! command that fails is answered with its error; a connection that fails shows as a debug line
+//! `control connection failed`, and the next one is served.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::os::unix::fs::PermissionsExt;
--- a/crates/server/src/cluster/drain.rs
+++ b/crates/server/src/cluster/drain.rs
@@ -1,4 +1,8 @@
 //! The lease that bounds how many processes of a zone drain at a time.
+//!
+//! [`DrainLease`] has no state of its own. It is acquired by an operator's command, or on a thread
+//! of its own after a shutdown notice, and kept until the process ends. A process that has no slot
+//! drains after a shutdown notice all the same.
 
 use std::time::Duration;
 
--- a/crates/server/src/cluster/event_loop.rs
+++ b/crates/server/src/cluster/event_loop.rs
@@ -1,13 +1,18 @@
-//! The event loop of the cluster: it takes the inputs of other threads, and passes them to the
-//! state machines.
+//! The event loop of the cluster: it takes the [`Input`]s of other threads, and routes each to the
+//! part that handles it: the local node, its voter, or the operators' commands.
+//!
+//! Its thread alone drives [`LocalNode`] and [`Admin`], and never waits for the disk or for a peer.
+//! Where it does not keep up, its queue fills: datagrams are dropped, streams of peers are no longer
+//! read, and an operator's command waits and then fails with "no answer".
 
+use std::net::SocketAddr;
 use std::ops::ControlFlow;
 use std::sync::mpsc::{Receiver, SyncSender};
 use std::time::Duration;
 
 use tulipgap_consensus::Event as VoterEvent;
-use tulipgap_leases::{Command, Event as LeaseEvent, Name, RequestId};
-use tulipgap_membership::Event as MembershipEvent;
+use tulipgap_leases::{Command, Event as LeaseEvent, Incarnation, Name, RequestId, Response};
+use tulipgap_membership::{Event as MembershipEvent, Message as MemberMessage};
 use tulipgap_peer_protocol::{Envelope, Message};
 
 use super::admin::Admin;
@@ -82,6 +87,7 @@
         ControlFlow::Continue(())
     }
 
+    /// Routes a message of another process, or of this one to itself.
     fn handle_envelope(&mut self, envelope: Envelope) {
         let Envelope {
             from,
@@ -91,66 +97,85 @@
         } = envelope;
         self.node.router().learn_address(&from, address);
         match message {
-            // A message in the name of another member than its sender is ignored.
-            Message::Member(message) if message.from != from => {}
-            Message::Member(message) => {
-                self.node
-                    .handle_membership_event(MembershipEvent::Received {
-                        from: address,
-                        message,
-                    });
-            }
+            Message::Member(message) => self.handle_member_message(&from, address, message),
             Message::Voter(message) => self
                 .node
                 .send_to_voter(VoterEvent::PeerMessage { from, message }),
             Message::LeaseRequest { request, command } => {
-                self.handle_lease_request(from, request, command)
-            }
-            Message::ReadLeases { request, lease } => {
-                self.node.send_to_voter(VoterEvent::Read {
-                    from,
-                    request,
-                    lease,
-                });
-            }
-            Message::ReplaceVoter { old, new } => {
-                self.node
-                    .send_to_voter(VoterEvent::ReplaceVoter { old, new });
-            }
-            Message::LeaseResponse {
-                request, response, ..
-            } if PendingRequests::is_operators(request) => {
-                self.admin.handle_response(request, response);
+                self.handle_lease_request(from, request, command);
             }
+            Message::ReadLeases { request, lease } => self.read_leases(from, request, lease),
+            Message::ReplaceVoter { old, new } => self
+                .node
+                .send_to_voter(VoterEvent::ReplaceVoter { old, new }),
             Message::LeaseResponse {
                 incarnation,
                 request,
                 response,
-            } => {
-                self.node.handle_lease_event(LeaseEvent::Response {
-                    incarnation,
-                    request,
-                    response,
-                });
-            }
-            Message::NotLeader { request, leader } if PendingRequests::is_operators(request) => {
-                self.admin
-                    .handle_not_leader(&self.node, request, leader.as_ref());
-            }
-            Message::NotLeader { request, leader } => {
-                self.node
-                    .handle_lease_event(LeaseEvent::NotLeader { request, leader });
-            }
-            Message::SlotAvailable { lease } => {
-                self.node
-                    .handle_lease_event(LeaseEvent::SlotAvailable { lease });
-            }
+            } => self.handle_lease_response(incarnation, request, response),
+            Message::NotLeader { request, leader } => self.handle_not_leader(request, leader),
+            Message::SlotAvailable { lease } => self
+                .node
+                .handle_lease_event(LeaseEvent::SlotAvailable { lease }),
             Message::LeaseList { request, leases } => {
-                self.admin.handle_lease_list(request, &leases)
+                self.admin.handle_lease_list(request, &leases);
             }
         }
     }
 
+    /// A message of the membership protocol. One in the name of another member than the sender of
+    /// its frame is ignored, so that a confused process cannot speak for a healthy one.
+    fn handle_member_message(&mut self, from: &Name, address: SocketAddr, message: MemberMessage) {
+        if message.from == *from {
+            self.node
+                .handle_membership_event(MembershipEvent::Received {
+                    from: address,
+                    message,
+                });
+        }
+    }
+
+    /// Leases are read by the voter of this process, where it has one.
+    fn read_leases(&self, from: Name, request: RequestId, lease: Option<Name>) {
+        self.node.send_to_voter(VoterEvent::Read {
+            from,
+            request,
+            lease,
+        });
+    }
+
+    /// The response to an operator's command, or to a request of the lease client.
+    fn handle_lease_response(
+        &mut self,
+        incarnation: Incarnation,
+        request: RequestId,
+        response: Response,
+    ) {
+        if PendingRequests::is_operators(request) {
+            self.admin.handle_response(request, response);
+        } else {
+            self.node.handle_lease_event(LeaseEvent::Response {
+                incarnation,
+                request,
+                response,
+            });
+        }
+    }
+
+    /// A voter that does not lead has rejected an operator's command, or a request of the lease
+    /// client.
+    fn handle_not_leader(&mut self, request: RequestId, leader: Option<Name>) {
+        if PendingRequests::is_operators(request) {
+            self.admin
+                .handle_not_leader(&self.node, request, leader.as_ref());
+        } else {
+            self.node
+                .handle_lease_event(LeaseEvent::NotLeader { request, leader });
+        }
+    }
+
+    /// A request to change a lease. A process without a voter answers that it does not lead, so
+    /// that the sender goes on to the next voter at once.
     fn handle_lease_request(&mut self, from: Name, request: RequestId, command: Command) {
         if !may_send(&from, &command) {
             return;
--- a/crates/server/src/cluster/lease_handle.rs
+++ b/crates/server/src/cluster/lease_handle.rs
@@ -1,4 +1,8 @@
 //! Leases, as the tasks of this process use them.
+//!
+//! [`LeaseHandle`] is called by the tasks on their own threads: the drain, the store probe, the
+//! workers of fault injection. A lease that is lost shows as [`StaleGuard`] at the task's next
+//! step, which then must not be made; the log has `lease lost` with the reason.
 
 use std::sync::Arc;
 use std::sync::mpsc::SyncSender;
--- a/crates/server/src/cluster/local_node.rs
+++ b/crates/server/src/cluster/local_node.rs
@@ -1,5 +1,9 @@
 //! This process's part in the cluster: its membership, its leases and its voter. Their actions are
 //! carried out here.
+//!
+//! The event loop drives [`LocalNode`]: it hands it events, and calls it when a timer is due. What
+//! goes wrong shows in the log: `member name conflict`, `member metadata rejected`, `lease lost`,
+//! `lease rejected`, and a warning where one zone has a majority of the voters.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -158,29 +162,20 @@
         }
     }
 
-    /// A zone with a majority of the voters takes all leases with it when it fails.
+    /// Warns once where one zone has a majority of the voters: when that zone fails, no lease is
+    /// granted or renewed.
     fn warn_of_zone_majority(&mut self) {
-        let voters = &self.voters;
-        let is_voter = |update: &MemberUpdate| voters.contains(&update.node.name);
-        let mut voters_by_zone: BTreeMap<Name, usize> = BTreeMap::new();
         let local = self.membership.local().clone();
         let members = self
             .membership
             .members()
             .map(|member| member.update)
             .chain([local]);
-        for update in members.filter(is_voter) {
-            *voters_by_zone.entry(update.node.zone).or_default() += 1;
-        }
-        let has_majority = |count: usize| voters.len() > 1 && count > voters.len() / 2;
-        let Some((zone, count)) = voters_by_zone
-            .iter()
-            .find(|(_, count)| has_majority(**count))
-        else {
+        let Some((zone, count)) = zone_with_majority(&self.voters, members) else {
             return;
         };
         if !std::mem::replace(&mut self.has_warned_of_zone_majority, true) {
-            let total = voters.len();
+            let total = self.voters.len();
             log::warn!(
                 "voters of one zone are a majority zone={zone} voters={count} total={total}; \
                  no lease is granted while that zone is down"
@@ -217,29 +212,33 @@
     /// Carries out what follows from an event of the lease client.
     pub(crate) fn carry_out_lease_actions(&mut self, actions: Vec<LeaseAction>) {
         for action in actions {
-            match action {
-                LeaseAction::Send {
-                    to,
-                    request,
-                    command,
-                } => {
-                    self.router
-                        .send(&to, Message::LeaseRequest { request, command });
-                }
-                LeaseAction::SetTimer { at } => self.lease_timer.set_earliest(at),
-                LeaseAction::Acquired { lease, token } => {
-                    log::info!("lease acquired name={lease} token={token}");
-                }
-                LeaseAction::Lost {
-                    lease,
-                    token,
-                    reason,
-                } => {
-                    log::info!("lease lost name={lease} token={token} reason={reason}");
-                }
-                LeaseAction::Rejected { lease, reason } => {
-                    log::warn!("lease rejected name={lease} reason=\"{reason}\"");
-                }
+            self.carry_out_lease_action(action);
+        }
+    }
+
+    fn carry_out_lease_action(&mut self, action: LeaseAction) {
+        match action {
+            LeaseAction::Send {
+                to,
+                request,
+                command,
+            } => {
+                self.router
+                    .send(&to, Message::LeaseRequest { request, command });
+            }
+            LeaseAction::SetTimer { at } => self.lease_timer.set_earliest(at),
+            LeaseAction::Acquired { lease, token } => {
+                log::info!("lease acquired name={lease} token={token}");
+            }
+            LeaseAction::Lost {
+                lease,
+                token,
+                reason,
+            } => {
+                log::info!("lease lost name={lease} token={token} reason={reason}");
+            }
+            LeaseAction::Rejected { lease, reason } => {
+                log::warn!("lease rejected name={lease} reason=\"{reason}\"");
             }
         }
     }
@@ -282,6 +281,21 @@
     }
 }
 
+/// The first zone, by name, that has more than half of several voters, and how many it has.
+fn zone_with_majority(
+    voters: &[Name],
+    members: impl Iterator<Item = MemberUpdate>,
+) -> Option<(Name, usize)> {
+    let mut voters_by_zone: BTreeMap<Name, usize> = BTreeMap::new();
+    for update in members.filter(|update| voters.contains(&update.node.name)) {
+        *voters_by_zone.entry(update.node.zone).or_default() += 1;
+    }
+    let has_majority = |count: usize| voters.len() > 1 && count > voters.len() / 2;
+    voters_by_zone
+        .into_iter()
+        .find(|(_, count)| has_majority(*count))
+}
+
 fn log_state_change(name: &Name, state: MemberState, reported_by: Option<&str>) {
     let state = format!("{state:?}").to_lowercase();
     match reported_by {
--- a/crates/server/src/cluster/message_router.rs
+++ b/crates/server/src/cluster/message_router.rs
@@ -1,4 +1,7 @@
 //! Delivers messages to members by name.
+//!
+//! The event loop, the operators' commands and the voter's thread share one [`MessageRouter`]. A
+//! message to a member whose address is not known yet is dropped, and its sender retries.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -195,11 +195,7 @@
         let voter = self.start_voter(&router)?;
         let leases = LeaseHandle::new(lease_client.clone(), self.clock, inputs.clone());
         start_forwarding(envelopes, inputs.clone())?;
-        let drain = self
-            .config
-            .drain
-            .as_ref()
-            .map(|drain| DrainLease::for_zone(&self.config.zone, drain.at_once));
+        let drain = self.drain_lease();
         let node = LocalNode::from(LocalNodeParts {
             clock: self.clock,
             router,
@@ -228,6 +224,12 @@
         })
     }
 
+    /// The drain lease of this zone, where the configuration has one.
+    fn drain_lease(&self) -> Option<DrainLease> {
+        let drain = self.config.drain.as_ref()?;
+        Some(DrainLease::for_zone(&self.config.zone, drain.at_once))
+    }
+
     fn open_links(&self, received: SyncSender<Envelope>) -> Result<Arc<PeerLinks>, ClusterError> {
         let config = PeerLinksConfig {
             listen: self.listen,
@@ -270,23 +272,32 @@
         LeaseClient::new(owner, self.voters.clone(), config, self.seed)
     }
 
-    /// The voter of this process. A member with a folder has one even where it does not vote yet:
-    /// an operator may let it replace another.
+    /// Starts the voter of this process, where it has one.
     fn start_voter(&self, router: &MessageRouter) -> Result<Option<VoterHandle>, ClusterError> {
-        let Some(folder) = self
-            .config
-            .folder
-            .as_deref()
-            .filter(|_| !self.voters.is_empty())
-        else {
-            let needs_folder =
-                self.config.folder.is_none() && self.voters.contains(&self.local_name);
-            return if needs_folder {
-                Err(ClusterError::VoterWithoutFolder)
-            } else {
-                Ok(None)
-            };
+        let Some(folder) = self.voter_folder()? else {
+            return Ok(None);
         };
+        let voter = self.open_voter(folder)?;
+        VoterHandle::spawn(voter, self.clock, router.clone())
+            .map(Some)
+            .map_err(ClusterError::SpawnThread)
+    }
+
+    /// The folder of this process's voter, where it has one. A member with a folder has a voter
+    /// even where it does not vote yet: an operator may let it replace another.
+    fn voter_folder(&self) -> Result<Option<&Path>, ClusterError> {
+        match self.config.folder.as_deref() {
+            Some(folder) if !self.voters.is_empty() => Ok(Some(folder)),
+            None if self.voters.contains(&self.local_name) => Err(ClusterError::VoterWithoutFolder),
+            Some(_) | None => Ok(None),
+        }
+    }
+
+    /// Restores the voter from its folder.
+    fn open_voter(
+        &self,
+        folder: &Path,
+    ) -> Result<DurableVoter<FaultyDisk<Directory>>, ClusterError> {
         let config = tulipgap_consensus::Config {
             max_clock_drift_permille: self.max_clock_drift_permille(),
             ..Default::default()
@@ -296,7 +307,7 @@
             source,
         })?;
         let disk = FaultyDisk::new(disk, self.faults.disk_trouble.clone());
-        let voter = DurableVoter::open(
+        DurableVoter::open(
             config,
             &self.local_name,
             self.voters.clone(),
@@ -306,9 +317,7 @@
         .map_err(|source| ClusterError::RestoreVoter {
             path: folder.into(),
             source,
-        })?;
-        let voter = VoterHandle::spawn(voter, self.clock, router.clone());
-        voter.map(Some).map_err(ClusterError::SpawnThread)
+        })
     }
 
     fn start_control_socket(&self, inputs: &SyncSender<Input>) -> Result<(), ClusterError> {
--- a/crates/server/src/cluster/pending_requests.rs
+++ b/crates/server/src/cluster/pending_requests.rs
@@ -1,4 +1,9 @@
 //! Operators' commands that wait for the leader of the voters.
+//!
+//! [`Admin`](super::admin::Admin) drives [`PendingRequests`]: it submits commands, hands on the
+//! responses, and calls when an attempt is due. A command goes to one voter after another until a
+//! leader responds. It fails where there are no voters, where too many commands wait, or after
+//! [`REQUEST_TIMEOUT`]; each shows as an [`AdminError`] at the operator's program.
 
 use std::collections::BTreeMap;
 use std::sync::mpsc::SyncSender;
--- a/crates/server/src/cluster/store_probe.rs
+++ b/crates/server/src/cluster/store_probe.rs
@@ -1,7 +1,12 @@
 //! The health check of the store. Where it refuses connections, one process of a zone probes it,
 //! and all others go by the verdict that it publishes.
+//!
+//! [`StoreProbe`] has a thread of its own, which checks the store client every [`UPDATE_INTERVAL`]
+//! and lets [`DependencyProber`] decide. A process that loses the lease stops probing, and another
+//! takes over; without verdicts of others, a process decides by its own connections alone. The
+//! thread ends with the event loop.
 
-use std::net::TcpStream;
+use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::sync::mpsc::{SyncSender, sync_channel};
 use std::time::Duration;
@@ -102,13 +107,7 @@
         if output.should_probe
             && let Some(address) = self.store.address()
         {
-            let connected = TcpStream::connect_timeout(&address, PROBE_TIMEOUT);
-            let outcome = if connected.is_ok() {
-                ProbeOutcome::Succeeded
-            } else {
-                ProbeOutcome::Failed
-            };
-            self.last_outcome = Some(outcome);
+            self.last_outcome = Some(probe(address));
         }
         Ok(())
     }
@@ -175,3 +174,11 @@
         self.wants_lease = should_have_lease;
     }
 }
+
+/// Connects to the store once, and closes the connection again.
+fn probe(address: SocketAddr) -> ProbeOutcome {
+    match TcpStream::connect_timeout(&address, PROBE_TIMEOUT) {
+        Ok(_) => ProbeOutcome::Succeeded,
+        Err(_) => ProbeOutcome::Failed,
+    }
+}
--- a/crates/server/src/cluster/voter_thread.rs
+++ b/crates/server/src/cluster/voter_thread.rs
@@ -1,5 +1,10 @@
 //! The thread of this process's voter. Its writes wait for the disk; nothing else of the cluster
 //! does.
+//!
+//! The event loop hands it events by [`VoterHandle`], and never waits for it. While the disk hangs,
+//! events beyond the queue are dropped and their senders retry. A write that fails ends the voter
+//! until the process is restarted: the log has `voter ended`, and its status [`VoterPhase::Ended`].
+//! The other voters go on, as long as they are a majority.
 
 use std::io;
 use std::sync::Arc;
