--- /dev/null
+++ b/crates/server/src/requests/state/schedule.rs
@@ -0,0 +1,68 @@
+//! The controller's clock, its timers, and the shutdown notice.
+
+use std::time::{Duration, Instant};
+
+use tulipgap::{Event, Gauges};
+
+use super::RegistryState;
+
+/// A shutdown notice: when it was received, and how long after it the process is terminated.
+#[derive(Clone, Copy)]
+pub(super) struct ShutdownNotice {
+    received_at: Instant,
+    termination: Duration,
+}
+
+impl ShutdownNotice {
+    /// The event for the controller. The drain grace counts from the notice, however late the
+    /// controller is notified.
+    fn event(self) -> Event {
+        let since = self.received_at.elapsed();
+        Event::ShutdownNotice {
+            since,
+            left: self.termination.saturating_sub(since),
+        }
+    }
+}
+
+impl RegistryState {
+    /// The time on the controller's clock.
+    pub(in crate::requests) fn now(&self) -> Duration {
+        self.running
+            .as_ref()
+            .map_or(Duration::ZERO, |running| running.started_at.elapsed())
+    }
+
+    /// The time until the next timer is due; none before the controller has started.
+    pub(in crate::requests) fn until_next_timer(&self) -> Option<Duration> {
+        self.timers.until_next(self.now())
+    }
+
+    /// Notifies the controller where a timer is due.
+    pub(in crate::requests) fn fire_timers(&mut self, gauges: Gauges) {
+        let now = self.now();
+        if self.timers.take_due(now) {
+            self.decide(Event::TimerFired { gauges });
+        }
+    }
+
+    /// Stores the shutdown notice, and notifies the controller once it has started.
+    pub(in crate::requests) fn shutdown_notice(
+        &mut self,
+        received_at: Instant,
+        termination: Duration,
+    ) {
+        self.shutdown = Some(ShutdownNotice {
+            received_at,
+            termination,
+        });
+        self.pass_on_shutdown_notice();
+    }
+
+    /// Notifies the controller, if it has started and there was a notice.
+    pub(super) fn pass_on_shutdown_notice(&mut self) {
+        if let Some(notice) = self.shutdown {
+            self.decide(notice.event());
+        }
+    }
+}
