--- a/crates/server/src/net/executor/link.rs
+++ b/crates/server/src/net/executor/link.rs
@@ -9,7 +9,10 @@
 use may::sync::Blocker;
 
 use super::ExecutorClient;
-use super::protocol::{Command, Message, Query, RefusedCommand, has_body, open};
+use super::protocol::{
+    Booted, Command, FinishedRun, Message, Query, ReachedCall, Refusal, RefusedCommand, has_body,
+    open,
+};
 use super::queries::Reply;
 use super::resync::Delivery;
 use crate::clock;
@@ -109,6 +112,8 @@
         Some(tag)
     }
 
+    /// Routes a message of the executor. `barrier` is the tag of the query whose reply follows all
+    /// missed notices.
     fn handle_line(
         self: &Arc<Self>,
         line: &Line,
@@ -116,118 +121,112 @@
         output: &Arc<Output>,
     ) -> io::Result<()> {
         match Message::decode(line).map_err(protocol_error)? {
-            Message::Booted {
-                is_cold,
-                state,
-                uptime,
-            } => {
-                if self.registry.start(is_cold, uptime) {
-                    let uptime_ms = uptime.as_millis();
-                    log::info!("executor up state={state} uptime_ms={uptime_ms}");
-                }
-                // Its reply follows all missed notices.
+            Message::Booted(booted) => {
+                self.executor_up(&booted);
                 output.send(&[Query::Gauges.encode(barrier).as_bytes()]);
             }
-            Message::RunFinished {
-                notice,
-                id,
-                outcome,
-                work,
-                result,
-            } => {
-                if self.is_new(notice) {
-                    let event = RequestEvent::RunFinished {
-                        outcome,
-                        result,
-                        work,
-                    };
-                    self.run_finished(id, event);
+            Message::RunFinished(run) => {
+                if self.is_new(run.notice) {
+                    self.run_finished(run);
                 }
             }
-            Message::CallReached { notice, id, body } => {
-                if self.is_new(notice) {
-                    self.call_reached(id, notice, body);
+            Message::CallReached(call) => {
+                if self.is_new(call.notice) {
+                    self.call_reached(call);
                 }
             }
             Message::Gauges { tag, values } => {
-                let gauges = self.read_gauges(values);
-                self.state.lock().answer(tag, Reply::Gauges(gauges));
+                self.gauges_received(tag, values);
                 if tag == barrier {
-                    self.state.lock().queries.close(tag);
-                    // In a coroutine of its own, as this one must write what it sends.
-                    let (client, output) = (self.clone(), output.clone());
-                    spawn(move || client.resync(&output));
+                    self.barrier_passed(tag, output);
                 }
             }
             Message::Worked { tag, succeeded } => {
                 self.state.lock().answer(tag, Reply::Worked(succeeded));
             }
-            Message::CommandRefused {
-                command,
-                id,
-                word,
-                arguments,
-            } => {
-                if let Some(count) = REFUSALS.pass() {
-                    let arguments = arguments.join(" ");
-                    log::warn!(
-                        "executor refused command={word} arguments=\"{arguments}\" count={count}"
-                    );
-                }
-                if let Some(id) = id {
-                    self.command_refused(&command, id, output);
-                }
-            }
+            Message::CommandRefused(refusal) => self.command_refused(&refusal, output),
             Message::Remark { notice, words } => {
-                if self.is_new(notice)
-                    && let Some(count) = REMARKS.pass()
-                {
-                    let text = words.join(" ");
-                    log::info!("executor remark text=\"{text}\" count={count}");
+                if self.is_new(notice) {
+                    log_remark(words);
                 }
             }
         }
         Ok(())
     }
 
+    /// The executor is up; the first time, the controller starts.
+    fn executor_up(&self, booted: &Booted) {
+        if self.registry.start(booted.is_cold, booted.uptime) {
+            let (state, uptime_ms) = (booted.state, booted.uptime.as_millis());
+            log::info!("executor up state={state} uptime_ms={uptime_ms}");
+        }
+    }
+
+    fn gauges_received(&self, tag: u64, values: &[&str]) {
+        let gauges = self.read_gauges(values);
+        self.state.lock().answer(tag, Reply::Gauges(gauges));
+    }
+
+    /// All missed notices were read: the runs are resynchronized.
+    fn barrier_passed(self: &Arc<Self>, tag: u64, output: &Arc<Output>) {
+        self.state.lock().queries.close(tag);
+        // In a coroutine of its own, as this one must write what it sends.
+        let (client, output) = (self.clone(), output.clone());
+        spawn(move || client.resync(&output));
+    }
+
     /// Whether a notice was not read before.
     fn is_new(&self, notice: u64) -> bool {
         self.state.lock().notices.is_new(notice)
     }
 
-    fn call_reached(&self, id: &str, notice: u64, body: Bytes) {
-        if let Some(run) = self.state.lock().runs.get_mut(id) {
-            (run.delivery, run.call) = (Delivery::Confirmed, notice);
+    fn call_reached(&self, call: ReachedCall) {
+        if let Some(run) = self.state.lock().runs.get_mut(call.id) {
+            (run.delivery, run.call) = (Delivery::Confirmed, call.notice);
         }
-        let event = RequestEvent::CallReached { call: notice, body };
-        self.registry.report(id, event);
+        let event = RequestEvent::CallReached {
+            call: call.notice,
+            body: call.body,
+        };
+        self.registry.report(call.id, event);
+    }
+
+    fn run_finished(&self, run: FinishedRun) {
+        let event = RequestEvent::RunFinished {
+            outcome: run.outcome,
+            result: run.result,
+            work: run.work,
+        };
+        self.end_run(run.id, event);
     }
 
-    fn run_finished(&self, id: &str, event: RequestEvent) {
+    /// Forgets a run, and reports how it has ended.
+    fn end_run(&self, id: &str, event: RequestEvent) {
         self.state.lock().runs.remove(id);
         self.registry.report(id, event);
     }
 
-    fn command_refused(&self, command: &RefusedCommand, id: &str, output: &Output) {
-        match command {
-            // Nothing was run, so this is no failed run.
-            RefusedCommand::Start => {
-                let (outcome, result) = (Outcome::NotStarted, Bytes::default());
-                self.run_finished(
-                    id,
-                    RequestEvent::RunFinished {
-                        outcome,
-                        result,
-                        work: None,
-                    },
-                );
-            }
+    fn command_refused(&self, refusal: &Refusal, output: &Output) {
+        log_refusal(refusal.word, refusal.arguments);
+        let Some(id) = refusal.id else { return };
+        match refusal.command {
+            RefusedCommand::Start => self.start_refused(id),
             // The run still waits for its call, and no other command can resume it.
             RefusedCommand::Resume => drop(output.try_send(&[&Command::Cancel.encode(id)])),
             RefusedCommand::Other => {}
         }
     }
 
+    /// Nothing was run, so this is no failed run.
+    fn start_refused(&self, id: &str) {
+        let event = RequestEvent::RunFinished {
+            outcome: Outcome::NotStarted,
+            result: Bytes::default(),
+            work: None,
+        };
+        self.end_run(id, event);
+    }
+
     fn read_gauges(&self, values: &[&str]) -> Gauges {
         let mut gauges = Gauges::default();
         for (name, value) in self.gauge_names.iter().zip(values) {
@@ -292,6 +291,20 @@
     }
 }
 
+fn log_refusal(word: &str, arguments: &[&str]) {
+    if let Some(count) = REFUSALS.pass() {
+        let arguments = arguments.join(" ");
+        log::warn!("executor refused command={word} arguments=\"{arguments}\" count={count}");
+    }
+}
+
+fn log_remark(words: &[&str]) {
+    if let Some(count) = REMARKS.pass() {
+        let text = words.join(" ");
+        log::info!("executor remark text=\"{text}\" count={count}");
+    }
+}
+
 /// The pause before the next attempt to open a link. A link that was up can be opened again at
 /// once, and so can one to an executor that has moved; after any other failure a pause keeps the
 /// attempts from taking the processor.
--- a/crates/server/src/net/executor/protocol.rs
+++ b/crates/server/src/net/executor/protocol.rs
@@ -60,42 +60,61 @@
 /// A message of the executor. Notices are numbered; the other messages answer queries and commands.
 pub(super) enum Message<'a> {
     /// The executor is up; the first message on a link.
-    Booted {
-        /// It is warming up.
-        is_cold: bool,
-        state: &'a str,
-        uptime: Duration,
-    },
-    RunFinished {
-        notice: u64,
-        id: &'a str,
-        outcome: Outcome,
-        work: Option<Duration>,
-        result: Bytes,
-    },
-    CallReached {
-        notice: u64,
-        id: &'a str,
-        body: Bytes,
-    },
-    Gauges {
-        tag: u64,
-        values: &'a [&'a str],
-    },
-    Worked {
-        tag: u64,
-        succeeded: bool,
-    },
-    CommandRefused {
-        command: RefusedCommand,
-        id: Option<&'a str>,
-        word: &'a str,
-        arguments: &'a [&'a str],
-    },
-    Remark {
-        notice: u64,
-        words: &'a [&'a str],
-    },
+    Booted(Booted<'a>),
+    /// Notice: a run has ended.
+    RunFinished(FinishedRun<'a>),
+    /// Notice: a run waits for a call.
+    CallReached(ReachedCall<'a>),
+    /// The reply to a query for the gauges.
+    Gauges { tag: u64, values: &'a [&'a str] },
+    /// The reply to a piece of work.
+    Worked { tag: u64, succeeded: bool },
+    /// The executor has refused a command.
+    CommandRefused(Refusal<'a>),
+    /// Notice: a text for the log.
+    Remark { notice: u64, words: &'a [&'a str] },
+}
+
+/// The state of an executor that is up.
+pub(super) struct Booted<'a> {
+    /// It is warming up.
+    pub(super) is_cold: bool,
+    /// Its own word for its state.
+    pub(super) state: &'a str,
+    /// The time since its start.
+    pub(super) uptime: Duration,
+}
+
+/// A run that has ended.
+pub(super) struct FinishedRun<'a> {
+    /// The number of the notice.
+    pub(super) notice: u64,
+    /// The request.
+    pub(super) id: &'a str,
+    pub(super) outcome: Outcome,
+    /// How long the run took, where it is known.
+    pub(super) work: Option<Duration>,
+    pub(super) result: Bytes,
+}
+
+/// A call that a run waits for.
+pub(super) struct ReachedCall<'a> {
+    /// The number of the notice, which is also that of the call.
+    pub(super) notice: u64,
+    /// The request.
+    pub(super) id: &'a str,
+    pub(super) body: Bytes,
+}
+
+/// A command that was refused.
+pub(super) struct Refusal<'a> {
+    pub(super) command: RefusedCommand,
+    /// The request, where the command names one.
+    pub(super) id: Option<&'a str>,
+    /// The word of the command, for the log.
+    pub(super) word: &'a str,
+    /// The arguments of the command, for the log.
+    pub(super) arguments: &'a [&'a str],
 }
 
 /// Which command was refused, as far as that makes a difference.
@@ -126,24 +145,24 @@
         let message = match line.words[..] {
             ["BOOTED", state, uptime] => {
                 let uptime = milliseconds(uptime)?;
-                Message::Booted {
+                Message::Booted(Booted {
                     is_cold: state == "booting",
                     state,
                     uptime,
-                }
+                })
             }
-            ["REAP", notice, id, end, took, _] => Message::RunFinished {
+            ["REAP", notice, id, end, took, _] => Message::RunFinished(FinishedRun {
                 notice: notice.parse().ok()?,
                 id,
                 outcome: outcome(end),
                 work: milliseconds(took),
                 result: body(),
-            },
-            ["IOREQ", notice, id, _] => Message::CallReached {
+            }),
+            ["IOREQ", notice, id, _] => Message::CallReached(ReachedCall {
                 notice: notice.parse().ok()?,
                 id,
                 body: body(),
-            },
+            }),
             ["INFO", tag, ..] => Message::Gauges {
                 tag: tag.parse().ok()?,
                 values: &line.words[2..],
@@ -159,12 +178,12 @@
                     "NOIO" | "IODONE" => RefusedCommand::Resume,
                     _ => RefusedCommand::Other,
                 };
-                Message::CommandRefused {
+                Message::CommandRefused(Refusal {
                     command,
                     id: arguments.first().copied(),
                     word,
                     arguments,
-                }
+                })
             }
             ["DMESG", notice, ..] => Message::Remark {
                 notice: notice.parse().ok()?,
