--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -12,9 +12,9 @@
 //! would show as two leaders in one term. A promise is durable before it is sent and never changed,
 //! and a set needs the promise of every member, so two sets can't both be complete. The price: a
 //! directory that is emptied before the bootstrap is complete leaves it incomplete, and an operator
-//! must empty all. Operators then see the phase `founding` in the answers of the control socket, for
-//! as long as that lasts; no log line tells them. One that is emptied later, or has another id than
-//! the voters agreed on, is outside: `voter is not a member reason=folder_not_bootstrapped`.
+//! must empty all. Operators then see the phase `founding` in the answers of the control socket,
+//! for as long as that lasts; no log line tells them. One that is emptied later, or has another id
+//! than the voters agreed on, is outside: `voter is not a member reason=folder_not_bootstrapped`.
 
 use std::collections::BTreeMap;
 
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -5,8 +5,8 @@
 //!
 //! **When it binds**: on each well-formed update about a member other than this node.
 //!
-//! **Failure it guards against**: an older update that is still on its way would bring a dead member
-//! back, and updates with invented names would fill the memory.
+//! **Failure it guards against**: an older update that is still on its way would bring a dead
+//! member back, and updates with invented names would fill the memory.
 //!
 //! **Why it holds**: a dead member stays on record for a time, so that the older update is known to
 //! be older; the number of records is bounded.
--- a/crates/membership/src/refutation.rs
+++ b/crates/membership/src/refutation.rs
@@ -3,8 +3,8 @@
 //! **Decision**: whether an update about this node is wrong, and to whom the refutation goes at
 //! once.
 //!
-//! **When it binds**: on an update with this node's name and its own incarnation or a later one; one
-//! about an earlier incarnation is settled, unless another process claims the name.
+//! **When it binds**: on an update with this node's name and its own incarnation or a later one;
+//! one about an earlier incarnation is settled, unless another process claims the name.
 //!
 //! **Failure it guards against**: a node in bad health probes seldom. A refutation that only rode
 //! on its probes came too late over slow links, which showed as slow members that all others
