--- /dev/null
+++ b/crates/consensus/tests/common/mod.rs
@@ -0,0 +1,179 @@
+//! A group of voters over disks in memory, for the tests of whole groups.
+
+use std::collections::{BTreeMap, VecDeque};
+use std::time::Duration;
+
+use tulipgap_consensus::{Action, Config, DurableVoter, Event, VoterPhase};
+use tulipgap_leases::{Command, Incarnation, Name, Owner, RequestId};
+use tulipgap_write_ahead_log::FaultyDisk;
+
+/// The files of a folder, by name.
+pub(crate) type Files = BTreeMap<String, Vec<u8>>;
+
+const TICK: Duration = Duration::from_millis(100);
+/// Ticks within which what a test waits for has to come: a minute.
+pub(crate) const MAX_TICKS: usize = 600;
+/// The configured initial voters.
+pub(crate) const BOOTSTRAP_VOTERS: [&str; 3] = ["a", "b", "c"];
+
+fn config() -> Config {
+    // More than the 200 entries that stay behind a snapshot, so that older ones are removed from
+    // the log.
+    Config {
+        snapshot_interval_entries: 250,
+        ..Config::default()
+    }
+}
+
+/// Voters over disks in memory, with messages that arrive at once and in order.
+pub(crate) struct Group {
+    pub(crate) voters_by_name: BTreeMap<Name, DurableVoter<FaultyDisk>>,
+    pub(crate) disks: BTreeMap<Name, FaultyDisk>,
+    now: Duration,
+    next_request: RequestId,
+    /// Folders as they were on the way, by the name of their fixture.
+    pub(crate) captured: BTreeMap<&'static str, Files>,
+}
+
+impl Group {
+    pub(crate) fn new(folders: BTreeMap<Name, Files>) -> Self {
+        let (mut voters_by_name, mut disks) = (BTreeMap::new(), BTreeMap::new());
+        for (at, (name, files)) in folders.into_iter().enumerate() {
+            let disk = FaultyDisk::default();
+            disk.restore_files(files);
+            voters_by_name.insert(name.clone(), open_voter(&name, &disk, at as u64 + 1));
+            disks.insert(name, disk);
+        }
+        Group {
+            voters_by_name,
+            disks,
+            now: Duration::ZERO,
+            next_request: RequestId(0),
+            captured: BTreeMap::new(),
+        }
+    }
+
+    pub(crate) fn deliver(&mut self, to: &Name, event: Event) {
+        let mut queue = VecDeque::from([(to.clone(), event)]);
+        while let Some((to, event)) = queue.pop_front() {
+            let Some(voter) = self.voters_by_name.get_mut(&to) else {
+                continue;
+            };
+            let (actions, written) = voter.handle_events(self.now, vec![event]);
+            written.unwrap();
+            self.capture();
+            for action in actions {
+                if let Action::Send { to: next, message } = action {
+                    queue.push_back((
+                        next,
+                        Event::PeerMessage {
+                            from: to.clone(),
+                            message,
+                        },
+                    ));
+                }
+            }
+        }
+    }
+
+    pub(crate) fn capture(&mut self) {
+        for disk in self.disks.values() {
+            let files = disk.copy_files();
+            if files.len() == 1 && files.contains_key("identity") {
+                let promised = self.captured.get("a-new").is_some_and(|new| *new != files);
+                let fixture = if promised { "b-promised" } else { "a-new" };
+                self.captured.entry(fixture).or_insert(files);
+            }
+        }
+    }
+
+    pub(crate) fn tick(&mut self) {
+        self.now += TICK;
+        for name in self.voters_by_name.keys().cloned().collect::<Vec<_>>() {
+            self.deliver(&name, Event::TimerElapsed);
+        }
+    }
+
+    pub(crate) fn tick_until(&mut self, what: &str, mut reached: impl FnMut(&Self) -> bool) {
+        for _ in 0..MAX_TICKS {
+            if reached(self) {
+                return;
+            }
+            self.tick();
+        }
+        panic!("not reached within a minute: {what}");
+    }
+
+    pub(crate) fn leader(&self) -> Option<Name> {
+        self.voters_by_name
+            .iter()
+            .find(|(_, voter)| voter.voter().is_leader())
+            .map(|(name, _)| name.clone())
+    }
+
+    /// Proposes a command to one voter, whether it leads or not.
+    pub(crate) fn propose_to(&mut self, voter: &Name, command: Command) {
+        self.next_request.0 += 1;
+        let (from, request) = ("client".into(), self.next_request);
+        self.deliver(
+            voter,
+            Event::Propose {
+                from,
+                request,
+                command,
+            },
+        );
+    }
+
+    /// Adds a voter with an empty folder that is not configured, and waits until it has met the
+    /// others.
+    pub(crate) fn add_newcomer(&mut self, name: &Name, seed: u64) {
+        self.disks.insert(name.clone(), FaultyDisk::default());
+        let newcomer = open_voter(name, &self.disks[name], seed);
+        self.voters_by_name.insert(name.clone(), newcomer);
+        let is_outside = |group: &Group| {
+            group.voters_by_name[name].voter().status().phase == VoterPhase::Outside
+        };
+        self.tick_until("the newcomer has met the voters", is_outside);
+    }
+
+    /// The voters as one of them knows them.
+    pub(crate) fn voter_names(&self, of: &str) -> Vec<Name> {
+        self.voters_by_name[of]
+            .voter()
+            .status()
+            .voters
+            .into_values()
+            .collect()
+    }
+}
+
+/// Opens a voter on its disk.
+pub(crate) fn open_voter(name: &Name, disk: &FaultyDisk, seed: u64) -> DurableVoter<FaultyDisk> {
+    DurableVoter::open(
+        config(),
+        name,
+        BOOTSTRAP_VOTERS.map(Name::from).to_vec(),
+        disk.clone(),
+        seed,
+    )
+    .unwrap()
+}
+
+fn owner(name: &str) -> Owner {
+    Owner {
+        name: name.into(),
+        incarnation: Incarnation(7),
+    }
+}
+
+/// A request for a lease that waits for a slot.
+pub(crate) fn acquire(lease: &str, who: &str, ttl: Duration, capacity: u32) -> Command {
+    Command::Acquire {
+        lease: lease.into(),
+        owner: owner(who),
+        ttl,
+        capacity,
+        wait: true,
+    }
+}
--- a/crates/consensus/tests/stored_format.rs
+++ b/crates/consensus/tests/stored_format.rs
@@ -6,164 +6,22 @@
 //! The files were written when this test was (GOLDEN_WRITE=1 writes them anew). A change of the
 //! format needs files of its own beside these, which stay readable.
 
-use std::collections::{BTreeMap, VecDeque};
+mod common;
+
+use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::PathBuf;
 use std::time::Duration;
 
-use tulipgap_consensus::{Action, Config, DurableVoter, Event, VoterPhase};
-use tulipgap_leases::{Command, Incarnation, Name, Owner, RequestId};
+use common::{BOOTSTRAP_VOTERS, Files, Group, acquire, open_voter};
+use tulipgap_consensus::{DurableVoter, Event};
+use tulipgap_leases::{Command, Name};
 use tulipgap_write_ahead_log::{Disk, FaultyDisk, WriteAheadLog};
 
-type Files = BTreeMap<String, Vec<u8>>;
-
-const TICK: Duration = Duration::from_millis(100);
-const BOOTSTRAP_VOTERS: [&str; 3] = ["a", "b", "c"];
-
-fn config() -> Config {
-    // More than the 200 entries that stay behind a snapshot, so that older ones are removed from
-    // the log.
-    Config {
-        snapshot_interval_entries: 250,
-        ..Config::default()
-    }
-}
-
-/// Voters over disks in memory, with messages that arrive at once and in order.
-struct Group {
-    voters_by_name: BTreeMap<Name, DurableVoter<FaultyDisk>>,
-    disks: BTreeMap<Name, FaultyDisk>,
-    now: Duration,
-    next_request: RequestId,
-    /// Folders as they were on the way, by the name of their fixture.
-    captured: BTreeMap<&'static str, Files>,
-}
-
 impl Group {
-    fn new(folders: BTreeMap<Name, Files>) -> Self {
-        let (mut voters_by_name, mut disks) = (BTreeMap::new(), BTreeMap::new());
-        for (at, (name, files)) in folders.into_iter().enumerate() {
-            let disk = FaultyDisk::default();
-            disk.restore_files(files);
-            voters_by_name.insert(name.clone(), open_voter(&name, &disk, at as u64 + 1));
-            disks.insert(name, disk);
-        }
-        Group {
-            voters_by_name,
-            disks,
-            now: Duration::ZERO,
-            next_request: RequestId(0),
-            captured: BTreeMap::new(),
-        }
-    }
-
-    fn deliver(&mut self, to: &Name, event: Event) {
-        let mut queue = VecDeque::from([(to.clone(), event)]);
-        while let Some((to, event)) = queue.pop_front() {
-            let Some(voter) = self.voters_by_name.get_mut(&to) else {
-                continue;
-            };
-            let (actions, written) = voter.handle_events(self.now, vec![event]);
-            written.unwrap();
-            self.capture();
-            for action in actions {
-                if let Action::Send { to: next, message } = action {
-                    queue.push_back((
-                        next,
-                        Event::PeerMessage {
-                            from: to.clone(),
-                            message,
-                        },
-                    ));
-                }
-            }
-        }
-    }
-
-    fn capture(&mut self) {
-        for disk in self.disks.values() {
-            let files = disk.copy_files();
-            if files.len() == 1 && files.contains_key("identity") {
-                let promised = self.captured.get("a-new").is_some_and(|new| *new != files);
-                let fixture = if promised { "b-promised" } else { "a-new" };
-                self.captured.entry(fixture).or_insert(files);
-            }
-        }
-    }
-
-    fn tick(&mut self) {
-        self.now += TICK;
-        for name in self.voters_by_name.keys().cloned().collect::<Vec<_>>() {
-            self.deliver(&name, Event::TimerElapsed);
-        }
-    }
-
-    fn tick_until(&mut self, what: &str, mut reached: impl FnMut(&Self) -> bool) {
-        for _ in 0..600 {
-            if reached(self) {
-                return;
-            }
-            self.tick();
-        }
-        panic!("not reached within a minute: {what}");
-    }
-
-    fn leader(&self) -> Option<Name> {
-        self.voters_by_name
-            .iter()
-            .find(|(_, voter)| voter.voter().is_leader())
-            .map(|(name, _)| name.clone())
-    }
-
     fn propose(&mut self, command: Command) {
         let leader = self.leader().unwrap();
-        self.next_request.0 += 1;
-        let (from, request) = ("client".into(), self.next_request);
-        self.deliver(
-            &leader,
-            Event::Propose {
-                from,
-                request,
-                command,
-            },
-        );
-    }
-
-    fn voter_names(&self, of: &str) -> Vec<Name> {
-        self.voters_by_name[of]
-            .voter()
-            .status()
-            .voters
-            .into_values()
-            .collect()
-    }
-}
-
-fn open_voter(name: &Name, disk: &FaultyDisk, seed: u64) -> DurableVoter<FaultyDisk> {
-    DurableVoter::open(
-        config(),
-        name,
-        BOOTSTRAP_VOTERS.map(Name::from).to_vec(),
-        disk.clone(),
-        seed,
-    )
-    .unwrap()
-}
-
-fn owner(name: &str) -> Owner {
-    Owner {
-        name: name.into(),
-        incarnation: Incarnation(7),
-    }
-}
-
-fn acquire(lease: &str, who: &str, ttl: Duration, capacity: u32) -> Command {
-    Command::Acquire {
-        lease: lease.into(),
-        owner: owner(who),
-        ttl,
-        capacity,
-        wait: true,
+        self.propose_to(&leader, command);
     }
 }
 
@@ -197,12 +55,7 @@
         .find(|name| **name != leader)
         .unwrap()
         .clone();
-    group.disks.insert("d".into(), FaultyDisk::default());
-    let newcomer = open_voter(&"d".into(), &group.disks["d"], 9);
-    group.voters_by_name.insert("d".into(), newcomer);
-    let is_outside =
-        |group: &Group| group.voters_by_name["d"].voter().status().phase == VoterPhase::Outside;
-    group.tick_until("the newcomer has met the voters", is_outside);
+    group.add_newcomer(&"d".into(), 9);
     group.deliver(
         &leader,
         Event::ReplaceVoter {
