--- a/crates/connection-limits/src/deadlines.rs
+++ b/crates/connection-limits/src/deadlines.rs
@@ -5,7 +5,9 @@
 use crate::event::ConnectionId;
 use crate::timer_wheel::TimerWheel;
 
-/// The resolution of deadlines: how late one may be noticed.
+/// The resolution of deadlines: how late one may be noticed by a host that hands in
+/// [`Event::TimerExpired`](crate::event::Event::TimerExpired) on time. One that hands it in at
+/// intervals instead, as the server does, notices a deadline later by up to its interval.
 const TIMER_TICK: Duration = Duration::from_millis(10);
 
 /// One deadline for each connection. Several events may move it; only the last one counts.
--- a/crates/leases/src/expiry.rs
+++ b/crates/leases/src/expiry.rs
@@ -140,8 +140,8 @@
     }
 
     /// When [`due_expirations`](Self::due_expirations) should be called next, by the voter's clock.
-    /// At most half of [`MAX_COUNTED_STEP`] after the clock was last read, so that a reading which
-    /// comes somewhat late still counts in full.
+    /// At most a quarter of a second after the clock was last read: half of the most time that one
+    /// reading counts, so that one which comes somewhat late still counts in full.
     pub fn next_check_at(&self) -> Option<Duration> {
         let (deadline, _) = self.by_time.first()?;
         let remaining = deadline.saturating_sub(self.counted);
--- a/crates/leases/src/injected_bug.rs
+++ b/crates/leases/src/injected_bug.rs
@@ -20,7 +20,9 @@
     ReusedReleasedToken,
 }
 
-/// Which bug a state machine has. Without the feature it is none, at no cost.
+/// Which bug a state machine has. Without the feature `injected-bugs`, with which no program is
+/// built, it is none: [`Self::is_on`] is then a constant `false`, and each branch that asks it is
+/// compiled out. Who reads a rule for what a program does reads `is_on` as `false`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct BugSwitch {
     #[cfg(feature = "injected-bugs")]
