--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -28,7 +28,7 @@
     #[error("{0}")]
     Syntax(String),
     /// There is no such key.
-    #[error("'{path}' is no name{}", suggestion.map_or_else(String::new, |name| format!("; is '{name}' meant?")))]
+    #[error("unknown key '{path}'{}", suggestion.map_or_else(String::new, |name| format!("; did you mean '{name}'?")))]
     UnknownKey {
         /// The path as it is written.
         path: String,
@@ -36,22 +36,22 @@
         suggestion: Option<&'static str>,
     },
     /// A key or block occurs more than once.
-    #[error("'{0}' stands twice")]
+    #[error("'{0}' is defined more than once")]
     Duplicate(String),
     /// A required key is missing.
     #[error("'{0}' is missing")]
     Missing(String),
     /// A block has a label.
-    #[error("'{0}' takes no label")]
+    #[error("block '{0}' must not have a label")]
     Label(String),
     /// A key is written as a block.
-    #[error("'{0}' is no block; write {0} = ...")]
+    #[error("'{0}' is not a block; write {0} = ...")]
     NotABlock(String),
     /// A block is written as a key.
     #[error("'{0}' is a block; write {0} {{ ... }}")]
     IsABlock(String),
     /// The value is of another type.
-    #[error("{path}: it takes {expected}")]
+    #[error("{path}: expected {expected}")]
     WrongType {
         /// The path of the key.
         path: String,
@@ -79,8 +79,8 @@
         /// The cause.
         source: io::Error,
     },
-    /// The file is longer than the limit of 1 MiB.
-    #[error("{}: it is longer than 1 MiB", path.display())]
+    /// The file is larger than the limit of 1 MiB.
+    #[error("{}: the file is larger than 1 MiB", path.display())]
     TooLong {
         /// The file.
         path: PathBuf,
--- a/crates/config/src/fault_injection.rs
+++ b/crates/config/src/fault_injection.rs
@@ -1,5 +1,5 @@
 //! The block `cluster.trial`, for `tulipgap chaos` only: faults that only the program itself can
-//! inject, and leases that it uses under the eyes of the history checker.
+//! inject, and leases whose use the history checker verifies.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -108,13 +108,13 @@
 fn test_lease(text: &str, _: &()) -> garde::Result {
     let invalid = || {
         garde::Error::new(format!(
-            "'{text}' is not NAME TTL_MS CAPACITY MAX_OPERATION_MS"
+            "'{text}' does not have the form NAME TTL_MS CAPACITY MAX_OPERATION_MS"
         ))
     };
     parse_test_lease(text).map(|_| ()).ok_or_else(invalid)
 }
 
 fn route(text: &str, _: &()) -> garde::Result {
-    let invalid = || garde::Error::new(format!("'{text}' is not ADDRESS=ADDRESS"));
+    let invalid = || garde::Error::new(format!("'{text}' does not have the form ADDRESS=ADDRESS"));
     parse_route(text).map(|_| ()).ok_or_else(invalid)
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -11,7 +11,7 @@
 //! assert_eq!(config.trace.unwrap().format, 2);
 //!
 //! let problems = tulipgap_config::parse("trace {\n  fodler = \"recordings\"\n}\n").unwrap_err();
-//! assert_eq!(problems[1].to_string(), "2:3: 'trace.fodler' is no name; is 'folder' meant?");
+//! assert_eq!(problems[1].to_string(), "2:3: unknown key 'trace.fodler'; did you mean 'folder'?");
 //! ```
 
 #![warn(missing_docs)]
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -7,15 +7,15 @@
 pub(crate) enum ValueType {
     Text,
     Flag,
-    /// A whole number of 0 or more.
+    /// A non-negative integer.
     Integer,
-    /// A time such as "2s" or "1h 30m".
+    /// A duration such as "2s" or "1h 30m".
     Duration,
     /// A size such as "64 MiB".
     Size,
     /// A number from 0 to 1.
     Fraction,
-    /// A list of texts.
+    /// A list of strings.
     TextList,
     Block(&'static [Key]),
 }
@@ -24,13 +24,13 @@
     /// A description of the type for messages.
     pub(crate) fn description(self) -> &'static str {
         match self {
-            ValueType::Text => "a text in quotes",
+            ValueType::Text => "a quoted string",
             ValueType::Flag => "true or false",
-            ValueType::Integer => "a whole number of 0 or more",
-            ValueType::Duration => "a time such as \"2s\" or \"1h 30m\"",
+            ValueType::Integer => "a non-negative integer",
+            ValueType::Duration => "a duration such as \"2s\" or \"1h 30m\"",
             ValueType::Size => "a size such as \"64 MiB\"",
             ValueType::Fraction => "a number from 0 to 1",
-            ValueType::TextList => "a list of texts such as [\"10.1.0.0/16\"]",
+            ValueType::TextList => "a list of strings such as [\"10.1.0.0/16\"]",
             ValueType::Block(_) => "a block",
         }
     }
--- a/crates/config/src/tests.rs
+++ b/crates/config/src/tests.rs
@@ -47,11 +47,11 @@
         found,
         [
             "1:1: 'trace.folder' is missing",
-            "2:3: 'trace.fodler' is no name; is 'folder' meant?",
-            "3:16: trace.format: it takes a whole number of 0 or more",
-            "4:16: trace.seal_after: it takes a time such as \"2s\" or \"1h 30m\"",
-            "6:1: 'trace' stands twice",
-            "7:1: 'trase' is no name; is 'trace' meant?",
+            "2:3: unknown key 'trace.fodler'; did you mean 'folder'?",
+            "3:16: trace.format: expected a non-negative integer",
+            "4:16: trace.seal_after: expected a duration such as \"2s\" or \"1h 30m\"",
+            "6:1: 'trace' is defined more than once",
+            "7:1: unknown key 'trase'; did you mean 'trace'?",
         ]
     );
 }
@@ -89,7 +89,7 @@
     );
     assert_eq!(
         problems("trace \"a\" {\n folder = \"t\"\n}\n"),
-        ["1:7: 'trace' takes no label"]
+        ["1:7: block 'trace' must not have a label"]
     );
 }
 
--- a/crates/config/src/trace.rs
+++ b/crates/config/src/trace.rs
@@ -91,7 +91,7 @@
     move |value, _| {
         let too_small = || {
             garde::Error::new(format!(
-                "{value} is less than two files and {FILE_SLACK}: {min}"
+                "{value} is smaller than two files and {FILE_SLACK} of slack, which are {min}"
             ))
         };
         if *value >= min {
--- a/crates/config/src/validators.rs
+++ b/crates/config/src/validators.rs
@@ -14,7 +14,7 @@
 /// Accepts a path that is not empty.
 pub(crate) fn non_empty_path(path: &Path, _: &()) -> garde::Result {
     if path.as_os_str().is_empty() {
-        Err(garde::Error::new("is empty"))
+        Err(garde::Error::new("must not be empty"))
     } else {
         Ok(())
     }
@@ -26,7 +26,7 @@
         Ok(())
     } else {
         Err(garde::Error::new(format!(
-            "'{text}' is no address and port"
+            "'{text}' is not an address with a port"
         )))
     }
 }
@@ -39,18 +39,18 @@
     if sorted.len() == names.len() {
         Ok(())
     } else {
-        Err(garde::Error::new("a name stands twice"))
+        Err(garde::Error::new("a name occurs more than once"))
     }
 }
 
-/// Accepts times from `min` to `max`.
+/// Accepts durations from `min` to `max`.
 pub(crate) fn duration_between(
     min: Duration,
     max: Duration,
 ) -> impl FnOnce(&Duration, &()) -> garde::Result {
     move |value, _| {
         let out_of_range =
-            || garde::Error::new(format!("{value:?} is not from {min:?} to {max:?}"));
+            || garde::Error::new(format!("{value:?} is not between {min:?} and {max:?}"));
         if (min..=max).contains(value) {
             Ok(())
         } else {
@@ -65,7 +65,7 @@
     max: ByteSize,
 ) -> impl FnOnce(&ByteSize, &()) -> garde::Result {
     move |value, _| {
-        let out_of_range = || garde::Error::new(format!("{value} is not from {min} to {max}"));
+        let out_of_range = || garde::Error::new(format!("{value} is not between {min} and {max}"));
         if (min..=max).contains(value) {
             Ok(())
         } else {
--- a/crates/server/src/cluster/error.rs
+++ b/crates/server/src/cluster/error.rs
@@ -12,7 +12,7 @@
 /// mended.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ClusterError {
-    /// The setting `listen` is no address and port.
+    /// The setting `listen` is not an address with a port.
     #[error("cluster: listen: {0}")]
     ListenAddress(#[source] AddrParseError),
     /// The key file can't be read.
