--- a/crates/server/src/cluster/event_loop.rs
+++ b/crates/server/src/cluster/event_loop.rs
@@ -2,8 +2,8 @@
 //! part that handles it: the local node, its voter, or the operators' commands.
 //!
 //! Its thread alone drives [`LocalNode`] and [`Admin`], and never waits for the disk or for a peer.
-//! Where it does not keep up, its queue fills: datagrams are dropped, streams of peers are no longer
-//! read, and an operator's command waits and then fails with "no answer".
+//! Where it does not keep up, its queue fills: datagrams are dropped, streams of peers are no
+//! longer read, and an operator's command waits and then fails with "no answer".
 
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
--- a/crates/server/src/cluster/peer_links.rs
+++ b/crates/server/src/cluster/peer_links.rs
@@ -3,12 +3,13 @@
 //!
 //! [`PeerLinks`] has threads of its own: one for datagrams, one that accepts streams, and one for
 //! each open stream. The message router hands it what is sent; what is received goes to the event
-//! loop. None of them runs on the worker of the requests, and a slow peer fills its own queue alone.
+//! loop. None of them runs on the worker of the requests, and a slow peer fills its own queue
+//! alone.
 //!
 //! A link may fail at any time, and messages may be lost; their senders retry. A frame that is not
 //! authentic or not readable shows as `peer frame rejected`, a stream that cannot be opened or
-//! written as `peer stream failed`, and a full queue in the count of dropped frames that the control
-//! socket reports.
+//! written as `peer stream failed`, and a full queue in the count of dropped frames that the
+//! control socket reports.
 
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
