--- a/crates/consensus/tests/voter_replacement.rs
+++ b/crates/consensus/tests/voter_replacement.rs
@@ -7,8 +7,8 @@
 use common::{BOOTSTRAP_VOTERS, Files, Group, MAX_TICKS, acquire};
 use tulipgap_consensus::Event;
 
-/// How often every voter is asked for the lease: each 5 s. It is first asked for that long after the
-/// replacement began, as a leader that is still to be removed would grant it.
+/// How often every voter is asked for the lease: each 5 s. It is first asked for that long after
+/// the replacement began, as a leader that is still to be removed would grant it.
 const REQUEST_INTERVAL_TICKS: usize = 50;
 
 /// An operator replaced the voter that led. The leader removed itself and went on as the leader of
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -41,7 +41,8 @@
     /// shortest. From 1 to 100.
     pub suspicion_max_timeout_mult: f64,
     /// The worst score of the local health (Lifeguard's and memberlist's "awareness"): a node with
-    /// this score stretches its intervals and time limits by a factor of one more. With 0 the protocol is plain SWIM.
+    /// this score stretches its intervals and time limits by a factor of one more. With 0 the
+    /// protocol is plain SWIM.
     pub max_awareness: u32,
     /// How often an update is sent, in multiples of the binary logarithm of the number of members.
     /// From 1 to 100.
