--- a/crates/fault-injection/src/lease_simulation/mod.rs
+++ b/crates/fault-injection/src/lease_simulation/mod.rs
@@ -19,10 +19,11 @@
 use tulipgap_leases::Name;
 use tulipgap_write_ahead_log::DiskUsage;
 
+use crate::fault_schedule::{DefaultDiskFault, ScheduledAction, scheduled_actions};
 use crate::plan::{BACKUP_AT, DirectoryAfterCrash, Fault, MemberIndex, Plan};
 use crate::scheduler::{Fingerprint, Scheduler, Simulation, play};
 use crate::simulated_network::{SimulatedNetwork, draw_start_time};
-use events::{FaultEvent, SimulationEvent, fault_events};
+use events::SimulationEvent;
 use invariants::InvariantState;
 use processes::Processes;
 use reads::PendingReads;
@@ -33,6 +34,8 @@
 
 /// How often the invariants are checked, in simulated time.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a disk fault lasts where the plan does not say.
+const DEFAULT_DISK_FAULT: DefaultDiskFault = DefaultDiskFault::Seconds(5.0);
 /// How often some member reads who holds a lease, in simulated time.
 const READ_INTERVAL: Duration = Duration::from_millis(700);
 
@@ -138,8 +141,12 @@
     }
 
     fn schedule_fault(&mut self, fault: &Fault) {
-        for FaultEvent { at, member, event } in fault_events(fault, self.network.members()) {
-            self.scheduler.schedule(at, member, event);
+        let members = self.network.members();
+        for ScheduledAction { at, member, action } in
+            scheduled_actions(fault, members, DEFAULT_DISK_FAULT)
+        {
+            self.scheduler
+                .schedule(Duration::from_secs_f64(at), member, action.into());
         }
     }
 
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -42,6 +42,7 @@
 //! # }
 //! ```
 
+mod fault_schedule;
 mod history_checker;
 mod invariants;
 mod lease_simulation;
--- a/crates/fault-injection/src/membership_simulation/mod.rs
+++ b/crates/fault-injection/src/membership_simulation/mod.rs
@@ -14,8 +14,9 @@
 
 use tulipgap_membership::Message;
 
+use crate::fault_schedule::{DefaultDiskFault, FaultAction, ScheduledAction, scheduled_actions};
 use crate::invariants::{MembershipChecker, Observation};
-use crate::plan::{Fault, MemberIndex, Plan, matching};
+use crate::plan::{MemberIndex, Plan};
 use crate::scheduler::{Fingerprint, ProcessGeneration, Scheduler, Simulation, play};
 use crate::simulated_network::{SimulatedNetwork, draw_start_time};
 use processes::Process;
@@ -156,34 +157,22 @@
     }
 
     fn schedule_faults(&mut self) {
-        for fault in &self.plan.faults {
-            let is_crash = matches!(fault, Fault::Crash { .. });
-            let (Fault::Crash {
-                at,
-                target,
-                restart_at: end,
-                ..
-            }
-            | Fault::Pause {
-                at,
-                target,
-                resume_at: end,
-            }) = fault
-            else {
-                continue;
+        let members = self.network.members();
+        let actions = |fault| scheduled_actions(fault, members, DefaultDiskFault::UntilEndOfRun);
+        for ScheduledAction { at, member, action } in self.plan.faults.iter().flat_map(actions) {
+            let event = match action {
+                FaultAction::Kill => SimulationEvent::Crash,
+                FaultAction::Restart(_) => SimulationEvent::Start,
+                FaultAction::Pause => SimulationEvent::Pause,
+                FaultAction::Resume => SimulationEvent::Resume,
+                // Of voters and their disks, which this simulation does not have.
+                FaultAction::BackUpJournal
+                | FaultAction::InjectDiskFault(_)
+                | FaultAction::RepairDisk
+                | FaultAction::ReplaceVoter { .. } => continue,
             };
-            for member in matching(self.network.members(), target) {
-                let (begins, ends) = match is_crash {
-                    true => (SimulationEvent::Crash, SimulationEvent::Start),
-                    false => (SimulationEvent::Pause, SimulationEvent::Resume),
-                };
-                self.scheduler
-                    .schedule(Duration::from_secs_f64(*at), member, begins);
-                if let Some(end) = end {
-                    self.scheduler
-                        .schedule(Duration::from_secs_f64(*end), member, ends);
-                }
-            }
+            self.scheduler
+                .schedule(Duration::from_secs_f64(at), member, event);
         }
     }
 }
--- a/crates/fault-injection/src/processes/process.rs
+++ b/crates/fault-injection/src/processes/process.rs
@@ -9,7 +9,7 @@
 use rustix::process::{Pid, Signal, kill_process};
 
 use super::history::SharedRecorder;
-use super::schedule::FaultAction;
+use crate::fault_schedule::FaultAction;
 use crate::plan::{DirectoryAfterCrash, DiskFault, Member, PlannedLease};
 
 /// The directory of the voter's log, in a process's directory.
