--- a/crates/cli/src/chaos.rs
+++ b/crates/cli/src/chaos.rs
@@ -105,6 +105,11 @@
     std::env::temp_dir().join(format!("tulipgap-chaos-{}", std::process::id()))
 }
 
+/// The first line of a report of simulated runs.
+fn print_runs(runs: u64, members: usize, plan: &Plan) {
+    println!("{runs} runs of {members} members, {} s each", plan.length);
+}
+
 fn output(report: &impl Report, plan: &Plan, json: bool) -> Status {
     if json {
         println!(
--- a/crates/cli/src/chaos/leases.rs
+++ b/crates/cli/src/chaos/leases.rs
@@ -11,7 +11,7 @@
     with_random_faults,
 };
 
-use super::Report;
+use super::{Report, print_runs};
 
 /// Times are in seconds.
 #[derive(Default, Serialize)]
@@ -188,10 +188,7 @@
     }
 
     fn print(&self, plan: &Plan) {
-        println!(
-            "{} runs of {} members, {} s each",
-            self.runs, self.members, plan.length
-        );
+        print_runs(self.runs, self.members, plan);
         println!(
             "   vacancy  longest {:.2} s after the last fault, bound {:.2} s; {:.2} s in the whole run",
             self.longest_vacancy_after_faults, self.vacancy_bound, self.longest_vacancy
--- a/crates/cli/src/chaos/membership.rs
+++ b/crates/cli/src/chaos/membership.rs
@@ -6,8 +6,8 @@
 use serde::Serialize;
 use tulipgap_fault_injection::{MembershipViolation, Plan, WorstDurations, simulate_membership};
 
-use super::Report;
 use super::bounds::MembershipBounds;
+use super::{Report, print_runs};
 
 #[derive(Serialize)]
 pub(super) struct MembershipReport {
@@ -120,10 +120,7 @@
     }
 
     fn print(&self, plan: &Plan) {
-        println!(
-            "{} runs of {} members, {} s each",
-            self.runs, self.members, plan.length
-        );
+        print_runs(self.runs, self.members, plan);
         self.bounds.print();
         for (detection, observers) in [
             (&self.first_detection, "first"),
--- a/crates/fault-injection/src/plan/fault.rs
+++ b/crates/fault-injection/src/plan/fault.rs
@@ -149,6 +149,14 @@
     },
 }
 
+/// When a fault begins and ends, in seconds since the start of the run.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct FaultTimes {
+    pub(crate) begin: f64,
+    /// `None` where it lasts to the end of the run.
+    pub(crate) end: Option<f64>,
+}
+
 impl Fault {
     /// The place of this kind in [`super::Plan::faults`]: plan files are read kind by kind, in this
     /// order, whatever the order of their blocks.
@@ -164,10 +172,12 @@
         }
     }
 
-    /// When the fault is over, in seconds; for one that never ends, when it began.
-    pub(crate) fn end(&self) -> f64 {
-        match self {
-            Fault::Partition { window, .. } | Fault::DegradedLinks { window, .. } => window.to,
+    /// When the fault begins and ends.
+    pub(crate) fn times(&self) -> FaultTimes {
+        let (begin, end) = match self {
+            Fault::Partition { window, .. } | Fault::DegradedLinks { window, .. } => {
+                (window.from, Some(window.to))
+            }
             Fault::Crash {
                 at,
                 restart_at: end,
@@ -180,9 +190,16 @@
                 at,
                 repaired_at: end,
                 ..
-            } => end.unwrap_or(*at),
-            Fault::ReplaceVoter { at, .. } => *at,
-            Fault::ClockRate { .. } => 0.0,
-        }
+            } => (*at, *end),
+            Fault::ReplaceVoter { at, .. } => (*at, None),
+            Fault::ClockRate { .. } => (0.0, None),
+        };
+        FaultTimes { begin, end }
+    }
+
+    /// When the fault is over, in seconds; for one that never ends, when it began.
+    pub(crate) fn end(&self) -> f64 {
+        let FaultTimes { begin, end } = self.times();
+        end.unwrap_or(begin)
     }
 }
--- a/crates/fault-injection/src/plan/validation.rs
+++ b/crates/fault-injection/src/plan/validation.rs
@@ -7,6 +7,7 @@
 use tulipgap_leases::{MAX_CAPACITY, MAX_LEASE_TTL, MAX_NAME_BYTES, MIN_LEASE_TTL};
 use tulipgap_membership::{Incarnation, Membership, Node, SUPPORTED_VERSIONS};
 
+use super::fault::FaultTimes;
 use super::{Bounds, Fault, Member, Plan, PlanError, PlannedLease, TimeWindow};
 
 /// Members of one run, at most.
@@ -152,32 +153,10 @@
 
     /// From the beginning to the end of the fault, or to the end of the run.
     fn window(&self, length: f64) -> TimeWindow {
-        match self {
-            Fault::Partition { window, .. } | Fault::DegradedLinks { window, .. } => *window,
-            Fault::Crash {
-                at,
-                restart_at: end,
-                ..
-            }
-            | Fault::Pause {
-                at, resume_at: end, ..
-            }
-            | Fault::Disk {
-                at,
-                repaired_at: end,
-                ..
-            } => TimeWindow {
-                from: *at,
-                to: end.unwrap_or(length),
-            },
-            Fault::ClockRate { .. } => TimeWindow {
-                from: 0.0,
-                to: length,
-            },
-            Fault::ReplaceVoter { at, .. } => TimeWindow {
-                from: *at,
-                to: length,
-            },
+        let FaultTimes { begin, end } = self.times();
+        TimeWindow {
+            from: begin,
+            to: end.unwrap_or(length),
         }
     }
 
--- a/crates/fault-injection/src/processes/configuration.rs
+++ b/crates/fault-injection/src/processes/configuration.rs
@@ -35,14 +35,14 @@
         process.config_file(),
         config_json(&process.member.name, listen, executor),
     )?;
-    let settings = settings_hcl(
+    let settings = ProcessSettings {
         plan,
         processes,
         index,
         addresses,
-        &run_directory.join(KEY_FILE),
-    );
-    fs::write(process.settings_file(), settings)
+        key: &run_directory.join(KEY_FILE),
+    };
+    fs::write(process.settings_file(), settings.to_hcl())
 }
 
 /// The configuration that a platform gives a process, as its pages define it.
@@ -60,40 +60,21 @@
 }
 
 /// The settings of a process: its cluster, and what the run observes and injects.
-fn settings_hcl(
-    plan: &Plan,
-    processes: &[MemberProcess],
+struct ProcessSettings<'a> {
+    plan: &'a Plan,
+    processes: &'a [MemberProcess],
+    /// Of the process among all.
     index: MemberIndex,
-    addresses: &AddressBlock,
-    key: &Path,
-) -> String {
-    let MemberProcess {
-        member,
-        directory,
-        clock_rate,
-        ..
-    } = &processes[index];
-    let members: Vec<_> = processes
-        .iter()
-        .map(|process| process.member.clone())
-        .collect();
-    let seeds = quoted_list(seed_members(&members).map(|seed| addresses.peer(seed).to_string()));
-    let voters = quoted_list(plan.voters.iter().cloned());
-    let wanted = plan
-        .leases
-        .iter()
-        .filter(|lease| member.matches(&lease.target));
-    let leases = quoted_list(wanted.map(lease_setting));
-    let others = (0..processes.len()).filter(|&other| other != index);
-    let routes = quoted_list(others.map(|other| {
+    addresses: &'a AddressBlock,
+    /// The file that holds the key.
+    key: &'a Path,
+}
+
+impl ProcessSettings<'_> {
+    fn to_hcl(&self) -> String {
+        let process = &self.processes[self.index];
         format!(
-            "{}={}",
-            addresses.peer(other),
-            addresses.proxy(index, other)
-        )
-    }));
-    format!(
-        r#"cluster {{
+            r#"cluster {{
   name = "rig"
   member = {name:?}
   listen = "{listen}"
@@ -107,25 +88,69 @@
   drain {{
     at_once = 1
   }}
-  trial {{
+{trial}}}
+"#,
+            name = process.member.name,
+            listen = self.addresses.peer(self.index),
+            region = process.member.region,
+            zone = process.member.zone,
+            key = self.key.display().to_string(),
+            seeds = self.seeds(),
+            voters = quoted_list(self.plan.voters.iter().cloned()),
+            journal = process.journal().display().to_string(),
+            control = process.control_socket().display().to_string(),
+            trial = self.trial_block(),
+        )
+    }
+
+    /// What the run observes and injects.
+    fn trial_block(&self) -> String {
+        let MemberProcess {
+            directory,
+            clock_rate,
+            ..
+        } = &self.processes[self.index];
+        format!(
+            r#"  trial {{
     witness = "{history}"
     leases = [{leases}]
     routes = [{routes}]
     clock_rate = {clock_rate}
     disk_trouble = {directory:?}
   }}
-}}
 "#,
-        name = member.name,
-        listen = addresses.peer(index),
-        region = member.region,
-        zone = member.zone,
-        key = key.display().to_string(),
-        journal = processes[index].journal().display().to_string(),
-        control = processes[index].control_socket().display().to_string(),
-        history = addresses.history(),
-        directory = directory.display().to_string(),
-    )
+            history = self.addresses.history(),
+            leases = self.leases(),
+            routes = self.routes(),
+            directory = directory.display().to_string(),
+        )
+    }
+
+    fn seeds(&self) -> String {
+        let members: Vec<_> = self
+            .processes
+            .iter()
+            .map(|process| process.member.clone())
+            .collect();
+        quoted_list(seed_members(&members).map(|seed| self.addresses.peer(seed).to_string()))
+    }
+
+    /// The leases that the plan has the process want.
+    fn leases(&self) -> String {
+        let member = &self.processes[self.index].member;
+        let leases = self.plan.leases.iter();
+        let wanted = leases.filter(|lease| member.matches(&lease.target));
+        quoted_list(wanted.map(lease_setting))
+    }
+
+    /// The proxy by which the process reaches each other one.
+    fn routes(&self) -> String {
+        let others = (0..self.processes.len()).filter(|&other| other != self.index);
+        quoted_list(others.map(|other| {
+            let proxy = self.addresses.proxy(self.index, other);
+            format!("{}={proxy}", self.addresses.peer(other))
+        }))
+    }
 }
 
 /// A lease in the settings: `NAME TTL_MS CAPACITY MAX_OPERATION_MS`.
