--- a/crates/fault-injection/src/processes/configuration.rs
+++ b/crates/fault-injection/src/processes/configuration.rs
@@ -88,7 +88,7 @@
   drain {{
     at_once = 1
   }}
-{trial}}}
+{fault_injection}}}
 "#,
             name = process.member.name,
             listen = self.addresses.peer(self.index),
@@ -99,12 +99,12 @@
             voters = quoted_list(self.plan.voters.iter().cloned()),
             journal = process.journal().display().to_string(),
             control = process.control_socket().display().to_string(),
-            trial = self.trial_block(),
+            fault_injection = self.fault_injection_block(),
         )
     }
 
     /// What the run observes and injects.
-    fn trial_block(&self) -> String {
+    fn fault_injection_block(&self) -> String {
         let MemberProcess {
             directory,
             clock_rate,
