--- a/crates/leases/src/client/renewal.rs
+++ b/crates/leases/src/client/renewal.rs
@@ -63,8 +63,8 @@
         counted_from + self.usable_ttl(ttl) / RENEWALS_PER_TTL
     }
 
-    /// A random delay of a renewal, which spreads those of many clients: up to the jitter's fraction
-    /// of the usable TTL divided by [`RETRIES_PER_TTL`].
+    /// A random delay of a renewal, which spreads those of many clients: up to the jitter's
+    /// fraction of the usable TTL divided by [`RETRIES_PER_TTL`].
     pub(super) fn renewal_jitter(&mut self, ttl: Duration) -> Duration {
         let pause = self.usable_ttl(ttl) / RETRIES_PER_TTL;
         self.jitter(pause)
--- a/example/demo_peers.rs
+++ b/example/demo_peers.rs
@@ -219,8 +219,8 @@
         self.send_notice("REAP", &head, result.as_bytes());
     }
 
-    /// Does half of the work, more slowly while more runs than cores are active. False where the run
-    /// was cancelled.
+    /// Does half of the work, more slowly while more runs than cores are active. False where the
+    /// run was cancelled.
     fn work(&self) -> bool {
         self.running.fetch_add(1, Ordering::AcqRel);
         let mut remaining_ms = WORK_MS as f64 / 2.0;
