--- a/crates/connection-limits/src/event.rs
+++ b/crates/connection-limits/src/event.rs
@@ -144,8 +144,8 @@
         /// The time.
         until: Duration,
     },
-    /// Hand in [`Event::TimerExpired`] at this time, in place of an earlier timer. A host may hand it
-    /// in at intervals instead; it then notices deadlines later by up to its interval.
+    /// Hand in [`Event::TimerExpired`] at this time, in place of an earlier timer. A host may hand
+    /// it in at intervals instead; it then notices deadlines later by up to its interval.
     SetTimer {
         /// The time.
         at: Duration,
--- a/crates/fault-injection/src/lease_simulation/clients.rs
+++ b/crates/fault-injection/src/lease_simulation/clients.rs
@@ -8,7 +8,7 @@
     Action, Config, Event, FencingToken, LeaseClient, LeaseGuard, LeaseSpec, Name, Owner,
 };
 
-use super::processes::Startup;
+use super::startup::Startup;
 use crate::plan::PlannedLease;
 
 /// How long a process rests between two operations under a lease, in seconds.
--- a/crates/fault-injection/src/lease_simulation/driver.rs
+++ b/crates/fault-injection/src/lease_simulation/driver.rs
@@ -10,11 +10,11 @@
 
 use super::clients::{OperationStep, REACQUIRE_DELAY, acquire_event, draw_operation, draw_rest};
 use super::events::{ProcessEvent, SimulationEvent};
-use super::invariants::{Finding, ObservedGrant, ObservedLeader};
+use super::invariants::{ObservedGrant, ObservedLeader};
 use super::message::Message;
-use super::outcome::LeaseInvariant;
-use super::processes::Startup;
+use super::outcome::{Finding, LeaseInvariant};
 use super::reads::PendingRead;
+use super::startup::Startup;
 use super::voters::VoterProgress;
 use super::{LeaseSimulation, READ_INTERVAL};
 use crate::history_checker::OperationError;
--- a/crates/fault-injection/src/lease_simulation/invariants.rs
+++ b/crates/fault-injection/src/lease_simulation/invariants.rs
@@ -5,18 +5,11 @@
 
 use tulipgap_leases::{FencingToken, Name};
 
-use super::outcome::LeaseInvariant;
+use super::outcome::{Finding, LeaseInvariant};
 use super::voters::ReplicaState;
 use crate::history_checker::HistoryChecker;
 use crate::plan::{Member, MemberIndex, Plan};
 
-/// A violation as it is found; the simulation adds the time.
-#[derive(Debug)]
-pub(super) struct Finding {
-    pub(super) invariant: LeaseInvariant,
-    pub(super) details: String,
-}
-
 /// An owner is notified that it holds a lease.
 pub(super) struct ObservedGrant<'a> {
     pub(super) owner: MemberIndex,
--- a/crates/fault-injection/src/lease_simulation/mod.rs
+++ b/crates/fault-injection/src/lease_simulation/mod.rs
@@ -11,6 +11,7 @@
 mod outcome;
 mod processes;
 mod reads;
+mod startup;
 mod vacancy;
 mod voters;
 
--- a/crates/fault-injection/src/lease_simulation/outcome.rs
+++ b/crates/fault-injection/src/lease_simulation/outcome.rs
@@ -3,8 +3,6 @@
 use std::fmt::{self, Display};
 use std::time::Duration;
 
-use super::invariants::Finding;
-
 /// An invariant of the leases and of the voters that grant them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseInvariant {
@@ -49,6 +47,13 @@
     }
 }
 
+/// A violation as it is found; the simulation adds the time.
+#[derive(Debug)]
+pub(super) struct Finding {
+    pub(super) invariant: LeaseInvariant,
+    pub(super) details: String,
+}
+
 /// How an invariant of the leases was violated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseViolation {
--- a/crates/fault-injection/src/lease_simulation/processes.rs
+++ b/crates/fault-injection/src/lease_simulation/processes.rs
@@ -9,7 +9,7 @@
 
 use super::clients::HostedClient;
 use super::events::ProcessEvent;
-use super::injected_bugs::InjectedBugs;
+use super::startup::Startup;
 use super::voters::HostedVoter;
 use crate::plan::{DirectoryAfterCrash, Member, MemberIndex, Plan, PlannedLease};
 use crate::scheduler::ProcessGeneration;
@@ -20,15 +20,6 @@
 /// covers the rounding, so that none elapses before its time.
 const TIMER_ROUNDING: Duration = Duration::from_nanos(10);
 
-/// What the state machines of a process are started with.
-pub(super) struct Startup<'a> {
-    /// The initial voters.
-    pub(super) voters: &'a [Name],
-    pub(super) bugs: InjectedBugs,
-    /// Of the state machines' own random draws.
-    pub(super) seed: u64,
-}
-
 /// One process and its machine. Owns its state machines, its disk, and what waits while it is
 /// paused.
 pub(super) struct Process {
--- a/crates/fault-injection/src/lease_simulation/reads.rs
+++ b/crates/fault-injection/src/lease_simulation/reads.rs
@@ -4,8 +4,7 @@
 
 use tulipgap_leases::{FencingToken, Lease, Name, RequestId};
 
-use super::invariants::Finding;
-use super::outcome::LeaseInvariant;
+use super::outcome::{Finding, LeaseInvariant};
 
 /// Reads that wait for a response, at most; older ones are forgotten.
 const MAX_PENDING_READS: usize = 1000;
--- a/crates/fault-injection/src/lease_simulation/vacancy.rs
+++ b/crates/fault-injection/src/lease_simulation/vacancy.rs
@@ -2,8 +2,7 @@
 
 use std::time::Duration;
 
-use super::invariants::Finding;
-use super::outcome::LeaseInvariant;
+use super::outcome::{Finding, LeaseInvariant};
 use crate::plan::{Plan, PlannedLease};
 
 /// How long the leases of a plan have been vacant.
--- a/crates/fault-injection/src/lease_simulation/voters.rs
+++ b/crates/fault-injection/src/lease_simulation/voters.rs
@@ -7,7 +7,7 @@
 use tulipgap_leases::{FencingToken, LeaseStateMachine, Name};
 use tulipgap_write_ahead_log::FaultyDisk;
 
-use super::processes::Startup;
+use super::startup::Startup;
 
 /// A voter's copy of the leases after it applied an entry.
 pub(super) struct ReplicaState {
