--- a/src/action.rs
+++ b/src/action.rs
@@ -11,28 +11,28 @@
     MemoryLimit,
     /// Runs on this server fail so often that other servers are likely to do better.
     HighFailureRate,
-    /// The admitted fraction was cut, and the request was not drawn.
+    /// The brownout controller admits only a fraction of the arrivals, and not this request.
     AdmissionControl,
     /// It was not expected to meet its latency objective.
     PredictedLate,
-    /// As `PredictedLate`, but after it had been queued: requests of higher priority came before
-    /// it.
+    /// As `PredictedLate`, but after it had been queued, because requests of higher priority were
+    /// queued before it.
     Overtaken,
     /// Its latency objective passed while it was queued or running.
     ObjectiveMissed,
     /// Its client is about to stop waiting.
     DeadlineNear,
-    /// It arrived too late after the shutdown notice.
+    /// It arrived after the drain grace, or too close to the termination of the process.
     Draining,
     /// The process is about to be terminated.
     Terminating,
     /// Its mandatory dependency call failed.
     CallFailed,
-    /// Its run was cancelled with nothing for its caller.
+    /// Its run was cancelled before it had an answer.
     Cancelled,
 }
 
-/// Something that the host has to carry out.
+/// An action that the host has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start a queued request.
@@ -44,7 +44,8 @@
     Reject {
         /// The rejected request.
         request: RequestIndex,
-        /// When the caller may come back to this server, where callers can be told.
+        /// The delay after which the caller may retry on this server; `None` where answers cannot
+        /// carry one.
         retry_after: Option<Duration>,
         /// Whether the caller should try another server.
         retry_other_server: bool,
@@ -80,14 +81,14 @@
         /// The request that carries the key.
         request: RequestIndex,
     },
-    /// Make the dependency call that it waits for.
+    /// Make the dependency call for which the request waits.
     StartCall {
         /// The request that makes the call.
         request: RequestIndex,
         /// The time limit of the call.
         timeout: Duration,
     },
-    /// Continue without the call.
+    /// Continue the request without its dependency call.
     SkipCall {
         /// The request that skips its call.
         request: RequestIndex,
--- a/src/admission/idempotency.rs
+++ b/src/admission/idempotency.rs
@@ -1,10 +1,11 @@
 //! Duplicates of a request that may run only once, and how long its key is remembered.
 //!
-//! A caller that lost its answer sends the request again under the same idempotency key. If it ran
-//! again, its effect would happen twice. A duplicate is therefore coalesced with the first: it
-//! waits for that result and is neither run nor rejected, because a rejection would say that
-//! nothing happened. The key is remembered from the time that the request is read until its
-//! retention has passed since its arrival, and a little longer. The price is the memory of a key.
+//! A caller that received no answer sends the request again with the same idempotency key. If the
+//! request ran again, its effect would happen twice. A duplicate is therefore coalesced with the
+//! first request: it waits for the result of the first and is neither run nor rejected, because a
+//! rejection would claim that the request had no effect. The key is remembered from the time that
+//! the request is read until the retention and a margin have passed since its arrival. The cost is
+//! the memory of a key.
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
 use crate::handlers::HandlerProfile;
 use crate::metrics::BUCKET_WIDTH;
 
-/// Time by which a key is kept longer than a duplicate may come: a duplicate that arrived in time
+/// Time for which a key is kept beyond its retention: a duplicate that arrived within the retention
 /// may be read later.
 const KEY_RETENTION_MARGIN: Duration = BUCKET_WIDTH;
 
@@ -21,7 +22,7 @@
     is_duplicate && !handler.is_idempotent()
 }
 
-/// Why a duplicate fails at once, if it does; otherwise it is coalesced. It cannot be rejected.
+/// Why a duplicate fails at once; `None` if it is coalesced. A duplicate is never rejected.
 pub(crate) fn coalescing_failure(is_terminating: bool, memory_is_exceeded: bool) -> Option<Reason> {
     if is_terminating {
         Some(Reason::Terminating)
@@ -30,7 +31,7 @@
     }
 }
 
-/// When the key of a request that arrived then is forgotten.
+/// When the key of a request that arrived at `arrived_at` is forgotten.
 pub(crate) fn key_expiry(arrived_at: Duration, key_retention: Duration, now: Duration) -> Duration {
     arrived_at
         .saturating_add(key_retention)
--- a/src/admission/memory.rs
+++ b/src/admission/memory.rs
@@ -1,18 +1,19 @@
 //! The memory that requests and idempotency keys take, and whether there is room for one more.
 //!
-//! A process that passes its memory limit is killed, and every request in it is lost. The rule
-//! binds when a request is queued, when it starts (a running request takes a multiple of a queued
-//! one) and when a key is remembered. Queued requests may take only a part of the memory, or none
-//! would be left to run them. The price: while a few large requests run, small ones are rejected.
+//! A process that exceeds its memory limit is killed, and every request in it is lost. The rule
+//! applies when a request is queued, when it starts (a running request takes a multiple of the
+//! memory of a queued one) and when a key is remembered. Queued requests may take only a part of
+//! the memory, because otherwise none would be left to run them. The cost is that small requests
+//! are rejected while a few large ones run.
 //!
-//! The sizes are those that the host states for each request, and the rejection has the reason
-//! [`MemoryLimit`](crate::Reason::MemoryLimit). `tulipgapd` has another rule of that kind in front
-//! of this one, `net/frontend/memory.rs`: it limits the number of open requests by the memory of
-//! its own process.
+//! The host states the size of each request, and a rejection has the reason
+//! [`MemoryLimit`](crate::Reason::MemoryLimit). `tulipgapd` applies another memory rule before this
+//! one, `net/frontend/memory.rs`, which limits the number of open requests by the memory of its own
+//! process.
 //!
-//! A key counts here from its admission until its retention and [`key_expiry`]'s margin are over.
-//! `tulipgapd` keeps key and result longer, by the longest client timeout
-//! (`requests/idempotency.rs` there), so the memory of keys is counted too low for that time.
+//! A key is counted here from the admission of its request until its retention and the margin of
+//! [`key_expiry`] are over. `tulipgapd` keeps a key and its result longer, by the longest client
+//! timeout (`requests/idempotency.rs` there), so the memory of keys is undercounted for that time.
 //!
 //! [`key_expiry`]: super::idempotency::key_expiry
 
@@ -24,11 +25,11 @@
 /// Fraction of the usable memory that queued requests may take.
 const MAX_QUEUED_FRACTION: f64 = 0.5;
 
-/// Multiple of the usable memory up to which the size of one request is counted. More is rejected
-/// all the same, and the sums stay finite.
+/// Multiple of the usable memory up to which the size of one request is counted. A larger request
+/// is rejected all the same, and the sums stay finite.
 const MAX_REQUEST_FACTOR: f64 = 2.0;
 
-/// Memory in use, in kilobytes. All sums are of what [`Memory::countable_kb`] returned.
+/// Memory in use, in kilobytes. All sums are of sizes that [`Memory::countable_kb`] returned.
 pub(crate) struct Memory {
     limit_kb: f64,
     used_kb: f64,
@@ -36,12 +37,12 @@
     /// Memory of a running request as a multiple of its memory while queued.
     running_factor: f64,
     key_kb: f64,
-    /// When each remembered key is forgotten.
+    /// The time at which each remembered key is forgotten.
     key_expiries: Vec<Duration>,
 }
 
 impl Memory {
-    /// Nothing is in use.
+    /// Memory of which none is in use.
     pub(crate) fn new(config: &Config) -> Self {
         Memory {
             limit_kb: config.memory_kb * USABLE_LIMIT_FRACTION,
@@ -63,8 +64,8 @@
         self.used_kb > self.limit_kb
     }
 
-    /// Whether the queue and the memory have room for a request that already counts, and for its
-    /// key, if it has one.
+    /// Whether the queue and the memory have room for a request that is already counted, and for
+    /// its key, if it has one.
     pub(crate) fn has_room_to_queue(&self, is_keyed: bool) -> bool {
         let key_kb = if is_keyed { self.key_kb } else { 0.0 };
         let queue_has_room = self.queued_kb <= self.limit_kb * MAX_QUEUED_FRACTION;
@@ -76,41 +77,41 @@
         self.used_kb + self.running_extra_kb(queued_kb) <= self.limit_kb
     }
 
-    /// What a request takes when it runs beyond what it took while queued.
+    /// Kilobytes that a running request takes in addition to its size while queued.
     fn running_extra_kb(&self, queued_kb: f64) -> f64 {
         queued_kb * (self.running_factor - 1.0)
     }
 
-    /// A request was read.
+    /// Counts a request that was read.
     pub(crate) fn add_queued(&mut self, queued_kb: f64) {
         self.used_kb += queued_kb;
         self.queued_kb += queued_kb;
     }
 
-    /// A request that has not run was released.
+    /// Subtracts a request that was released without having run.
     pub(crate) fn remove_queued(&mut self, queued_kb: f64) {
         self.queued_kb -= queued_kb;
         self.used_kb -= queued_kb;
     }
 
-    /// A queued request starts to run.
+    /// Counts a queued request as running.
     pub(crate) fn start_running(&mut self, queued_kb: f64) {
         self.used_kb += self.running_extra_kb(queued_kb);
         self.queued_kb -= queued_kb;
     }
 
-    /// A request that has run was released.
+    /// Subtracts a request that was released after it had run.
     pub(crate) fn remove_running(&mut self, queued_kb: f64) {
         self.used_kb -= queued_kb * self.running_factor;
     }
 
-    /// A key is remembered until then.
+    /// Counts a key that is remembered until `expires_at`.
     pub(crate) fn remember_key(&mut self, expires_at: Duration) {
         self.key_expiries.push(expires_at);
         self.used_kb += self.key_kb;
     }
 
-    /// A key is forgotten before its time.
+    /// Subtracts a key that is forgotten before it expires.
     pub(crate) fn forget_key(&mut self, expires_at: Duration) {
         let position = self
             .key_expiries
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Forgets the keys whose time has come.
+    /// Subtracts the keys that have expired.
     pub(crate) fn expire_keys(&mut self, now: Duration) {
         let before = self.key_expiries.len();
         self.key_expiries.retain(|&expires_at| expires_at > now);
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,4 +1,5 @@
-//! What a request takes before it is queued: memory, its tenant's quota, an idempotency key.
+//! The resources that a request needs for admission: memory, its tenant's quota and its idempotency
+//! key.
 
 pub(crate) mod idempotency;
 mod memory;
--- a/src/admission/quota.rs
+++ b/src/admission/quota.rs
@@ -1,22 +1,24 @@
-//! Whether a request is beyond its tenant's quota, and so ranks below everything within one.
+//! Whether a request is beyond its tenant's quota, which lowers its priority.
 //!
-//! One tenant that sends far more than agreed would otherwise fill the queue, and the others'
-//! requests would be late. Each tenant has a token bucket, filled by its fraction of every admitted
-//! request and emptied by its own. It counts fractions of what is admitted here and not a rate,
-//! because one server may see far more of a tenant than the others do.
+//! A tenant that sends far more requests than agreed would otherwise fill the queue, and the
+//! requests of other tenants would be late. Each tenant has a token bucket, which every admitted
+//! request fills by the tenant's fraction of all quotas and which the tenant's own requests empty.
+//! The bucket counts fractions of the admitted requests and not a rate, because one server may
+//! receive far more of a tenant's traffic than other servers do.
 //!
-//! Token buckets walk at random, so an empty one proves nothing: while arrivals stay within what
-//! all tenants may send to one server, nobody is over quota, because a low rank would reject what
-//! there is capacity for. Beyond that, as large a part of the requests counts as over quota as
-//! there is excess. The price: one tenant that floods a fleet which the others leave idle is cut
-//! too.
+//! The level of a token bucket follows a random walk, so an empty bucket alone proves nothing.
+//! While arrivals stay within the quotas of all tenants for one server, no tenant is over quota,
+//! because a low priority would reject requests for which there is capacity. Beyond that, the part
+//! of the requests that counts as over quota equals the excess part of the arrivals. The cost is
+//! that a tenant which floods a fleet that the other tenants leave idle is also cut.
 
 use std::time::Duration;
 
 use crate::config::Config;
 use crate::event::TenantIndex;
 
-/// Requests by which a tenant may exceed its quota of what is admitted, or fall short of it.
+/// Requests by which a tenant may exceed its fraction of the admitted requests, or fall short of
+/// it.
 const BURST_TOKENS: f64 = 5.0;
 
 /// Tokens that a tenant starts with.
@@ -31,7 +33,7 @@
 /// Window over which arrivals are compared with the quotas of all tenants.
 pub(crate) const QUOTA_WINDOW: Duration = Duration::from_secs(5);
 
-/// Shortest time that a rate is taken over, on a server that has just started.
+/// Shortest window over which a rate is computed, on a server that has just started.
 const MIN_RATE_WINDOW: Duration = Duration::from_secs(1);
 
 /// A tenant's quota on this server.
@@ -42,19 +44,20 @@
     tokens: f64,
 }
 
-/// What arrived in [`QUOTA_WINDOW`].
+/// The arrivals in [`QUOTA_WINDOW`].
 pub(crate) struct RecentArrivals {
     /// All requests.
     pub(crate) requests: f64,
-    /// Those that are marked as retries.
+    /// Requests that are marked as retries.
     pub(crate) retries: f64,
     /// The time since the start of the process.
     pub(crate) age: Duration,
 }
 
 impl RecentArrivals {
-    /// The sums cover up to one bucket of the metrics more than the window that divides them, so
-    /// the rate may be up to a twentieth too high on a server older than the window.
+    /// The rate of arrivals that are not retries. The sums cover up to one bucket of the metrics
+    /// more than the window by which they are divided, so the rate may be up to a twentieth too
+    /// high on a server that is older than the window.
     fn first_attempts_per_second(&self) -> f64 {
         let window = QUOTA_WINDOW.min(self.age).max(MIN_RATE_WINDOW);
         (self.requests - self.retries) / window.as_secs_f64()
@@ -69,7 +72,7 @@
 }
 
 impl TenantQuotas {
-    /// Quotas of which nothing is spent.
+    /// Quotas before any request was admitted.
     pub(crate) fn new(config: &Config) -> Self {
         let rates: f64 = config
             .tenants
@@ -102,12 +105,13 @@
             .is_some_and(|bucket| bucket.tokens < self.threshold_tokens(arrivals))
     }
 
-    /// The tokens below which a tenant is over its quota: those of the emptiest bucket while
-    /// arrivals stay within the quotas, and more the further they exceed them.
+    /// The tokens below which a tenant is over its quota: the lowest level of a bucket while
+    /// arrivals stay within the quotas, and more the further arrivals exceed the quotas.
     ///
-    /// Bucket levels are taken to be spread evenly from `-BURST_TOKENS` to `BURST_TOKENS`. The part
-    /// of them below a threshold `t` is then `(t + BURST_TOKENS) / (2 * BURST_TOKENS)`. It is to be
-    /// the excess as a part of the arrivals, `1 - quota / rate`, which gives the threshold.
+    /// Bucket levels are assumed to be spread evenly from `-BURST_TOKENS` to `BURST_TOKENS`. The
+    /// part of them below a threshold `t` is then `(t + BURST_TOKENS) / (2 * BURST_TOKENS)`. This
+    /// part must equal the excess as a part of the arrivals, `1 - quota / rate`, which gives the
+    /// threshold.
     fn threshold_tokens(&self, arrivals: &RecentArrivals) -> f64 {
         let Some(quota) = self.server_quota_per_second else {
             return THRESHOLD_TOKENS_OF_UNKNOWN_FLEET;
@@ -116,7 +120,7 @@
         BURST_TOKENS * (1.0 - BUCKET_RANGE_BURSTS * quota / rate.max(quota))
     }
 
-    /// A request of this tenant was admitted.
+    /// Records that a request of this tenant was admitted.
     pub(crate) fn charge(&mut self, tenant: Option<TenantIndex>) {
         for (index, bucket) in self.buckets.iter_mut().enumerate() {
             let spent = f64::from(u8::from(tenant == Some(index)));
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -1,4 +1,4 @@
-//! Memory, quotas and idempotency keys at their thresholds.
+//! Tests of memory, quotas and idempotency keys at their thresholds.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
 use crate::handlers::handler_profiles;
 use crate::tests::{config, handler};
 
-/// 900 of 1,000 kB are usable, 450 of them by the queue; a run takes four times as much.
+/// Of 1,000 kB, 900 are usable and 450 are usable by the queue; a run takes four times the queued
+/// size.
 fn memory() -> Memory {
     let mut config = config();
     config.memory_kb = 1_000.0;
@@ -33,7 +34,7 @@
 #[test]
 fn a_keyed_request_needs_room_for_its_key() {
     let mut memory = memory();
-    // A run of 200 kB takes 800; 95 kB are queued beside it.
+    // The run of a 200 kB request takes 800 kB, and 95 kB are queued.
     memory.add_queued(200.0);
     memory.start_running(200.0);
     memory.add_queued(95.0);
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn memory_is_free_again_after_all_requests_and_keys() {
+fn memory_is_free_after_all_requests_and_keys_are_removed() {
     let mut memory = memory();
     memory.add_queued(100.0);
     memory.start_running(100.0);
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn nobody_is_over_quota_while_first_attempts_stay_within_all_quotas() {
+fn no_tenant_is_over_quota_while_first_attempts_stay_within_all_quotas() {
     let mut quotas = quotas(2);
     for _ in 0..100 {
         quotas.charge(Some(1));
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn a_tenant_is_over_quota_by_its_fraction_where_the_fleet_is_unknown() {
+fn a_tenant_is_over_quota_by_its_fraction_if_the_number_of_servers_is_unknown() {
     let mut quotas = quotas(0);
     assert!(!quotas.is_over_quota(Some(1), &arrivals(1.0, 0.0)));
     quotas.charge(Some(1));
@@ -144,12 +145,13 @@
 }
 
 #[test]
-fn a_tenant_falls_short_of_its_quota_by_a_burst_at_most() {
+fn a_token_bucket_falls_by_at_most_one_burst() {
     let mut quotas = quotas(0);
     for _ in 0..100 {
         quotas.charge(Some(1));
     }
-    // Five tokens short, it gains a quarter with each request of the other tenant.
+    // The tenant is five tokens short, and gains a quarter of a token with each request of the
+    // other tenant.
     for _ in 0..23 {
         quotas.charge(Some(0));
     }
@@ -159,7 +161,7 @@
 }
 
 #[test]
-fn the_rate_of_a_new_process_is_taken_over_a_second() {
+fn the_rate_of_a_new_process_is_computed_over_one_second() {
     let mut quotas = quotas(2);
     for _ in 0..100 {
         quotas.charge(Some(1));
@@ -176,7 +178,7 @@
 }
 
 #[test]
-fn a_duplicate_fails_where_it_can_neither_wait_nor_be_kept() {
+fn a_duplicate_fails_during_termination_or_beyond_the_memory_limit() {
     assert_eq!(coalescing_failure(false, false), None);
     assert_eq!(coalescing_failure(false, true), Some(Reason::MemoryLimit));
     assert_eq!(coalescing_failure(true, true), Some(Reason::Terminating));
--- a/src/brownout/admitted_fraction.rs
+++ b/src/brownout/admitted_fraction.rs
@@ -1,14 +1,14 @@
 //! The fraction of arrivals that is admitted while the dimmer alone cannot reach the setpoint.
 //!
-//! The loop binds once the dimmer is at zero, the mean response time is above the setpoint and the
-//! cores are busy; else the fraction recovers in even steps. Without it a server with no optional
-//! calls left to skip would answer everything late. It is a PI loop on the relative error. Idle
-//! cores show that the responses are late for another reason, such as a slow dependency, which
-//! fewer requests do not mend.
+//! The loop cuts the fraction while the dimmer is at zero, the mean response time is above the
+//! setpoint and the cores are busy; otherwise the fraction recovers in even steps. Without it, a
+//! server that has no optional calls left to skip would answer every request late. It is a PI loop
+//! on the relative error. Idle cores show that responses are late for another reason, such as a
+//! slow dependency, and fewer requests would not make them faster.
 //!
-//! Requests differ in priority, so the fraction is spent on the highest priority levels first, and
-//! a draw decides only within the marginal level. The price: a level far below the margin gets
-//! nothing at all while the loop cuts.
+//! Requests differ in priority, so the fraction is allotted to the highest priority levels first,
+//! and random sampling decides only within the marginal level. The cost is that a level far below
+//! the margin gets nothing while the loop cuts.
 
 use super::ResponseTimeSample;
 
@@ -18,11 +18,11 @@
 /// Gain on the relative error at each control step, as a fraction of arrivals.
 const INTEGRAL_GAIN: f64 = 0.15;
 
-/// Largest relative error, and change of it, that a control step answers: one very late request
-/// does not stop admission.
+/// Largest relative error, and largest change of it, to which a control step reacts, so that one
+/// very late request does not stop admission.
 const MAX_RELATIVE_ERROR: f64 = 1.0;
 
-/// Least fraction that is admitted, so that the loop still measures something.
+/// Minimum of the admitted fraction, so that there are still responses to measure.
 const MIN_ADMITTED_FRACTION: f64 = 0.05;
 
 /// Fraction of arrivals by which each control step recovers.
@@ -30,11 +30,11 @@
 
 /// Recent arrivals by priority level, as seen from one request.
 pub(crate) struct LevelArrivals {
-    /// Arrivals of its own level.
+    /// Arrivals at the level of the request.
     pub(crate) own: f64,
-    /// Arrivals of all levels above.
+    /// Arrivals at higher levels.
     pub(crate) higher: f64,
-    /// Arrivals of all levels.
+    /// Arrivals at all levels.
     pub(crate) all: f64,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl AdmittedFraction {
-    /// Everything is admitted.
+    /// All requests are admitted.
     pub(super) fn new() -> Self {
         AdmittedFraction {
             value: 1.0,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// One control step. The fraction falls only where `may_cut` and responses are late.
+    /// One control step. The fraction falls only if `may_cut` is set and responses are late.
     pub(super) fn update(&mut self, sample: &ResponseTimeSample, may_cut: bool) {
         let error = sample.error_seconds();
         self.value += if may_cut && error < 0.0 {
@@ -70,17 +70,18 @@
         self.previous_error_seconds = error;
     }
 
-    /// Whether anything is rejected by this loop.
+    /// Whether this loop rejects any requests.
     pub(crate) fn is_cut(&self) -> bool {
         self.value < 1.0
     }
 
-    /// Whether a request is admitted; `draw` is uniform from 0 to 1.
+    /// Whether a request is admitted; `uniform_sample` is a random number from 0 to 1.
     ///
-    /// Of all arrivals the fraction is admitted. What the higher levels leave of it belongs to this
-    /// level, and a request is admitted with the probability that this is of its level's arrivals:
-    /// always where it is all of them, never where nothing is left.
-    pub(crate) fn admits(&self, arrivals: &LevelArrivals, draw: f64) -> bool {
-        draw * arrivals.own < self.value * arrivals.all - arrivals.higher
+    /// The fraction of all arrivals is admitted, starting with the higher levels. The remainder
+    /// belongs to the level of the request, and the request is admitted with a probability of the
+    /// remainder divided by the arrivals at its level: always if the remainder covers all of them,
+    /// never if nothing remains.
+    pub(crate) fn admits(&self, arrivals: &LevelArrivals, uniform_sample: f64) -> bool {
+        uniform_sample * arrivals.own < self.value * arrivals.all - arrivals.higher
     }
 }
--- a/src/brownout/dimmer.rs
+++ b/src/brownout/dimmer.rs
@@ -1,30 +1,31 @@
 //! The dimmer: the probability that a request makes its optional dependency calls.
 //!
-//! An adaptive PID loop on the mean response time binds whenever that differs from the setpoint.
-//! Without it a server whose dependency or cores slow down answers late although it could answer
-//! in time without the optional part. The model is that of the paper: the mean response time is a
-//! slope times the dimmer, and the slope is estimated at every step. Near zero the dimmer shows
-//! nothing of its own effect, so the estimate is frozen there; a tiny mean would make the gain
-//! explode, so the slope has a floor.
+//! An adaptive PID loop on the mean response time adjusts the dimmer whenever the mean differs from
+//! the setpoint. Without it, a server whose dependency or cores slow down answers late although it
+//! could answer in time without the optional part. The model is that of the paper cited in
+//! `brownout/mod.rs`: the mean response time is a slope times the dimmer, and the slope is
+//! estimated at every step. Near zero the dimmer has no measurable effect, so the estimate is
+//! frozen there. A tiny mean would make the gain very large, so the slope has a minimum.
 
 use super::ResponseTimeSample;
 
-/// Pole of the closed loop: 0 reaches the setpoint in one step, near 1 it takes many.
+/// Pole of the closed loop: at 0 the loop reaches the setpoint in one step, near 1 it takes many
+/// steps.
 const POLE: f64 = 0.6;
 
 /// Gain on the change of the error, in dimmer per second.
 const DERIVATIVE_GAIN: f64 = 0.2;
 
-/// Slope of the response time over the dimmer that the loop starts from, in seconds.
+/// Initial estimate of the slope of the response time over the dimmer, in seconds.
 const INITIAL_SLOPE_SECONDS: f64 = 0.1;
 
-/// Least estimate of the slope, as a fraction of the setpoint.
+/// Minimum estimate of the slope, as a fraction of the setpoint.
 const MIN_SLOPE_SETPOINT_FRACTION: f64 = 0.1;
 
-/// Least slope that is divided by, in seconds.
+/// Minimum of the slope as a divisor, in seconds.
 const MIN_SLOPE_SECONDS: f64 = 1e-3;
 
-/// Dimmer up to which it counts as zero.
+/// Value up to which the dimmer counts as zero.
 const NEAR_ZERO: f64 = 0.02;
 
 /// State of the loop.
@@ -52,12 +53,12 @@
         self.value
     }
 
-    /// Whether next to no optional call is made any more.
+    /// Whether almost no optional calls are made.
     pub(super) fn is_near_zero(&self) -> bool {
         self.value <= NEAR_ZERO
     }
 
-    /// One control step, up to `ceiling`.
+    /// One control step; the dimmer stays at or below `ceiling`.
     pub(super) fn update(&mut self, sample: &ResponseTimeSample, ceiling: f64) {
         if let Some(mean_seconds) = sample.mean_seconds
             && !self.is_near_zero()
@@ -72,7 +73,7 @@
         self.previous_error_seconds = error;
     }
 
-    /// Lowers the dimmer to a ceiling that was cut.
+    /// Lowers the dimmer to `ceiling`, if it is above it.
     pub(super) fn lower_to(&mut self, ceiling: f64) {
         self.value = self.value.min(ceiling);
     }
--- a/src/brownout/dimmer_ceiling.rs
+++ b/src/brownout/dimmer_ceiling.rs
@@ -1,12 +1,14 @@
 //! The ceiling of the dimmer, which slow dependency calls lower.
 //!
-//! A shared dependency goes over its knee within a few hundred milliseconds, and from then on does
-//! less the more it is called. The mean response time shows nothing of this, because such calls
-//! time out early. So each call that takes far longer than usual cuts the ceiling, and the ceiling
-//! recovers in small steps, because the knee shows only once it is passed again. The price: where
-//! calls get slower for good, optional calls are skipped until the usual call time has followed.
+//! A shared dependency passes its knee within a few hundred milliseconds, and beyond the knee it
+//! does less work the more it is called. The mean response time does not show this, because such
+//! calls time out early. Each call that takes far longer than usual therefore cuts the ceiling. The
+//! ceiling recovers in small steps, because the knee shows only when it is passed again. The cost
+//! is that, if calls become slower permanently, optional calls are skipped until the usual call
+//! time has followed.
 //!
-//! It is additive increase, multiplicative decrease, as in `caller_feedback/wanted_traffic.rs`.
+//! This is additive increase, multiplicative decrease (AIMD), as in
+//! `caller_feedback/wanted_traffic.rs`.
 
 /// Factor by which one slow call cuts the ceiling.
 const CUT_FACTOR: f64 = 0.7;
@@ -14,7 +16,7 @@
 /// Probability by which the ceiling recovers at each control step.
 const RECOVERY_STEP: f64 = 0.05;
 
-/// Least ceiling, so that some calls still show whether the dependency has recovered.
+/// Minimum of the ceiling, so that some calls still show whether the dependency has recovered.
 const MIN_CEILING: f64 = 0.3;
 
 /// The ceiling, a probability from [`MIN_CEILING`] to 1.
@@ -31,12 +33,12 @@
         self.0
     }
 
-    /// A call was slow.
+    /// Cuts the ceiling after a slow call.
     pub(super) fn cut(&mut self) {
         self.0 = (self.0 * CUT_FACTOR).max(MIN_CEILING);
     }
 
-    /// A control step has passed.
+    /// Raises the ceiling at a control step.
     pub(super) fn recover(&mut self) {
         self.0 = (self.0 + RECOVERY_STEP).min(1.0);
     }
--- a/src/brownout/mod.rs
+++ b/src/brownout/mod.rs
@@ -1,10 +1,10 @@
 //! Brownout: two control loops on the mean response time.
 //!
-//! This is the ordinary way in which a server answers more load than it can serve. The first loop
-//! sets the dimmer, the probability that a request makes its optional dependency calls. Once the
-//! dimmer is at zero, a second loop cuts the fraction of requests that is admitted. Without them
-//! the queue grows until all answers are late at once. The price is answers without their optional
-//! part while the mean response time is above the setpoint.
+//! Brownout is the normal reaction of a server to more load than it can serve. The first loop sets
+//! the dimmer, the probability that a request makes its optional dependency calls. Once the dimmer
+//! is at zero, a second loop cuts the fraction of requests that is admitted. Without the two loops,
+//! the queue grows until all answers are late. The cost is that answers lack their optional part
+//! while the mean response time is above the setpoint.
 //!
 //! Source: M. Maggio, C. Klein, K.-E. Årzén, "Control strategies for predictable brownouts in cloud
 //! computing" (IFAC 2014).
@@ -23,12 +23,12 @@
 
 use crate::handlers::HandlerProfile;
 
-/// Setpoint of the mean response time, as a fraction of the mean latency objective. That is the
-/// plain mean over the configured handlers, whatever their traffic, of the objectives without the
-/// part that grows with a request's work (`objective_stretch`).
+/// Setpoint of the mean response time, as a fraction of the mean latency objective. The mean
+/// objective is the unweighted mean over the configured handlers, without the part of an objective
+/// that grows with the work of a request (`objective_stretch`).
 const SETPOINT_FRACTION: f64 = 0.6;
 
-/// What both loops follow at one step.
+/// The input of one step of both loops.
 pub(crate) struct ResponseTimeSample {
     /// Mean response time of recently completed requests; `None` where none completed.
     mean_seconds: Option<f64>,
@@ -37,13 +37,14 @@
 }
 
 impl ResponseTimeSample {
-    /// The setpoint less the mean. An empty window does not count as lateness.
+    /// The setpoint minus the mean. Without completed requests the mean counts as 0, so responses
+    /// do not count as late.
     fn error_seconds(&self) -> f64 {
         self.setpoint_seconds - self.mean_seconds.unwrap_or(0.0)
     }
 }
 
-/// Owner of both loops.
+/// The two loops and the ceiling of the dimmer.
 pub(crate) struct Brownout {
     setpoint_seconds: f64,
     dimmer: Dimmer,
@@ -52,7 +53,7 @@
 }
 
 impl Brownout {
-    /// Both loops at rest: everything is admitted, and makes its optional calls.
+    /// Both loops at rest: all requests are admitted and make their optional calls.
     pub(crate) fn new(handlers: &[HandlerProfile]) -> Self {
         let objectives_seconds: f64 = handlers
             .iter()
@@ -93,7 +94,7 @@
         self.dimmer_ceiling.recover();
     }
 
-    /// A dependency call took far longer than usual.
+    /// Cuts the ceiling of the dimmer, because a dependency call took far longer than usual.
     pub(crate) fn cut_dimmer_ceiling(&mut self) {
         self.dimmer_ceiling.cut();
         self.dimmer.lower_to(self.dimmer_ceiling.value());
--- a/src/brownout/tests.rs
+++ b/src/brownout/tests.rs
@@ -1,4 +1,4 @@
-//! The dimmer, its ceiling and the admitted fraction, each alone.
+//! Unit tests of the dimmer, its ceiling and the admitted fraction.
 
 use super::admitted_fraction::{AdmittedFraction, LevelArrivals};
 use super::dimmer::Dimmer;
@@ -44,10 +44,10 @@
 }
 
 #[test]
-fn a_tiny_mean_does_not_make_the_gain_explode() {
+fn the_minimum_slope_limits_the_gain_at_a_tiny_mean() {
     let mut dimmer = Dimmer::new();
     dimmer.lower_to(0.5);
-    // The slope is floored at 0.05 s: 0.5 + 0.4 / 0.05 * 0.5 + 0.2 * 0.5.
+    // The minimum of the slope is 0.05 s: 0.5 + 0.4 / 0.05 * 0.5 + 0.2 * 0.5.
     dimmer.update(&sample(Some(1e-9)), 10.0);
     assert!((dimmer.value() - 4.6).abs() < 1e-6, "{}", dimmer.value());
 }
--- a/src/caller_feedback/feedback_value.rs
+++ b/src/caller_feedback/feedback_value.rs
@@ -1,33 +1,33 @@
 //! The feedback value that answers carry.
 //!
-//! The fraction of the usual traffic that this server can serve is put into the form that callers
-//! understand: a traffic weight, a priority threshold or a concurrency credit. The fraction is the
-//! wanted one, less on a degraded server, and zero on one that is failing or whose callers are
-//! asked to leave. Without it callers find out by rejections, each of which costs reading. The
-//! value is rounded, so that small changes are not sent. The price: callers of a server that is
-//! slow for good send less.
+//! The fraction of the usual traffic that this server can serve is converted to the form that
+//! callers understand: a traffic weight, a priority threshold or a concurrency credit. The fraction
+//! is the wanted traffic, is lower on a degraded server, and is zero on a server that is failing or
+//! whose callers are asked to leave. Without this value, callers learn of overload only from
+//! rejections, each of which costs the server a read. The value is rounded, so that small changes
+//! are not sent. The cost is that callers send less to a server that is permanently slow.
 //!
-//! A concurrency credit is zero on a failing server only: a draining one still grants
-//! [`MIN_CREDIT_PER_CORE`] to all callers together. While less than all of the usual traffic is
-//! wanted, the credit of the cores is divided by the number of callers. Otherwise it is not
-//! divided: each caller may have as many requests outstanding as the whole server survives when
+//! A concurrency credit is zero only on a failing server: a draining server still grants
+//! [`MIN_CREDIT_PER_CORE`] to all callers together. While the wanted traffic is less than the usual
+//! traffic, the credit of the cores is divided by the number of callers. Otherwise it is not
+//! divided: each caller may have as many outstanding requests as the whole server survives when
 //! warm, and only the server's own limits bound their sum.
 
 use crate::config::{CallerFeedback, Config};
 
-/// Outstanding requests per core that all callers together are granted at least.
+/// Minimum number of outstanding requests per core that all callers together are granted.
 const MIN_CREDIT_PER_CORE: f64 = 0.5;
 
-/// Outstanding requests per core that are granted beyond that for all of the usual traffic.
+/// Additional outstanding requests per core that are granted for all of the usual traffic.
 const EXTRA_CREDIT_PER_CORE: f64 = 3.5;
 
-/// Steps to which a value is rounded, from one whole number to the next.
+/// Number of steps per unit to which a value is rounded.
 const STEPS_PER_UNIT: f64 = 20.0;
 
-/// Value that no caller is ever sent, so that the first one always is.
+/// Initial value, which is never sent, so that the first computed value always differs.
 const NO_VALUE: f64 = -1.0;
 
-/// What the value follows from.
+/// The input of the feedback value.
 pub(crate) struct FeedbackInput {
     /// The server is draining, and its callers are asked to leave (at once or late in the grace).
     pub(crate) is_draining: bool,
@@ -54,7 +54,7 @@
     }
 }
 
-/// What callers were sent last.
+/// The feedback that was last sent to callers.
 pub(crate) struct Feedback {
     kind: CallerFeedback,
     callers: f64,
@@ -62,7 +62,7 @@
 }
 
 impl Feedback {
-    /// Callers have no value yet.
+    /// Feedback before the first value is sent.
     pub(crate) fn new(config: &Config) -> Self {
         Feedback {
             kind: config.feedback,
@@ -76,7 +76,7 @@
         self.callers
     }
 
-    /// The new value, where callers can be told one and it has changed.
+    /// The new value, if callers receive feedback and it has changed.
     pub(crate) fn update(&mut self, input: &FeedbackInput) -> Option<f64> {
         let value = (self.value(input)? * STEPS_PER_UNIT).round() / STEPS_PER_UNIT;
         if value == self.last_value {
--- a/src/caller_feedback/mod.rs
+++ b/src/caller_feedback/mod.rs
@@ -1,4 +1,4 @@
-//! What callers are asked: how much to send here, when to come back, and whether to try another
+//! Feedback to callers: how much traffic to send here, when to retry, and whether to try another
 //! server.
 
 mod feedback_value;
--- a/src/caller_feedback/retry_after.rs
+++ b/src/caller_feedback/retry_after.rs
@@ -1,22 +1,23 @@
-//! When a rejected caller should come back to this server.
+//! When a rejected caller should retry on this server.
 //!
-//! A caller that comes back at once meets a server as full as before, and costs another reading.
-//! So it is asked to wait until what is queued now has run, and as long as callers honour while
-//! the server is degraded or draining. The rule binds on every rejection, where callers can be
-//! told. The price: a caller that waits for its turn may lose the time that its request has left.
+//! A caller that retries at once finds the server as full as before, and costs it another read. The
+//! caller is therefore asked to wait until the queued work has run, or for the longest time that
+//! callers honour while the server is degraded or draining. The rule applies to every rejection, if
+//! answers can carry a retry-after. The cost is that a caller which waits may lose the time that
+//! its request has left.
 //!
-//! What callers honour may be shorter than the shortest wait that is worth asking for. They are
-//! then asked for what they honour.
+//! The longest time that callers honour may be shorter than the shortest useful wait. Callers are
+//! then asked to wait for the longest time that they honour.
 
 use std::time::Duration;
 
 use crate::duration::duration_from_seconds;
 
-/// What the wait follows from.
+/// The input of the wait.
 pub(crate) struct RetryAfterInput {
-    /// The longest wait that callers honour; `None` where they cannot be told.
+    /// The longest wait that callers honour; `None` where answers cannot carry one.
     pub(crate) max_retry_after: Option<Duration>,
-    /// The shortest wait.
+    /// The shortest useful wait.
     pub(crate) min_retry_after: Duration,
     /// Another server would do better.
     pub(crate) is_degraded: bool,
@@ -29,14 +30,18 @@
 }
 
 impl RetryAfterInput {
-    /// How long the caller should wait, where it can be told.
+    /// How long the caller should wait; `None` where answers cannot carry a wait.
     pub(crate) fn retry_after(&self) -> Option<Duration> {
-        let longest = self.max_retry_after?;
+        let max_retry_after = self.max_retry_after?;
         if self.is_degraded {
-            return Some(longest);
+            return Some(max_retry_after);
         }
-        let until_done =
+        let queue_run_time =
             duration_from_seconds(self.queued_work_seconds * self.slowdown / self.running_limit);
-        Some(until_done.max(self.min_retry_after).min(longest))
+        Some(
+            queue_run_time
+                .max(self.min_retry_after)
+                .min(max_retry_after),
+        )
     }
 }
--- a/src/caller_feedback/retry_other_server.rs
+++ b/src/caller_feedback/retry_other_server.rs
@@ -1,19 +1,20 @@
 //! Whether the caller of a rejected request should try another server.
 //!
-//! With few retries among arrivals, and most of them admitted, other servers still admit what this
-//! one rejects. Otherwise the fleet is full, and one more attempt only costs a reading: in a retry
-//! storm every request is read by every server and answered by none. Retries that are not marked
-//! cannot be counted; there only a server that is draining or failing sends requests to others. The
-//! price: it does harm on the only full server of a fleet.
+//! While few arrivals are retries and most arrivals are admitted, other servers still admit the
+//! requests that this server rejects. Otherwise the fleet is full, and one more attempt only costs
+//! a read: in a retry storm every server reads every request and none answers it. Unmarked retries
+//! cannot be counted; then only a server that is draining or failing refers requests to other
+//! servers. The cost is that the only full server of a fleet refers no requests to other servers,
+//! although these have capacity.
 //!
-//! The rule is asked about arrivals that are rejected for memory, failure rate, admitted fraction
-//! or predicted response time, and about queued requests that were overtaken. For all other
-//! rejections the controller has a fixed answer:
+//! The rule applies to arrivals that are rejected for memory, failure rate, admitted fraction or
+//! predicted response time, and to queued requests that were overtaken. For all other rejections
+//! the controller has a fixed answer:
 //!
-//! - An arrival that a draining server may not run any more goes to another server, whatever its
-//!   quota, its time left and its attempts.
+//! - An arrival that a draining server may no longer run is referred to another server, whatever
+//!   its quota, its time left and its attempts.
 //! - A request that has missed its objective, that is answered just before its deadline or the
-//!   termination, or whose call failed, does not.
+//!   termination, or whose call failed, is not.
 //!
 //! Compare the retry budgets in "Handling Overload" of Google's "Site Reliability Engineering".
 
@@ -25,10 +26,11 @@
 /// Fraction of arrivals that are rejected, above which the fleet counts as full.
 const MAX_REJECTED_FRACTION: f64 = 0.5;
 
-/// Retries or rejections that prove nothing among the few requests that arrive in a window.
+/// Retries or rejections that are tolerated beyond the fraction, because few requests may arrive in
+/// a window.
 const TOLERATED_REQUESTS: f64 = 1.0;
 
-/// Part of the latency objective, as a divisor, that must be left for another attempt.
+/// Divisor of the latency objective that gives the time which must be left for another attempt.
 const MIN_TIME_LEFT_DIVISOR: u32 = 2;
 
 /// The request that is rejected.
@@ -53,15 +55,15 @@
     pub(crate) is_degraded: bool,
 }
 
-/// What recent arrivals show of the fleet.
+/// Recent arrivals, from which the load of the fleet is estimated.
 pub(crate) struct FleetSample {
     /// Retries and hedged requests are marked as such.
     pub(crate) retries_are_marked: bool,
     /// Requests that arrived recently.
     pub(crate) arrived: f64,
-    /// Those that are marked as retries.
+    /// Recent arrivals that are marked as retries.
     pub(crate) retries: f64,
-    /// Those that were rejected at once.
+    /// Recent arrivals that were rejected on arrival.
     pub(crate) rejected: f64,
 }
 
--- a/src/caller_feedback/tests.rs
+++ b/src/caller_feedback/tests.rs
@@ -1,4 +1,5 @@
-//! Feedback value, wanted traffic, retry-after and retry on another server at their thresholds.
+//! Tests of feedback value, wanted traffic, retry-after and retry on another server at their
+//! thresholds.
 
 use std::time::Duration;
 
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn each_kind_of_feedback_has_its_form() {
+fn the_feedback_value_has_the_unit_of_its_kind() {
     let value = |kind, fraction| feedback(kind).update(&input(1.7, fraction));
     assert_eq!(value(CallerFeedback::None, 0.5), None);
     assert_eq!(value(CallerFeedback::PriorityThreshold, 0.75), Some(0.25));
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn wanted_traffic_falls_in_proportion_to_the_time_unread() {
+fn wanted_traffic_falls_in_proportion_to_the_unread_time() {
     let mut traffic = WantedTraffic::new(CallerFeedback::None);
     traffic.update(&traffic_input(0.15, 0.0));
     assert_eq!(traffic.fraction(), 1.0);
@@ -89,13 +90,13 @@
 }
 
 #[test]
-fn wanted_traffic_falls_where_reading_is_wasted_and_later_by_weight() {
+fn wasted_reading_cuts_wanted_traffic_and_cuts_a_traffic_weight_later() {
     let fraction_after = |kind, rejected_fraction| {
         let mut traffic = WantedTraffic::new(kind);
         traffic.update(&traffic_input(0.0, rejected_fraction));
         traffic.fraction()
     };
-    // A tenth of the cores reads: 4% of the cores are wasted at 0.4, 8% at 0.8.
+    // A tenth of the cores reads requests: 4% of the cores are wasted at 0.4, and 8% at 0.8.
     assert_eq!(fraction_after(CallerFeedback::None, 0.39), 1.0);
     assert_eq!(fraction_after(CallerFeedback::None, 0.41), 0.9);
     assert_eq!(fraction_after(CallerFeedback::TrafficWeight, 0.79), 1.0);
@@ -115,16 +116,17 @@
 }
 
 #[test]
-fn a_caller_comes_back_once_the_queue_has_run() {
+fn retry_after_covers_the_queued_work() {
     assert_eq!(retry_after(0.0, false), Some(Duration::from_millis(25)));
     assert_eq!(retry_after(0.5, false), Some(Duration::from_millis(250)));
     assert_eq!(retry_after(9.0, false), Some(Duration::from_millis(900)));
     assert_eq!(retry_after(0.5, true), Some(Duration::from_millis(900)));
 }
 
-/// Guards against a panic at the first rejection where callers honour less than a tick.
+/// Guards against a panic at the first rejection if the longest wait that callers honour is shorter
+/// than a tick.
 #[test]
-fn callers_are_never_asked_to_wait_longer_than_they_honour() {
+fn retry_after_never_exceeds_its_maximum() {
     let retry_after = |honoured: Duration, queued_work_seconds: f64| {
         let input = RetryAfterInput {
             max_retry_after: Some(honoured),
@@ -147,7 +149,7 @@
 }
 
 #[test]
-fn a_caller_that_cannot_be_told_gets_no_retry_after() {
+fn there_is_no_retry_after_without_a_maximum() {
     let input = RetryAfterInput {
         max_retry_after: None,
         min_retry_after: Duration::from_millis(25),
@@ -174,7 +176,7 @@
     is_degraded: false,
 };
 
-const ROOMY_FLEET: FleetSample = FleetSample {
+const FLEET_WITH_CAPACITY: FleetSample = FleetSample {
     retries_are_marked: true,
     arrived: 100.0,
     retries: 11.0,
@@ -184,26 +186,26 @@
 #[test]
 fn a_request_is_retried_on_another_server_while_the_fleet_has_capacity() {
     let retries = |fleet: FleetSample| rejected().should_retry_other_server(&HEALTHY, &fleet);
-    assert!(retries(ROOMY_FLEET));
+    assert!(retries(FLEET_WITH_CAPACITY));
     assert!(!retries(FleetSample {
         retries: 12.0,
-        ..ROOMY_FLEET
+        ..FLEET_WITH_CAPACITY
     }));
     assert!(!retries(FleetSample {
         rejected: 52.0,
-        ..ROOMY_FLEET
+        ..FLEET_WITH_CAPACITY
     }));
     assert!(!retries(FleetSample {
         retries_are_marked: false,
-        ..ROOMY_FLEET
+        ..FLEET_WITH_CAPACITY
     }));
 }
 
 #[test]
-fn an_impaired_server_sends_requests_to_others() {
+fn an_impaired_server_refers_requests_to_others() {
     let full_fleet = || FleetSample {
         rejected: 90.0,
-        ..ROOMY_FLEET
+        ..FLEET_WITH_CAPACITY
     };
     let unmarked = || FleetSample {
         retries_are_marked: false,
@@ -229,13 +231,13 @@
 }
 
 #[test]
-fn a_retry_or_a_request_with_little_time_or_over_quota_is_not_retried() {
+fn retries_late_requests_and_requests_over_quota_are_not_referred() {
     let retries = |request: RejectedRequest| {
         let draining = ServerState {
             is_draining: true,
             ..HEALTHY
         };
-        request.should_retry_other_server(&draining, &ROOMY_FLEET)
+        request.should_retry_other_server(&draining, &FLEET_WITH_CAPACITY)
     };
     assert!(retries(rejected()));
     assert!(!retries(RejectedRequest {
@@ -253,7 +255,7 @@
 }
 
 #[test]
-fn credit_is_granted_by_core_and_shared_by_all_callers() {
+fn credit_is_granted_per_core_and_divided_among_callers() {
     let many_cores = FeedbackInput {
         cores: 40.0,
         ..input(1.7, 0.5)
@@ -263,13 +265,13 @@
 }
 
 #[test]
-fn one_retry_or_rejection_among_no_arrivals_proves_nothing() {
+fn one_retry_or_rejection_without_arrivals_is_tolerated() {
     let retries = |rejected_requests| {
         let fleet = FleetSample {
             arrived: 0.0,
             retries: 1.0,
             rejected: rejected_requests,
-            ..ROOMY_FLEET
+            ..FLEET_WITH_CAPACITY
         };
         rejected().should_retry_other_server(&HEALTHY, &fleet)
     };
--- a/src/caller_feedback/wanted_traffic.rs
+++ b/src/caller_feedback/wanted_traffic.rs
@@ -1,47 +1,49 @@
-//! The fraction of the usual traffic that this server wants.
+//! The fraction of the usual traffic that this server asks for.
 //!
-//! What stands unread cannot be rejected, and reading it takes the cores from what can still be in
-//! time: only callers that send less help. The rule binds in a flood, with uneven callers and on a
-//! server that has become slow. It shows as requests that are old when they are read, or as cores
-//! that go into reading what is then rejected. The fraction falls in proportion to the time unread,
-//! or a little at a time where reading is wasted, and recovers in even steps. The price: callers
-//! that were told less send less for some steps after the flood.
+//! A server cannot reject a request that it has not read, and reading takes the cores from requests
+//! that can still be in time, so only callers that send less help. The rule applies in a flood,
+//! under an uneven load from callers, and on a server that has become slow. The overload shows as
+//! requests that are old when they are read, or as cores that read requests which are then
+//! rejected. The fraction falls in proportion to the unread time, or by a small factor if reading
+//! is wasted, and recovers in even steps. The cost is that callers which were asked to send less do
+//! so for some steps after the flood.
 //!
-//! It is additive increase, multiplicative decrease: D. Chiu, R. Jain, "Analysis of the increase
-//! and decrease algorithms for congestion avoidance in computer networks" (1989).
+//! This is additive increase, multiplicative decrease (AIMD): D. Chiu, R. Jain, "Analysis of the
+//! increase and decrease algorithms for congestion avoidance in computer networks" (1989).
 
 use crate::config::CallerFeedback;
 
-/// Mean time unread, as a fraction of the response time setpoint, above which less is wanted.
+/// Mean unread time, as a fraction of the response time setpoint, above which the wanted traffic is
+/// cut.
 const MAX_UNREAD_SETPOINT_FRACTION: f64 = 0.15;
 
-/// Least factor by which one control step cuts the wanted traffic for time unread.
+/// Smallest factor by which one control step cuts the wanted traffic because of unread time.
 const MIN_CUT_FACTOR: f64 = 0.5;
 
-/// Fraction of the cores spent on reading what is rejected, above which less is wanted.
+/// Fraction of the cores spent on reading rejected requests, above which the wanted traffic is cut.
 const MAX_WASTED_CORE_FRACTION: f64 = 0.04;
 
 /// The same fraction for a traffic weight, which ignores priorities and is therefore cut later.
 const MAX_WASTED_CORE_FRACTION_BY_WEIGHT: f64 = 0.08;
 
-/// Factor by which one control step cuts the wanted traffic for wasted reading.
+/// Factor by which one control step cuts the wanted traffic because of wasted reading.
 const WASTE_CUT_FACTOR: f64 = 0.9;
 
 /// Fraction of the usual traffic by which a control step recovers.
 const RECOVERY_STEP: f64 = 0.05;
 
-/// Least fraction of the usual traffic that is wanted.
+/// Minimum fraction of the usual traffic that is wanted.
 const MIN_TRAFFIC_FRACTION: f64 = 0.1;
 
-/// What one control step follows from.
+/// The input of one control step.
 pub(crate) struct WantedTrafficInput {
-    /// Mean time that arrivals since the last step stood unread.
+    /// Mean seconds that the arrivals since the last step waited unread.
     pub(crate) mean_unread_seconds: f64,
     /// The mean response time to reach.
     pub(crate) setpoint_seconds: f64,
-    /// The fraction of recent arrivals that was rejected at once.
+    /// The fraction of recent arrivals that was rejected on arrival.
     pub(crate) rejected_fraction: f64,
-    /// Mean number of cores wanted by reading.
+    /// Mean number of cores in demand for reading.
     pub(crate) mean_reading_cores: f64,
     /// The number of cores.
     pub(crate) cores: f64,
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,36 +1,39 @@
-//! The time since the start of the process, when timers are due, and how long the process stalled.
+//! The time since the start of the process, the schedule of ticks and control steps, and stalls of
+//! the process.
 //!
-//! A process that was stopped for a while (by the machine, a pause of its container or a debugger)
-//! finds its requests old at once. Control loops that take this for load cut the dimmer, the
-//! admitted fraction and the traffic of a healthy server. A tick that fires far too late shows
-//! the stall: the time is then subtracted from response times and from time on a core. The price
-//! is that a server whose event loop is starved of cores for several ticks counts as stalled too,
-//! and so does one whose host holds the tick back. `tulipgapd` does: its tick waits up to 60 ms for
-//! the executor's gauges, and a tick counts as a stall from two intervals (10 to 50 ms) on. An
-//! executor that hangs thus looks like a stall of the process.
+//! After the process was suspended for a while (by the machine, a pause of its container or a
+//! debugger), all its requests are suddenly old. Control loops that take this for load cut the
+//! dimmer, the admitted fraction and the traffic of a healthy server. A tick that fires far too
+//! late reveals the stall, and the stalled time is then subtracted from response times and from
+//! time on a core.
+//!
+//! The cost is that an event loop which gets no core for several ticks also counts as stalled, and
+//! so does a host that delays the tick. `tulipgapd` does delay it: its tick waits up to 60 ms for
+//! the executor's gauges, and a tick counts as stalled once it is late by more than two intervals
+//! (10 to 50 ms). An executor that hangs therefore looks like a stall of the process.
 
 #[cfg(test)]
 mod tests;
 
 use std::time::Duration;
 
-/// Longest interval between two ticks. An overdue answer is late by this at most.
+/// Longest interval between two ticks. An overdue answer is late by at most this interval.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Shortest interval between two ticks, which bounds what ticking costs. Between the two, the
-/// interval follows the response slack of the configuration.
+/// Shortest interval between two ticks, which limits the cost of ticks. Between the two limits, the
+/// interval follows from the configured response slack.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Ticks within the time that an answer may come after its deadline.
+/// Ticks within the response slack, the time after its deadline in which an answer still counts.
 const TICKS_PER_RESPONSE_SLACK: u32 = 2;
 
-/// Tick intervals by which a tick is late when the process counts as stalled.
+/// Tick intervals by which a tick must be late for the process to count as stalled.
 const STALL_TICKS: u32 = 2;
 
 /// Interval between two steps of the control loops.
 pub(crate) const CONTROL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// When the next tick and the next control step are due.
+/// The times of the next tick and of the next control step.
 pub(crate) struct Schedule {
     /// The time between two ticks.
     pub(crate) tick_interval: Duration,
@@ -51,12 +54,12 @@
         }
     }
 
-    /// A tick has fired; the next one is due one interval later.
+    /// Records that a tick fired; the next one is due one interval later.
     pub(crate) fn tick(&mut self, now: Duration) {
         self.next_tick = now + self.tick_interval;
     }
 
-    /// Whether a control step is due. If so, the next one is due one interval later.
+    /// Returns whether a control step is due. If so, the next one is due one interval later.
     pub(crate) fn take_control_step(&mut self, now: Duration) -> bool {
         let is_due = now >= self.next_control_step;
         if is_due {
@@ -66,11 +69,11 @@
     }
 }
 
-/// The time, and how much of it the process was stalled.
+/// The current time, and the stalls of the process up to it.
 #[derive(Default)]
 pub(crate) struct Clock {
     now: Duration,
-    /// Seconds that the process was stalled in all.
+    /// Total seconds for which the process was stalled.
     stalled_seconds: f64,
     /// The end and the length in seconds of the last stall.
     last_stall_end: Duration,
@@ -83,8 +86,8 @@
         self.now
     }
 
-    /// Moves to `now`, never backwards, and records a stall where the tick is far overdue. Returns
-    /// the seconds that passed.
+    /// Advances to `now`, never backwards, and records a stall if the tick is far overdue. Returns
+    /// the seconds since the last advance.
     pub(crate) fn advance(&mut self, now: Duration, schedule: &Schedule) -> f64 {
         let now = now.max(self.now);
         let passed_seconds = (now - self.now).as_secs_f64();
@@ -98,12 +101,12 @@
         passed_seconds
     }
 
-    /// Seconds that the process was stalled in all.
+    /// Total seconds for which the process was stalled.
     pub(crate) fn stalled_seconds(&self) -> f64 {
         self.stalled_seconds
     }
 
-    /// Seconds that the process was awake.
+    /// Total seconds for which the process was not stalled.
     pub(crate) fn awake_seconds(&self) -> f64 {
         self.now.as_secs_f64() - self.stalled_seconds
     }
--- a/src/clock/tests.rs
+++ b/src/clock/tests.rs
@@ -1,4 +1,4 @@
-//! The schedule and the recognition of stalls at their thresholds.
+//! Tests of the schedule and of stall detection at their thresholds.
 
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn time_never_goes_back() {
+fn time_never_moves_backwards() {
     let schedule = Schedule::new(ms(50));
     let mut clock = Clock::default();
     clock.advance(ms(20), &schedule);
--- a/src/concurrency/core_limit.rs
+++ b/src/concurrency/core_limit.rs
@@ -1,31 +1,32 @@
-//! How many runs the cores bear beside the reading of requests.
+//! How many runs may use the cores while the server reads requests.
 //!
-//! In a flood, reading and rejecting take more of the cores than there are. Runs that compete with
-//! it starve it: requests then stand unread until they are late, and the server answers nothing in
-//! time. So runs give way to what reading wants, down to 0.34 of the cores. With a backlog of
-//! unread requests they get only the cores that reading leaves, which may be none, because what is
-//! read is late already until reading has caught up. Where nothing completes for a whole window it
-//! does not catch up, and runs get their 0.34 again. At rest the rule never binds. The price:
-//! connections or health checks that want a core for long count as reading.
+//! In a flood, reading and rejecting requests demand more cores than the server has. Runs that
+//! compete with reading starve it: requests then wait unread until they are late, and the server
+//! answers none in time. Runs are therefore limited to the cores that reading leaves, but to no
+//! less than 0.34 of the cores. With a backlog of unread requests, runs get only the cores that
+//! reading leaves, which may be none, because requests that are read then are already late until
+//! reading has caught up. If nothing completes for a whole window, reading does not catch up, and
+//! runs get their 0.34 again. The rule has no effect while reading leaves enough cores. The cost is
+//! that connections or health checks which demand a core for long count as reading.
 //!
 //! Compare: J. Mogul, K. Ramakrishnan, "Eliminating receive livelock in an interrupt-driven kernel"
 //! (1997).
 
-/// Fraction of the cores that runs keep beside reading, unless there is a backlog of unread
-/// requests and some complete.
+/// Fraction of the cores that runs keep despite reading, unless there is a backlog of unread
+/// requests and some requests complete.
 const MIN_RUNNING_CORE_FRACTION: f64 = 0.34;
 
-/// Mean time unread, as a fraction of the response time setpoint, above which there is a backlog of
+/// Mean unread time, as a fraction of the response time setpoint, above which there is a backlog of
 /// unread requests.
 const READ_BACKLOG_SETPOINT_FRACTION: f64 = 0.5;
 
-/// What the limit follows from.
+/// The input of the limit.
 pub(crate) struct CoreLimitInput {
     /// The number of cores.
     pub(crate) cores: f64,
-    /// Cores wanted by reading.
+    /// Cores in demand for reading.
     pub(crate) reading_cores: f64,
-    /// Mean time that the last arrivals stood unread.
+    /// Mean seconds that the latest arrivals waited unread.
     pub(crate) mean_unread_seconds: f64,
     /// The mean response time to reach.
     pub(crate) setpoint_seconds: f64,
--- a/src/concurrency/cores.rs
+++ b/src/concurrency/cores.rs
@@ -1,8 +1,8 @@
-//! The cores and what they were last seen to do.
+//! The cores and their use at the last tick.
 
 use crate::event::Gauges;
 
-/// Fraction of the cores from which they count as busy.
+/// Busy fraction at which the cores count as busy.
 const BUSY_FRACTION: f64 = 0.9;
 
 /// Readings of the last tick.
@@ -11,7 +11,7 @@
     pub(crate) cores: f64,
     /// The fraction of the cores that is busy.
     pub(crate) busy_fraction: f64,
-    /// Cores wanted by anything but runs, above all by reading.
+    /// Cores in demand for anything but runs, above all for reading.
     pub(crate) reading_cores: f64,
 }
 
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Takes new readings. Where the host has none, the cores are busy once runs fill them.
+    /// Stores new readings. If the host has none, the cores count as busy once runs fill them.
     pub(crate) fn update(&mut self, gauges: &Gauges, running: f64) {
         let runs_fill_cores = running >= self.cores;
         self.busy_fraction =
--- a/src/concurrency/running_limit.rs
+++ b/src/concurrency/running_limit.rs
@@ -1,14 +1,15 @@
 //! The running limit: how many requests may be on the cores at once.
 //!
-//! More runs than cores only take turns: each ends later and none sooner. Runs that wait for
-//! something on their core leave it idle, though, so the limit grows by one at each control step
-//! (0.5 s) while cores idle with requests queued, and falls by one otherwise. Cores idle while less
-//! than 0.9 of them were busy at the last tick (`cores.rs`). The limit stays between the number of
-//! cores and the usable part of the survivable concurrency. Where that part is less than the number
-//! of cores the limit is the number of cores, and `survivable.rs` holds starts back. The price:
-//! after a change of load it takes a few steps to fit.
+//! More runs than cores only share the cores: each run ends later and none ends sooner. Runs that
+//! wait for something while they occupy a core leave it idle, however, so the limit grows by one at
+//! each control step (0.5 s) while cores are idle and requests are queued, and falls by one
+//! otherwise. Cores count as idle while less than 0.9 of them were busy at the last tick
+//! (`cores.rs`). The limit stays between the number of cores and the usable part of the survivable
+//! concurrency. If that part is less than the number of cores, the limit is the number of cores,
+//! and `survivable.rs` limits the starts. The cost is that the limit takes a few steps to adapt
+//! after a change of load.
 
-/// Requests by which a control step moves the limit.
+/// Requests by which a control step changes the limit.
 const STEP: f64 = 1.0;
 
 /// The limit, in requests.
@@ -18,7 +19,7 @@
 }
 
 impl RunningLimit {
-    /// One request on each core.
+    /// A limit of one request per core.
     pub(crate) fn new(cores: u32) -> Self {
         let cores = f64::from(cores);
         RunningLimit {
@@ -32,7 +33,8 @@
         self.value
     }
 
-    /// One control step; `usable_concurrency` is the largest limit, but for the number of cores.
+    /// One control step. The limit stays at or below `usable_concurrency`, unless the number of
+    /// cores is higher.
     pub(crate) fn update(
         &mut self,
         has_queued_requests: bool,
--- a/src/concurrency/survivable.rs
+++ b/src/concurrency/survivable.rs
@@ -1,23 +1,23 @@
 //! The concurrency that this server survives at its age, and whether one more request may start.
 //!
-//! Every started request takes memory and threads until it ends, also while it waits at a
-//! dependency call. (One that is answered while it waits for its call is not counted from then on,
-//! although its run may end later.) When a dependency hangs, started requests pile up until the
-//! server falls over. The rule binds once as many are started as the configuration calls
-//! survivable, less a safety margin. A server that was just started survives less (its caches and
-//! its compiler are cold), so the limit grows in a straight line until it is warm: slow start. The
-//! price: a cold server leaves requests queued that a warm one would start.
+//! Every started request takes memory and threads until it ends, also while it waits for a
+//! dependency call. (A request that is answered while it waits for its call is no longer counted,
+//! although its run may end later.) When a dependency hangs, started requests accumulate until the
+//! server falls over. The rule applies once as many requests are started as the configuration calls
+//! survivable, less a safety margin. A server that was just started survives less, because its
+//! caches and its compiler are cold, so the limit grows linearly until the server is warm (slow
+//! start). The cost is that a cold server leaves requests queued which a warm server would start.
 //!
-//! Of the survivable concurrency, one request per core does not depend on the speed of a cold
-//! server; only what goes beyond it does. At the slowest speed the limit is thus still the number
-//! of cores, less the margin.
+//! One request per core of the survivable concurrency does not depend on the speed of a cold
+//! server; only the part beyond it does. Even at the slowest speed, the limit is thus the number of
+//! cores, less the margin.
 
 use std::time::Duration;
 
 use crate::config::Config;
 use crate::limits::USABLE_LIMIT_FRACTION;
 
-/// Least number of requests that may be started, so that a small server does not stand still.
+/// Number of requests that may always be started, so that a small server still makes progress.
 const MIN_STARTED: f64 = 1.0;
 
 /// Limits in started requests.
@@ -56,12 +56,12 @@
         self.warm_at_seconds == 0.0
     }
 
-    /// The concurrency that is used at this age.
+    /// The usable concurrency at this age.
     pub(crate) fn usable(&self, age: Duration) -> f64 {
         self.at(age) * USABLE_LIMIT_FRACTION
     }
 
-    /// Whether one more request may start beside those that were started and have not ended.
+    /// Whether one more request may start in addition to the started requests that have not ended.
     pub(crate) fn allows_start(&self, started: usize, age: Duration) -> bool {
         (started + 1) as f64 <= self.usable(age).max(MIN_STARTED)
     }
--- a/src/concurrency/tests.rs
+++ b/src/concurrency/tests.rs
@@ -1,4 +1,4 @@
-//! The limits on concurrent requests at their thresholds.
+//! Tests of the limits on concurrent requests at their thresholds.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::tests::config;
 
 #[test]
-fn a_cold_server_survives_less_until_it_is_warm() {
+fn the_survivable_concurrency_grows_until_the_server_is_warm() {
     let mut config = config();
     config.starts_cold = true;
     let survivable = SurvivableConcurrency::new(&config);
@@ -67,14 +67,14 @@
 }
 
 #[test]
-fn runs_give_way_to_reading_down_to_a_third_of_the_cores() {
+fn reading_limits_runs_to_no_less_than_a_third_of_the_cores() {
     assert_eq!(core_limit(0.0, 0.0, 1.0), 4.0);
     assert_eq!(core_limit(1.0, 0.0, 1.0), 3.0);
     assert_eq!(core_limit(9.0, 0.0, 1.0), 1.36);
 }
 
 #[test]
-fn runs_give_way_entirely_to_a_read_backlog_while_something_completes() {
+fn a_read_backlog_may_take_all_cores_while_requests_complete() {
     assert_eq!(core_limit(9.0, 0.5, 1.0), 1.36);
     assert_eq!(core_limit(9.0, 0.51, 1.0), -5.0);
     assert_eq!(core_limit(9.0, 0.51, 0.0), 1.36);
--- a/src/config.rs
+++ b/src/config.rs
@@ -15,14 +15,14 @@
     NonIdempotent,
 }
 
-/// What the host can do to a run.
+/// Whether and how the host can cancel a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cancellation {
-    /// Nothing: it runs to its end.
+    /// Runs cannot be cancelled.
     Unsupported,
-    /// Cancel it and lose its progress.
+    /// A cancelled run loses its progress.
     DiscardsProgress,
-    /// Suspend it; it keeps its progress and its memory.
+    /// A cancelled run is suspended; it keeps its progress and its memory.
     KeepsProgress,
 }
 
@@ -31,12 +31,12 @@
 pub enum CallerFeedback {
     /// Callers receive no feedback.
     None,
-    /// Callers send nothing here whose priority ranks below the value.
+    /// Callers send no request here whose priority ranks below the value.
     PriorityThreshold,
     /// Each caller may have this many requests outstanding here.
     ConcurrencyCredit,
-    /// When a caller's turn comes to this server, it sends its request here with this probability,
-    /// and otherwise goes on to the next server.
+    /// A caller whose load balancing selects this server sends its request here with this
+    /// probability, and otherwise selects the next server.
     TrafficWeight,
 }
 
@@ -52,7 +52,7 @@
         share: f64,
         /// The averaging window of `share`.
         window: Duration,
-        /// How long the service may keep working on a call that was given up.
+        /// How long the service may keep working on an abandoned call.
         linger: Duration,
     },
     /// Another tier of servers.
@@ -69,7 +69,7 @@
     pub objective_stretch: f64,
     /// How long a client waits.
     pub client_timeout: Duration,
-    /// How much an answer in time counts, against those of other handlers.
+    /// The value of an answer within the latency objective, relative to other handlers.
     pub priority_weight: f64,
     /// Whether its requests may run more than once.
     pub idempotency: Idempotency,
@@ -111,22 +111,22 @@
     pub starts_cold: bool,
     /// A cold server starts at this fraction of its speed, or faster.
     pub cold_speed: f64,
-    /// The time after which it is warm at the latest.
+    /// The longest time until a cold server is warm.
     pub warm_up: Duration,
     /// Concurrent runs per core that a warm server survives. The limit is kept at every moment and
     /// not only as a mean over some time.
     pub max_concurrency_per_core: f64,
     /// How long after a request's deadline an answer still counts.
     pub response_slack: Duration,
-    /// Nothing that arrives later than this after the shutdown notice may run.
+    /// Requests that arrive later than this after the shutdown notice are not run.
     pub drain_grace: Duration,
     /// The service that requests call while they run.
     pub dependency: Dependency,
-    /// What the host can do to a run.
+    /// Whether and how the host can cancel a run.
     pub cancellation: Cancellation,
     /// How callers are asked to send less.
     pub feedback: CallerFeedback,
-    /// The longest retry-after that callers honour; `None` where it cannot be passed on.
+    /// The longest retry-after that callers honour; `None` where answers cannot carry one.
     pub max_retry_after: Option<Duration>,
     /// The number of servers like this one at its start, itself included; 0 where it is unknown.
     pub servers: u32,
@@ -134,7 +134,7 @@
     pub callers: u32,
     /// Whether retries and hedged requests are marked as such.
     pub marks_retries: bool,
-    /// Callers close a connection by themselves after this time without use.
+    /// The idle time after which callers close a connection themselves.
     pub idle_timeout: Duration,
 }
 
--- a/src/controller/dependency_calls.rs
+++ b/src/controller/dependency_calls.rs
@@ -1,4 +1,5 @@
-//! The calls of a run: whether, when and with which timeout each is made, and what follows.
+//! The dependency calls of a run: whether, when and with which timeout each call is made, and how
+//! its end is handled.
 
 use std::time::Duration;
 
@@ -14,7 +15,7 @@
 use crate::requests::{Request, Stage};
 
 impl Controller {
-    /// A run has reached its call.
+    /// Handles a run that has reached its dependency call.
     pub(super) fn call_reached(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
         let is_running = self
             .requests
@@ -37,15 +38,14 @@
         }
     }
 
-    /// Makes the call that a request waits for, or continues without it; otherwise the request
-    /// stays.
+    /// Makes or skips the call for which a request waits, or leaves the request waiting.
     fn try_call(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
-        // A number is drawn at each attempt; only that of the first one counts.
-        let draw = self.rng.f64();
+        // Each attempt takes a random sample, but only the sample of the first attempt counts.
+        let uniform_sample = self.rng.f64();
         let dimmer = self.brownout.dimmer();
-        let is_drawn = *self.requests[request]
+        let is_sampled = *self.requests[request]
             .makes_optional_calls
-            .get_or_insert(draw < dimmer);
+            .get_or_insert(uniform_sample < dimmer);
         let entry = &self.requests[request];
         let timeout = self.call_timeout(entry);
         let is_optional = self.handler_of(entry).calls_are_optional;
@@ -55,7 +55,7 @@
         });
         let call = PendingCall {
             is_optional,
-            is_drawn,
+            is_sampled,
             has_budget,
             may_attempt: entry.call_attempts == 0 || entry.may_retry_call,
             seconds_to_objective: entry.seconds_to_objective(self.clock.now()),
@@ -69,7 +69,8 @@
     }
 
     fn skip_call(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
-        // One skipped call degrades the answer already: the others would be made for nothing.
+        // One skipped call already degrades the answer, so the request makes no further optional
+        // calls.
         self.requests[request].makes_optional_calls = Some(false);
         self.requests.stop_awaiting_call(request);
         self.requests
@@ -133,7 +134,7 @@
         };
         let call_seconds = (now - entry.call_started_at).as_secs_f64();
         self.requests.end_call(request);
-        if outcome.may_go_on() {
+        if outcome.may_still_run() {
             self.call_budget.abandon_call(now);
         }
         self.record_call(call_seconds, outcome);
@@ -149,7 +150,7 @@
     fn record_call(&mut self, call_seconds: f64, outcome: Outcome) {
         self.metrics
             .count_if(Metric::CallsTimedOut, outcome == Outcome::TimedOut);
-        // A call whose connection failed shows nothing of how long the dependency takes.
+        // A call whose connection failed shows nothing about the response time of the dependency.
         if !outcome.is_connection_failure() {
             self.metrics.add(Metric::Calls, 1.0);
             self.metrics.add(Metric::CallTime, call_seconds);
@@ -174,7 +175,7 @@
         if entry.is_answered {
             return;
         }
-        if call.may_request_go_on() {
+        if call.may_request_continue() {
             self.requests.await_call(request);
         } else {
             self.finish_early(request, RetryAdvice::NoOtherServer, Reason::CallFailed, out);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,10 +1,11 @@
 //! The state machine of one server: events in, actions out.
 //!
-//! [`Controller`] owns the state of every rule, hands each event to the rules that it concerns,
-//! passes on what one rule knows to another as a value, and turns their results into actions. The
-//! rules stand in the modules beside this one and never import it; docs/design.md lists them. This
-//! file has the order of decisions on events, ticks and control steps; `request_arrival.rs`,
-//! `request_start.rs`, `dependency_calls.rs` and `request_end.rs` have the way of a request.
+//! [`Controller`] owns the state of every rule, routes each event to the rules that it concerns,
+//! passes values from one rule to another, and turns the results of the rules into actions. The
+//! rules are in the sibling modules and never import this module; docs/design.md lists them. This
+//! file defines the order of decisions on events, ticks and control steps; `request_arrival.rs`,
+//! `request_start.rs`, `dependency_calls.rs` and `request_end.rs` follow a request from its arrival
+//! to its end.
 
 mod dependency_calls;
 mod request_arrival;
@@ -38,7 +39,7 @@
     assert!(CONTROL_INTERVAL.as_millis() <= retained_millis);
 };
 
-/// Decides for one server. It owns all state.
+/// The overload controller of one server. It owns all state.
 pub struct Controller {
     handlers: Vec<HandlerProfile>,
     priority_levels: usize,
@@ -107,7 +108,7 @@
         })
     }
 
-    /// Takes what happened, in order, and returns what is to be done, in order. `now` is the time
+    /// Handles `events` in order and returns the resulting actions in order. `now` is the time
     /// since the start of the process.
     pub fn handle_events(&mut self, now: Duration, events: &[Event]) -> Vec<Action> {
         let mut out = Vec::new();
@@ -274,7 +275,7 @@
         )
     }
 
-    /// Whether this server does worse than it should, so that another would serve better.
+    /// Whether this server does worse than it should, so that another server would do better.
     fn is_degraded(&self) -> bool {
         is_degraded(
             self.drain.has_started(),
--- a/src/controller/request_arrival.rs
+++ b/src/controller/request_arrival.rs
@@ -1,4 +1,4 @@
-//! The arrival of a request: it is described, checked and queued, or rejected.
+//! The arrival of a request: the controller checks it, and queues, coalesces or rejects it.
 
 use super::Controller;
 use super::request_end::RetryAdvice;
@@ -16,7 +16,7 @@
 impl Controller {
     pub(super) fn request_arrived(&mut self, arrival: &Arrival, out: &mut Vec<Action>) {
         let index = arrival.request;
-        let Some(request) = self.describe(arrival) else {
+        let Some(request) = self.new_request(arrival) else {
             return;
         };
         if self.requests.get(index).is_some() {
@@ -47,8 +47,8 @@
         self.queue.insert(index, &self.requests);
     }
 
-    /// What the controller keeps of an arrival; `None` for a handler that does not exist.
-    fn describe(&self, arrival: &Arrival) -> Option<Request> {
+    /// The state that the controller keeps for an arrival; `None` if its handler does not exist.
+    fn new_request(&self, arrival: &Arrival) -> Option<Request> {
         let now = self.clock.now();
         let profile = self.handlers.get(arrival.handler)?;
         let work_is_learnt = arrival.estimated_work.is_none();
@@ -94,7 +94,8 @@
     }
 
     fn record_arrival(&mut self, arrival: &Arrival, request: &Request) {
-        // The load did not cause the time that the process was stalled, so that must not steer.
+        // Load does not cause stalls of the process, so stalled time must not affect the control
+        // loops.
         let stalled_seconds = self.clock.stalled_seconds_since(request.arrived_at);
         let unread_seconds = arrival.age.as_secs_f64() - stalled_seconds;
         self.metrics.add(Metric::Arrived, 1.0);
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Why a request is rejected on arrival, if it is.
+    /// Why a request is rejected on arrival; `None` if it is not.
     fn rejection_reason(&mut self, index: RequestIndex) -> Option<Reason> {
         let failure_fraction = self.high_failure_fraction();
         let is_shed_for_failures = is_shed_for_failures(failure_fraction, &mut self.rng);
@@ -143,8 +144,10 @@
             higher: self.metrics.arrivals_at(level + 1..self.priority_levels),
             all: self.metrics.arrivals_at(0..self.priority_levels),
         };
-        let draw = self.rng.f64();
-        self.brownout.admitted_fraction().admits(&arrivals, draw)
+        let uniform_sample = self.rng.f64();
+        self.brownout
+            .admitted_fraction()
+            .admits(&arrivals, uniform_sample)
     }
 
     fn is_predicted_in_time(&self, index: RequestIndex) -> bool {
--- a/src/controller/request_end.rs
+++ b/src/controller/request_end.rs
@@ -1,5 +1,5 @@
-//! The end of a request: its run ends, it is given up, or its caller is gone; it is answered and
-//! released.
+//! The end of a request: its run ends, the controller gives it up, or its caller is gone. The
+//! controller then answers it, if its caller still waits, and releases it.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::metrics::Metric;
 use crate::requests::Stage;
 
-/// What a rejection tells the caller about other servers.
+/// The advice to the caller of a rejected request about other servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RetryAdvice {
     /// Another server is likely to admit the request.
@@ -41,7 +41,8 @@
         }
         match outcome {
             Outcome::Succeeded if stage == Stage::Running => self.record_completed_run(request),
-            // A coalesced request fails with the run that it waits for: that was no run of its own.
+            // A coalesced request fails together with the run for which it waits, and is not a
+            // failed run itself.
             Outcome::Failed if stage != Stage::Coalesced => self.metrics.add(Metric::Failed, 1.0),
             Outcome::Cancelled if !is_answered => {
                 out.push(Action::Fail {
@@ -82,7 +83,8 @@
         self.abandon(request, out);
     }
 
-    /// Answers what is due, what the termination would cut off, and what can no longer be in time.
+    /// Answers the requests whose deadline is near, that the termination would cut off, or that can
+    /// no longer be in time.
     pub(super) fn give_up_late_requests(&mut self, out: &mut Vec<Action>) {
         let times = TickTimes {
             now: self.clock.now(),
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Answers a request that cannot be served any more, at once, and cancels its run where that is
+    /// Answers a request at once that can no longer be served, and cancels its run where that is
     /// possible.
     pub(super) fn finish_early(
         &mut self,
@@ -176,11 +178,11 @@
         }
     }
 
-    /// Ends a request that needs no answer any more, or what can be ended of it now.
+    /// Ends a request that needs no answer any more, as far as it can be ended now.
     fn abandon(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
         let entry = &self.requests[request];
         let stage = entry.stage;
-        // It never ran, so a duplicate counts as the first again.
+        // The request never ran, so a later duplicate counts as a first request.
         if stage == Stage::Queued
             && let Some(expires_at) = entry.key_expires_at
         {
@@ -195,7 +197,7 @@
         }
     }
 
-    /// Frees what a request took; the host may reuse its index.
+    /// Frees the resources of a request; the host may reuse its index.
     fn release(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
         let Some(entry) = self.requests.remove(request) else {
             return;
--- a/src/controller/request_start.rs
+++ b/src/controller/request_start.rs
@@ -1,4 +1,4 @@
-//! The start of queued requests: which one is next, and whether a core is free for it.
+//! The start of queued requests: which request is next, and whether a core is free for it.
 
 use super::Controller;
 use super::request_end::RetryAdvice;
@@ -71,8 +71,8 @@
         Some(if heads.short_is_first() { short } else { long })
     }
 
-    /// Rejects queued requests that are not likely to be in time any more, behind what has arrived
-    /// since.
+    /// Rejects queued requests that are no longer likely to be in time, because of requests that
+    /// arrived since.
     pub(super) fn reject_overtaken(&mut self, out: &mut Vec<Action>) {
         if self.queue.is_empty() {
             return;
--- a/src/dependency/call_budget.rs
+++ b/src/dependency/call_budget.rs
@@ -1,20 +1,22 @@
-//! Whether one more call keeps this server within its share of what the dependency survives.
+//! Whether one more call keeps this server within its share of the calls that the dependency
+//! survives.
 //!
-//! A shared dependency falls over when all servers together have too many calls in flight, and a
-//! call that was given up may go on working there for a while (the linger time). The rule binds
-//! where the configuration states a share: the calls in flight are summed over its window, and each
-//! new call is booked with its whole timeout and linger time, so that the mean stays within the
-//! share even if none comes back early. Where no share is stated, a fixed number of calls per core
-//! bounds what a hanging dependency can tie up. The price: calls that return early leave some of
-//! the share unused until they have.
+//! A shared dependency falls over when all servers together have too many calls in flight, and it
+//! may keep working on an abandoned call for a while (the linger time). If the configuration states
+//! a share, the calls in flight are summed over its window, and each new call is booked with its
+//! whole timeout and linger time, so that the mean stays within the share even if no call returns
+//! early. If no share is stated, a fixed number of calls per core limits how much a hanging
+//! dependency can tie up. The cost is that calls which return early leave some of the share unused
+//! until they have returned.
 //!
 //! A call whose timeout is not above one tick is not made either, whatever the budget: the timeout
-//! would pass between two ticks and could not be kept. An optional call is skipped then, and a
-//! request with a mandatory one waits, in most cases until it is given up. The price shows where a
-//! share is so small that [`CallBudget::max_call_seconds`] is not above a tick: no call is made.
+//! would pass between two ticks and could not be enforced. An optional call is then skipped, and a
+//! request with a mandatory call waits, in most cases until it is given up. The cost shows if a
+//! share is so small that [`CallBudget::max_call_seconds`] is not above one tick: then no call is
+//! made.
 //!
-//! An optional call leaves budget for a mandatory one. Otherwise mandatory calls wait while the
-//! budget is spent on optional ones, and are all made at once when it is free again.
+//! An optional call leaves budget for a mandatory call. Otherwise mandatory calls would wait while
+//! optional calls spend the budget, and would all be made at once when budget becomes free again.
 
 use std::time::Duration;
 
@@ -23,14 +25,15 @@
 use crate::handlers::HandlerProfile;
 use crate::limits::USABLE_LIMIT_FRACTION;
 
-/// Calls in flight per core, where the dependency states no share.
+/// Maximum number of calls in flight per core, if the dependency states no share.
 const MAX_CALLS_PER_CORE: f64 = 4.0;
 
-/// Calls of the longest timeout that fit into the budget. One call must not spend all of it.
+/// Number of calls with the longest timeout that fit into the budget, so that one call cannot spend
+/// all of it.
 const LONGEST_CALLS_PER_BUDGET: f64 = 4.0;
 
-/// Optional calls that must fit into the budget beside what is reserved for a mandatory one.
-const OPTIONAL_CALLS_BESIDE_RESERVE: f64 = 2.0;
+/// Optional calls that must fit into the budget in addition to the reserve for a mandatory call.
+const OPTIONAL_CALLS_BEYOND_RESERVE: f64 = 2.0;
 
 /// A call that may be made now.
 pub(crate) struct PlannedCall {
@@ -40,34 +43,34 @@
     pub(crate) is_optional: bool,
 }
 
-/// What the dependency does for this server now.
+/// The load that this server puts on the dependency.
 pub(crate) struct DependencyLoad {
     /// The time since the start of the process.
     pub(crate) now: Duration,
-    /// Calls that are in flight.
+    /// The number of calls in flight.
     pub(crate) calls_in_flight: usize,
-    /// Seconds of calls in flight over [`CallBudget::window`].
+    /// Call-seconds in flight over the past [`CallBudget::window`].
     pub(crate) past_call_seconds: f64,
 }
 
-/// The budget and what is booked on it beyond the calls in flight.
+/// The budget, and the abandoned calls that are booked on it in addition to the calls in flight.
 pub(crate) struct CallBudget {
-    /// Seconds of calls in flight that the share allows over `window`, where one is stated.
+    /// Call-seconds in flight that the share allows over `window`, if one is stated.
     budget_seconds: Option<f64>,
     window: Duration,
     linger: Duration,
-    /// When calls that were given up leave the dependency.
+    /// The latest times at which the dependency stops working on abandoned calls.
     abandoned_call_ends: Vec<Duration>,
-    /// Some requests make calls that may not be skipped.
+    /// Whether some requests make calls that may not be skipped.
     has_mandatory_calls: bool,
-    /// Calls in flight where no share is stated.
+    /// Maximum number of calls in flight, if no share is stated.
     max_calls_in_flight: f64,
-    /// Shorter timeouts pass between two ticks and cannot be kept.
+    /// Timeouts up to this one pass between two ticks and cannot be enforced.
     min_timeout: Duration,
 }
 
 impl CallBudget {
-    /// A budget of which nothing is spent.
+    /// A budget before any call was made.
     pub(crate) fn new(
         config: &Config,
         handlers: &[HandlerProfile],
@@ -103,30 +106,30 @@
         self.window
     }
 
-    /// Calls that were given up and may still be at work.
+    /// The number of abandoned calls on which the dependency may still work.
     pub(crate) fn abandoned_calls(&self) -> usize {
         self.abandoned_call_ends.len()
     }
 
-    /// A call was given up and may go on at the dependency for the linger time.
+    /// Records an abandoned call, on which the dependency may work for the linger time.
     pub(crate) fn abandon_call(&mut self, now: Duration) {
         self.abandoned_call_ends
             .push(now.saturating_add(self.linger));
     }
 
-    /// Forgets abandoned calls that had left the dependency by then.
+    /// Forgets abandoned calls whose linger time was over by then.
     pub(crate) fn forget_ended_calls(&mut self, by: Duration) {
         self.abandoned_call_ends.retain(|&end| end > by);
     }
 
-    /// Seconds that one call may take at most, where a share is stated.
+    /// The longest time of one call in seconds, if a share is stated.
     pub(crate) fn max_call_seconds(&self) -> Option<f64> {
         self.budget_seconds
             .map(|budget| budget / LONGEST_CALLS_PER_BUDGET)
     }
 
-    /// Whether a call can be made now: its timeout can be kept, and the budget has room for it.
-    /// `calls_time_out_at` are the ends of those in flight.
+    /// Whether a call can be made now: its timeout can be enforced, and the budget has room for it.
+    /// `calls_time_out_at` are the times at which the calls in flight time out.
     pub(crate) fn allows_call(
         &self,
         call: &PlannedCall,
@@ -144,8 +147,9 @@
         call.timeout > self.min_timeout && self.has_room_for(booked, load, calls_time_out_at)
     }
 
-    /// Seconds that an optional call with this timeout leaves for a mandatory one, as far as two of
-    /// its own fit beside them.
+    /// Call-seconds that an optional call with this timeout leaves for a mandatory call. The
+    /// reserve shrinks if [`OPTIONAL_CALLS_BEYOND_RESERVE`] such optional calls would not fit in
+    /// addition to it.
     fn reserved_seconds(&self, timeout: Duration) -> f64 {
         let (Some(budget), Some(max_call_seconds)) = (self.budget_seconds, self.max_call_seconds())
         else {
@@ -156,7 +160,7 @@
         }
         let (linger, own) = (self.linger.as_secs_f64(), timeout.as_secs_f64());
         (max_call_seconds + linger)
-            .min(budget - OPTIONAL_CALLS_BESIDE_RESERVE * (own + linger))
+            .min(budget - OPTIONAL_CALLS_BEYOND_RESERVE * (own + linger))
             .max(0.0)
     }
 
@@ -178,8 +182,8 @@
             .iter()
             .map(|&end| remaining_seconds(end))
             .sum();
-        let ahead = in_flight + abandoned;
+        let remaining = in_flight + abandoned;
         let own = booked.saturating_add(self.linger).as_secs_f64();
-        load.past_call_seconds + ahead + own <= budget
+        load.past_call_seconds + remaining + own <= budget
     }
 }
--- a/src/dependency/call_decision.rs
+++ b/src/dependency/call_decision.rs
@@ -1,11 +1,11 @@
 //! Whether a request that has reached its dependency call makes it, skips it or waits.
 //!
-//! One draw per request against the dimmer decides for all its optional calls: one skipped call
-//! degrades the answer already, and the others would be made for nothing. A call that is drawn is
-//! still skipped where the budget is spent, where an attempt before it failed for good, or where it
-//! is not likely to return in time. Otherwise requests would wait at the dependency past their
-//! objectives. The price is a degraded answer. A mandatory call is never skipped: it waits until
-//! the budget allows it.
+//! One random sample per request, compared with the dimmer, decides on all its optional calls: one
+//! skipped call already degrades the answer, and further calls would be wasted. A call that the
+//! sample allows is still skipped if the budget is spent, if an earlier attempt failed and may not
+//! be retried, or if the call is not likely to return in time. Otherwise requests would wait for
+//! the dependency past their objectives. The cost is a degraded answer. A mandatory call is never
+//! skipped: it waits until the budget allows it.
 
 use super::call_timeout::optional_call_seconds;
 
@@ -13,8 +13,8 @@
 pub(crate) struct PendingCall {
     /// The call may be skipped.
     pub(crate) is_optional: bool,
-    /// The draw against the dimmer is in favour of its optional calls.
-    pub(crate) is_drawn: bool,
+    /// The random sample is below the dimmer, so the request makes its optional calls.
+    pub(crate) is_sampled: bool,
     /// The budget allows the call now.
     pub(crate) has_budget: bool,
     /// It is the first attempt, or an optional call that may be attempted again.
@@ -25,19 +25,19 @@
     pub(crate) mean_call_seconds: f64,
 }
 
-/// What becomes of a call now.
+/// The decision on a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallDecision {
-    /// It is made.
+    /// The call is made.
     Make,
-    /// The request goes on without it.
+    /// The request continues without the call.
     Skip,
     /// The request waits until the budget allows it.
     Wait,
 }
 
 impl PendingCall {
-    /// What becomes of the call now.
+    /// Decides on the call at this moment.
     pub(crate) fn decide(&self) -> CallDecision {
         if self.is_optional && !self.is_worth_making() {
             CallDecision::Skip
@@ -50,6 +50,6 @@
 
     fn is_worth_making(&self) -> bool {
         let is_in_time = optional_call_seconds(self.seconds_to_objective) >= self.mean_call_seconds;
-        self.is_drawn && self.has_budget && self.may_attempt && is_in_time
+        self.is_sampled && self.has_budget && self.may_attempt && is_in_time
     }
 }
--- a/src/dependency/call_retry.rs
+++ b/src/dependency/call_retry.rs
@@ -1,18 +1,19 @@
-//! Whether a dependency call that failed is attempted again.
+//! Whether a dependency call that failed is retried.
 //!
-//! A call whose reply was lost may have had its effect, so it is made again only where the request
-//! is idempotent or the call certainly never ran. An optional call is made again only where its
-//! connection or its reply was lost: a dependency that rejects is full, and retries would keep it
-//! full (a retry storm). A missing reply counts as lost only while that is rare, because replies
-//! that are slow look the same. The price: an optional call that failed otherwise is skipped at
-//! once.
+//! A call whose reply was lost may have had its effect, so it is retried only if the request is
+//! idempotent or the call certainly never ran. An optional call is retried only if its connection
+//! or its reply was lost: a dependency that rejects calls is full, and retries would keep it full
+//! (a retry storm). A missing reply counts as lost only while missing replies are rare, because
+//! slow replies look the same. The cost is that an optional call which failed otherwise is skipped
+//! at once.
 
 use crate::event::Outcome;
 
-/// Attempts of one call at most.
+/// Maximum number of attempts of one call.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// Fraction of recent calls without a reply up to which these count as lost and not as slow.
+/// Fraction of recent calls without a reply up to which missing replies count as lost and not as
+/// slow.
 const MAX_LOST_CALL_FRACTION: f64 = 0.1;
 
 /// A call that failed.
@@ -25,7 +26,7 @@
     pub(crate) is_idempotent: bool,
     /// It may be skipped.
     pub(crate) is_optional: bool,
-    /// Calls without a reply are the exception.
+    /// Calls without a reply are rare.
     pub(crate) lost_calls_are_rare: bool,
 }
 
@@ -34,7 +35,7 @@
     attempts < MAX_ATTEMPTS
 }
 
-/// Whether calls without a reply are the exception.
+/// Whether calls without a reply are rare.
 pub(crate) fn lost_calls_are_rare(calls: f64, calls_timed_out: f64) -> bool {
     calls_timed_out <= MAX_LOST_CALL_FRACTION * calls
 }
@@ -46,8 +47,9 @@
         may_run_again && may_attempt_again(self.attempts)
     }
 
-    /// Whether its request goes on, to attempt it again or to skip it. Otherwise the request fails.
-    pub(crate) fn may_request_go_on(&self) -> bool {
+    /// Whether its request continues, and retries the call or skips it. Otherwise the request
+    /// fails.
+    pub(crate) fn may_request_continue(&self) -> bool {
         self.is_optional || self.may_retry()
     }
 
--- a/src/dependency/call_timeout.rs
+++ b/src/dependency/call_timeout.rs
@@ -1,13 +1,14 @@
 //! The timeout of a dependency call.
 //!
-//! A mandatory call may take until the deadline of its request, an optional one only a part of the
-//! time that is left until the latency objective: after it the run must still end in time.
+//! A mandatory call may take until the deadline of its request. An optional call may take only a
+//! part of the time until the latency objective, because the run must still end in time after it.
 //!
-//! Some replies never come (the connection broke without notice, the dependency lost the request).
-//! Waiting for the whole timeout then costs the request its objective. A call that may be
-//! attempted again is therefore given up after a multiple of the mean call time. Where more than a
-//! few calls get no reply, the dependency is slow and replies are not lost, so this does not act.
-//! The price: where a few calls take far longer than most, they are made twice.
+//! Some replies never arrive, because the connection broke without notice or the dependency lost
+//! the request. Waiting for the whole timeout would then cost the request its objective. An
+//! optional call that may be retried is therefore abandoned after a multiple of the mean call time.
+//! If more than a few calls get no reply, the dependency is slow and replies are not lost, so this
+//! shorter timeout does not apply. The cost is that, if a few calls take far longer than most, they
+//! are made twice.
 
 use std::time::Duration;
 
@@ -19,10 +20,10 @@
 /// Multiple of the mean call time after which a reply counts as lost.
 const LOST_REPLY_FACTOR: f64 = 8.0;
 
-/// Least fraction of the time until the latency objective after which a reply counts as lost.
+/// Minimum fraction of the time until the latency objective after which a reply counts as lost.
 const MIN_LOST_REPLY_TIME_FRACTION: f64 = 0.15;
 
-/// What the timeout follows from.
+/// The input of the timeout.
 pub(crate) struct CallTimeoutInput {
     /// Seconds until the latency objective of the request.
     pub(crate) seconds_to_objective: f64,
@@ -34,7 +35,7 @@
     pub(crate) may_retry: bool,
     /// Mean seconds of recent calls; 0 where there was none.
     pub(crate) mean_call_seconds: f64,
-    /// Calls without a reply are the exception.
+    /// Calls without a reply are rare.
     pub(crate) lost_calls_are_rare: bool,
     /// Seconds that the budget allows for one call, where there is one.
     pub(crate) max_call_seconds: Option<f64>,
--- a/src/dependency/mod.rs
+++ b/src/dependency/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to the dependency: when one is made, skipped, made again or given up.
+//! Dependency calls: when a call is made, skipped, retried or abandoned.
 
 mod call_budget;
 mod call_decision;
--- a/src/dependency/tests.rs
+++ b/src/dependency/tests.rs
@@ -1,4 +1,4 @@
-//! Budget, timeout, retry and usual time of dependency calls at their thresholds.
+//! Tests of budget, timeout, retry and usual time of dependency calls at their thresholds.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     Duration::from_millis(span)
 }
 
-/// A share of two calls over five seconds: nine seconds of calls are usable.
+/// A share of two calls over five seconds, of which nine call-seconds are usable.
 fn shared_config(degraded_weights: &[f64]) -> Config {
     let mut config = config();
     config.dependency = Dependency::Shared {
@@ -66,7 +66,8 @@
 #[test]
 fn calls_in_flight_and_abandoned_calls_stay_booked() {
     let mut budget = budget(&shared_config(&[0.0]));
-    // Of the call in flight 1.2 s are left with its linger time, of the abandoned one 0.2 s.
+    // The call in flight has 1.2 s left with its linger time, and the abandoned call has 0.2 s
+    // left.
     let in_flight = [ms(11_000)];
     budget.abandon_call(ms(10_000));
     assert_eq!(budget.abandoned_calls(), 1);
@@ -178,21 +179,21 @@
 #[test]
 fn a_call_that_may_have_run_is_retried_only_where_it_may_run_again() {
     for outcome in [Outcome::Failed, Outcome::TimedOut, Outcome::ConnectionLost] {
-        assert!(failed(outcome, 1, true).may_request_go_on());
-        assert!(!failed(outcome, 1, false).may_request_go_on());
+        assert!(failed(outcome, 1, true).may_request_continue());
+        assert!(!failed(outcome, 1, false).may_request_continue());
     }
     for outcome in [Outcome::Rejected, Outcome::Unreachable] {
-        assert!(failed(outcome, 1, false).may_request_go_on());
+        assert!(failed(outcome, 1, false).may_request_continue());
     }
 }
 
 #[test]
-fn a_request_goes_on_without_an_optional_call() {
+fn a_request_continues_without_an_optional_call() {
     let optional = FailedCall {
         is_optional: true,
         ..failed(Outcome::Failed, 3, false)
     };
-    assert!(optional.may_request_go_on());
+    assert!(optional.may_request_continue());
     assert!(!optional.may_retry_optional());
 }
 
@@ -200,7 +201,7 @@
 fn a_call_is_attempted_at_most_three_times() {
     assert!(may_attempt_again(2) && !may_attempt_again(3));
     assert!(failed(Outcome::Unreachable, 2, true).may_retry_optional());
-    assert!(!failed(Outcome::Unreachable, 3, true).may_request_go_on());
+    assert!(!failed(Outcome::Unreachable, 3, true).may_request_continue());
 }
 
 #[test]
@@ -220,7 +221,7 @@
 fn decision(change: fn(&mut PendingCall)) -> CallDecision {
     let mut call = PendingCall {
         is_optional: true,
-        is_drawn: true,
+        is_sampled: true,
         has_budget: true,
         may_attempt: true,
         seconds_to_objective: 0.2,
@@ -231,9 +232,9 @@
 }
 
 #[test]
-fn an_optional_call_is_made_only_where_all_allows_it() {
+fn an_optional_call_is_made_only_if_every_condition_holds() {
     assert_eq!(decision(|_| {}), CallDecision::Make);
-    assert_eq!(decision(|call| call.is_drawn = false), CallDecision::Skip);
+    assert_eq!(decision(|call| call.is_sampled = false), CallDecision::Skip);
     assert_eq!(decision(|call| call.has_budget = false), CallDecision::Skip);
     assert_eq!(
         decision(|call| call.may_attempt = false),
@@ -248,7 +249,7 @@
 #[test]
 fn a_mandatory_call_is_made_or_waits_for_budget() {
     let late = |call: &mut PendingCall| {
-        (call.is_optional, call.is_drawn, call.may_attempt) = (false, false, false);
+        (call.is_optional, call.is_sampled, call.may_attempt) = (false, false, false);
         call.mean_call_seconds = 9.0;
     };
     assert_eq!(decision(late), CallDecision::Make);
@@ -259,7 +260,7 @@
 }
 
 #[test]
-fn a_call_is_slow_from_six_usual_times_once_twenty_were_seen() {
+fn a_call_is_slow_above_six_usual_times_after_twenty_calls() {
     let mut usual = UsualCallTime::default();
     for _ in 0..19 {
         assert!(!usual.observe(0.01, Outcome::Succeeded));
@@ -282,8 +283,8 @@
         }
         usual
     };
-    // Twenty calls of 50 ms, which are not slow, raise the usual time to 23 ms; twenty of 100 ms,
-    // which are, raise it to 14 ms.
+    // Twenty calls of 50 ms, which are not slow, raise the usual time to 23 ms; twenty calls of 100
+    // ms, which are slow, raise it to 14 ms.
     assert!(!usual_after(0.05).observe(0.1397, Outcome::TimedOut));
     assert!(usual_after(0.05).observe(0.1399, Outcome::TimedOut));
     assert!(!usual_after(0.1).observe(0.0811, Outcome::TimedOut));
@@ -291,14 +292,14 @@
 }
 
 #[test]
-fn a_small_share_is_reserved_only_as_far_as_two_optional_calls_fit() {
+fn the_reserve_of_a_small_share_leaves_room_for_two_optional_calls() {
     let mut config = shared_config(&[0.5, 0.0]);
     config.dependency = Dependency::Shared {
         share: 0.2,
         window: ms(5_000),
         linger: ms(200),
     };
-    // Of 0.9 s two calls of 0.2 s and their linger time leave 0.1 s.
+    // Two calls of 0.2 s with their linger time leave 0.1 s of the 0.9 s budget.
     let allows =
         |past| budget(&config).allows_call(&call(200, true), &load(past), std::iter::empty());
     assert!(allows(0.399));
@@ -306,7 +307,7 @@
 }
 
 #[test]
-fn the_window_of_a_shared_dependency_has_a_longest_span() {
+fn the_window_of_a_shared_dependency_has_a_maximum() {
     let is_valid = |window| {
         let mut config = shared_config(&[0.0]);
         config.dependency = Dependency::Shared {
--- a/src/dependency/usual_call_time.rs
+++ b/src/dependency/usual_call_time.rs
@@ -1,26 +1,26 @@
-//! How long a dependency call usually takes, and whether one was slow.
+//! The usual time of a dependency call, and whether a call was slow.
 //!
 //! A slow call shows that the dependency is past its knee, long before the mean response time does.
-//! The usual time is an exponentially weighted moving average of the calls that succeeded; a slow
-//! one moves it far less, because a fault must not become usual while it lasts. It is known only
-//! after some calls. The price: where calls get slower for good, each counts as slow until the
-//! usual time has followed.
+//! The usual time is an exponentially weighted moving average of the successful calls. A slow call
+//! moves it far less, so that a fault does not become usual while it lasts. The usual time is known
+//! only after some calls. The cost is that, if calls become slower permanently, each call counts as
+//! slow until the usual time has followed.
 
 use crate::event::Outcome;
 
 /// Multiple of the usual time above which a call is slow.
 const SLOW_CALL_FACTOR: f64 = 6.0;
 
-/// Calls that succeeded before any counts as slow.
+/// Number of successful calls before any call counts as slow.
 const MIN_OBSERVED_CALLS: f64 = 20.0;
 
-/// Fraction by which a call moves the usual time; the first calls move it more.
+/// Weight of a call in the usual time; the first calls have a larger weight.
 const GAIN: f64 = 0.02;
 
-/// Fraction by which a slow call moves the usual time.
+/// Weight of a slow call in the usual time.
 const SLOW_CALL_GAIN: f64 = 0.002;
 
-/// The usual time, and the number of calls from which it is known.
+/// The usual time, and the number of successful calls from which it was learnt.
 #[derive(Default)]
 pub(crate) struct UsualCallTime {
     seconds: f64,
@@ -28,8 +28,8 @@
 }
 
 impl UsualCallTime {
-    /// Learns from a call that ended, and returns whether it was slow. A call whose connection was
-    /// lost, or that never left, shows nothing of the dependency.
+    /// Learns from a call that ended, and returns whether it was slow. A call whose connection
+    /// failed does not count as slow, because it shows nothing about the dependency.
     pub(crate) fn observe(&mut self, call_seconds: f64, outcome: Outcome) -> bool {
         let is_slow = self.is_slow(call_seconds) && !outcome.is_connection_failure();
         if outcome == Outcome::Succeeded {
--- a/src/drain.rs
+++ b/src/drain.rs
@@ -1,12 +1,13 @@
-//! Graceful shutdown: what may still run after the shutdown notice, and until when everything is
-//! answered.
+//! Graceful shutdown: which requests may still run after the shutdown notice, and when all requests
+//! must be answered.
 //!
-//! The process is terminated some time after the notice, and whatever is unanswered then is lost.
-//! A request that arrives later than the grace after the notice is therefore not run, and
-//! everything is answered some time before the termination, so that a stall carries nothing past
-//! it. Callers are asked to leave at the notice. Where the server is busy the whole fleet is likely
-//! to be: others could not take its part too, so callers are asked to leave only shortly before
-//! the grace is over. The price: in a large fleet some callers then meet a closed listener.
+//! The process is terminated some time after the notice, and requests that are unanswered then are
+//! lost. A request that arrives later than the grace after the notice is therefore not run, and all
+//! requests are answered some time before the termination, so that a stall does not delay an answer
+//! past it. Callers are asked to leave at the notice. If the server is busy, the whole fleet is
+//! likely to be busy and the other servers could not take over its traffic, so callers are asked to
+//! leave only shortly before the grace is over. The cost is that in a large fleet some callers then
+//! find the listener closed.
 
 #[cfg(test)]
 mod tests;
@@ -15,13 +16,13 @@
 
 use crate::duration::duration_from_seconds;
 
-/// Busy fraction of the cores from which the fleet counts as short of servers.
+/// Busy fraction of the cores at which the fleet counts as short of capacity.
 const FLEET_SHORT_BUSY_FRACTION: f64 = 0.7;
 
-/// Time before the termination by which everything must be answered.
+/// Time between the last answers and the termination of the process.
 const TERMINATION_MARGIN: Duration = Duration::from_millis(500);
 
-/// The shutdown notice, and what is known at that moment.
+/// The shutdown notice, and the state of the server when it arrives.
 pub(crate) struct ShutdownNotice {
     /// The time since the start of the process.
     pub(crate) now: Duration,
@@ -29,7 +30,7 @@
     pub(crate) since: Duration,
     /// The time from now until the process is terminated.
     pub(crate) left: Duration,
-    /// Nothing that arrives later than this after the notice may run.
+    /// Requests that arrive later than this after the notice are not run.
     pub(crate) grace: Duration,
     /// The fraction of the cores that is busy.
     pub(crate) busy_fraction: f64,
@@ -42,16 +43,17 @@
 pub(crate) struct Drain(Option<DrainTimes>);
 
 struct DrainTimes {
-    /// What arrives later is not run.
+    /// Requests that arrive later are not run.
     run_until: Duration,
-    /// Everything must be answered by then.
+    /// All requests must be answered by then.
     answer_by: Duration,
     /// Callers are asked to leave from then on.
     callers_leave_at: Duration,
 }
 
 impl Drain {
-    /// Starts the drain, and returns whether it started: later notices change nothing.
+    /// Starts the drain and returns `true`, unless it has started already: later notices change
+    /// nothing.
     pub(crate) fn start(&mut self, notice: &ShutdownNotice) -> bool {
         if self.0.is_some() {
             return false;
@@ -89,7 +91,7 @@
             .is_some_and(|times| now >= times.callers_leave_at)
     }
 
-    /// Whether a request that arrived then may run now.
+    /// Whether a request that arrived at `arrived_at` may run now.
     pub(crate) fn allows_run(&self, arrived_at: Duration, now: Duration) -> bool {
         let is_in_grace = self
             .0
@@ -98,12 +100,13 @@
         is_in_grace && !self.is_terminating(now)
     }
 
-    /// Whether the time to answer everything has come.
+    /// Whether the time by which all requests must be answered has passed.
     pub(crate) fn is_terminating(&self, now: Duration) -> bool {
         now >= self.answer_by()
     }
 
-    /// When everything must be answered because the process is terminated.
+    /// When all requests must be answered because the process is terminated; [`Duration::MAX`]
+    /// while the server is not draining.
     pub(crate) fn answer_by(&self) -> Duration {
         self.0
             .as_ref()
--- a/src/drain/tests.rs
+++ b/src/drain/tests.rs
@@ -1,4 +1,4 @@
-//! The drain at its thresholds.
+//! Tests of the drain at its thresholds.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn nothing_that_arrives_after_the_grace_runs() {
+fn requests_that_arrive_after_the_grace_are_not_run() {
     let mut drain = Drain::default();
     assert!(drain.allows_run(ms(99_000), ms(99_000)));
     assert!(drain.start(&notice(0.0)));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn everything_is_answered_half_a_second_before_the_termination() {
+fn all_requests_are_answered_half_a_second_before_the_termination() {
     let mut drain = Drain::default();
     assert_eq!(drain.answer_by(), Duration::MAX);
     drain.start(&notice(0.0));
--- a/src/duration.rs
+++ b/src/duration.rs
@@ -1,15 +1,16 @@
 //! Conversion of computed seconds to a [`Duration`].
 //!
-//! Rules compute with seconds as `f64`, which may be infinite or no number where a divisor is 0. A
-//! time limit is then no limit: the conversion never fails and gives the longest duration.
+//! Rules compute in seconds as `f64`, which are infinite or NaN where a divisor is 0. A time limit
+//! of that kind counts as no limit, so the conversion never fails and returns the longest duration.
 
 #[cfg(test)]
 mod tests;
 
 use std::time::Duration;
 
-/// A span of this many seconds. It is [`Duration::MAX`], and not zero, where `seconds` is negative,
-/// no number or out of range: a caller for which a negative span means none must clamp it before.
+/// Converts seconds to a duration. The result is [`Duration::MAX`], and not zero, if `seconds` is
+/// negative, NaN or out of range: a caller for which a negative time means zero must clamp it
+/// first.
 pub(crate) fn duration_from_seconds(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
 }
--- a/src/early_answer.rs
+++ b/src/early_answer.rs
@@ -1,16 +1,16 @@
-//! When a request is given up, and how it is answered then.
+//! When a request is given up before its run has completed, and how it is then answered.
 //!
-//! Every request gets exactly one final answer by its deadline. One that cannot be served in time
-//! any more is answered in the last tick before its deadline, or before the termination of the
-//! process: its client would otherwise learn nothing. A started request that is late is given up
-//! before that, because its cores or its call serve nobody. If it may not run again, it is given up
-//! only where it waits at a call: that call would be made for nobody, together with those of all
-//! that wait as long. The price: a late answer is not given, though its client may still have
-//! waited.
+//! Every request gets exactly one final answer by its deadline. A request that can no longer be
+//! served in time is answered in the last tick before its deadline, or before the termination of
+//! the process, because its client would otherwise get no answer at all. A started request that has
+//! missed its objective is given up earlier, because its core or its call no longer serves a client
+//! in time. If such a request may not run again, it is given up only while it waits for its call:
+//! otherwise it would still make this call, at the same time as all requests that waited as long.
+//! The cost is that a late answer is not sent, although its client might still have waited for it.
 //!
-//! The answer is a rejection only where the request certainly had no effect or may run again. Any
-//! other is a failure, because a caller may repeat what was rejected, and its effect would happen
-//! twice.
+//! The answer is a rejection only if the request certainly had no effect or may run again.
+//! Otherwise it is a failure, because a caller may repeat a rejected request, and its effect would
+//! then happen twice.
 
 #[cfg(test)]
 mod tests;
@@ -22,11 +22,11 @@
 
 /// A request that has no final answer yet.
 pub(crate) struct OpenRequest {
-    /// Where it stands.
+    /// Its stage.
     pub(crate) stage: Stage,
     /// It may run any number of times.
     pub(crate) is_idempotent: bool,
-    /// An answer until then meets its latency objective.
+    /// An answer by then meets its latency objective.
     pub(crate) objective_at: Duration,
     /// Its client waits until then.
     pub(crate) deadline: Duration,
@@ -38,7 +38,7 @@
     pub(crate) now: Duration,
     /// The time until the next tick.
     pub(crate) tick_interval: Duration,
-    /// Everything must be answered by then because the process is terminated.
+    /// All requests must be answered by then, because the process is about to be terminated.
     pub(crate) answer_by: Duration,
 }
 
@@ -58,7 +58,8 @@
         (is_late && self.may_give_up_when_late()).then_some(Reason::ObjectiveMissed)
     }
 
-    /// A queued request is not given up here: it is rejected once it is not likely to be in time.
+    /// A queued request is not given up here: `queue/prediction.rs` rejects it once it is no longer
+    /// likely to be in time.
     fn may_give_up_when_late(&self) -> bool {
         match self.stage {
             Stage::Queued | Stage::Coalesced => false,
@@ -68,7 +69,7 @@
     }
 }
 
-/// Whether the latency objective of a request has passed, so that it is not started any more.
+/// Whether the latency objective of a request has passed, so that it is no longer started.
 pub(crate) fn has_missed_objective(objective_at: Duration, now: Duration) -> bool {
     objective_at < now
 }
--- a/src/early_answer/tests.rs
+++ b/src/early_answer/tests.rs
@@ -1,4 +1,4 @@
-//! When requests are given up, stage by stage.
+//! Tests of when requests are given up, stage by stage.
 
 use std::time::Duration;
 
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn only_what_had_no_effect_or_may_run_again_is_rejected() {
+fn only_requests_without_effect_and_idempotent_ones_are_rejected() {
     let rejected = |is_idempotent| STAGES.map(|stage| may_reject(stage, is_idempotent));
     assert_eq!(rejected(true), [true, false, true, true, true]);
     assert_eq!(rejected(false), [true, false, false, false, false]);
--- a/src/event.rs
+++ b/src/event.rs
@@ -23,9 +23,9 @@
     pub tenant: Option<TenantIndex>,
     /// The time since it reached the machine.
     pub age: Duration,
-    /// The time that its caller still waits, where the caller says so.
+    /// The time that its caller still waits, if the caller states it.
     pub client_wait: Option<Duration>,
-    /// The expected work, as time on an average core, where the caller gives an estimate.
+    /// The expected work, as time on an average core, if the caller gives an estimate.
     pub estimated_work: Option<Duration>,
     /// The memory that it takes while it is queued, in kilobytes.
     pub queued_kb: f64,
@@ -43,9 +43,9 @@
     Succeeded,
     /// It failed, and may still have had its effect.
     Failed,
-    /// The dependency rejected it unread: it never ran.
+    /// The dependency rejected it without running it.
     Rejected,
-    /// Nobody waited for it any longer; it may still have had its effect.
+    /// No result came within its time limit; it may still have had its effect.
     TimedOut,
     /// The dependency could not be reached: it never ran.
     Unreachable,
@@ -53,7 +53,7 @@
     ConnectionLost,
     /// A run that was cancelled.
     Cancelled,
-    /// Nothing was started, because the request had ended.
+    /// No run was started, because the request had already ended.
     NotStarted,
 }
 
@@ -64,7 +64,7 @@
     }
 
     /// Whether the dependency may still work on the call.
-    pub(crate) fn may_go_on(self) -> bool {
+    pub(crate) fn may_still_run(self) -> bool {
         matches!(self, Outcome::TimedOut | Outcome::ConnectionLost)
     }
 
@@ -74,12 +74,13 @@
     }
 }
 
-/// Readings of the machine at one moment, each where the host has it.
+/// Gauges of the machine at one moment; each is `None` where the host does not measure it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
     /// The fraction of the cores that was busy recently.
     pub busy_fraction: Option<f64>,
-    /// Everything that wants a core now: runs, reading, health checks, new connections.
+    /// The number of tasks that run or wait for a core: runs, reading of requests, health checks
+    /// and new connections.
     pub runnable: Option<f64>,
     /// The number of open connections.
     pub open_connections: Option<f64>,
--- a/src/handlers.rs
+++ b/src/handlers.rs
@@ -1,11 +1,13 @@
-//! What the controller knows of each handler, and what it learns from the handler's runs.
+//! The profile of each handler: its configuration, and the work and the number of calls learnt from
+//! its runs.
 //!
-//! Predictions need the work of a request and the number of its dependency calls. Where callers
-//! state no estimate, all requests would look alike: a handler of slow requests would be admitted
-//! as if it were the mean, and its requests would be answered too late. Each run that succeeds
-//! therefore moves the handler's mean a little. Work is measured in seconds on an average core
-//! (the time on a core, divided by the slowdown of this server), so that a slow server raises its
-//! slowdown and not the work. The price: a learnt figure describes the handler, not the request.
+//! Predictions need the work of a request and the number of its dependency calls. If callers give
+//! no estimate, all requests would look alike: a handler with long requests would be admitted as if
+//! its work were average, and its requests would be answered too late. Each successful run
+//! therefore moves the handler's mean by a small step. Work is measured in seconds on an average
+//! core (the time on a core, divided by the slowdown of this server), so that a slow server raises
+//! its slowdown and not the work. The cost is that a learnt figure describes the handler and not
+//! the individual request.
 
 #[cfg(test)]
 mod tests;
@@ -14,19 +16,20 @@
 
 use crate::config::{Config, Dependency, HandlerConfig, Idempotency};
 
-/// Seconds of work of a request without an estimate, before any run has shown more.
+/// Seconds of work that a request is assumed to need where there is neither an estimate nor a
+/// completed run.
 pub(crate) const DEFAULT_WORK_SECONDS: f64 = 0.1;
 
-/// Fraction by which each run moves the learnt work and the learnt number of calls.
+/// Weight of each run in the learnt work and in the learnt number of calls.
 const LEARNING_GAIN: f64 = 0.05;
 
-/// Least seconds of work that are learnt, so that predictions never rest on nothing.
+/// Minimum of the learnt work, in seconds, so that predictions never assume requests without work.
 const MIN_LEARNT_WORK_SECONDS: f64 = 0.001;
 
-/// Attempts of calls that a run makes, before any run has shown more.
+/// Attempts of dependency calls that a run is assumed to make before any run has completed.
 const INITIAL_CALLS_PER_RUN: f64 = 1.0;
 
-/// Multiple of the mean work from which a request with learnt work counts as long. It is above 1
+/// Multiple of the mean work above which a request with learnt work counts as long. It is above 1
 /// because a learnt figure belongs to the handler and not to this request.
 const LONG_LEARNT_WORK_FACTOR: f64 = 1.25;
 
@@ -36,19 +39,19 @@
     pub(crate) core_seconds: f64,
     /// Attempts of dependency calls that it made.
     pub(crate) calls_made: u32,
-    /// Its work was not stated by the caller.
+    /// The caller gave no estimate of its work.
     pub(crate) work_is_learnt: bool,
     /// The slowdown of the server, as a factor.
     pub(crate) slowdown: f64,
 }
 
-/// What rules need to know of a handler.
+/// The properties of a handler that rules use.
 pub(crate) struct HandlerProfile {
     /// An answer within this time after the arrival counts with the full priority weight.
     pub(crate) latency_objective: Duration,
     /// Multiple of a request's work by which its latency objective grows.
     pub(crate) objective_stretch: f64,
-    /// How long a client waits that does not say so itself.
+    /// How long a client waits, unless it states a time itself.
     pub(crate) client_timeout: Duration,
     /// Whether its requests may run more than once.
     pub(crate) idempotency: Idempotency,
@@ -58,18 +61,18 @@
     pub(crate) calls_are_optional: bool,
     /// Its requests may call the dependency.
     pub(crate) makes_calls: bool,
-    /// The priority level of requests within their tenant's quota; higher levels go first.
+    /// The priority level of requests within their tenant's quota; higher levels start first.
     pub(crate) level: usize,
-    /// The priority level of requests beyond it.
+    /// The priority level of requests beyond their tenant's quota.
     pub(crate) over_quota_level: usize,
-    /// Seconds of work of a request that brings no estimate, learnt from runs.
+    /// Seconds of work of a request without an estimate, learnt from runs.
     pub(crate) learnt_work_seconds: f64,
     /// Attempts of calls that one of its runs makes, retries included, learnt from runs.
     pub(crate) calls_per_run: f64,
 }
 
 impl HandlerProfile {
-    /// A profile with nothing learnt yet.
+    /// A profile before any run has completed.
     fn new(handler: &HandlerConfig, config: &Config, weights: &[f64]) -> Self {
         let level = |weight: f64| weights.partition_point(|&other| other < weight);
         HandlerProfile {
@@ -97,10 +100,10 @@
         self.idempotency == Idempotency::Keyed
     }
 
-    /// The number of dependency calls that a request is expected to make. Whatever callers state,
-    /// it is the learnt number where calls are mandatory. Where they are optional it is the
-    /// dimmer, as if a request made one call with that probability: the learnt number counts runs
-    /// that skipped their calls too, so it says nothing of a request that makes them.
+    /// The number of dependency calls that a request is expected to make. For mandatory calls it is
+    /// the learnt number. For optional calls it is the dimmer, as if a request made one call with
+    /// that probability: the learnt number also counts runs that skipped their calls, so it does
+    /// not show how many calls a request makes if it skips none.
     pub(crate) fn expected_calls(&self, dimmer: f64) -> f64 {
         match (self.makes_calls, self.calls_are_optional) {
             (false, _) => 0.0,
@@ -132,7 +135,7 @@
 }
 
 /// The profiles of all handlers, and the number of priority levels. A level is the rank of a
-/// priority weight among all of them, within and beyond a tenant's quota.
+/// priority weight among the weights of all handlers, within and beyond a tenant's quota.
 pub(crate) fn handler_profiles(config: &Config) -> (Vec<HandlerProfile>, usize) {
     let mut weights: Vec<f64> = config
         .handlers
--- a/src/handlers/tests.rs
+++ b/src/handlers/tests.rs
@@ -1,4 +1,4 @@
-//! Priority levels and what is learnt from runs.
+//! Tests of priority levels and of the figures learnt from runs.
 
 use super::{CompletedRun, HandlerProfile, handler_profiles, is_long};
 use crate::config::{Dependency, Idempotency};
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn work_is_learnt_apart_from_the_slowdown_and_only_without_an_estimate() {
+fn learnt_work_excludes_the_slowdown_and_runs_with_an_estimate() {
     let mut profile = profile();
     profile.learn(&run(0.6, false));
     assert_eq!(profile.learnt_work_seconds, 0.1);
--- a/src/health/failure_rate.rs
+++ b/src/health/failure_rate.rs
@@ -1,17 +1,19 @@
 //! Whether runs on this server fail so often that other servers are likely to do better.
 //!
-//! A server that fails fast looks idle, and balancers that follow the load send it more than its
-//! share: the fleet then fails most of its requests although only one server is faulty. While the
-//! fraction of failed runs is high, that fraction of arrivals is rejected and callers are asked for
-//! no traffic. What is still admitted shows when the fault is over. The price: where every server
-//! fails alike, a rejected request finds no better one.
+//! A server that fails fast looks idle, and load balancers that follow the load send it more than
+//! its share: the fleet then fails most of its requests although only one server is faulty. While
+//! the fraction of failed runs is high, the server rejects that fraction of arrivals and asks
+//! callers for no traffic. The requests that are still admitted show when the fault is over. The
+//! cost is that, if every server fails alike, a rejected request finds no better server.
 //!
-//! Outlier detection in load balancers does the same from outside; this is the server's own view.
+//! Outlier detection in load balancers does the same from outside; this rule uses the server's own
+//! observations.
 
 /// Fraction of recent runs that failed, above which the server counts as failing.
 const HIGH_FAILURE_FRACTION: f64 = 0.4;
 
-/// Least number of recent failures that count, so that one failure among few runs proves nothing.
+/// Minimum number of recent failures at which the fraction can count as high, because one failure
+/// among few runs proves nothing.
 const MIN_FAILURES: f64 = 3.0;
 
 /// The fraction of recent runs that failed if it is high, and 0 otherwise.
@@ -24,8 +26,8 @@
     }
 }
 
-/// Whether an arrival is rejected because runs fail: as many are as failed. Nothing is drawn while
-/// the fraction is 0.
+/// Whether an arrival is rejected because runs fail, with the fraction of failed runs as its
+/// probability. No random number is taken while the fraction is 0.
 pub(crate) fn is_shed_for_failures(high_failure_fraction: f64, rng: &mut fastrand::Rng) -> bool {
     high_failure_fraction > 0.0 && rng.f64() < high_failure_fraction
 }
--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -1,5 +1,5 @@
-//! The server's view of itself: its slowdown, its failures, and whether another server would do
-//! better.
+//! The server's assessment of itself: its slowdown, its failure rate, and whether another server
+//! would do better.
 
 mod degraded;
 mod failure_rate;
--- a/src/health/slowdown.rs
+++ b/src/health/slowdown.rs
@@ -1,44 +1,48 @@
-//! How slow this server is: seconds on a core for a second of work, measured and usual.
+//! How slow this server is: seconds on a core per second of work, at present and usually.
 //!
-//! Work is stated in seconds on an average core, so the slowdown is 1 there, 2 on a core of half
-//! that speed. Every prediction is multiplied by it. A server whose slowdown is far above its usual
-//! one is degraded (a neighbour takes its cores, its disk is slow), and another server would do
-//! better: it then asks for less traffic and sends longer retry-afters.
+//! Work is stated in seconds on an average core, so the slowdown is 1 on an average core and 2 on a
+//! core of half that speed. Every prediction is multiplied by the slowdown. A server whose slowdown
+//! is far above its usual one is degraded (a neighbour takes its cores, or its disk is slow), and
+//! another server would do better: it then asks for less traffic and sends longer retry-afters.
 //!
-//! A few requests with rough estimates show little: on a server of two cores two long requests
-//! would make it look degraded, and it would reject with idle cores. The usual slowdown therefore
-//! counts as several requests more. It is all that counts once nothing runs, because a server that
-//! hung would otherwise reject for ever. The price: a slow server is noticed later.
+//! A few requests with rough estimates show little: on a server with two cores, two long requests
+//! would make it look degraded, and it would reject requests while its cores are idle. The usual
+//! slowdown therefore counts like several additional requests. Once nothing runs, only the usual
+//! slowdown counts, because a server that hung would otherwise reject requests indefinitely. The
+//! cost is that a slow server is detected later.
 
 use std::time::Duration;
 
 use crate::config::Config;
 
-/// Slowest speed of a cold start that is assumed, as a fraction of the warm one.
+/// Minimum speed that is assumed for a cold start, as a fraction of the warm speed.
 const MIN_COLD_SPEED_FRACTION: f64 = 0.05;
 
 /// Slowdown of an average core.
 const AVERAGE_CORE_SLOWDOWN: f64 = 1.0;
 
-/// Requests of mean work at the usual slowdown that are added to what was measured.
+/// Number of requests of mean work, at the usual slowdown, that are added to the measurement as a
+/// prior.
 const PRIOR_REQUESTS: f64 = 6.0;
 
-/// Fraction by which a tick moves the usual slowdown while the measured one is better or new. A
-/// tick is 5 to 25 ms, depending on the configured response slack (`clock.rs`), so the time that
-/// learning takes (50 ticks to 63 percent) depends on it too: 0.25 to 1.25 s.
+/// Fraction by which a tick moves the usual slowdown while the measured one is better, or while the
+/// server still learns the speed of its machine. A tick is 5 to 25 ms, depending on the configured
+/// response slack (`clock.rs`), so the time in which the usual slowdown follows 63 percent of a
+/// change (50 ticks) also depends on it: 0.25 to 1.25 s.
 const USUAL_SLOWDOWN_GAIN: f64 = 0.02;
 
 /// Fraction by which a tick moves the usual slowdown while the measured one is worse: a fault must
-/// not become usual while it lasts. It takes 2,000 ticks to 63 percent, which is 10 to 50 s.
+/// not become usual while it lasts. The usual slowdown follows 63 percent of a change in 2,000
+/// ticks, which is 10 to 50 s.
 const USUAL_SLOWDOWN_GAIN_WHEN_WORSE: f64 = 0.0005;
 
-/// Age up to which a warm start learns how fast its machine is.
+/// Age up to which a server that started warm learns the speed of its machine.
 const LEARNING_TIME: Duration = Duration::from_secs(4);
 
 /// Multiple of the usual slowdown above which a server is degraded.
 const DEGRADED_FACTOR: f64 = 1.7;
 
-/// Time on a core, and the work that was done or expected in it.
+/// Time on a core, and the completed or expected work in that time.
 pub(crate) struct RunTimes {
     /// Seconds on a core.
     pub(crate) core_seconds: f64,
@@ -46,7 +50,7 @@
     pub(crate) work_seconds: f64,
 }
 
-/// What the slowdown is measured from.
+/// The input of one measurement.
 pub(crate) struct SlowdownSample {
     /// All runs that recently succeeded.
     pub(crate) completed: RunTimes,
@@ -83,8 +87,8 @@
         self.measured
     }
 
-    /// Measures anew, from recent runs and from those of `running` that take longer than expected,
-    /// and moves the usual slowdown towards the result.
+    /// Measures the slowdown from recent runs and from the runs in `running` that take longer than
+    /// expected, and moves the usual slowdown towards the result.
     pub(crate) fn update(
         &mut self,
         sample: &SlowdownSample,
@@ -101,7 +105,7 @@
         let prior_seconds = PRIOR_REQUESTS * sample.mean_work_seconds;
         self.measured =
             (core_seconds + prior_seconds * self.usual) / (work_seconds + prior_seconds);
-        // A slow kind of machine would otherwise look degraded from its start on.
+        // Otherwise a slow type of machine would look degraded from its start.
         let is_learning = sample.started_warm && sample.age < LEARNING_TIME;
         let is_better = self.measured < self.usual;
         let gain = if is_better || is_learning {
@@ -117,8 +121,8 @@
         self.measured > DEGRADED_FACTOR * self.usual
     }
 
-    /// The fraction of the usual traffic that a server of this slowdown serves as quickly as usual,
-    /// above 1 while it is not degraded.
+    /// The fraction of the usual traffic that a server of this slowdown serves as quickly as usual;
+    /// at least 1 while it is not degraded.
     pub(crate) fn traffic_fraction(&self) -> f64 {
         DEGRADED_FACTOR * self.usual / self.measured
     }
--- a/src/health/tests.rs
+++ b/src/health/tests.rs
@@ -1,4 +1,4 @@
-//! Slowdown and failure rate at their thresholds.
+//! Tests of slowdown and failure rate at their thresholds.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn failures_count_from_two_fifths_and_three_runs_on() {
+fn the_failure_fraction_is_high_above_two_fifths_and_from_three_failures() {
     assert_eq!(high_failure_fraction(2.0, 0.0), 0.0);
     assert_eq!(high_failure_fraction(3.0, 0.0), 1.0);
     assert_eq!(high_failure_fraction(4.0, 6.0), 0.0);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn six_mean_requests_at_the_usual_slowdown_temper_what_was_measured() {
+fn the_measured_slowdown_includes_six_mean_requests_at_the_usual_slowdown() {
     let mut slowdown = Slowdown::new(&config());
     slowdown.update(&sample(1.8, 0.6), std::iter::empty());
     // (1.8 + 0.6) / (0.6 + 0.6).
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn the_usual_slowdown_follows_a_worse_one_slowly_but_not_on_a_new_machine() {
+fn the_usual_slowdown_follows_a_worse_one_slowly_except_after_a_warm_start() {
     let degraded_after = |age| {
         let mut slowdown = Slowdown::new(&config());
         for _ in 0..80 {
@@ -104,14 +104,15 @@
         slowdown.update(&sample, std::iter::empty());
         slowdown.traffic_fraction()
     };
-    // The measured slowdown is 2 and the usual one moves from 1 to 1.0005, or to 1.02 at first.
+    // The measured slowdown is 2, and the usual one moves from 1 to 1.0005, or to 1.02 while the
+    // server learns.
     let (settled, new) = (Duration::from_secs(60), Duration::from_secs(1));
     assert!((traffic_fraction_at(settled) - 1.7 * 1.0005 / 2.0).abs() < 1e-9);
     assert!((traffic_fraction_at(new) - 1.7 * 1.02 / 2.0).abs() < 1e-9);
 }
 
 #[test]
-fn as_many_arrivals_are_shed_as_runs_failed() {
+fn arrivals_are_shed_with_the_fraction_of_failed_runs() {
     let mut rng = fastrand::Rng::with_seed(7);
     let shed = |fraction: f64, rng: &mut fastrand::Rng| {
         (0..10_000)
@@ -119,7 +120,11 @@
             .count()
     };
     assert_eq!(shed(0.0, &mut rng), 0);
-    assert_eq!(rng, fastrand::Rng::with_seed(7), "nothing was drawn");
+    assert_eq!(
+        rng,
+        fastrand::Rng::with_seed(7),
+        "no random number was taken"
+    );
     let at_half = shed(0.5, &mut rng);
     assert!((4_800..5_200).contains(&at_half), "{at_half}");
     assert_eq!(shed(1.0, &mut rng), 10_000);
--- a/src/idle_timeout.rs
+++ b/src/idle_timeout.rs
@@ -1,13 +1,13 @@
 //! When idle connections are closed.
 //!
-//! Many callers that each come rarely leave connections open, which shut other callers out and cost
-//! cores. While open connections saturate the table, the idle timeout falls at each control step,
-//! and recovers afterwards. In a retry storm it rises instead, until the table is full: opening a
-//! connection costs more than the request on it, and a full table keeps out connections at no cost,
-//! while one that is half full costs cores and keeps out none. The table is left full until the
-//! cores starve behind it, which shows that the limit now costs more than the storm. The price:
-//! where the table is far larger than the saturation limit, callers open new connections that they
-//! would have kept.
+//! Many callers that rarely send requests leave connections open, which exclude other callers and
+//! cost core time. While open connections saturate the connection table, the idle timeout falls at
+//! each control step, and it recovers afterwards. In a retry storm the idle timeout rises instead,
+//! until the table is full: opening a connection costs more than the request on it. A full table
+//! refuses connections at no cost, while a half-full table refuses none and costs core time. The
+//! table stays full until it leaves the cores without enough work, which shows that the full table
+//! now costs more than the storm. The cost of the rule is that callers reopen connections that they
+//! would have kept, if the table is far larger than the saturation limit.
 
 #[cfg(test)]
 mod tests;
@@ -19,19 +19,20 @@
 /// Open connections per core above which the table may be saturated.
 const SATURATED_CONNECTIONS_PER_CORE: f64 = 6.0;
 
-/// Callers for each open connection above which the table is saturated: most callers have none.
+/// Callers per open connection above which the table is saturated, because most callers have no
+/// connection.
 const MIN_CALLERS_PER_CONNECTION: f64 = 2.0;
 
 /// Arrivals per completed request above which there may be a retry storm.
 const STORM_ARRIVALS_PER_COMPLETION: f64 = 6.0;
 
-/// Cores wanted by reading, per core, above which such a surplus of arrivals is a retry storm.
+/// Cores in demand for reading, per core, above which such a surplus of arrivals is a retry storm.
 const STORM_READING_CORES_PER_CORE: f64 = 1.75;
 
 /// Window over which arrivals are compared with completed requests.
 pub(crate) const STORM_WINDOW: Duration = Duration::from_millis(4000);
 
-/// Mean fraction of the cores that is busy, below which the cores starve behind a full table.
+/// Mean busy fraction of the cores below which a full table keeps too much work out.
 const STARVED_BUSY_FRACTION: f64 = 0.4;
 
 /// Factor of the idle timeout at each control step while the table is saturated.
@@ -43,10 +44,10 @@
 /// Factor of the idle timeout at each other control step.
 const RECOVERY_FACTOR: f64 = 1.02;
 
-/// Least idle timeout, unless callers close idle connections earlier by themselves.
+/// Shortest idle timeout, unless callers themselves close idle connections earlier.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What one control step follows from.
+/// The input of one control step.
 pub(crate) struct ConnectionLoad {
     /// The number of open connections.
     pub(crate) open_connections: f64,
@@ -58,7 +59,7 @@
     pub(crate) arrived: f64,
     /// Requests that completed in [`STORM_WINDOW`].
     pub(crate) completed: f64,
-    /// Mean number of cores wanted by reading.
+    /// Mean number of cores in demand for reading.
     pub(crate) mean_reading_cores: f64,
     /// Mean fraction of the cores that was busy.
     pub(crate) mean_busy_fraction: f64,
@@ -83,18 +84,18 @@
 /// State of the rule.
 pub(crate) struct IdleTimeout {
     timeout: Duration,
-    /// Callers close an idle connection by themselves after this time.
-    longest: Duration,
-    /// A retry storm goes on, and the table may stay full.
+    /// The idle time after which callers close a connection themselves.
+    max_timeout: Duration,
+    /// A retry storm is in progress, so the table may stay full.
     is_storm: bool,
 }
 
 impl IdleTimeout {
     /// Connections are kept as long as callers keep them.
-    pub(crate) fn new(longest: Duration) -> Self {
+    pub(crate) fn new(max_timeout: Duration) -> Self {
         IdleTimeout {
-            timeout: longest,
-            longest,
+            timeout: max_timeout,
+            max_timeout,
             is_storm: false,
         }
     }
@@ -113,7 +114,7 @@
             (false, false) => RECOVERY_FACTOR,
         };
         let timeout = duration_from_seconds(self.timeout.as_secs_f64() * factor);
-        let timeout = timeout.clamp(MIN_IDLE_TIMEOUT.min(self.longest), self.longest);
+        let timeout = timeout.clamp(MIN_IDLE_TIMEOUT.min(self.max_timeout), self.max_timeout);
         if timeout == self.timeout {
             return None;
         }
--- a/src/idle_timeout/tests.rs
+++ b/src/idle_timeout/tests.rs
@@ -1,4 +1,4 @@
-//! The idle timeout at its thresholds.
+//! Tests of the idle timeout at its thresholds.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
     Duration::from_millis(span)
 }
 
-/// Two cores, of which twelve connections are the most that never saturate the table.
+/// The load of a server with two cores, on which up to twelve connections never saturate the table.
 fn load(open_connections: f64) -> ConnectionLoad {
     ConnectionLoad {
         open_connections,
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_storm_needs_reading_that_takes_the_cores() {
+fn a_retry_storm_requires_a_high_demand_for_reading() {
     let mut timeout = IdleTimeout::new(ms(10_000));
     let idle = ConnectionLoad {
         mean_reading_cores: 3.5,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,15 +1,14 @@
 //! A per-server overload controller. It decides, inside each server of a fleet, which requests that
-//! server admits, runs and rejects, and which optional dependency calls it skips while it falls
-//! behind.
+//! server admits, runs and rejects, and which optional dependency calls it skips under overload.
 //!
 //! The control loop follows the brownout controllers of Maggio, Klein and Årzén ("Control
 //! strategies for predictable brownouts in cloud computing"): a PID controller on the mean response
-//! time sets the probability that a request makes its optional calls; once that probability is zero
+//! time sets the probability that a request makes its optional calls; once that probability is zero,
 //! a second loop cuts the fraction of requests that is admitted.
 //!
-//! The crate does no I/O, reads no clock and starts no thread. A host reports what happened as
-//! [`Event`]s and carries out the [`Action`]s that come back, in order. One [`Controller`] serves
-//! one process and shares nothing; the same seed and the same events always give the same actions.
+//! The crate does no I/O, reads no clock and starts no thread. A host passes [`Event`]s in and
+//! carries out the returned [`Action`]s in order. Each process has one [`Controller`], which shares
+//! no state with others; the same seed and the same events always produce the same actions.
 //!
 //! ```
 //! use std::time::Duration;
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -1,5 +1,5 @@
-//! What was measured in the recent past, and the figures that more than one rule takes from it. No
-//! decision is taken here.
+//! Recent measurements, and the figures that more than one rule derives from them. No decision is
+//! taken here.
 
 mod sliding_window;
 #[cfg(test)]
@@ -23,8 +23,8 @@
 /// Window of the mean work of arrivals.
 const WORK_WINDOW: Duration = Duration::from_secs(5);
 
-/// The span that is retained at least, whatever the window of the dependency. Every window that a
-/// rule sums over must fit; the controller asserts it for those of other modules.
+/// The minimum span that is retained, whatever the window of the dependency. It must cover every
+/// window over which a rule sums; the controller asserts this for the windows of other modules.
 pub(crate) const MIN_RETAINED_SPAN: Duration = WORK_WINDOW;
 
 const _: () = assert!(MEASUREMENT_WINDOW.as_millis() <= MIN_RETAINED_SPAN.as_millis());
@@ -36,8 +36,8 @@
 }
 
 impl Metrics {
-    /// Empty measurements. The window covers that of a shared dependency; there is one metric of
-    /// arrivals for each priority level.
+    /// Metrics without measurements. The window covers that of a shared dependency, and there is
+    /// one metric of arrivals for each priority level.
     pub(crate) fn new(
         dependency: Dependency,
         tick_interval: Duration,
@@ -59,23 +59,23 @@
         self.window.advance(now);
     }
 
-    /// Adds to a metric now.
+    /// Adds `amount` to a metric at the current time.
     pub(crate) fn add(&mut self, metric: Metric, amount: f64) {
         self.window.add(metric, amount);
     }
 
-    /// Adds 1 to a metric now, where `has_occurred`.
+    /// Adds 1 to a metric at the current time if `has_occurred` is set.
     pub(crate) fn count_if(&mut self, metric: Metric, has_occurred: bool) {
         self.window.add(metric, f64::from(u8::from(has_occurred)));
     }
 
-    /// The sum of a metric over the last `span`, and over up to one [`BUCKET_WIDTH`] more: the
-    /// present bucket comes on top of all that `span` fills.
+    /// The sum of a metric over the last `span` and up to one [`BUCKET_WIDTH`] more, because the
+    /// current bucket is added to the full buckets that `span` needs.
     pub(crate) fn sum_over(&self, metric: Metric, span: Duration) -> f64 {
         self.window.sum(metric, span)
     }
 
-    /// The sum of a metric over the measurement window, and over up to one [`BUCKET_WIDTH`] more.
+    /// The sum of a metric over the measurement window and up to one [`BUCKET_WIDTH`] more.
     pub(crate) fn recent(&self, metric: Metric) -> f64 {
         self.window.sum(metric, MEASUREMENT_WINDOW)
     }
@@ -107,22 +107,22 @@
             .unwrap_or(0.0)
     }
 
-    /// Mean seconds that what arrived in the last `span` had stood unread.
+    /// Mean seconds that the arrivals of the last `span` waited unread.
     pub(crate) fn mean_unread_seconds(&self, span: Duration) -> f64 {
         self.window.per_arrival(Metric::UnreadTime, span)
     }
 
-    /// The fraction of recent arrivals that was rejected at once.
+    /// The fraction of recent arrivals that was rejected on arrival.
     pub(crate) fn rejected_fraction(&self) -> f64 {
         self.window
             .per_arrival(Metric::Rejected, MEASUREMENT_WINDOW)
     }
 
-    /// The mean over the measurement window of a metric that is added once a tick.
+    /// The mean over the measurement window of a metric that is added once per tick.
     ///
     /// The divisor is the number of ticks in the nominal window. The sum covers up to one
-    /// [`BUCKET_WIDTH`] more, so the result may be an eighth too high; where ticks came late it is
-    /// too low, as fewer readings were added.
+    /// [`BUCKET_WIDTH`] more, so the result may be an eighth too high. If ticks were late, the
+    /// result is too low, because fewer readings were added.
     pub(crate) fn mean_per_tick(&self, metric: Metric) -> f64 {
         let sum = self.recent(metric);
         sum * self.tick_interval.as_secs_f64() / MEASUREMENT_WINDOW.as_secs_f64()
--- a/src/metrics/sliding_window.rs
+++ b/src/metrics/sliding_window.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-/// What is measured. Each metric is a sum over a bucket of the window.
+/// A measured quantity. Each bucket of the window has one sum per metric.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Metric {
-    /// Requests that succeeded in time for their caller.
+    /// Requests whose run succeeded while their caller still waited.
     Completed,
-    /// Response times of completed requests, in seconds; time in which the process stood still is
-    /// left out.
+    /// Response times of completed requests, in seconds, without the time for which the process was
+    /// stalled.
     ResponseTime,
     /// Seconds on a core of runs that succeeded.
     CoreTime,
@@ -16,11 +16,11 @@
     Work,
     /// Runs that failed.
     Failed,
-    /// Dependency calls that ended with an answer or a timeout.
+    /// Dependency calls that ended, unless their connection failed.
     Calls,
-    /// The durations of those calls, in seconds.
+    /// The durations of the calls in `Calls`, in seconds.
     CallTime,
-    /// Seconds of calls that were in flight at the dependency.
+    /// Call-seconds in flight at the dependency, abandoned calls included.
     CallsInFlight,
     /// Requests that arrived.
     Arrived,
@@ -28,22 +28,22 @@
     ArrivedWork,
     /// Arrivals that are marked as retries.
     Retries,
-    /// Seconds that arrivals stood unread.
+    /// Seconds that arrivals waited unread.
     UnreadTime,
-    /// Cores wanted by anything but runs, one reading a tick.
+    /// Cores in demand for anything but runs, one reading per tick.
     ReadingCores,
-    /// Arrivals that were rejected at once.
+    /// Requests that were rejected on arrival.
     Rejected,
-    /// Dependency calls without an answer in time.
+    /// Dependency calls that timed out.
     CallsTimedOut,
-    /// The fraction of the cores that was busy, one reading a tick.
+    /// The fraction of the cores that was busy, one reading per tick.
     CoresBusy,
     /// Requests that arrived at one priority level.
     ArrivedAtLevel(usize),
 }
 
 impl Metric {
-    /// The number of metrics beside those of the priority levels.
+    /// The number of metrics that do not depend on the priority levels.
     const FIXED: usize = 16;
 
     fn column(self) -> usize {
@@ -73,13 +73,13 @@
 /// metric.
 pub(crate) struct SlidingWindow {
     bucket_width: Duration,
-    /// The number of the present bucket, counted from the start.
+    /// The number of the current bucket, counted from the start.
     current: u64,
     buckets: Vec<Vec<f64>>,
 }
 
 impl SlidingWindow {
-    /// A window over `span`, with one metric more for each priority level.
+    /// A window over `span`, with one additional metric for each priority level.
     pub(crate) fn new(bucket_width: Duration, span: Duration, priority_levels: usize) -> Self {
         let buckets = span.as_millis().div_ceil(bucket_width.as_millis()) as usize + 1;
         let columns = Metric::FIXED + priority_levels;
@@ -100,15 +100,15 @@
         self.current = self.current.max(target);
     }
 
-    /// Adds to the present bucket.
+    /// Adds to the current bucket.
     pub(crate) fn add(&mut self, metric: Metric, amount: f64) {
         let bucket = self.current as usize % self.buckets.len();
         self.buckets[bucket][metric.column()] += amount;
     }
 
-    /// The sum over the present bucket and as many full ones before it as `span` needs: from
-    /// `span` to `span` and one bucket width. Who divides by `span` gets a rate that is too high by
-    /// up to that part. At most what the window retains is summed.
+    /// The sum over the current bucket and the full buckets before it that `span` needs, which
+    /// cover from `span` to `span` plus one bucket width. A sum that is divided by `span` gives a
+    /// rate that is too high by up to that part. The sum never covers more than the retained span.
     pub(crate) fn sum(&self, metric: Metric, span: Duration) -> f64 {
         let length = self.buckets.len() as u64;
         let wanted = span.as_millis().div_ceil(self.bucket_width.as_millis()) as u64 + 1;
--- a/src/metrics/tests.rs
+++ b/src/metrics/tests.rs
@@ -1,4 +1,4 @@
-//! Sums and means over the sliding window.
+//! Tests of sums and means over the sliding window.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_sum_covers_its_span_and_the_present_bucket() {
+fn a_sum_covers_its_span_and_the_current_bucket() {
     let mut metrics = metrics();
     for second in 0..4 {
         metrics.advance(ms(second * 1_000));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn time_that_goes_back_changes_nothing() {
+fn an_earlier_time_is_ignored() {
     let mut metrics = metrics();
     metrics.advance(ms(10_000));
     metrics.add(Metric::Arrived, 1.0);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn means_have_a_value_where_nothing_was_measured() {
+fn means_have_default_values_without_measurements() {
     let metrics = metrics();
     assert_eq!(metrics.mean_work_seconds(), 0.1);
     assert_eq!(metrics.mean_response_seconds(), None);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn means_divide_by_what_was_counted() {
+fn means_divide_by_the_counted_events() {
     let mut metrics = metrics();
     metrics.count_if(Metric::Arrived, true);
     metrics.count_if(Metric::Arrived, false);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_metric_of_each_tick_is_averaged_over_the_window() {
+fn a_metric_added_once_per_tick_is_averaged_over_the_window() {
     let mut metrics = metrics();
     for tick in 0..80 {
         metrics.advance(ms(tick * 25));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn the_mean_work_forgets_arrivals_after_its_window() {
+fn arrivals_leave_the_mean_work_after_its_window() {
     let mut metrics = metrics();
     metrics.add(Metric::Arrived, 1.0);
     metrics.add(Metric::ArrivedWork, 0.7);
--- a/src/queue/mod.rs
+++ b/src/queue/mod.rs
@@ -1,5 +1,4 @@
-//! The queue: the order in which requests wait, and whether a request that waits there is likely to
-//! be answered in time.
+//! The queue: the order of queued requests, and whether a request is likely to be answered in time.
 
 mod order;
 mod prediction;
--- a/src/queue/order.rs
+++ b/src/queue/order.rs
@@ -1,12 +1,12 @@
-//! The order of the queue: which request goes first.
+//! The order of the queue: which request starts next.
 //!
-//! Two lists hold short and long requests apart (size-based queues), because a few long requests
-//! would otherwise take every core and short ones would miss their objectives behind them. In each
-//! list higher priority levels go first, and within a level the earlier latency objective (earliest
-//! deadline first), which answers most requests in time while the server keeps up. The rule binds
-//! whenever more requests wait than cores are free. While long requests fill all cores but one,
-//! that core is left to short ones that wait. The price: a long request may wait although its
-//! objective is earlier.
+//! Short and long requests are queued in two separate lists (size-based queues), because a few long
+//! requests would otherwise take every core, and short requests would wait for them and miss their
+//! objectives. In each list, higher priority levels come first, and within a level earlier latency
+//! objectives come first (earliest deadline first), which answers most requests in time while the
+//! server keeps up. The rule applies whenever more requests are queued than cores are free. While
+//! long requests fill all cores but one, that core is left to queued short requests. The cost is
+//! that a long request may wait although its objective is earlier.
 //!
 //! Compare: C. L. Liu, J. W. Layland, "Scheduling algorithms for multiprogramming in a
 //! hard-real-time environment" (1973), for earliest deadline first; M. Harchol-Balter, M. Crovella,
@@ -19,10 +19,10 @@
 use crate::event::RequestIndex;
 use crate::requests::{Request, RequestTable};
 
-/// Cores that long requests leave to short ones that wait.
+/// Cores that long requests leave to queued short requests.
 const CORES_LEFT_TO_SHORT_REQUESTS: f64 = 1.0;
 
-/// The order of the queue: falling priority levels, then the earlier latency objective.
+/// The sort key of the queue: higher priority levels first, then earlier latency objectives.
 pub(crate) fn queue_order(request: &Request) -> (Reverse<usize>, Duration) {
     (Reverse(request.level), request.objective_at)
 }
@@ -34,7 +34,7 @@
     long: Vec<RequestIndex>,
 }
 
-/// The first request of each list, and what the cores do.
+/// The first request of each list, and the use of the cores.
 pub(crate) struct QueueHeads<'a> {
     pub(crate) short: &'a Request,
     pub(crate) long: &'a Request,
@@ -72,8 +72,8 @@
         self.indices().filter_map(|request| requests.get(request))
     }
 
-    /// Puts a request into its list, behind those of a higher level, an earlier objective or the
-    /// same of both.
+    /// Inserts a request into its list, after the requests that precede it or have the same sort
+    /// key.
     pub(crate) fn insert(&mut self, index: RequestIndex, requests: &RequestTable) {
         let request = &requests[index];
         let order = queue_order(request);
@@ -82,12 +82,12 @@
         } else {
             &mut self.short
         };
-        let goes_before = |&other: &RequestIndex| {
+        let precedes = |&other: &RequestIndex| {
             requests
                 .get(other)
                 .is_none_or(|other| queue_order(other) <= order)
         };
-        let position = list.partition_point(goes_before);
+        let position = list.partition_point(precedes);
         list.insert(position, index);
     }
 
@@ -102,14 +102,15 @@
         Some((*self.short.first()?, *self.long.first()?))
     }
 
-    /// All queued requests in the order of the queue; among equals short ones go first.
+    /// All queued requests in the order of the queue; for equal sort keys, short requests come
+    /// first.
     pub(crate) fn in_order(&self, requests: &RequestTable) -> Vec<RequestIndex> {
         let mut queued: Vec<RequestIndex> = self.indices().collect();
         queued.sort_by_key(|&request| queue_order(&requests[request]));
         queued
     }
 
-    /// Seconds of queued work that goes before a request.
+    /// Seconds of queued work that precedes a request.
     pub(crate) fn work_seconds_ahead_of(&self, request: &Request, requests: &RequestTable) -> f64 {
         let order = queue_order(request);
         self.requests(requests)
--- a/src/queue/prediction.rs
+++ b/src/queue/prediction.rs
@@ -1,22 +1,22 @@
 //! Whether a request is likely to be answered within its latency objective.
 //!
-//! The rule binds on arrival, where a request that would be late is rejected while its caller can
-//! still try another server, and on each tick, where queued requests are rejected that were
-//! overtaken. Without it a server in overload works through a queue whose requests are all late:
-//! every core is busy and nothing counts. The predicted response time is the age of the request,
-//! the work that goes before it, its own work and its dependency calls.
+//! The rule applies on arrival, where a request that would be late is rejected while its caller can
+//! still try another server, and on each tick, where queued requests are rejected that others have
+//! overtaken. Without it, an overloaded server works through a queue of requests that are all late:
+//! every core is busy and no answer counts. The predicted response time is the age of the request,
+//! the work that precedes it, its own work and its dependency calls.
 //!
-//! Requests of higher priority that arrive while it waits go first too. That part is estimated
-//! from recent arrivals, so that requests of low priority are rejected on arrival and not after a
-//! wait. Where a core is free an attempt delays nobody, so an estimate may be wrong by a factor.
-//! The price: a request may be rejected that would have been in time after all.
+//! Requests of higher priority that arrive while the request waits also precede it. That part is
+//! estimated from recent arrivals, so that requests of low priority are rejected on arrival and not
+//! after a wait. If a core is free, an attempt delays no other request, so the prediction may be
+//! wrong by a factor. The cost is that a request may be rejected which would have been in time.
 
 use std::time::Duration;
 
 use crate::metrics::MEASUREMENT_WINDOW;
 
 /// Fraction of the latency objective within which an answer must be predicted for a request to be
-/// admitted. It is below 1 because callers may give an attempt up before its objective.
+/// admitted. It is below 1 because callers may abandon an attempt before its objective.
 const ADMISSION_OBJECTIVE_FRACTION: f64 = 0.65;
 
 /// Fraction of the latency objective within which an answer must be predicted for a request to
@@ -27,16 +27,16 @@
 /// it waits.
 const OVERTAKING_FRACTION: f64 = 0.4;
 
-/// Largest fraction of the running limit that overtaking work is taken to use.
+/// Largest fraction of the running limit that overtaking work is assumed to use.
 const MAX_OVERTAKING_FRACTION: f64 = 0.6;
 
-/// Factor by which the predicted response time may pass its limit where a core is free.
+/// Factor by which the predicted response time may exceed its limit if a core is free.
 const IDLE_CORE_TOLERANCE: f64 = 4.0;
 
 /// The same factor on a degraded server, whose requests another server would answer earlier.
 const IDLE_CORE_TOLERANCE_DEGRADED: f64 = 2.0;
 
-/// What is predicted from on the side of the server.
+/// The state of the server from which the response time is predicted.
 pub(crate) struct ServerForecast {
     /// Requests on the cores.
     pub(crate) running: f64,
@@ -52,13 +52,13 @@
     pub(crate) is_degraded: bool,
 }
 
-/// What is predicted from on the side of the request.
+/// The properties of a request from which its response time is predicted.
 pub(crate) struct RequestForecast {
     /// Seconds since it reached the machine.
     pub(crate) age_seconds: f64,
     /// Its own work in seconds on an average core.
     pub(crate) work_seconds: f64,
-    /// Seconds of queued work that goes before it.
+    /// Seconds of queued work that precedes it.
     pub(crate) work_seconds_ahead: f64,
     /// Recent arrivals of higher priority.
     pub(crate) higher_arrivals: f64,
@@ -109,8 +109,9 @@
         core_seconds / self.running_limit / (1.0 - overtaking_fraction)
     }
 
-    /// The fraction of the running limit that work of higher levels takes as it arrives. The
-    /// arrivals may be of up to one bucket of the metrics more than the window that divides them.
+    /// The fraction of the running limit that arriving work of higher levels is expected to use.
+    /// The arrivals may cover up to one bucket of the metrics more than the window by which they
+    /// are divided.
     fn overtaking_fraction(&self, higher_arrivals: f64) -> f64 {
         let work = higher_arrivals * self.mean_work_seconds / MEASUREMENT_WINDOW.as_secs_f64();
         let fraction = OVERTAKING_FRACTION * work * self.slowdown / self.running_limit;
--- a/src/queue/tests.rs
+++ b/src/queue/tests.rs
@@ -1,4 +1,4 @@
-//! The order of the queue and the prediction at their thresholds.
+//! Tests of the order of the queue and of the prediction at their thresholds.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn higher_levels_go_first_and_then_the_earlier_objective() {
+fn higher_levels_come_first_and_then_earlier_objectives() {
     let mut requests = RequestTable::default();
     let mut queue = Queue::default();
     let arrivals = [
@@ -82,7 +82,8 @@
 
 #[test]
 fn the_prediction_adds_age_wait_work_and_calls() {
-    // 0.1 s of age, (0.7 + 0.1) / 4 of wait, two calls of 0.05 s: 0.4 s beside its own work.
+    // 0.1 s of age, (0.7 + 0.1) / 4 s of wait and two calls of 0.05 s: 0.4 s in addition to its own
+    // work.
     let admits = |work_seconds| server().may_admit(&forecast(work_seconds, 0.7));
     assert!(admits(0.249));
     assert!(!admits(0.251));
@@ -100,19 +101,19 @@
         };
         server().meets_objective(&request, 0.65)
     };
-    // 0.25 s are left to wait. 40 arrivals in two seconds with 0.1 s each take two cores, and two
-    // fifths of that a fifth of the four: 0.2 s of wait become 0.25 s.
+    // 0.25 s are left for the wait. 40 arrivals of 0.1 s in two seconds take two cores. Two fifths
+    // of that are a fifth of the four cores, so 0.2 s of wait become 0.25 s.
     assert!(meets(39.9));
     assert!(!meets(40.1));
 }
 
 #[test]
-fn overtaking_takes_at_most_three_fifths_of_the_cores() {
+fn overtaking_work_uses_at_most_three_fifths_of_the_cores() {
     let request = RequestForecast {
         higher_arrivals: 1e9,
         ..forecast(0.0, 0.7)
     };
-    // 0.2 s of wait become 0.5 s, beside 0.2 s of age and calls.
+    // 0.2 s of wait become 0.5 s, in addition to 0.2 s of age and calls.
     assert!(server().meets_objective(&request, 0.701));
     assert!(!server().meets_objective(&request, 0.699));
 }
--- a/src/requests/deadlines.rs
+++ b/src/requests/deadlines.rs
@@ -1,31 +1,32 @@
-//! Until when an answer meets a request's latency objective, and until when it reaches anyone.
+//! The times until which an answer meets the latency objective of a request, and until which its
+//! client waits.
 //!
-//! The deadline is what the caller states, or else the client timeout of the handler, counted from
-//! the arrival at the machine: a request that stood unread has less time left. The latency
-//! objective may grow with the request's work but never beyond the deadline, so that no rule plans
-//! an answer for a client that has gone.
+//! The deadline is the one that the caller states, or else the client timeout of the handler,
+//! counted from the arrival at the machine: a request that waited unread has less time left. The
+//! latency objective may grow with the work of the request, but never beyond the deadline, so that
+//! no rule plans an answer for a client that has gone.
 
 use std::time::Duration;
 
 use crate::duration::duration_from_seconds;
 use crate::handlers::HandlerProfile;
 
-/// Both times, since the start of the process.
+/// The latency objective and the deadline, as times since the start of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Deadlines {
-    /// An answer until then meets the latency objective.
+    /// An answer by then meets the latency objective.
     pub(crate) objective_at: Duration,
     /// The client waits until then.
     pub(crate) deadline: Duration,
 }
 
-/// When a request arrived, and what its caller says of it.
+/// When a request arrived, and how long its caller waits.
 pub(crate) struct ArrivalTimes {
     /// The time since the start of the process.
     pub(crate) now: Duration,
     /// When it reached the machine.
     pub(crate) arrived_at: Duration,
-    /// How long its caller still waits, where the caller says so.
+    /// How long its caller still waits, if the caller states it.
     pub(crate) client_wait: Option<Duration>,
 }
 
--- a/src/requests/mod.rs
+++ b/src/requests/mod.rs
@@ -1,5 +1,5 @@
-//! The requests that a server knows, from arrival to release. No decision is taken here but that of
-//! a request's deadlines.
+//! The requests that a server knows, from arrival to release. The only decision taken here is on a
+//! request's deadlines.
 
 mod deadlines;
 mod request;
--- a/src/requests/request.rs
+++ b/src/requests/request.rs
@@ -1,10 +1,10 @@
-//! What the controller keeps of a request.
+//! The state that the controller keeps for each request.
 
 use std::time::Duration;
 
 use crate::event::HandlerIndex;
 
-/// Where a request stands.
+/// The stage of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// It waits for a core.
@@ -14,8 +14,9 @@
     Coalesced,
     /// It is on a core.
     Running,
-    /// It was started and is neither on a core nor at its dependency: it waits until its call is
-    /// made, or ends in this event, or is answered and kept until the host reports its end.
+    /// It was started, and is neither on a core nor at its dependency: it waits for its call to be
+    /// made, or ends during the present event, or was answered and is kept until the host reports
+    /// its end.
     OffCore,
     /// Its dependency call is in flight.
     Calling,
@@ -26,13 +27,13 @@
 pub(crate) struct Request {
     /// The handler that serves it.
     pub(crate) handler: HandlerIndex,
-    /// Its priority level; higher levels go first.
+    /// Its priority level; higher levels start first.
     pub(crate) level: usize,
     /// Kilobytes that it takes while it is queued.
     pub(crate) queued_kb: f64,
     /// Expected seconds on an average core.
     pub(crate) work_seconds: f64,
-    /// The work was not stated by the caller but learnt from its handler's runs.
+    /// The caller gave no estimate, so the work is that learnt from its handler's runs.
     pub(crate) work_is_learnt: bool,
     /// It belongs to the queue of long requests.
     pub(crate) is_long: bool,
@@ -42,13 +43,13 @@
     pub(crate) is_retry: bool,
     /// When it reached the machine.
     pub(crate) arrived_at: Duration,
-    /// An answer until then meets the latency objective.
+    /// An answer by then meets its latency objective.
     pub(crate) objective_at: Duration,
     /// Its client waits until then.
     pub(crate) deadline: Duration,
     /// Seconds that the process had been stalled before it arrived.
     pub(crate) stalled_before_seconds: f64,
-    /// Where it stands.
+    /// Its stage.
     pub(crate) stage: Stage,
     /// Seconds on a core before it last entered one.
     pub(crate) core_seconds: f64,
@@ -64,7 +65,7 @@
     pub(crate) calls_made: u32,
     /// The present call may be attempted again although it is optional.
     pub(crate) may_retry_call: bool,
-    /// Whether it makes its optional calls, once that is drawn.
+    /// Whether it makes its optional calls; `None` until this has been sampled.
     pub(crate) makes_optional_calls: Option<bool>,
     /// Its caller has its final answer, or is gone.
     pub(crate) is_answered: bool,
--- a/src/requests/table.rs
+++ b/src/requests/table.rs
@@ -9,8 +9,8 @@
 #[derive(Default)]
 pub(crate) struct RequestTable {
     slots: Vec<Option<Request>>,
-    /// Requests that wait until their call is made, in the order in which they reached it. Each is
-    /// [`Stage::OffCore`], but not each of those waits for a call.
+    /// Requests that wait for their call to be made, in the order in which they reached it. Each is
+    /// in [`Stage::OffCore`], but not every request in that stage waits for a call.
     awaiting_call: Vec<RequestIndex>,
     /// Requests on the cores.
     running: usize,
@@ -42,7 +42,7 @@
         self.slots[index] = Some(request);
     }
 
-    /// Removes a request and all that counts it.
+    /// Removes a request and subtracts it from the counts.
     pub(crate) fn remove(&mut self, request: RequestIndex) -> Option<Request> {
         let entry = self.slots.get_mut(request).and_then(Option::take)?;
         match entry.stage {
@@ -73,13 +73,13 @@
     }
 
     /// The number of requests that are on a core, at the dependency or waiting for their call. A
-    /// request that was answered while it waited is not counted any more, although its run ends
-    /// only when the host reports it.
+    /// request that was answered while it waited is no longer counted, although its run ends only
+    /// when the host reports it.
     pub(crate) fn started(&self) -> usize {
         self.running + self.calling + self.awaiting_call.len()
     }
 
-    /// The requests that wait until their call is made, in the order in which they reached it.
+    /// The requests that wait for their call to be made, in the order in which they reached it.
     pub(crate) fn awaiting_call(&self) -> &[RequestIndex] {
         &self.awaiting_call
     }
@@ -92,7 +92,7 @@
         self.running += 1;
     }
 
-    /// Takes a request off the cores, to wait at a call or to end.
+    /// Takes a request off the cores, to wait for a call or to end.
     pub(crate) fn leave_core(&mut self, request: RequestIndex, awake_seconds: f64) {
         let entry = &mut self[request];
         entry.core_seconds += awake_seconds - entry.on_core_since_seconds;
@@ -100,24 +100,24 @@
         self.running -= 1;
     }
 
-    /// A request starts to wait until its call is made.
+    /// Records that a request waits for its call to be made.
     pub(crate) fn await_call(&mut self, request: RequestIndex) {
         self.awaiting_call.push(request);
     }
 
-    /// A request no longer waits until its call is made.
+    /// Records that a request no longer waits for its call to be made.
     pub(crate) fn stop_awaiting_call(&mut self, request: RequestIndex) {
         self.awaiting_call.retain(|&other| other != request);
     }
 
-    /// The call of a request is in flight from now on.
+    /// Records that the call of a request is in flight.
     pub(crate) fn start_call(&mut self, request: RequestIndex) {
         self.stop_awaiting_call(request);
         self[request].stage = Stage::Calling;
         self.calling += 1;
     }
 
-    /// The call of a request is not in flight any more.
+    /// Records that the call of a request has ended.
     pub(crate) fn end_call(&mut self, request: RequestIndex) {
         self[request].stage = Stage::OffCore;
         self.calling -= 1;
--- a/src/requests/tests.rs
+++ b/src/requests/tests.rs
@@ -1,4 +1,4 @@
-//! Deadlines, and the counts of the request table.
+//! Tests of the deadlines and of the counts of the request table.
 
 use std::time::Duration;
 
--- a/src/tests/mod.rs
+++ b/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! A plain configuration that the tests of single rules share.
+//! The configuration that the unit tests of the rules share.
 
 use std::time::Duration;
 
