--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,21 +1,22 @@
 //! Anti-entropy: at intervals two members exchange their complete state (memberlist's push-pull).
 //!
-//! **Decision**: when this node exchanges its state, and with whom.
+//! **Decision**: when this node exchanges its state, and with which nodes.
 //!
 //! **When it binds**: every push-pull interval on average, and in every protocol period while the
 //! node has not joined yet.
 //!
-//! **Failure it guards against**: an update that was sent its number of times may have missed a
-//! member, and the halves of a cluster that was cut for long have declared each other dead and
-//! probe each other no more. That shows as views that stay different after the cut has healed. A
-//! node that tried one seed at a time did not join a zone that was cut off.
+//! **Failure it guards against**: an update may not have reached a member after its last
+//! transmission. After a long partition, the halves of a cluster have declared each other dead and
+//! no longer probe each other. The symptom is views that still differ after the partition has
+//! healed. A node in a partitioned zone that tried one seed at a time did not join its zone,
+//! because its attempts went to seeds on the other side of the partition.
 //!
-//! **Why it holds**: a complete state leaves nothing out. One member that is dead, or a seed that
-//! is no member, is tried each time, so that the halves find each other. A node that has not joined
-//! tries all of those: one that answers is enough.
+//! **Why it holds**: a complete state omits no member. One dead member, or one seed at which no
+//! member is known, is contacted each time, so that the halves find each other. A node that has not
+//! joined contacts all of these, so one that answers is enough.
 //!
-//! **Price**: in each interval every member sends a message as large as the cluster to a live
-//! member, and one more message to a contact that may not answer.
+//! **Price**: in each interval every member sends a message whose size grows with the cluster to a
+//! live member, and one more message to a contact that may not answer.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -23,11 +24,11 @@
 
 use crate::node::Recipient;
 
-/// The least time between two exchanges, as a fraction of the interval.
+/// The minimum time between two exchanges, as a fraction of the interval.
 const MIN_JITTER: f64 = 0.75;
 
-/// The width of the range from which the time between two exchanges is drawn, as a fraction of the
-/// interval. With jitter, members that were started together do not exchange at the same time.
+/// The width of the range from which the time between two exchanges is sampled, as a fraction of
+/// the interval. The jitter keeps members that start together from exchanging at the same time.
 const JITTER_WIDTH: f64 = 0.5;
 
 /// When the next exchange is due.
@@ -38,24 +39,24 @@
 }
 
 impl PushPullSchedule {
-    /// Sets the first exchange.
+    /// Sets the time of the first exchange.
     pub(crate) fn start_at(&mut self, at: Duration) {
         self.next_at = at;
     }
 
-    /// Whether an exchange is due.
+    /// Whether an exchange is due. It always is before the node has joined.
     pub(crate) fn is_due(&self, now: Duration, has_joined: bool) -> bool {
         now >= self.next_at || !has_joined
     }
 
-    /// Draws the time of the next exchange.
+    /// Samples the time of the next exchange.
     pub(crate) fn plan_next(&mut self, now: Duration, interval: Duration, rng: &mut fastrand::Rng) {
         let jitter = MIN_JITTER + rng.f64() * JITTER_WIDTH;
         self.next_at = now + interval.mul_f64(jitter);
     }
 }
 
-/// With whom this node may exchange its state.
+/// The nodes with which this node may exchange its state.
 pub(crate) struct Candidates<'a> {
     /// The members that are alive or suspect.
     pub(crate) live: Vec<Recipient>,
@@ -69,16 +70,17 @@
     pub(crate) has_joined: bool,
 }
 
-/// With whom this node exchanges its state now.
+/// The nodes with which this node exchanges its state now.
 pub(crate) struct Partners {
-    /// A live member, where there is one.
+    /// A live member, if there is one.
     pub(crate) live: Option<Recipient>,
-    /// Dead members and seeds at which no member is known, to be tried.
+    /// Dead members, and seeds at which no member is known, that are contacted in case they answer.
     pub(crate) rejoin: Vec<Recipient>,
 }
 
-/// Chooses one live member, and one contact through which the halves of a cluster may find each
-/// other; all such contacts where this node has not joined.
+/// Selects one live member, and one dead member or unknown seed through which the halves of a
+/// partitioned cluster may find each other. Before this node has joined, all dead members and
+/// unknown seeds are selected.
 pub(crate) fn choose_partners(candidates: Candidates<'_>, rng: &mut fastrand::Rng) -> Partners {
     let has_joined = candidates.has_joined;
     let unknown_seeds = unknown_seeds(&candidates);
@@ -91,9 +93,9 @@
     Partners { live, rejoin }
 }
 
-/// The seeds at which no member is known, without this node itself. A dead member is tried by its
-/// name: a seed without a name is only asked to let this node join, and would not learn that it was
-/// declared dead.
+/// The seeds at which no member is known, except the address of this node. A dead member at the
+/// address of a seed is contacted by its name: a contact without a name receives only a join
+/// request, and would not learn that it was declared dead.
 fn unknown_seeds(candidates: &Candidates<'_>) -> Vec<Recipient> {
     let members = candidates.live.iter().chain(&candidates.dead);
     let addresses: BTreeSet<SocketAddr> = members.map(|recipient| recipient.address).collect();
--- a/crates/membership/src/broadcast_queue.rs
+++ b/crates/membership/src/broadcast_queue.rs
@@ -1,19 +1,20 @@
-//! The broadcast queue: updates that ride on the messages of the failure detector.
+//! The broadcast queue: updates that are piggybacked on the messages of the failure detector.
 //!
 //! **Decision**: which updates a message carries, and when an update has been sent often enough.
 //!
-//! **When it binds**: on every message but push-pull (which carries the complete state) and the
-//! answer to a name conflict. The limit on updates for a message binds after many changes at once,
-//! such as a partition.
+//! **When it binds**: on every message except push-pull (which carries the complete state), an
+//! update that is sent directly, and the answer to a name conflict. The limit on updates per
+//! message takes effect after many simultaneous changes, such as a partition.
 //!
-//! **Failure it guards against**: without the limit on transmissions every message would carry
-//! every update for ever; without the order by transmissions, older updates would hold up new ones.
-//! Both show as messages that grow with the cluster, and as views that differ for long.
+//! **Failure it guards against**: without the limit on transmissions, every message would carry
+//! every update indefinitely; without the order by transmissions, older updates would delay new
+//! ones. The symptoms are messages that grow with the cluster and views that differ for a long
+//! time.
 //!
-//! **Why it holds**: an infection reaches all members after a number of rounds that grows with the
-//! logarithm of their number (SWIM, section 4.1); what is missed all the same, push-pull repairs.
-//! The update about the recipient goes first, so that a suspect can refute (Lifeguard's Buddy
-//! System).
+//! **Why it holds**: an update reaches all members after a number of rounds that grows with the
+//! logarithm of the number of members (SWIM, section 4.1); push-pull repairs updates that a member
+//! missed. The update about the recipient is sent first, so that a suspect can refute (Lifeguard's
+//! Buddy System).
 //!
 //! **Price**: each change costs about `retransmit_mult * log2(members)` transmissions from each
 //! member.
@@ -23,32 +24,32 @@
 use crate::message::MemberUpdate;
 use crate::node::NodeName;
 
-/// The nodes that count for the transmission limit beside the other live members: this node, and
-/// one more, since the logarithm for a lone node would be 0.
+/// The nodes that the transmission limit counts in addition to the other live members: this node,
+/// and one more because the logarithm would be 0 for a lone node.
 const UNCOUNTED_NODES: usize = 2;
 
-/// How often an update is sent before it leaves the queue. `live_members` are those other than this
-/// node.
+/// How many times an update is sent before it leaves the queue. `live_members` is the number of
+/// other members that are alive or suspect.
 pub(crate) fn max_transmissions(retransmit_mult: f64, live_members: usize) -> u32 {
     let cluster_size = live_members + UNCOUNTED_NODES;
     (retransmit_mult * (cluster_size as f64).log2()).ceil() as u32
 }
 
-/// What a message may carry.
+/// The limits on the updates of a message.
 pub(crate) struct MessageLimits {
-    /// The most updates in the message.
+    /// The maximum number of updates in the message.
     pub(crate) max_updates: usize,
-    /// How often an update is sent before it leaves the queue; see [`max_transmissions`].
+    /// How many times an update is sent before it leaves the queue; see [`max_transmissions`].
     pub(crate) max_transmissions: u32,
 }
 
-/// An update and how often it was sent.
+/// An update and the number of times it was sent.
 struct Broadcast {
     transmissions: u32,
     update: MemberUpdate,
 }
 
-/// The updates to be sent, one for each member at most.
+/// The updates to send, at most one for each member.
 #[derive(Default)]
 pub(crate) struct BroadcastQueue {
     broadcasts: BTreeMap<NodeName, Broadcast>,
@@ -65,8 +66,9 @@
             .insert(broadcast.update.node.name.clone(), broadcast);
     }
 
-    /// Takes the updates for one message: first the one about `recipient`, then those sent least
-    /// often, each group in the order of their names.
+    /// Returns the updates for one message: first the one about `recipient`, then the others, the
+    /// least sent first and ties in the order of names. Updates that reach the limit of
+    /// transmissions leave the queue.
     pub(crate) fn take(
         &mut self,
         limits: &MessageLimits,
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,4 +1,4 @@
-//! The parameters of the membership protocol, named as memberlist names them, and their check.
+//! The parameters of the membership protocol, mostly with memberlist's names, and their validation.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -6,16 +6,16 @@
 
 use crate::node::{MAX_NAME_BYTES, Node, is_valid_name};
 
-/// Every interval and every time limit is shorter than this.
+/// The exclusive upper bound of each interval and timeout.
 const MAX_INTERVAL: Duration = Duration::from_secs(3600);
 
 /// The range of the parameters that multiply an interval or a count.
 const MULTIPLIER_RANGE: RangeInclusive<f64> = 1.0..=100.0;
 
-/// The range of the updates that a message carries.
+/// The range of [`Config::max_updates_per_message`].
 const UPDATES_PER_MESSAGE_RANGE: RangeInclusive<usize> = 1..=1000;
 
-/// The range of the other members that are recorded.
+/// The range of [`Config::max_members`].
 const MEMBERS_RANGE: RangeInclusive<usize> = 1..=100_000;
 
 /// How an error describes the range of an interval.
@@ -29,27 +29,28 @@
 pub struct Config {
     /// The protocol period: the time between two probes. Over zero, under an hour.
     pub probe_interval: Duration,
-    /// How long a direct probe waits for its answer before others are asked; less than half of the
-    /// probe interval.
+    /// How long this node waits for the answer to a direct probe before it asks relays; less than
+    /// half of the probe interval.
     pub probe_timeout: Duration,
     /// The number of members that are asked to probe a member that did not answer (SWIM's `k`).
     pub indirect_checks: usize,
-    /// The shortest time that a suspicion stands, in probe intervals times the decimal logarithm of
-    /// the number of members (at least 1). From 1 to 100.
+    /// The shortest duration of a suspicion, in probe intervals times the decimal logarithm of the
+    /// number of members (at least 1). From 1 to 100.
     pub suspicion_mult: f64,
-    /// The longest time that a suspicion stands, where nobody else confirms it, in multiples of the
-    /// shortest. From 1 to 100.
+    /// The longest duration of a suspicion, which applies while no other member confirms it, in
+    /// multiples of the shortest. From 1 to 100.
     pub suspicion_max_timeout_mult: f64,
-    /// The worst score of the local health (Lifeguard's and memberlist's "awareness"): a node with
-    /// this score stretches its intervals and time limits by a factor of one more. With 0 the
+    /// The worst local health score (Lifeguard's and memberlist's "awareness"): a node multiplies
+    /// its probe interval, probe timeout and suspicion timeouts by its score plus one. With 0 the
     /// protocol is plain SWIM.
     pub max_awareness: u32,
-    /// How often an update is sent, in multiples of the binary logarithm of the number of members.
-    /// From 1 to 100.
+    /// How many times an update is sent, in multiples of the binary logarithm of the number of
+    /// members. From 1 to 100.
     pub retransmit_mult: f64,
-    /// The most updates that a message of the failure detector carries. From 1 to 1,000.
+    /// The maximum number of updates in a message of the failure detector. From 1 to 1,000.
     pub max_updates_per_message: usize,
-    /// The most other members that are recorded, dead ones included. From 1 to 100,000.
+    /// The maximum number of other members that are recorded, including dead ones. From 1 to
+    /// 100,000.
     pub max_members: usize,
     /// The time between two exchanges of the complete state, on average. Over zero, under an hour.
     pub push_pull_interval: Duration,
--- a/crates/membership/src/dependency_probe.rs
+++ b/crates/membership/src/dependency_probe.rs
@@ -1,35 +1,36 @@
-//! Probing of a dependency that all processes of a zone share, such as a store: one process finds
-//! out that it is down and notifies the others.
+//! Probing of a dependency that all processes of a zone share, such as a store: one process detects
+//! that it is down and notifies the others.
 //!
 //! **Decision**: which process probes (by a lease), when it publishes that the dependency is down,
 //! and whether a process fails its calls without making them.
 //!
-//! **When it binds**: a process whose calls are refused several times in a row wants the lease on
-//! probing. The lease holder alone probes, and publishes a verdict while the dependency does not
-//! answer. The other processes fail their calls while they see a verdict that has not expired.
+//! **When it binds**: a process whose calls are refused several times in a row requests the lease
+//! on probing. Only the lease holder probes, and it publishes a verdict while the dependency does
+//! not answer. The other processes fail their calls while they see a verdict that has not expired.
 //!
-//! **Failure it guards against**: every process keeps calling a dependency that is down. That shows
-//! as requests that spend their time on calls which all fail, and as a load of calls on a
+//! **Failure it guards against**: every process keeps calling a dependency that is down. The
+//! symptoms are requests that spend their time on calls that all fail, and a load of calls on a
 //! dependency that is about to recover.
 //!
-//! **Why it holds**: the lease has one holder at a time. The holder renews its verdict, and one
-//! that is not renewed expires after [`VERDICT_TTL`], so that a prober that died blocks no calls
-//! for longer.
+//! **Why it holds**: the lease has one holder at a time. The holder renews its verdict, and a
+//! verdict that is not renewed expires after [`VERDICT_TTL`], so a prober that has died does not
+//! block calls for longer.
 //!
-//! **Price**: calls fail for up to a probe interval and the time of dissemination after the
-//! dependency has recovered.
+//! **Price**: after the dependency has recovered, calls still fail for up to a probe interval plus
+//! the time of dissemination.
 //!
-//! Like the membership, this is a state machine without I/O and without a clock.
+//! Like [`Membership`](crate::Membership), this is a state machine without I/O and without a clock.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::node::NodeName;
 
-/// After how many calls refused in a row a process suspects the dependency to be down.
+/// The number of consecutive refused calls after which a process suspects that the dependency is
+/// down.
 pub const SUSPECT_AFTER_REFUSALS: u32 = 3;
 
-/// After how many probes failed in a row the lease holder publishes a verdict.
+/// The number of consecutive failed probes after which the lease holder publishes a verdict.
 pub const DOWN_AFTER_FAILURES: u32 = 2;
 
 /// The time between two probes.
@@ -38,15 +39,16 @@
 /// The time between two renewals of a verdict.
 pub const VERDICT_RENEWAL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long a verdict of another process holds without being renewed: two renewals may be missed.
+/// How long a verdict of another process is valid without renewal: two renewals may be missed.
 pub const VERDICT_TTL: Duration = Duration::from_secs(6);
 
 /// A verdict that a live member of the zone has published in its metadata.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// The member.
+    /// The member that published the verdict.
     pub member: NodeName,
-    /// The published text. It changes with each renewal; its meaning is the prober's own.
+    /// The published text. It changes with each renewal. Other processes compare it with the last
+    /// one and do not interpret it.
     pub text: String,
 }
 
@@ -59,14 +61,14 @@
     Failed,
 }
 
-/// What the process knows when it calls [`DependencyProber::update`].
+/// The input of [`DependencyProber::update`].
 #[derive(Clone, Debug, Default)]
 pub struct Input<'a> {
-    /// The number of calls refused in a row up to now.
+    /// The number of consecutive refused calls up to now.
     pub consecutive_refusals: u32,
     /// Whether this process holds the lease on probing.
     pub has_lease: bool,
-    /// The outcome of the probe that the last output asked for, where there was one.
+    /// The outcome of the probe that the last output requested, if there was one.
     pub probe_outcome: Option<ProbeOutcome>,
     /// The verdicts of the other live members of the zone.
     pub verdicts: &'a [Verdict],
@@ -81,24 +83,24 @@
     Withdraw,
 }
 
-/// What the process is to do.
+/// The output of [`DependencyProber::update`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Output {
     /// Whether to acquire or keep the lease on probing.
     pub should_have_lease: bool,
     /// Whether to probe the dependency now.
     pub should_probe: bool,
-    /// The change of the published verdict, where there is one.
+    /// The change of the published verdict, if there is one.
     pub verdict_change: Option<VerdictChange>,
     /// Whether to fail calls to the dependency without making them.
     pub is_down: bool,
 }
 
-/// A verdict of another member, and since when it has this text.
+/// A verdict of another member, and the time at which its text last changed.
 #[derive(Debug)]
 struct ObservedVerdict {
     text: String,
-    /// On the clock of the process that observes it.
+    /// On the clock of the observing process.
     since: Duration,
 }
 
@@ -109,7 +111,8 @@
 }
 
 impl ObservedVerdicts {
-    /// Takes the verdicts that are published now; one whose text has changed was renewed.
+    /// Replaces the observed verdicts with those published now. A verdict whose text has changed
+    /// was renewed.
     fn observe(&mut self, now: Duration, verdicts: &[Verdict]) {
         self.by_member
             .retain(|name, _| verdicts.iter().any(|verdict| verdict.member == *name));
@@ -126,7 +129,7 @@
         }
     }
 
-    /// Whether a verdict holds.
+    /// Whether any verdict is still valid.
     fn is_down(&self, now: Duration) -> bool {
         self.by_member
             .values()
@@ -137,14 +140,14 @@
 /// The verdict of this process.
 #[derive(Debug, Default)]
 struct OwnVerdict {
-    /// The number of the last one that was published. It makes each text another.
+    /// The number of the last published verdict, which makes each text unique.
     number: u64,
-    /// When it was last published; `None` where there is none.
+    /// When the verdict was last published; `None` if none is published.
     published_at: Option<Duration>,
 }
 
 impl OwnVerdict {
-    /// Publishes a verdict or renews it, where that is due.
+    /// Publishes or renews the verdict, if that is due.
     fn renew(&mut self, now: Duration) -> Option<VerdictChange> {
         let is_due = self
             .published_at
@@ -157,17 +160,17 @@
         Some(VerdictChange::Publish(format!("down {}", self.number)))
     }
 
-    /// Removes the verdict, where there is one.
+    /// Removes the verdict, if there is one.
     fn withdraw(&mut self) -> Option<VerdictChange> {
         self.published_at.take().map(|_| VerdictChange::Withdraw)
     }
 }
 
-/// The state of one process for one dependency. It owns the process's own verdict and its memory of
-/// those of others.
+/// The state of one process for one dependency. It owns the verdict of this process and the
+/// observed verdicts of the others.
 #[derive(Debug, Default)]
 pub struct DependencyProber {
-    /// The number of probes failed in a row, while this process has the lease.
+    /// The number of consecutive failed probes while this process holds the lease.
     consecutive_failures: u32,
     /// When the next probe is due, on the clock of the inputs.
     next_probe_at: Duration,
@@ -176,7 +179,7 @@
 }
 
 impl DependencyProber {
-    /// Takes what is known at `now` and returns what follows. To be called several times in a
+    /// Processes the input at `now` and returns the output. To be called several times per
     /// [`PROBE_INTERVAL`].
     pub fn update(&mut self, now: Duration, input: &Input) -> Output {
         self.observed.observe(now, input.verdicts);
@@ -201,7 +204,7 @@
         }
     }
 
-    /// The dependency has answered: the lease and the verdict go.
+    /// Handles an answer of the dependency: releases the lease and withdraws the verdict.
     fn finish_probing(&mut self) -> Output {
         self.consecutive_failures = 0;
         Output {
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -7,7 +7,7 @@
 use crate::metadata::MetadataError;
 use crate::node::NodeName;
 
-/// What has happened to the host. Handed to
+/// An input of the state machine, passed to
 /// [`Membership::handle_events`](crate::Membership::handle_events).
 #[derive(Clone, Debug)]
 pub enum Event {
@@ -15,26 +15,26 @@
     Started,
     /// A message has arrived.
     Received {
-        /// The address to which an answer goes.
+        /// The address of the sender, to which answers are sent.
         from: SocketAddr,
         /// The message.
         message: Message,
     },
-    /// The time of the last [`Action::SetTimer`] has come.
+    /// The time of the last [`Action::SetTimer`] has been reached.
     TimerExpired,
-    /// The process is about to end and leaves the cluster. Later events have no effect.
+    /// The process is about to terminate and leaves the cluster. Later events have no effect.
     Leave,
     /// The host publishes an entry of this node's metadata.
     SetMetadata {
         /// The key, 1 to [`MAX_METADATA_TEXT_BYTES`](crate::MAX_METADATA_TEXT_BYTES) bytes.
         key: String,
-        /// The value, of up to the same length, or nothing to remove the entry.
+        /// The value, up to the same length, or `None` to remove the entry.
         value: Option<String>,
     },
 }
 
-/// What the host is to do. Returned by
-/// [`Membership::handle_events`](crate::Membership::handle_events).
+/// An output of the state machine, returned by
+/// [`Membership::handle_events`](crate::Membership::handle_events) for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a message. It may get lost.
@@ -44,13 +44,13 @@
         /// The message.
         message: Message,
     },
-    /// Hand in [`Event::TimerExpired`] at this time, on the clock of the events. An earlier timer
-    /// takes the place of a later one; an event for a timer that was replaced is ignored.
+    /// Pass in [`Event::TimerExpired`] at this time, on the clock of the events. An earlier timer
+    /// replaces a later one; the event of a replaced timer is ignored.
     SetTimer {
         /// The time.
         at: Duration,
     },
-    /// The state of a member has changed as this node sees it.
+    /// The state of a member has changed in the view of this node.
     StateChanged {
         /// The member.
         name: NodeName,
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,21 +1,22 @@
 //! SWIM's failure detector: in each protocol period one member is probed, directly and then through
-//! others.
+//! relays.
 //!
-//! **Decision**: when others are asked to probe the target, which ones, and which conclusion about
-//! the target is drawn from the period's probe at its end.
+//! **Decision**: when relays are asked to probe the target, which members are asked, and how the
+//! probe is concluded at the end of the period.
 //!
-//! **When it binds**: relays are asked where the target has not answered within the probe timeout;
-//! the verdict falls at the end of the period.
+//! **When it binds**: relays are asked if the target has not answered within the probe timeout; the
+//! outcome is decided at the end of the period.
 //!
-//! **Failure it guards against**: a lost message or a cut link between two nodes would look like a
-//! crash of the target. That shows as false positives which one member reports, and as a zone that
-//! is declared dead by the other side of a cut.
+//! **Failure it guards against**: a lost message or a broken link between two nodes would look like
+//! a crash of the target. The symptoms are false positives that a single member reports, and a zone
+//! that the other side of a network partition declares dead.
 //!
-//! **Why it holds**: relays reach the target on other links. An answer to one of them shows that
-//! the target lives; their reports of no answer (Lifeguard's nack) show that this node is reached,
-//! so that the target is at fault.
+//! **Why it holds**: relays reach the target over other links. An answer to one of them shows that
+//! the target is alive. Reports that the target did not answer (Lifeguard's nack) show that
+//! messages reach this node, so the target is at fault.
 //!
-//! **Price**: `indirect_checks` relays, four messages each, for every probe that is not answered.
+//! **Price**: up to `indirect_checks` relays, with up to four messages each, for every probe that
+//! is not answered.
 //!
 //! Source: SWIM, section 3.1 (failure detector); Lifeguard (nack).
 
@@ -24,15 +25,15 @@
 use crate::message::{RelayedProbeOutcome, SequenceNumber};
 use crate::node::{NodeName, Recipient};
 
-/// How far a probe has come.
+/// The phase of a probe.
 enum ProbePhase {
     /// The target was pinged.
     Direct,
     /// The target did not answer in time; relays were asked to ping it.
     Indirect {
-        /// Relays that have not reported yet.
+        /// The number of relays that have not reported yet.
         pending_relays: usize,
-        /// Whether a relay got an answer of the target.
+        /// Whether a relay got an answer from the target.
         is_acked_by_relay: bool,
     },
 }
@@ -46,15 +47,15 @@
     phase: ProbePhase,
 }
 
-/// What is known at the end of a period about a probe that got no direct answer.
+/// The outcome of a probe that got no direct answer by the end of its period.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum FailedProbe {
-    /// A relay got an answer: the target lives and the link to it is cut.
+    /// A relay got an answer: the target is alive and the link to it is broken.
     AnsweredRelayOnly {
         /// The member that was probed.
         target: NodeName,
     },
-    /// Nobody is known to have had an answer.
+    /// No relay reported an answer.
     Unanswered {
         /// The member that was probed.
         target: NodeName,
@@ -63,22 +64,23 @@
     },
 }
 
-/// The probe of the current protocol period, and the numbers of all probes of this node.
+/// The probe of the current protocol period, and the source of sequence numbers for all probes of
+/// this node.
 #[derive(Default)]
 pub(crate) struct FailureDetector {
-    /// `None` once the target has answered.
+    /// `None` without a probe, or once the target has answered.
     probe: Option<Probe>,
     last_sequence_number: SequenceNumber,
 }
 
 impl FailureDetector {
-    /// Draws the number of a probe, own or relayed.
+    /// Assigns a sequence number to a probe, either this node's own or a relayed one.
     pub(crate) fn next_sequence_number(&mut self) -> SequenceNumber {
         self.last_sequence_number.0 += 1;
         self.last_sequence_number
     }
 
-    /// Starts the probe of a period and returns its number.
+    /// Starts the probe of a period and returns its sequence number.
     pub(crate) fn start_probe(&mut self, target: NodeName, now: Duration) -> SequenceNumber {
         let sequence_number = self.next_sequence_number();
         self.probe = Some(Probe {
@@ -90,13 +92,13 @@
         sequence_number
     }
 
-    /// When relays are to be asked, where a probe still waits for its direct answer.
+    /// When relays have to be asked, if the probe still waits for its direct answer.
     pub(crate) fn direct_deadline(&self, probe_timeout: Duration) -> Option<Duration> {
         let probe = self.probe.as_ref()?;
         matches!(probe.phase, ProbePhase::Direct).then(|| probe.started_at + probe_timeout)
     }
 
-    /// The target that has not answered within `probe_timeout`, where relays were not asked yet.
+    /// The target that has not answered within `probe_timeout`, if relays were not asked yet.
     pub(crate) fn overdue_target(
         &self,
         now: Duration,
@@ -107,7 +109,8 @@
         (now >= deadline).then_some(&probe.target)
     }
 
-    /// Notes that relays are asked to ping the target. Returns the number under which they report.
+    /// Records that relays are asked to ping the target. Returns the sequence number for their
+    /// reports.
     pub(crate) fn start_indirect_probe(&mut self, relays: usize) -> Option<SequenceNumber> {
         let probe = self.probe.as_mut()?;
         probe.phase = ProbePhase::Indirect {
@@ -117,15 +120,15 @@
         Some(probe.sequence_number)
     }
 
-    /// Takes an answer. Returns whether it answers the probe of this period: another node that has
-    /// the address of the target now is no answer.
+    /// Handles an ack, which ends the probe of this period if it answers that probe. Returns
+    /// whether it does: an ack from another node that now has the target's address does not.
     pub(crate) fn take_ack(&mut self, from: &NodeName, sequence_number: SequenceNumber) -> bool {
         self.probe
             .take_if(|probe| probe.sequence_number == sequence_number && probe.target == *from)
             .is_some()
     }
 
-    /// Takes the report of a relay.
+    /// Records the report of a relay.
     pub(crate) fn record_relay_report(
         &mut self,
         sequence_number: SequenceNumber,
@@ -146,7 +149,7 @@
         }
     }
 
-    /// Ends the probe of a period. Returns what is known of it, where it got no direct answer.
+    /// Ends the probe of a period. Returns its outcome if it got no direct answer.
     pub(crate) fn finish_probe(&mut self) -> Option<FailedProbe> {
         let Probe { target, phase, .. } = self.probe.take()?;
         Some(match phase {
@@ -166,8 +169,8 @@
     }
 }
 
-/// Chooses the members that are asked to probe a target: random ones, `indirect_checks` at the
-/// most. `candidates` are the alive members without the target.
+/// Selects random members, up to `indirect_checks`, as relays. `candidates` are the alive members
+/// without the target.
 pub(crate) fn choose_relays(
     mut candidates: Vec<Recipient>,
     indirect_checks: usize,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,21 +1,22 @@
 //! Cluster membership: which processes belong to a cluster, which of them are alive, and which of
-//! them can reach which.
+//! them can reach each other.
 //!
-//! The crate is a state machine without I/O and without a clock. The host hands in [`Event`]s
-//! together with the time that has passed since it started, and carries out the [`Action`]s that
-//! come back: send a message, set a timer, note that the state of a member has changed. All random
-//! choices come from the seed, so that a run can be repeated.
+//! The crate is a state machine without I/O and without a clock. The host passes in [`Event`]s with
+//! the time elapsed since it started, and carries out the [`Action`]s that are returned: send a
+//! message, set a timer, record that the state of a member has changed. All random choices derive
+//! from the seed, so a run can be reproduced.
 //!
-//! What it decides:
+//! It is responsible for:
 //!
 //! - **Failure detection**: [`Membership`] probes one member in each protocol period, directly and
-//!   then through others, and declares a member dead when nobody gets an answer from it and it does
-//!   not refute the suspicion in time.
-//! - **Dissemination**: updates about members ride on the messages of the failure detector, and the
-//!   complete state is exchanged with a random member at a longer interval (push-pull).
-//! - **Reachability**: the answers of other members tell a crashed member from a cut link between
-//!   two live ones ([`Reachability`]).
-//! - **Name conflicts**: of two processes under one name all members keep the same one, and the
+//!   then through relays. It declares a member dead that answers neither and does not refute the
+//!   suspicion in time.
+//! - **Dissemination**: updates about members are piggybacked on the messages of the failure
+//!   detector, and the complete state is exchanged with a random member at a longer interval
+//!   (push-pull).
+//! - **Reachability**: the reports of relays distinguish a crashed member from a broken link
+//!   between two live ones ([`Reachability`]).
+//! - **Name conflicts**: if two processes use one name, all members keep the same process and the
 //!   other stops.
 //! - **Dependency probing**: [`dependency_probe`] decides which process of a zone probes a
 //!   dependency that is down.
@@ -26,8 +27,8 @@
 //! 2017). `docs/design-cluster.md` has a table of the rules with their files, the alternatives and
 //! the measurements.
 //!
-//! Each rule is a module of its own: a part with its own state, or a function, which decides on
-//! named inputs. [`Membership`] owns the parts and drives them.
+//! Each rule has its own module: a component with its own state, or a function, that decides on
+//! named inputs. [`Membership`] owns the components and drives them.
 //!
 //! ```
 //! use std::time::Duration;
--- a/crates/membership/src/local_node.rs
+++ b/crates/membership/src/local_node.rs
@@ -1,8 +1,8 @@
-//! What this node announces of itself.
+//! The update that this node announces about itself.
 //!
-//! Every change that others have to see goes out under a new incarnation: at the same incarnation
-//! an update of the same state does not override the one that others have recorded, and the change
-//! would stay unknown to them.
+//! Every change that other members have to see is announced under a new incarnation: at the same
+//! incarnation, an update with the same state does not override the recorded one, and the other
+//! members would not learn of the change.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crate::metadata::{MetadataError, with_entry};
 use crate::node::{Node, NodeName};
 
-/// The update of this node about itself. No other part raises its incarnation.
+/// The update of this node about itself. No other component raises its incarnation.
 pub(crate) struct LocalNode {
     update: MemberUpdate,
 }
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The update that holds now.
+    /// The current update.
     pub(crate) fn update(&self) -> &MemberUpdate {
         &self.update
     }
@@ -41,23 +41,23 @@
         &self.update.node.name
     }
 
-    /// Raises the incarnation above one that other members know; it never falls.
+    /// Raises the incarnation above one that other members know; it never decreases.
     pub(crate) fn raise_incarnation_above(&mut self, known: Incarnation) {
         self.update.incarnation = known.next().max(self.update.incarnation);
     }
 
-    /// Announces that this node leaves the cluster. The incarnation stays: `Left` overrides every
-    /// other state of it.
+    /// Announces that this node leaves the cluster. The incarnation stays the same: `Left`
+    /// overrides every other state at the same incarnation.
     pub(crate) fn leave(&mut self) {
         self.update.state = MemberState::Left;
     }
 
-    /// Sets an entry of the metadata, or removes it where there is no value. Returns whether there
-    /// is a change to announce.
+    /// Sets an entry of the metadata, or removes it if `value` is `None`. Returns whether there is
+    /// a change to announce.
     ///
     /// # Errors
     ///
-    /// [`MetadataError`] where the entry is out of bounds.
+    /// [`MetadataError`] if the entry is out of bounds.
     pub(crate) fn set_metadata(
         &mut self,
         key: &str,
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,17 +1,17 @@
 //! The records of the other members.
 //!
-//! **Decision**: what an update about another member changes. Which update holds is the rule of
-//! [`update_precedence`](crate::update_precedence).
+//! **Decision**: what an update about another member changes.
+//! [`update_precedence`](crate::update_precedence) decides which of two updates takes precedence.
 //!
-//! **When it binds**: on each well-formed update about a member other than this node.
+//! **When it binds**: on each well-formed update about another member.
 //!
-//! **Failure it guards against**: an older update that is still on its way would bring a dead
-//! member back, and updates with invented names would fill the memory.
+//! **Failure it guards against**: an older update that arrives late would resurrect a dead member,
+//! and updates with invented names would exhaust the memory.
 //!
-//! **Why it holds**: a dead member stays on record for a time, so that the older update is known to
-//! be older; the number of records is bounded.
+//! **Why it holds**: a dead member stays recorded for a retention time, so that a late update is
+//! recognized as older. The number of records is bounded.
 //!
-//! **Price**: members beyond the bound are not seen at all. They are counted in
+//! **Price**: members beyond the bound are not recorded at all. Updates about them are counted in
 //! [`Membership::ignored_updates`](crate::Membership::ignored_updates).
 
 use std::collections::BTreeMap;
@@ -23,32 +23,32 @@
 use crate::suspicion::{Suspicion, SuspicionParameters};
 use crate::update_precedence::{overrides, precedence};
 
-/// A member as this node sees it; a copy for the host.
+/// A copy of a member's record for the host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberRecord {
-    /// The last update that holds.
+    /// The update that is in effect.
     pub update: MemberUpdate,
-    /// Since when the member has this state, on the clock of the events.
+    /// When the member entered this state, on the clock of the events.
     pub state_since: Duration,
-    /// The members that suspect it.
+    /// The members that suspect this member.
     pub suspected_by: Vec<NodeName>,
-    /// How this node reaches it.
+    /// How this node reaches the member.
     pub reachability: Reachability,
 }
 
 /// The record of a member. Owned by the [`MemberTable`].
 pub(crate) struct Member {
     update: MemberUpdate,
-    /// Since when the member has this state, on the clock of the events.
+    /// When the member entered this state, on the clock of the events.
     state_since: Duration,
-    /// The suspicion, exactly where the state is suspect.
+    /// Set exactly while the state is `Suspect`.
     suspicion: Option<Suspicion>,
-    /// What is known of the link to the member.
+    /// The state of the link from this node to the member.
     link: LinkState,
 }
 
 impl Member {
-    /// The update that holds.
+    /// The update that is in effect.
     pub(crate) fn update(&self) -> &MemberUpdate {
         &self.update
     }
@@ -66,7 +66,7 @@
         }
     }
 
-    /// What is known of the link to the member.
+    /// The state of the link from this node to the member.
     pub(crate) fn link_mut(&mut self) -> &mut LinkState {
         &mut self.link
     }
@@ -86,32 +86,32 @@
     }
 }
 
-/// The bounds of what the table takes from updates.
+/// The limits on records and confirmations in the table.
 pub(crate) struct TableLimits {
-    /// The most records; [`Config::max_members`](crate::Config::max_members).
+    /// The maximum number of records; [`Config::max_members`](crate::Config::max_members).
     pub(crate) max_members: usize,
-    /// The most confirmations that shorten a suspicion;
+    /// The maximum number of confirmations that shorten a suspicion;
     /// [`Config::indirect_checks`](crate::Config::indirect_checks).
     pub(crate) max_confirmations: usize,
 }
 
-/// What an update has changed.
+/// The effect of an update on the table.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum UpdateEffect {
-    /// Nothing: it is known or out of date.
+    /// None: the update is known or out of date.
     Ignored,
-    /// Nothing, since the table is full.
+    /// None: the update is about a new member and the table is full.
     TableFull,
-    /// It confirms a suspicion, whose time limit is shorter now.
+    /// The update confirms a suspicion and shortens its time limit.
     SuspicionConfirmed,
-    /// It is recorded and holds from now on.
+    /// The update is recorded.
     Recorded {
-        /// Whether the state of the member is another than before.
+        /// Whether the member is new or its state has changed.
         has_state_changed: bool,
     },
 }
 
-/// The members that are recorded, by name, without this node itself.
+/// The records of the other members, by name.
 #[derive(Default)]
 pub(crate) struct MemberTable {
     members: BTreeMap<NodeName, Member>,
@@ -145,17 +145,17 @@
             .filter(|member| member.link.is_directly_unreachable())
     }
 
-    /// The member of a name, where it is recorded.
+    /// The member with a name, if it is recorded.
     pub(crate) fn get(&self, name: &str) -> Option<&Member> {
         self.members.get(name)
     }
 
-    /// The member of a name, where it is recorded, to note what was learned of its link.
+    /// The member with a name, if it is recorded, to change its link state.
     pub(crate) fn get_mut(&mut self, name: &str) -> Option<&mut Member> {
         self.members.get_mut(name)
     }
 
-    /// The member of a name, where it is alive or suspect.
+    /// The member with a name, if it is alive or suspect.
     pub(crate) fn get_live(&self, name: &str) -> Option<&Member> {
         self.get(name).filter(|member| member.is_live())
     }
@@ -182,8 +182,8 @@
             if is_full {
                 return UpdateEffect::TableFull;
             }
-            // An unknown member that is dead is recorded too: otherwise an older update would bring
-            // it back.
+            // An unknown member that is dead is recorded too: otherwise an older update would
+            // resurrect it.
             return self.record(update, now);
         };
         if overrides(update, &member.update) {
@@ -223,7 +223,7 @@
         UpdateEffect::Recorded { has_state_changed }
     }
 
-    /// When each of the suspicions ends, on the clock of the events.
+    /// The deadline of each suspicion, on the clock of the events.
     pub(crate) fn suspicion_deadlines(
         &self,
         parameters: &SuspicionParameters,
@@ -231,7 +231,7 @@
         self.suspicions(parameters).map(|(_, deadline)| deadline)
     }
 
-    /// The updates of the members whose suspicion has ended.
+    /// The updates of the members whose suspicion has expired.
     pub(crate) fn expired_suspicions(
         &self,
         now: Duration,
@@ -253,7 +253,7 @@
         })
     }
 
-    /// Drops the members that died or left at least `retention` ago.
+    /// Removes the members that died or left at least `retention` ago.
     pub(crate) fn remove_expired(&mut self, now: Duration, retention: Duration) {
         self.members.retain(|_, member| {
             member.is_live() || now.saturating_sub(member.state_since) < retention
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -1,9 +1,9 @@
-//! The state machine of the membership: its interface, the routing of events to its parts, and the
-//! deadlines that they set.
+//! The membership state machine: its interface, the routing of events to its components, and their
+//! deadlines.
 //!
-//! Each part owns its state and decides on named inputs. `Membership` owns the parts, passes what
-//! one knows to another as a value, and turns their results into actions. `protocol.rs` has the
-//! steps of the protocol to which events and deadlines lead.
+//! Each component owns its state and decides on named inputs. `Membership` owns the components,
+//! passes values from one to another, and turns their results into actions. `protocol.rs` has the
+//! protocol steps that events and deadlines trigger.
 
 mod protocol;
 
@@ -29,52 +29,51 @@
 
 /// The membership of one node: its view of the other members and its own announcements.
 ///
-/// It owns all of that state. The host only holds copies, which the methods return.
+/// It owns all of this state. The host only reads it, through the methods.
 pub struct Membership {
     config: Config,
-    /// What this node announces of itself.
+    /// The update that this node announces about itself.
     local: LocalNode,
     /// The records of the other members.
     members: MemberTable,
-    /// Updates to be sent on other messages.
+    /// Updates to piggyback on messages.
     broadcasts: BroadcastQueue,
     /// The order in which members are probed.
     round: ProbeRound,
     /// The probe of the current protocol period.
     detector: FailureDetector,
-    /// Probes on behalf of others.
+    /// Probes on behalf of other nodes.
     relayed_probes: RelayedProbes,
-    /// The factor by which the times of this node are stretched.
+    /// The health score, by which this node stretches its intervals and timeouts.
     health: LocalHealth,
-    /// When the complete state is exchanged next.
+    /// When the next push-pull is due.
     push_pull: PushPullSchedule,
-    /// The timer that the host was asked to set.
+    /// The timer that the host was last asked to set.
     timer: Timer,
     /// When the next protocol period starts, on the clock of the events.
     next_probe_at: Duration,
     /// The source of all random choices.
     rng: fastrand::Rng,
-    /// The time of the last event; it never goes back.
+    /// The time of the last event; it never decreases.
     now: Duration,
-    /// The actions of the events at hand, in order.
+    /// The actions for the events being handled, in order.
     actions: Vec<Action>,
-    /// Whether another member has sent its complete state once.
+    /// Whether this node has received the complete state of another member.
     has_joined: bool,
-    /// Whether this node has left, or has given way to another of the same name.
+    /// Whether this node has left, or has stopped because of a name conflict.
     is_stopped: bool,
-    /// The number of updates that were ignored since they were malformed or the table was full.
+    /// The number of updates that were ignored because they were malformed or the table was full.
     ignored_updates: u64,
 }
 
 /// The interface to the host.
 impl Membership {
-    /// Creates the membership of a node that knows no other yet. `seed` determines all its random
-    /// choices.
+    /// Creates the membership of a node that knows no other member yet. `seed` determines all its
+    /// random choices.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] where a parameter is out of range or a name of the node is empty or too
-    /// long.
+    /// [`ConfigError`] if a parameter is out of range or a name of the node is empty or too long.
     pub fn new(
         config: Config,
         node: Node,
@@ -104,9 +103,9 @@
         })
     }
 
-    /// Handles events in order and returns the actions in the order in which the host is to carry
-    /// them out. `now` is the time since a start that the host chooses; where it goes back, the
-    /// latest time holds.
+    /// Handles events in order and returns the actions in the order in which the host has to carry
+    /// them out. `now` is the time since a start that the host chooses; if it goes backwards, the
+    /// latest earlier value is used.
     pub fn handle_events(&mut self, now: Duration, events: &[Event]) -> Vec<Action> {
         self.now = now.max(self.now);
         for event in events {
@@ -118,32 +117,33 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// The other members that are recorded, dead ones included, in the order of their names.
+    /// The records of the other members, including dead ones, in the order of their names.
     pub fn members(&self) -> impl Iterator<Item = MemberRecord> + '_ {
         let alive_members = self.members.alive().count();
         let recent_window = recent_window(self.config.probe_interval, alive_members);
         self.members.records(self.now, recent_window)
     }
 
-    /// The state of another member, where it is recorded.
+    /// The state of another member, if it is recorded.
     pub fn state(&self, name: &str) -> Option<MemberState> {
         self.members.get(name).map(|member| member.update().state)
     }
 
-    /// What this node announces of itself.
+    /// The update that this node announces about itself.
     pub fn local(&self) -> &MemberUpdate {
         self.local.update()
     }
 
-    /// The score of the local health (Lifeguard's and memberlist's "awareness"): 0 is healthy,
-    /// [`Config::max_awareness`] the worst. The probe interval, the probe timeout and the suspicion
-    /// timeouts of this node are stretched by the time factor, which is one more.
+    /// The local health score (Lifeguard's and memberlist's "awareness"): 0 is healthy,
+    /// [`Config::max_awareness`] the worst. This node multiplies its probe interval, its probe
+    /// timeout and its suspicion timeouts by the score plus one.
     pub fn health_score(&self) -> u32 {
         self.health.score()
     }
 
-    /// The number of updates that were ignored: of an unknown protocol version, with a name or a
-    /// list out of bounds, or about a new member where [`Config::max_members`] are recorded.
+    /// The number of updates that were ignored because their protocol version is unknown, a name or
+    /// list is out of bounds, or a suspicion names no reporter, or because they are about a new
+    /// member while [`Config::max_members`] are recorded.
     pub fn ignored_updates(&self) -> u64 {
         self.ignored_updates
     }
@@ -163,7 +163,7 @@
 
     fn start(&mut self) {
         self.broadcast_local_update();
-        // Nodes that are started together do not probe at the same time.
+        // The random offset keeps nodes that start together from probing at the same time.
         self.next_probe_at = self.now + self.config.probe_interval.mul_f64(self.rng.f64());
         self.push_pull.start_at(self.next_probe_at);
         self.set_timer(self.next_probe_at);
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Leaves the cluster. Every live member is notified at once, since this node sends no further
-    /// message on which the update could ride.
+    /// Leaves the cluster. The node notifies every live member directly, since it sends no further
+    /// messages that could carry the update.
     fn leave(&mut self) {
         self.local.leave();
         self.broadcast_local_update();
@@ -194,8 +194,8 @@
         self.actions.push(Action::NameConflict { address });
     }
 
-    /// A conflict about a name is settled first: the updates of a process that may have to stop are
-    /// not applied.
+    /// Handles name conflicts first, so that the updates of a process that may have to stop are not
+    /// applied.
     fn handle_message(&mut self, from: SocketAddr, message: &Message) {
         if message.from == *self.local.name() {
             return self.handle_message_under_own_name(message);
@@ -222,8 +222,9 @@
         self.handle_body(from, message);
     }
 
-    /// A message under this node's name is its own that came back, or that of another process: the
-    /// address in the update tells.
+    /// Handles a message from a sender with this node's name: either a message of this node that
+    /// was sent back to it, or a message of another process with the same name. The address in the
+    /// updates distinguishes the two.
     fn handle_message_under_own_name(&mut self, message: &Message) {
         for update in &message.updates {
             let own = &self.local.update().node;
@@ -242,7 +243,7 @@
     }
 
     fn handle_body(&mut self, from: SocketAddr, message: &Message) {
-        // Another node may have had this address before.
+        // The sender may mean another node that had this address before.
         let recipient = message.to.as_ref();
         let is_recipient = recipient.is_none_or(|to| to == self.local.name());
         let sender = Recipient {
@@ -281,7 +282,7 @@
                     self.send_push_pull(&sender, false);
                 }
             }
-            // Meant for another node, or handled before the updates.
+            // Addressed to another node, or already handled before the updates.
             MessageBody::Ping { .. }
             | MessageBody::IndirectPing { .. }
             | MessageBody::PushPull { .. }
@@ -290,7 +291,7 @@
     }
 }
 
-/// What is due at a time.
+/// Timers and deadlines.
 impl Membership {
     fn handle_timer(&mut self) {
         if !self.timer.expire(self.now) {
@@ -324,7 +325,7 @@
         }
     }
 
-    /// When the timer has to expire next.
+    /// The earliest deadline, but at least [`MIN_TIMER_DELAY`] from now.
     fn next_deadline(&self) -> Duration {
         let suspicion_parameters = self.suspicion_parameters();
         let probe = self.detector.direct_deadline(self.probe_timeout());
@@ -336,7 +337,7 @@
             .max(self.now + MIN_TIMER_DELAY)
     }
 
-    /// How long this node waits for a direct answer.
+    /// How long this node waits for a direct answer to its probe.
     fn probe_timeout(&self) -> Duration {
         self.health.scale(self.config.probe_timeout)
     }
--- a/crates/membership/src/membership/protocol.rs
+++ b/crates/membership/src/membership/protocol.rs
@@ -1,5 +1,5 @@
-//! The steps of the protocol: what the parts decide in each, and the actions and messages that
-//! follow.
+//! The protocol steps. Each asks the components for their decisions and turns these into actions
+//! and messages.
 
 use super::Membership;
 use crate::anti_entropy::{Candidates, choose_partners};
@@ -27,8 +27,8 @@
             return;
         };
         let recipient = member.recipient();
-        // The ping carries the suspicion, so that the suspect can refute it, even where the update
-        // has left the queue.
+        // The ping has to carry the suspicion, so that the suspect can refute it. The update may
+        // have left the queue already.
         if member.update().state == MemberState::Suspect {
             self.broadcasts.push(member.update().clone());
         }
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Draws the conclusion from the probe of the period that ends.
+    /// Ends the probe of the current period and acts on its outcome.
     pub(super) fn finish_probe(&mut self) {
         match self.detector.finish_probe() {
             None => {}
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Takes the answer to a ping, either for this node's own probe or for one that it relays.
+    /// Handles an ack, either for this node's own probe or for one that it relays.
     pub(super) fn handle_ack(&mut self, from: &NodeName, sequence_number: SequenceNumber) {
         if let Some(relayed) = self.relayed_probes.take(sequence_number) {
             return self.report_relayed_probe(&relayed, RelayedProbeOutcome::Ack);
@@ -136,7 +136,7 @@
     }
 }
 
-/// Updates that arrive or that this node concludes.
+/// Updates, received from other members or made by this node.
 impl Membership {
     /// Applies the updates of a message, in order, until this node has to stop.
     pub(super) fn apply_updates(&mut self, message: &Message) {
@@ -169,18 +169,18 @@
             UpdateEffect::Ignored => {}
             UpdateEffect::TableFull => self.ignored_updates += 1,
             UpdateEffect::SuspicionConfirmed => {
-                // A confirmation is sent on, since it shortens the suspicion at all members.
+                // Confirmations are disseminated, since they shorten the suspicion at all members.
                 self.broadcasts.push(update.clone());
                 self.set_timer(self.next_deadline());
             }
             UpdateEffect::Recorded { has_state_changed } => {
-                self.follow_recorded_update(update, has_state_changed);
+                self.disseminate_recorded_update(update, has_state_changed);
             }
         }
     }
 
-    /// Sends an update on that holds from now on, and notifies the host.
-    fn follow_recorded_update(&mut self, update: &MemberUpdate, has_state_changed: bool) {
+    /// Queues an update that was recorded, and notifies the host of a state change.
+    fn disseminate_recorded_update(&mut self, update: &MemberUpdate, has_state_changed: bool) {
         self.broadcasts.push(update.clone());
         if has_state_changed {
             self.actions.push(Action::StateChanged {
@@ -194,12 +194,13 @@
         }
     }
 
-    /// Refutes an update about this node where it is wrong, or gives way to another process.
+    /// Handles an update about this node: refutes it if it is wrong, raises the incarnation above a
+    /// later one, or stops if another process keeps the name.
     pub(super) fn apply_update_about_self(&mut self, update: &MemberUpdate) {
         match classify(self.local.update(), update, self.has_joined) {
-            UpdateAboutSelf::Settled => {}
+            UpdateAboutSelf::Ignored => {}
             UpdateAboutSelf::NameConceded => self.stop_for_name_conflict(update.node.address),
-            UpdateAboutSelf::Ahead => {
+            UpdateAboutSelf::LaterIncarnation => {
                 self.local.raise_incarnation_above(update.incarnation);
                 self.broadcast_local_update();
             }
@@ -221,7 +222,7 @@
         }
     }
 
-    /// Declares a member suspect that did not answer the probe of a period.
+    /// Declares a member suspect after it did not answer the probe of a period.
     fn suspect(&mut self, target: &NodeName) {
         let Some(member) = self.members.get_live(target) else {
             return;
@@ -233,12 +234,12 @@
         };
         let recipient = member.recipient();
         self.apply_update(&suspect);
-        // The target is notified of the suspicion at once: over a slow link the next probe would
-        // leave too little time to refute it.
+        // The suspect is notified directly: over a slow link, a notification with the next probe
+        // would leave too little time to refute the suspicion.
         self.send_update(&recipient, suspect);
     }
 
-    /// Declares the members dead whose suspicion has ended.
+    /// Declares the members dead whose suspicion has expired.
     pub(super) fn expire_suspicions(&mut self) {
         let parameters = self.suspicion_parameters();
         for update in self.members.expired_suspicions(self.now, &parameters) {
@@ -251,7 +252,7 @@
         }
     }
 
-    /// Announces the members that this node does not reach directly, where they have changed.
+    /// Announces the members that this node does not reach directly, if the set has changed.
     fn publish_unreachable_peers(&mut self) {
         let unreachable = self.members.directly_unreachable();
         let peers = peers_to_publish(unreachable.map(|member| member.name().clone()));
@@ -260,13 +261,13 @@
         }
     }
 
-    /// Queues what this node announces of itself.
+    /// Queues the update of this node about itself.
     pub(super) fn broadcast_local_update(&mut self) {
         self.broadcasts.push(self.local.update().clone());
     }
 }
 
-/// The exchange of the complete state.
+/// Push-pull: the exchange of the complete state.
 impl Membership {
     pub(super) fn exchange_state(&mut self) {
         let dead = self.members.in_state(MemberState::Dead);
@@ -283,8 +284,8 @@
         }
         for contact in partners.rejoin {
             self.broadcast_local_update();
-            // A member that was declared dead learns that from the state, and refutes it if it
-            // lives.
+            // A live member that was declared dead learns so from the complete state, and refutes
+            // it.
             match contact.name {
                 Some(_) => self.send_push_pull(&contact, true),
                 None => self.send(&contact, MessageBody::Join),
@@ -293,12 +294,12 @@
     }
 }
 
-/// Messages.
+/// Sending of messages.
 impl Membership {
-    /// Sends a message with updates of the broadcast queue.
+    /// Sends a message with updates from the broadcast queue.
     pub(super) fn send(&mut self, to: &Recipient, body: MessageBody) {
         let updates = match &body {
-            // It goes to a process that is no member.
+            // The recipient is not a member.
             MessageBody::NameConflict => Vec::new(),
             _ => self.take_broadcasts(to.name.as_ref()),
         };
@@ -311,8 +312,9 @@
         self.send_with_updates(to, body, self.complete_state());
     }
 
-    /// Sends one update in a message of its own, beside the broadcast queue. The wire has no kind
-    /// for that: it goes as the report of a relay on no probe, which answers nothing.
+    /// Sends one update directly, independently of the broadcast queue. The wire format has no
+    /// message kind for this, so the message is a relay report with [`SequenceNumber::NO_PROBE`],
+    /// of which the recipient uses only the update.
     pub(super) fn send_update(&mut self, to: &Recipient, update: MemberUpdate) {
         let body = MessageBody::IndirectPingResult {
             sequence_number: SequenceNumber::NO_PROBE,
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,5 +1,5 @@
 //! The messages of the membership protocol. They are serialized by position: the order of variants
-//! and fields is part of the wire format and stays as it is (`tests/wire_format.rs` pins the
+//! and fields is part of the wire format and must not change (`tests/wire_format.rs` checks the
 //! bytes).
 
 use std::collections::BTreeSet;
@@ -12,8 +12,8 @@
 use crate::node::{Node, NodeName};
 
 /// The incarnation number of a member (SWIM, section 4.2). Only the member itself raises it, to
-/// refute an update of others about it or to announce a change; of two updates the one with the
-/// higher incarnation holds.
+/// refute an update by another member or to announce a change. Of two updates, the one with the
+/// higher incarnation takes precedence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
@@ -25,24 +25,23 @@
     }
 }
 
-/// Matches the answer to a probe with the probe; drawn by the sender of the probe, unique for the
-/// life of its process.
+/// Matches an answer to its probe. Assigned by the sender of the probe, and unique for the lifetime
+/// of its process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct SequenceNumber(pub u64);
 
 impl SequenceNumber {
-    /// The number of no probe: a message that bears it only carries updates.
+    /// Belongs to no probe: a message with this number only carries updates.
     pub(crate) const NO_PROBE: Self = SequenceNumber(0);
 }
 
-/// The state of a member. The variants stand in the order in which one overrides another at the
-/// same incarnation.
+/// The state of a member. At the same incarnation, a variant overrides those before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
     /// The member answers probes.
     Alive,
-    /// The member failed a probe and has until the end of the suspicion to refute that.
+    /// The member did not answer a probe, and can refute the suspicion until its deadline.
     Suspect,
     /// The member did not refute a suspicion in time.
     Dead,
@@ -76,9 +75,9 @@
     pub unreachable_peers: Arc<BTreeSet<NodeName>>,
 }
 
-/// What a relay reports of a probe that it sent on behalf of another node. The negative answer is
-/// Lifeguard's: a relay that reports it is reachable itself, so the failed probe speaks against the
-/// target and not against the prober.
+/// The result that a relay reports for a probe that it sent on behalf of another node. The negative
+/// report is Lifeguard's nack: it shows that the prober can reach the relay, so the failed probe
+/// indicates a fault of the target and not of the prober.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RelayedProbeOutcome {
     /// The target did not answer the relay in time.
@@ -109,19 +108,19 @@
         /// The address of the target.
         address: SocketAddr,
     },
-    /// The answer of a relay to an indirect ping. With the number 0 it answers nothing and only
-    /// carries updates.
+    /// The answer of a relay to an indirect ping. With the sequence number 0 it belongs to no probe
+    /// and only carries updates.
     IndirectPingResult {
-        /// The number that the indirect ping had.
+        /// The number from the indirect ping.
         sequence_number: SequenceNumber,
         /// Whether the target answered the relay.
         outcome: RelayedProbeOutcome,
     },
-    /// A node that knows nobody asks for the complete state.
+    /// A request for the complete state, sent to a seed at which the sender knows no member.
     Join,
     /// The complete state of the sender (anti-entropy).
     PushPull {
-        /// Whether the recipient is to answer with its own state.
+        /// Whether the recipient has to answer with its own state.
         reply_requested: bool,
     },
     /// The answer to a join: another live process has the name of the node that wants to join.
@@ -133,9 +132,9 @@
 pub struct Message {
     /// The name of the sender.
     pub from: NodeName,
-    /// The node for which the message is meant, where the sender knows its name.
+    /// The name of the intended recipient, if the sender knows it.
     pub to: Option<NodeName>,
-    /// What is asked or answered.
+    /// The kind of the message, with its own fields.
     pub body: MessageBody,
     /// Updates about members, to be applied by the recipient.
     pub updates: Vec<MemberUpdate>,
--- a/crates/membership/src/metadata.rs
+++ b/crates/membership/src/metadata.rs
@@ -1,27 +1,27 @@
 //! The metadata of a node: a few short key-value pairs that are disseminated to every other member.
 //!
-//! **Decision**: whether an entry that the host sets is published. An entry out of bounds is
-//! rejected whole and the metadata stays as it was. The bounds guard against messages that grow
-//! without limit: push-pull carries the metadata of every member.
+//! **Decision**: whether an entry that the host sets is published. An entry that is out of bounds
+//! is rejected and the metadata stays unchanged. The bounds keep messages from growing without
+//! limit: push-pull carries the metadata of every member.
 
 use std::collections::BTreeMap;
 
-/// The most entries that a node may publish.
+/// The maximum number of entries that a node may publish.
 pub const MAX_METADATA_ENTRIES: usize = 8;
 
-/// The longest key, and the longest value, in bytes.
+/// The maximum length of a key, and of a value, in bytes.
 pub const MAX_METADATA_TEXT_BYTES: usize = 64;
 
 /// The key-value pairs that a node publishes.
 pub type Metadata = BTreeMap<String, String>;
 
-/// Why an entry of the metadata was rejected. The metadata stays as it was.
+/// Why an entry of the metadata was rejected. The metadata stays unchanged.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum MetadataError {
-    /// The node has as many entries as it may have.
+    /// The node already has the maximum number of entries.
     #[error("{count} metadata entries are too many: at most {MAX_METADATA_ENTRIES} are published")]
     TooManyEntries {
-        /// The number of entries with the rejected one.
+        /// The number of entries including the rejected one.
         count: usize,
     },
     /// The key is empty.
@@ -37,11 +37,11 @@
     },
 }
 
-/// The metadata after one entry is set, or removed where there is no value.
+/// Returns the metadata with one entry set, or removed if `value` is `None`.
 ///
 /// # Errors
 ///
-/// [`MetadataError`] where the key or the value is out of bounds or an entry is one too many.
+/// [`MetadataError`] if the key or the value is out of bounds or there would be too many entries.
 pub(crate) fn with_entry(
     current: &Metadata,
     key: &str,
--- a/crates/membership/src/name_conflict.rs
+++ b/crates/membership/src/name_conflict.rs
@@ -1,17 +1,17 @@
-//! Name conflicts: two live processes under one name, told apart by their addresses.
+//! Name conflicts: two live processes with one name, distinguished by their addresses.
 //!
 //! **Decision**: which of the two keeps the name, and whether this node stops.
 //!
-//! **When it binds**: when a process is started under the name of another; when a partition heals
+//! **When it binds**: when a process is started with the name of another; when a partition heals
 //! and each half has a process of that name; when a process is restarted at another address before
-//! the old one is considered dead.
+//! the old one is declared dead.
 //!
-//! **Failure it guards against**: two processes would answer for one member. That shows as a member
-//! whose address and metadata change again and again, with a new incarnation each time.
+//! **Failure it guards against**: two processes would act as one member. The symptom is a member
+//! whose address and metadata change repeatedly, with a new incarnation each time.
 //!
-//! **Why it holds**: a process that has not joined yet gives way always. Of two that have joined,
-//! the order of [`NameClaim`] is the same at every member, so that all keep the same one and the
-//! other learns that it has to stop.
+//! **Why it holds**: a process that has not joined yet always concedes the name. For two that have
+//! joined, the order of [`NameClaim`] is the same at every member, so all keep the same process and
+//! the other learns that it has to stop.
 //!
 //! **Price**: a process that restarts at another address cannot join until its old record is dead.
 
@@ -21,8 +21,8 @@
 use crate::message::{Incarnation, MemberUpdate};
 use crate::node::NodeName;
 
-/// How strong the claim of a process to its name is; the greater one keeps the name. The higher
-/// incarnation is the greater, then the lower address.
+/// The claim of a process to its name; the greater claim keeps the name. A higher incarnation is
+/// greater, then a lower address.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct NameClaim {
     incarnation: Incarnation,
@@ -30,7 +30,7 @@
 }
 
 impl NameClaim {
-    /// The claim that an update stands for.
+    /// The claim of the process that an update is about.
     pub(crate) fn of(update: &MemberUpdate) -> Self {
         NameClaim {
             incarnation: update.incarnation,
@@ -39,9 +39,9 @@
     }
 }
 
-/// Whether this node gives its name up to another process, which announces itself under it.
+/// Whether this node concedes its name to another process that announces itself under it.
 /// `has_joined` tells whether this node has joined the cluster.
-pub(crate) fn should_give_way(
+pub(crate) fn should_concede_name(
     local: &MemberUpdate,
     other: &MemberUpdate,
     has_joined: bool,
@@ -49,8 +49,8 @@
     !has_joined || NameClaim::of(other) > NameClaim::of(local)
 }
 
-/// Whether a node that wants to join announces its name at another address than the live member
-/// that has it.
+/// Whether a joining node announces its name at another address than that of the live member with
+/// this name.
 pub(crate) fn is_name_in_use(
     live_member_address: SocketAddr,
     joining: &NodeName,
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -1,4 +1,4 @@
-//! The identity of a node: its name, address, place and protocol version.
+//! The identity of a node: its name, address, region, zone and protocol version.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -23,7 +23,7 @@
     pub name: NodeName,
     /// The address at which the node receives membership messages.
     pub address: SocketAddr,
-    /// The region, for the operator's view.
+    /// The region, shown to operators.
     pub region: Arc<str>,
     /// The availability zone.
     pub zone: Arc<str>,
@@ -34,9 +34,10 @@
 /// The destination of a message.
 #[derive(Clone, Debug)]
 pub(crate) struct Recipient {
-    /// The node that is expected at the address; `None` for a seed, whose name is not known yet.
+    /// The name of the node that is expected at the address; `None` for a seed whose name is not
+    /// known yet.
     pub(crate) name: Option<NodeName>,
-    /// Where the message goes.
+    /// The address to which the message is sent.
     pub(crate) address: SocketAddr,
 }
 
--- a/crates/membership/src/probe_round.rs
+++ b/crates/membership/src/probe_round.rs
@@ -4,13 +4,14 @@
 //!
 //! **When it binds**: in every protocol period.
 //!
-//! **Failure it guards against**: with a target drawn anew in each period, a member may by chance
-//! not be probed for long, and its crash is noticed late without bound.
+//! **Failure it guards against**: if the target were sampled independently in each period, a member
+//! might by chance not be probed for a long time, and the time until its crash is noticed would
+//! have no bound.
 //!
-//! **Why it holds**: every live member is probed once in a round, in an order drawn for the round,
-//! so that two probes of a member are less than two rounds apart.
+//! **Why it holds**: every live member is probed once in a round, in an order that is shuffled for
+//! the round, so two probes of a member are less than two rounds apart.
 //!
-//! **Price**: a member that joins waits for the next round.
+//! **Price**: a member that joins is not probed until the next round.
 //!
 //! Source: SWIM, section 4.3 (round-robin probe target selection).
 
@@ -19,13 +20,14 @@
 /// The members still to be probed in the current round.
 #[derive(Default)]
 pub(crate) struct ProbeRound {
-    /// The last one is next. Members that died since the round was drawn are skipped.
+    /// The next target is the last element. Members that have died since the round was shuffled are
+    /// skipped.
     remaining: Vec<NodeName>,
 }
 
 impl ProbeRound {
-    /// Takes the next member to be probed, where there is one. `live` are the names of the members
-    /// that are alive or suspect, sorted.
+    /// Removes and returns the next member to probe, if there is one. `live` contains the names of
+    /// the members that are alive or suspect, sorted.
     pub(crate) fn next_target(
         &mut self,
         live: &[&NodeName],
--- a/crates/membership/src/refutation.rs
+++ b/crates/membership/src/refutation.rs
@@ -1,40 +1,43 @@
-//! Refutation: what this node does about updates about itself.
+//! Refutation: how this node responds to updates about itself.
 //!
-//! **Decision**: whether an update about this node is wrong, and to whom the refutation goes at
-//! once.
+//! **Decision**: whether an update about this node is wrong, and which members receive the
+//! refutation directly.
 //!
-//! **When it binds**: on an update with this node's name and its own incarnation or a later one;
-//! one about an earlier incarnation is settled, unless another process claims the name.
+//! **When it binds**: on an update with this node's name and its current or a later incarnation. An
+//! update about an earlier incarnation is ignored, unless another live process claims the name.
 //!
-//! **Failure it guards against**: a node in bad health probes seldom. A refutation that only rode
-//! on its probes came too late over slow links, which showed as slow members that all others
-//! declared dead.
+//! **Failure it guards against**: a node in bad health probes rarely. Refutations that were only
+//! piggybacked on its probes arrived too late over slow links, and all other members declared slow
+//! members dead.
 //!
-//! **Why it holds**: the reporter gets the refutation at once, and a few others spread it further.
+//! **Why it holds**: the reporter receives the refutation directly, and a few other members
+//! disseminate it.
 //!
 //! **Price**: up to `indirect_checks + 1` messages for each wrong update.
 //!
-//! Source: SWIM, section 4.2; sending at once is this project's.
+//! Source: SWIM, section 4.2. Direct messages to the reporter and others are an addition of this
+//! project.
 
 use crate::message::{MemberState, MemberUpdate};
-use crate::name_conflict::should_give_way;
+use crate::name_conflict::should_concede_name;
 use crate::node::{NodeName, Recipient};
 
-/// What an update about this node means for it.
+/// How this node handles an update about itself.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum UpdateAboutSelf {
-    /// It is known or out of date.
-    Settled,
-    /// Another process has the name and keeps it.
+    /// The update needs no response: it is known or out of date, or this node keeps its name.
+    Ignored,
+    /// Another process has the name and keeps it, so this node stops.
     NameConceded,
-    /// It calls this node suspect, dead or left, which is to be refuted.
+    /// The update calls this node suspect, dead or left, and has to be refuted.
     Wrong,
-    /// It is about a later incarnation, from before a restart: this node continues above it.
-    Ahead,
+    /// The update is about a later incarnation, from before a restart. This node continues above
+    /// it.
+    LaterIncarnation,
 }
 
-/// What an update means for this node. The address tells another process of the same name from an
-/// update about an earlier incarnation of this one.
+/// Classifies an update about this node. The address distinguishes another process of the same name
+/// from an earlier incarnation of this process.
 pub(crate) fn classify(
     local: &MemberUpdate,
     update: &MemberUpdate,
@@ -42,22 +45,22 @@
 ) -> UpdateAboutSelf {
     let is_other_process = update.node.address != local.node.address;
     if is_other_process && update.state.is_live() {
-        return match should_give_way(local, update, has_joined) {
+        return match should_concede_name(local, update, has_joined) {
             true => UpdateAboutSelf::NameConceded,
-            false => UpdateAboutSelf::Settled,
+            false => UpdateAboutSelf::Ignored,
         };
     }
     if update.state != MemberState::Alive && update.incarnation >= local.incarnation {
         UpdateAboutSelf::Wrong
     } else if update.incarnation > local.incarnation {
-        UpdateAboutSelf::Ahead
+        UpdateAboutSelf::LaterIncarnation
     } else {
-        UpdateAboutSelf::Settled
+        UpdateAboutSelf::Ignored
     }
 }
 
-/// The recipients of a refutation: the reporter first, where it is one of the `alive` members, and
-/// random others, `indirect_checks + 1` in all.
+/// Selects the recipients of a refutation: the reporter first, if it is one of the `alive` members,
+/// then random others, at most `indirect_checks + 1` in all.
 pub(crate) fn choose_recipients(
     mut alive: Vec<Recipient>,
     reporter: Option<&NodeName>,
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,21 +1,21 @@
-//! Suspicion: a member that failed a probe is suspect, and dead when the suspicion ends without a
-//! refutation.
+//! Suspicion: a member that did not answer a probe is suspect, and dead when the suspicion expires
+//! without a refutation.
 //!
-//! **Decision**: how long a suspicion stands, and which confirmations shorten it.
+//! **Decision**: how long a suspicion lasts, and which confirmations shorten it.
 //!
 //! **When it binds**: from the first update that calls a member suspect until an update overrides
-//! it. The time limit is the longest while one member alone suspects, and shrinks with each one
-//! that confirms, down to the shortest.
+//! it. The time limit is longest while a single member suspects, and each confirmation by another
+//! member shortens it, down to the shortest limit.
 //!
-//! **Failure it guards against**: a suspicion that one member alone raises may be that member's own
-//! fault (it is slow or its links are). With a short limit for all suspicions, such a member
-//! declares healthy ones dead; with a long one, a crash is noticed late.
+//! **Failure it guards against**: a suspicion that a single member raises may be that member's own
+//! fault (it or its links are slow). With a short limit for all suspicions, such a member declares
+//! healthy ones dead; with a long limit, a crash is noticed late.
 //!
-//! **Why it holds**: members that probe independently confirm a crash soon, and none of them
-//! confirms a suspicion that the fault of the first one has caused.
+//! **Why it holds**: members that probe independently soon confirm a crash, but they do not confirm
+//! a suspicion caused by a fault of the first reporter.
 //!
-//! **Price**: a crash that few can confirm is noticed up to `suspicion_max_timeout_mult` times as
-//! late.
+//! **Price**: a crash that few members can confirm is noticed up to `suspicion_max_timeout_mult`
+//! times as late.
 //!
 //! Source: Dadgar, Phillips, Currey: "Lifeguard", 2017 (Local Health Aware Suspicion); SWIM,
 //! section 4.2 (the suspicion itself).
@@ -25,11 +25,11 @@
 
 use crate::node::NodeName;
 
-/// The least factor by which the number of members lengthens a suspicion: up to ten nodes the limit
-/// is the same.
+/// The minimum factor by which the number of members lengthens a suspicion: the limit is the same
+/// for up to ten nodes.
 const MIN_SIZE_FACTOR: f64 = 1.0;
 
-/// What the time limit of every suspicion of a node depends on.
+/// The parameters of the time limits of all suspicions of a node.
 pub(crate) struct SuspicionParameters {
     /// The protocol period; [`Config::probe_interval`](crate::Config::probe_interval).
     pub(crate) probe_interval: Duration,
@@ -39,8 +39,8 @@
     /// The longest limit in multiples of the shortest;
     /// [`Config::suspicion_max_timeout_mult`](crate::Config::suspicion_max_timeout_mult).
     pub(crate) max_timeout_mult: f64,
-    /// How many confirmations bring the limit down to the shortest, where the cluster has as many
-    /// members; [`Config::indirect_checks`](crate::Config::indirect_checks).
+    /// The number of confirmations that reduces the limit to the shortest, if the cluster has
+    /// enough members; [`Config::indirect_checks`](crate::Config::indirect_checks).
     pub(crate) max_confirmations: usize,
     /// The number of members other than this node that are alive or suspect.
     pub(crate) live_members: usize,
@@ -49,7 +49,7 @@
 }
 
 impl SuspicionParameters {
-    /// The limit with all confirmations, before it is stretched by the local health.
+    /// The limit with all confirmations, before the local health stretches it.
     fn min_timeout(&self) -> Duration {
         let cluster_size = self.live_members + 1;
         let size_factor = (cluster_size as f64).log10().max(MIN_SIZE_FACTOR);
@@ -57,7 +57,8 @@
             .mul_f64(self.suspicion_mult * size_factor)
     }
 
-    /// How many confirmations can be expected: neither the suspect nor the first reporter confirms.
+    /// The number of confirmations that can be expected: neither the suspect nor the first reporter
+    /// confirms.
     fn expected_confirmations(&self) -> usize {
         let other_members = self.live_members.saturating_sub(1);
         self.max_confirmations.min(other_members).max(1)
@@ -66,14 +67,14 @@
 
 /// A suspicion against one member.
 pub(crate) struct Suspicion {
-    /// When it was raised, on the clock of the events.
+    /// When the suspicion was raised, on the clock of the events.
     since: Duration,
-    /// The members that raised or confirmed it.
+    /// The members that raised or confirmed the suspicion.
     reporters: BTreeSet<NodeName>,
 }
 
 impl Suspicion {
-    /// A suspicion raised now.
+    /// Creates a suspicion that is raised now.
     pub(crate) fn new(now: Duration, reported_by: Option<&NodeName>) -> Self {
         Suspicion {
             since: now,
@@ -81,26 +82,26 @@
         }
     }
 
-    /// The members that raised or confirmed it, in the order of their names.
+    /// The members that raised or confirmed the suspicion, in the order of their names.
     pub(crate) fn reporters(&self) -> impl Iterator<Item = &NodeName> {
         self.reporters.iter()
     }
 
-    /// Adds a member that confirms the suspicion. Returns whether that shortens the time limit: it
-    /// does not where the member is known to suspect, or where enough others do.
+    /// Adds a member that confirms the suspicion. Returns whether this shortens the time limit: it
+    /// does not if the member already suspects, or if enough members do.
     pub(crate) fn confirm(&mut self, reporter: &NodeName, max_confirmations: usize) -> bool {
         self.reporters.len() <= max_confirmations && self.reporters.insert(reporter.clone())
     }
 
-    /// When the suspicion ends, on the clock of the events.
+    /// When the suspicion expires, on the clock of the events.
     pub(crate) fn deadline(&self, parameters: &SuspicionParameters) -> Duration {
         self.since + self.timeout(parameters) * parameters.time_factor
     }
 
-    /// How long the suspicion stands, before it is stretched by the local health.
+    /// The time limit of the suspicion, before the local health stretches it.
     ///
-    /// The first reporter is no confirmation. An update without one is not well-formed, and is
-    /// ignored before it gets here.
+    /// The first reporter does not count as a confirmation. An update without a reporter is
+    /// malformed and is ignored before it reaches this function.
     fn timeout(&self, parameters: &SuspicionParameters) -> Duration {
         let shortest = parameters.min_timeout();
         let longest = shortest.mul_f64(parameters.max_timeout_mult);
--- a/crates/membership/src/tests/anti_entropy.rs
+++ b/crates/membership/src/tests/anti_entropy.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn joined_node_takes_one_live_member_and_tries_one_contact() {
+fn joined_node_selects_one_live_member_and_one_contact() {
     let seeds = seeds();
     let (mut live_seen, mut rejoin_seen) = (Vec::new(), Vec::new());
     for seed in 0..100 {
@@ -39,9 +39,9 @@
     assert_eq!(rejoin_seen, [address(4), address(8), address(9)]);
 }
 
-/// A node that tried one seed at a time, each for a whole interval, did not join a zone that was
-/// cut off, since its tries went to the other side of the cut. It tries all contacts, so that one
-/// that answers is enough.
+/// Guards against a node in a partitioned zone that does not join its zone: it tried one seed at a
+/// time, each for a whole interval, and its attempts went to seeds on the other side of the
+/// partition. It now contacts all of them, so one that answers is enough.
 #[test]
 fn node_that_has_not_joined_tries_every_dead_member_and_unknown_seed() {
     let seeds = seeds();
@@ -52,17 +52,17 @@
     assert_eq!(addresses, [address(4), address(8), address(9)]);
 }
 
-/// Guards against a live member that stays dead for the others: its address was a seed, too, and a
-/// seed is only asked to let this node join. It was not told that it was declared dead, so it
-/// refuted nothing.
+/// Guards against a live member that the others keep as dead: its address was also that of a seed,
+/// and a seed is only sent a join request. The member did not learn that it was declared dead, so
+/// it did not refute the death.
 #[test]
-fn dead_member_at_the_address_of_a_seed_is_tried_by_its_name_alone() {
+fn dead_member_at_the_address_of_a_seed_is_contacted_only_by_its_name() {
     let seeds = [1, 4, 8].map(address);
     for seed in 0..100 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let partners = choose_partners(candidates(&seeds, true), &mut rng);
         let [contact] = &partners.rejoin[..] else {
-            panic!("one contact is tried");
+            panic!("expected one contact");
         };
         assert_eq!(contact.name.is_some(), contact.address == address(4));
     }
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn node_that_knows_nobody_has_no_partner() {
+fn node_without_contacts_has_no_partner() {
     let alone = Candidates {
         live: Vec::new(),
         dead: Vec::new(),
--- a/crates/membership/src/tests/broadcast_queue.rs
+++ b/crates/membership/src/tests/broadcast_queue.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn message_carries_those_sent_least_often_up_to_its_limit() {
+fn message_carries_the_least_sent_updates_up_to_its_limit() {
     let mut queue = queue_of(&["a", "b", "c"]);
     let limits = limits(2, 9);
     assert_eq!(take(&mut queue, &limits, None), "a b");
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn update_about_the_recipient_goes_first_however_often_it_was_sent() {
+fn update_about_the_recipient_is_first_regardless_of_its_transmissions() {
     let mut queue = queue_of(&["a", "b", "c"]);
     let limits = limits(1, 9);
     for _ in 0..5 {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn new_update_about_a_member_replaces_the_earlier_one_and_starts_anew() {
+fn new_update_about_a_member_replaces_the_earlier_one_and_resets_its_transmissions() {
     let mut queue = queue_of(&["a"]);
     let limits = limits(5, 2);
     assert_eq!(take(&mut queue, &limits, None), "a");
--- a/crates/membership/src/tests/failure_detector.rs
+++ b/crates/membership/src/tests/failure_detector.rs
@@ -46,12 +46,12 @@
 }
 
 #[test]
-fn reports_of_relays_tell_a_cut_link_from_a_crash_and_from_bad_health() {
+fn relay_reports_distinguish_a_broken_link_from_a_crash_and_from_bad_health() {
     let (mut detector, _) = probing("t");
     assert_eq!(
         detector.finish_probe(),
         unanswered("t", 0),
-        "none was asked"
+        "no relay was asked"
     );
 
     let (mut detector, sequence_number) = probing("t");
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn sequence_numbers_are_unique_and_never_the_one_of_no_probe() {
+fn sequence_numbers_are_unique_and_above_no_probe() {
     let mut detector = FailureDetector::default();
     let first = detector.next_sequence_number();
     assert!(first > SequenceNumber::NO_PROBE);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn no_more_relays_are_chosen_than_there_are_or_than_are_wanted() {
+fn number_of_relays_is_limited_by_the_candidates_and_by_indirect_checks() {
     let candidates = || vec![recipient("b", 2), recipient("c", 3), recipient("d", 4)];
     let mut rng = fastrand::Rng::with_seed(1);
     assert_eq!(choose_relays(candidates(), 2, &mut rng).len(), 2);
--- a/crates/membership/src/tests/local_health.rs
+++ b/crates/membership/src/tests/local_health.rs
@@ -2,7 +2,7 @@
 use crate::local_health::LocalHealth;
 
 #[test]
-fn score_stays_between_zero_and_the_worst() {
+fn score_stays_between_zero_and_the_maximum() {
     let mut health = LocalHealth::new(8);
     health.record_ack();
     assert_eq!(health.score(), 0);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn times_are_stretched_by_one_more_than_the_score() {
+fn times_are_multiplied_by_the_score_plus_one() {
     let mut health = LocalHealth::new(8);
     assert_eq!(health.scale(seconds(2)), seconds(2));
     health.record_failed_probe(0);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn health_with_the_worst_score_zero_stretches_nothing() {
+fn maximum_score_of_zero_disables_stretching() {
     let mut health = LocalHealth::new(0);
     health.record_failed_probe(3);
     assert_eq!(health.scale(seconds(2)), seconds(2));
--- a/crates/membership/src/tests/local_node.rs
+++ b/crates/membership/src/tests/local_node.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn key_and_value_are_accepted_up_to_their_longest() {
+fn key_and_value_are_accepted_up_to_the_maximum_length() {
     let mut local = local_node();
     let longest = "x".repeat(MAX_METADATA_TEXT_BYTES);
     let too_long = "x".repeat(MAX_METADATA_TEXT_BYTES + 1);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn entry_beyond_the_most_is_rejected_and_one_that_is_there_may_change() {
+fn entry_beyond_the_maximum_is_rejected_and_an_existing_one_may_change() {
     let mut local = local_node();
     for number in 0..MAX_METADATA_ENTRIES {
         assert_eq!(
--- a/crates/membership/src/tests/member_table.rs
+++ b/crates/membership/src/tests/member_table.rs
@@ -20,20 +20,20 @@
 }
 
 #[test]
-fn full_table_takes_updates_about_its_members_alone() {
+fn full_table_accepts_only_updates_about_recorded_members() {
     let mut table = table(&[
         update("b", 2, 0, MemberState::Alive),
         update("c", 3, 0, MemberState::Alive),
     ]);
-    let stranger = update("d", 4, 0, MemberState::Alive);
-    let effect = table.apply(&stranger, seconds(2), &LIMITS);
+    let unknown_member = update("d", 4, 0, MemberState::Alive);
+    let effect = table.apply(&unknown_member, seconds(2), &LIMITS);
     assert_eq!(effect, UpdateEffect::TableFull);
     let dead = update("b", 2, 0, MemberState::Dead);
     assert_eq!(table.apply(&dead, seconds(2), &LIMITS), NEW_STATE);
 }
 
 #[test]
-fn unknown_dead_member_is_recorded_so_that_an_older_update_does_not_bring_it_back() {
+fn unknown_dead_member_is_recorded_so_that_an_older_update_does_not_resurrect_it() {
     let mut table = table(&[update("b", 2, 3, MemberState::Dead)]);
     let older = update("b", 2, 3, MemberState::Alive);
     let effect = table.apply(&older, seconds(2), &LIMITS);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn update_of_the_same_state_keeps_the_time_since_which_it_holds() {
+fn update_with_the_same_state_keeps_the_time_of_the_state_change() {
     let mut table = table(&[update("b", 2, 0, MemberState::Alive)]);
     let later = update("b", 2, 1, MemberState::Alive);
     let effect = table.apply(&later, seconds(5), &LIMITS);
--- a/crates/membership/src/tests/mod.rs
+++ b/crates/membership/src/tests/mod.rs
@@ -1,4 +1,5 @@
-//! Each rule alone, at its thresholds. Whole state machines are tested in `tests/`.
+//! Unit tests of each rule at its thresholds. The integration tests in `tests/` cover whole state
+//! machines.
 
 mod anti_entropy;
 mod broadcast_queue;
@@ -21,7 +22,7 @@
 use crate::message::{Incarnation, MemberState, MemberUpdate};
 use crate::node::{Node, NodeName, Recipient};
 
-/// The smallest step of time.
+/// The smallest time step.
 const TICK: Duration = Duration::from_nanos(1);
 
 const ALL_STATES: [MemberState; 4] = [
@@ -65,7 +66,7 @@
     }
 }
 
-/// The names of recipients; a seed has none.
+/// The names of recipients; empty for a seed, which has none.
 fn names(recipients: &[Recipient]) -> Vec<&str> {
     let names = recipients.iter().map(|recipient| recipient.name.as_deref());
     names.map(Option::unwrap_or_default).collect()
--- a/crates/membership/src/tests/name_conflict.rs
+++ b/crates/membership/src/tests/name_conflict.rs
@@ -1,19 +1,19 @@
 use super::{address, update};
 use crate::message::MemberState;
-use crate::name_conflict::{is_name_in_use, should_give_way};
+use crate::name_conflict::{is_name_in_use, should_concede_name};
 
 #[test]
-fn node_that_has_not_joined_always_gives_way() {
+fn node_that_has_not_joined_always_concedes_its_name() {
     let local = update("m", 1, 9, MemberState::Alive);
     let weaker = update("m", 2, 0, MemberState::Alive);
-    assert!(should_give_way(&local, &weaker, false));
-    assert!(!should_give_way(&local, &weaker, true));
+    assert!(should_concede_name(&local, &weaker, false));
+    assert!(!should_concede_name(&local, &weaker, true));
 }
 
 #[test]
-fn joined_node_gives_way_to_a_higher_incarnation_and_then_to_a_lower_address() {
+fn joined_node_concedes_its_name_to_a_higher_incarnation_and_then_to_a_lower_address() {
     let local = update("m", 5, 3, MemberState::Alive);
-    for (last_byte, incarnation, gives_way) in [
+    for (last_byte, incarnation, concedes_name) in [
         (9, 4, true),
         (1, 2, false),
         (4, 3, true),
@@ -22,12 +22,16 @@
     ] {
         let other = update("m", last_byte, incarnation, MemberState::Alive);
         assert_eq!(
-            should_give_way(&local, &other, true),
-            gives_way,
+            should_concede_name(&local, &other, true),
+            concedes_name,
             "{other:?}"
         );
-        let keeps = last_byte != 5 && should_give_way(&other, &local, true);
-        assert_eq!(keeps, last_byte != 5 && !gives_way, "one of the two stops");
+        let keeps = last_byte != 5 && should_concede_name(&other, &local, true);
+        assert_eq!(
+            keeps,
+            last_byte != 5 && !concedes_name,
+            "one of the two stops"
+        );
     }
 }
 
--- a/crates/membership/src/tests/probe_round.rs
+++ b/crates/membership/src/tests/probe_round.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn member_that_died_is_skipped_and_one_that_joined_waits_for_the_next_round() {
+fn member_that_died_is_skipped_and_one_that_joined_is_probed_in_the_next_round() {
     let mut round = ProbeRound::default();
     let first = take(&mut round, &node_names(&["a", "b", "c"]), 1);
     let rest = node_names(&["a", "b", "c"]);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn without_live_members_nobody_is_probed() {
+fn no_target_is_selected_without_live_members() {
     let mut round = ProbeRound::default();
     take(&mut round, &node_names(&["a", "b"]), 1);
     assert!(take(&mut round, &[], 1).is_empty());
--- a/crates/membership/src/tests/reachability.rs
+++ b/crates/membership/src/tests/reachability.rs
@@ -44,10 +44,10 @@
 }
 
 #[test]
-fn answer_to_a_relay_alone_shows_a_cut_in_one_direction_or_in_both() {
+fn answer_to_a_relay_only_shows_a_link_broken_in_one_or_both_directions() {
     let mut link = LinkState::default();
     assert!(link.record_answer_to_relay_only());
-    assert!(!link.record_answer_to_relay_only(), "it is known");
+    assert!(!link.record_answer_to_relay_only(), "already recorded");
     assert_eq!(
         link.reachability(true, seconds(1), WINDOW),
         Reachability::IndirectOnly
@@ -61,7 +61,7 @@
         link.reachability(true, seconds(11) + TICK, WINDOW),
         Reachability::IndirectOnly
     );
-    assert!(link.record_ack(seconds(30)), "the cut has healed");
+    assert!(link.record_ack(seconds(30)), "the link works again");
     assert!(!link.record_ack(seconds(31)));
     assert_eq!(
         link.reachability(true, seconds(31), WINDOW),
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn update_keeps_the_times_of_the_same_address_and_the_cut_of_a_live_member() {
+fn update_keeps_the_times_of_the_same_address_and_the_unreachable_mark_of_a_live_member() {
     let mut link = LinkState::default();
     link.record_ack(seconds(1));
     let same = link.after_update(true, true);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn no_more_than_the_most_peers_are_published_and_the_first_ones_are() {
+fn first_peers_up_to_the_maximum_are_published() {
     let names: Vec<String> = (10..40).map(|number| format!("m{number}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let peers = peers_to_publish(node_names(&names).into_iter());
--- a/crates/membership/src/tests/refutation.rs
+++ b/crates/membership/src/tests/refutation.rs
@@ -4,15 +4,15 @@
 use crate::refutation::{UpdateAboutSelf, choose_recipients, classify};
 
 #[test]
-fn update_that_calls_this_node_other_than_alive_is_wrong_from_its_incarnation_on() {
+fn non_alive_update_about_this_node_is_wrong_from_its_incarnation_on() {
     let local = update("a", 1, 3, MemberState::Alive);
     for state in ALL_STATES {
         let is_alive = state == MemberState::Alive;
         let meaning = |incarnation| classify(&local, &update("a", 1, incarnation, state), true);
-        assert_eq!(meaning(2), UpdateAboutSelf::Settled, "{state:?}");
-        let at_same = [UpdateAboutSelf::Wrong, UpdateAboutSelf::Settled];
+        assert_eq!(meaning(2), UpdateAboutSelf::Ignored, "{state:?}");
+        let at_same = [UpdateAboutSelf::Wrong, UpdateAboutSelf::Ignored];
         assert_eq!(meaning(3), at_same[usize::from(is_alive)], "{state:?}");
-        let above = [UpdateAboutSelf::Wrong, UpdateAboutSelf::Ahead];
+        let above = [UpdateAboutSelf::Wrong, UpdateAboutSelf::LaterIncarnation];
         assert_eq!(meaning(4), above[usize::from(is_alive)], "{state:?}");
     }
 }
@@ -23,16 +23,16 @@
     let from = |last_byte, state| classify(&local, &update("a", last_byte, 3, state), true);
     assert_eq!(from(4, MemberState::Alive), UpdateAboutSelf::NameConceded);
     assert_eq!(from(4, MemberState::Suspect), UpdateAboutSelf::NameConceded);
-    assert_eq!(from(6, MemberState::Alive), UpdateAboutSelf::Settled);
+    assert_eq!(from(6, MemberState::Alive), UpdateAboutSelf::Ignored);
     assert_eq!(from(4, MemberState::Dead), UpdateAboutSelf::Wrong);
     assert_eq!(from(4, MemberState::Left), UpdateAboutSelf::Wrong);
 }
 
-/// A refutation that only rode on this node's own probes came too late: a node in bad health probes
-/// seldom, and over slow links less time was left than a suspicion stands. All others declared the
-/// slow members dead. The reporter gets the refutation first, so that it drops the suspicion.
+/// Guards against live members that all others declare dead. A node in bad health probes rarely, so
+/// a refutation that was only piggybacked on its probes arrived over slow links after the suspicion
+/// had expired. The reporter is therefore notified directly and first, and drops the suspicion.
 #[test]
-fn refutation_goes_to_the_reporter_first_and_to_as_many_others_as_relays_are_asked() {
+fn refutation_is_sent_to_the_reporter_first_and_to_indirect_checks_others() {
     let alive: Vec<Recipient> = (1..=9).map(|n| recipient(&format!("m{n}"), n)).collect();
     for seed in 0..50 {
         let mut rng = fastrand::Rng::with_seed(seed);
--- a/crates/membership/src/tests/relayed_probes.rs
+++ b/crates/membership/src/tests/relayed_probes.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn probes_are_relayed_while_no_more_than_members_are_pending() {
+fn probes_are_relayed_while_pending_ones_do_not_exceed_the_member_limit() {
     assert!(probes(3).has_capacity(3));
     assert!(!probes(4).has_capacity(3));
 }
--- a/crates/membership/src/tests/suspicion.rs
+++ b/crates/membership/src/tests/suspicion.rs
@@ -60,7 +60,11 @@
     assert_eq!(deadline(3, 2), seconds(10) + seconds(2), "two others exist");
     assert_eq!(deadline(2, 1), seconds(10) + seconds(2), "one other exists");
     let alone = deadline(1, 0);
-    assert_eq!(alone, seconds(10) + seconds(12), "nobody can confirm");
+    assert_eq!(
+        alone,
+        seconds(10) + seconds(12),
+        "no other member can confirm"
+    );
 }
 
 #[test]
@@ -74,10 +78,16 @@
 }
 
 #[test]
-fn reporter_confirms_once_and_no_more_than_the_most_confirm() {
+fn reporter_confirms_once_and_confirmations_stop_at_the_maximum() {
     let mut suspicion = confirmed_by(2);
-    assert!(!suspicion.confirm(&"first".into(), 3), "it raised it");
-    assert!(!suspicion.confirm(&"c1".into(), 3), "it has confirmed it");
+    assert!(
+        !suspicion.confirm(&"first".into(), 3),
+        "it raised the suspicion"
+    );
+    assert!(
+        !suspicion.confirm(&"c1".into(), 3),
+        "it has already confirmed"
+    );
     assert!(suspicion.confirm(&"third".into(), 3));
     assert!(!suspicion.confirm(&"fourth".into(), 3));
     assert_eq!(suspicion.reporters().count(), 4);
--- a/crates/membership/src/tests/timer.rs
+++ b/crates/membership/src/tests/timer.rs
@@ -1,9 +1,10 @@
 use super::{TICK, seconds};
 use crate::timer::Timer;
 
-/// Every timer that expires sets the next one. When each suspicion and each relayed probe set one
-/// more, those went on for ever beside it, and a simulation of 100 members with slow links did not
-/// end. Only an earlier timer takes the place of the one that is set.
+/// Guards against timers that multiply. Every timer that expires sets the next one, so when each
+/// suspicion and each relayed probe set an additional timer, each started a separate chain that
+/// continued indefinitely, and a simulation of 100 members with slow links did not end. Therefore
+/// only an earlier timer replaces the one that is set.
 #[test]
 fn only_an_earlier_timer_replaces_the_one_that_is_set() {
     let mut timer = Timer::default();
--- a/crates/membership/src/tests/update_precedence.rs
+++ b/crates/membership/src/tests/update_precedence.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn at_the_same_incarnation_the_worse_state_overrides_and_no_other() {
-    for (worse, new_state) in ALL_STATES.into_iter().enumerate() {
+    for (new_rank, new_state) in ALL_STATES.into_iter().enumerate() {
         for (recorded_rank, recorded_state) in ALL_STATES.into_iter().enumerate() {
             let (new, recorded) = (
                 update("m", 1, 3, new_state),
@@ -14,7 +14,7 @@
             );
             assert_eq!(
                 overrides(&new, &recorded),
-                worse > recorded_rank,
+                new_rank > recorded_rank,
                 "{new_state:?} over {recorded_state:?}"
             );
         }
@@ -38,7 +38,10 @@
     assert!(overrides(&alive(5), &alive(6)));
     assert!(!overrides(&alive(6), &alive(5)));
     let suspect = update("m", 6, 3, MemberState::Suspect);
-    assert!(!overrides(&alive(5), &suspect), "the worse state holds");
+    assert!(
+        !overrides(&alive(5), &suspect),
+        "the worse state takes precedence"
+    );
 }
 
 #[test]
@@ -75,8 +78,8 @@
     }
 }
 
-/// Guards against a panic by a peer's frame: the first reporter of a suspicion is no confirmation,
-/// and there was one less than none.
+/// Guards against a panic that a peer's frame caused: the number of confirmations is the number of
+/// reporters less one, which was below zero for a suspicion without a reporter.
 #[test]
 fn suspicion_without_a_reporter_is_not_well_formed() {
     let mut suspicion = update("m", 1, 0, MemberState::Suspect);
@@ -92,7 +95,7 @@
 }
 
 #[test]
-fn death_alone_is_taken_as_a_suspicion_of_the_sender() {
+fn only_a_death_is_converted_to_a_suspicion_reported_by_the_sender() {
     let sender = "b".into();
     for state in ALL_STATES {
         let suspicion = suspicion_in_place_of_death(&update("m", 1, 3, state), &sender);
--- a/crates/membership/src/update_precedence.rs
+++ b/crates/membership/src/update_precedence.rs
@@ -1,18 +1,20 @@
-//! Precedence of updates: which of two updates about a member holds.
+//! Precedence of updates: which of two updates about a member overrides the other.
 //!
-//! **Decision**: whether an update is accepted at all, whether it overrides the one on record, and
-//! whether a death that the other half of a cluster reports holds at once.
+//! **Decision**: whether an update is accepted at all, whether it overrides the recorded one, and
+//! whether a death that the other half of a partitioned cluster reports takes effect at once.
 //!
-//! **When it binds**: on each update about another member that is well-formed, and on each death
-//! that arrives in a complete state.
+//! **When it binds**: on each update about another member, and on each death in a complete state.
 //!
-//! **Failure it guards against**: updates arrive late, twice and in any order. Without an order of
-//! their own an old one would bring a dead member back, and views would differ for ever.
+//! **Failure it guards against**: updates arrive late, duplicated and in any order. Without
+//! precedence, an old update would resurrect a dead member, and the views of the members would
+//! differ indefinitely.
 //!
 //! **Why it holds**: only a member raises its own incarnation, and at the same incarnation the
-//! worse state holds, so that every member ends with the same update whatever the order of arrival.
+//! worse state takes precedence. Every member therefore ends with the same update, regardless of
+//! the order of arrival.
 //!
-//! **Price**: a live member that is declared dead has to hear of it before it can refute that.
+//! **Price**: a live member that is declared dead has to receive that update before it can refute
+//! it.
 //!
 //! Source: SWIM, section 4.2 (incarnation numbers).
 
@@ -21,8 +23,9 @@
 use crate::node::{NodeName, SUPPORTED_VERSIONS, is_valid_name};
 use crate::reachability::MAX_UNREACHABLE_PEERS;
 
-/// Whether the recipient of an update can make use of it: its version is known, its name and list
-/// are within bounds, and a suspicion names its reporter, who counts for how long it stands.
+/// Whether an update can be applied: its protocol version is supported, its name and its list of
+/// peers are within bounds, and a suspicion names its reporter, since the time limit depends on the
+/// number of reporters.
 pub(crate) fn is_well_formed(update: &MemberUpdate) -> bool {
     let has_reporter = update.state != MemberState::Suspect || update.reported_by.is_some();
     SUPPORTED_VERSIONS.contains(&update.node.version)
@@ -31,21 +34,21 @@
         && has_reporter
 }
 
-/// The greater one overrides the other: the higher incarnation, and at the same incarnation the
+/// The precedence of an update: the higher incarnation overrides, and at the same incarnation the
 /// worse state.
 pub(crate) fn precedence(update: &MemberUpdate) -> (Incarnation, MemberState) {
     (update.incarnation, update.state)
 }
 
-/// Whether an update replaces the one that is recorded. Of two processes under one name all members
-/// keep the same one.
+/// Whether an update replaces the recorded one. If two processes use one name, all members keep the
+/// same process.
 pub(crate) fn overrides(new: &MemberUpdate, recorded: &MemberUpdate) -> bool {
-    let wins_the_name =
+    let has_stronger_name_claim =
         is_name_used_twice(new, recorded) && NameClaim::of(new) > NameClaim::of(recorded);
-    wins_the_name || precedence(new) > precedence(recorded)
+    has_stronger_name_claim || precedence(new) > precedence(recorded)
 }
 
-/// Whether two processes live under one name, which happens when a partition heals.
+/// Whether two live processes use one name, which happens when a partition heals.
 fn is_name_used_twice(a: &MemberUpdate, b: &MemberUpdate) -> bool {
     a.node.address != b.node.address
         && a.incarnation == b.incarnation
@@ -53,9 +56,9 @@
         && b.state == MemberState::Alive
 }
 
-/// The suspicion in place of a death that `sender` reports in its complete state, about a member
-/// that is live here. Where the halves of a cluster meet again, each has declared the other dead: a
-/// member that is suspected first can refute that.
+/// Converts a death that `sender` reports in its complete state, about a member that is live here,
+/// to a suspicion. When the halves of a partitioned cluster meet again, each has declared the other
+/// dead; a member that is only suspected can refute that.
 pub(crate) fn suspicion_in_place_of_death(
     update: &MemberUpdate,
     sender: &NodeName,
--- a/crates/membership/tests/dependency_probe.rs
+++ b/crates/membership/tests/dependency_probe.rs
@@ -1,5 +1,6 @@
-//! Probing of a shared dependency: one process of a zone probes it, and a verdict reaches all and
-//! never outlives its prober for longer than its time to live.
+//! Probing of a shared dependency: one process of a zone probes it, and its verdict reaches all
+//! others. Guards against processes that all keep calling a dependency that is down, and against a
+//! verdict that blocks calls longer than its TTL after its prober has died.
 
 use std::time::Duration;
 
@@ -54,7 +55,7 @@
         changes.extend(output.verdict_change);
         assert_eq!(output.is_down, !changes.is_empty(), "at {at}");
     }
-    assert_eq!(probes, 20, "two a second");
+    assert_eq!(probes, 20, "two per second");
     assert_eq!(changes[..2], [published("down 1"), published("down 2")]);
     assert_eq!(changes.len(), 5, "renewed every two seconds");
     let succeeded = Input {
@@ -83,8 +84,8 @@
     };
     for at in (0..20_000).step_by(100) {
         let output = prober.update(ms(at), &input);
-        // The prober died and nobody has noticed: after the time to live each process looks for
-        // itself and wants the lease.
+        // The prober has died without withdrawing its verdict: after the TTL, each process requests
+        // the probing lease itself.
         let is_fresh = ms(at) <= VERDICT_TTL;
         assert_eq!(
             (output.is_down, output.should_have_lease),
--- a/crates/membership/tests/golden_transcripts.rs
+++ b/crates/membership/tests/golden_transcripts.rs
@@ -1,12 +1,12 @@
 //! Golden transcripts: for a seed, the same events give the same actions, to the last bit.
 //!
-//! A change that is only to move or rename code must not change a decision, the order of the
-//! actions or the number of random draws. The test feeds seeded random events to clusters of state
-//! machines and compares a CRC of the text of everything that comes out with a literal value. A
-//! value moves only with a change of behaviour that is meant.
+//! A change that only moves or renames code must not change a decision, the order of the actions or
+//! the number of random samples. The test passes seeded random events to clusters of state machines
+//! and compares a CRC of the text of all outputs with a literal value. A value changes only with an
+//! intended change of behaviour.
 //!
-//! What is not fed: a suspect update without its reporter, which is ignored;
-//! `senseless_messages.rs` has it.
+//! The events contain no suspect update without a reporter, which is ignored; `invalid_messages.rs`
+//! covers it.
 
 #[path = "../../../tests/golden_transcripts/recorded_words.rs"]
 mod recorded_words;
@@ -30,7 +30,8 @@
 const PROCESSES: usize = 7;
 const SIMULATED_TIME: Duration = Duration::from_secs(600);
 
-/// A process: its address stays, its state machine comes and goes.
+/// A process. Its address is fixed; its state machine is created at each start and dropped at each
+/// stop.
 struct Process {
     name: String,
     address: SocketAddr,
@@ -160,7 +161,7 @@
         };
         let processes = (0..PROCESSES)
             .map(|index| Process {
-                // The last two processes have one name.
+                // The last two processes share one name.
                 name: format!("n{}", index.min(PROCESSES - 2)),
                 address: address(index + 1),
                 membership: None,
@@ -291,7 +292,7 @@
                         generation,
                     },
                 ),
-                // The host tries again later, as after a crash.
+                // The host restarts the process later, as after a crash.
                 Action::NameConflict { .. } => {
                     self.processes[index].membership = None;
                     let after = ms(self.rng.u64(1000..15_000));
@@ -329,7 +330,7 @@
             12 => self.pause(index),
             13..15 => self.set_metadata(index),
             15 => self.handle(index, Event::TimerExpired),
-            _ => self.receive_garbage(index),
+            _ => self.receive_invalid_message(index),
         }
     }
 
@@ -381,25 +382,25 @@
         self.handle(index, Event::SetMetadata { key, value });
     }
 
-    /// A message that no correct process would send, of valid types.
-    fn receive_garbage(&mut self, index: usize) {
+    /// Delivers a message of valid types that no correct process would send.
+    fn receive_invalid_message(&mut self, index: usize) {
         let from = address(self.rng.usize(1..=PROCESSES + 2));
         let message = Message {
-            from: self.some_name().as_str().into(),
+            from: self.random_name().as_str().into(),
             to: match self.rng.u32(0..3) {
                 0 => None,
-                1 => Some(self.some_name().as_str().into()),
+                1 => Some(self.random_name().as_str().into()),
                 _ => Some(self.processes[index].name.as_str().into()),
             },
-            body: self.some_body(),
+            body: self.random_body(),
             updates: (0..self.rng.usize(0..4))
-                .map(|_| self.some_update())
+                .map(|_| self.random_update())
                 .collect(),
         };
         self.handle(index, Event::Received { from, message });
     }
 
-    fn some_name(&mut self) -> String {
+    fn random_name(&mut self) -> String {
         match self.rng.u32(0..24) {
             0 => String::new(),
             1 => "x".repeat(MAX_NAME_BYTES),
@@ -409,7 +410,7 @@
         }
     }
 
-    fn some_body(&mut self) -> MessageBody {
+    fn random_body(&mut self) -> MessageBody {
         let sequence_number = SequenceNumber(self.rng.u64(0..200));
         let outcome = match self.rng.bool() {
             true => RelayedProbeOutcome::Ack,
@@ -420,7 +421,7 @@
             2..4 => MessageBody::Ack { sequence_number },
             4..6 => MessageBody::IndirectPing {
                 sequence_number,
-                target: self.some_name().as_str().into(),
+                target: self.random_name().as_str().into(),
                 address: address(self.rng.usize(1..=PROCESSES)),
             },
             6..9 => MessageBody::IndirectPingResult {
@@ -435,8 +436,8 @@
         }
     }
 
-    fn some_update(&mut self) -> MemberUpdate {
-        let name = self.some_name();
+    fn random_update(&mut self) -> MemberUpdate {
+        let name = self.random_name();
         let usual = (self.processes.iter()).find(|process| process.name == name);
         let usual = usual.map_or(address(99), |process| process.address);
         let is_moved = self.rng.u32(0..6) == 0;
@@ -459,7 +460,7 @@
             node,
             incarnation: Incarnation(self.rng.u64(0..12)),
             state,
-            reported_by: has_reporter.then(|| self.some_name().as_str().into()),
+            reported_by: has_reporter.then(|| self.random_name().as_str().into()),
             metadata: Arc::new(Metadata::from([("garbage".into(), "1".into())])),
             unreachable_peers: Arc::new((0..peers).map(|n| format!("n{n}").into()).collect()),
         }
@@ -470,13 +471,13 @@
     transcript.update(with_recorded_words(text, RENAMED_WORDS).as_bytes());
 }
 
-/// What a host can read of a membership, as text.
+/// The state of a membership that a host can read, as text.
 fn summary(membership: &Membership) -> String {
     let members: Vec<_> = membership.members().collect();
     let (local, awareness) = (membership.local(), membership.health_score());
     let state = membership.state("n1");
-    let anomalies = membership.ignored_updates();
-    format!("{local:?} {awareness} {anomalies} {state:?} {members:?}\n")
+    let ignored_updates = membership.ignored_updates();
+    format!("{local:?} {awareness} {ignored_updates} {state:?} {members:?}\n")
 }
 
 #[test]
--- a/crates/membership/tests/golden_transcripts_of_dependency_probe.rs
+++ b/crates/membership/tests/golden_transcripts_of_dependency_probe.rs
@@ -1,5 +1,5 @@
 //! Golden transcripts of the dependency prober: for a seed, the same inputs give the same outputs.
-//! As `golden_transcripts.rs`, for the other state machine of the crate.
+//! `golden_transcripts.rs` does the same for [`Membership`](tulipgap_membership::Membership).
 
 #[path = "../../../tests/golden_transcripts/recorded_words.rs"]
 mod recorded_words;
@@ -19,8 +19,8 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Probers of one dependency. The lease on probing is moved at random among those that want it; the
-/// verdicts reach the others late.
+/// Runs several probers of one dependency. The probing lease moves at random among the probers that
+/// request it, and a prober does not always see the verdicts of the others.
 fn dependency_prober_transcript(seed: u64) -> u32 {
     const PROBERS: usize = 4;
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -64,7 +64,7 @@
         probed[index] = output.should_probe;
         match output.verdict_change {
             Some(VerdictChange::Publish(text)) => published[index] = Some(text),
-            // A withdrawal that is lost: the verdict must expire.
+            // A lost withdrawal: the verdict has to expire.
             Some(VerdictChange::Withdraw) if rng.bool() => published[index] = None,
             _ => {}
         }
--- a/crates/membership/tests/senseless_messages.rs
+++ b/crates/membership/tests/invalid_messages.rs
@@ -1,5 +1,6 @@
-//! Messages that are valid on the wire and make no sense: whoever has the cluster's key can send
-//! them. Whatever they say, a member does not panic and keeps its bounds.
+//! Messages that are well-formed on the wire but have invalid or contradictory contents. Any holder
+//! of the cluster key can send them. A member must not panic on any of them, and must stay within
+//! its bounds.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,7 +14,7 @@
 
 const MAX_MEMBERS: usize = 20;
 const LOCAL_NAME: &str = "local";
-/// Names of this node, of members, of nobody, and some that are no names.
+/// The names of this node, of members and of unknown nodes, and invalid names.
 const NAMES: [&str; 8] = ["local", "a", "b", "c", "d", "e", "", "x\0y z"];
 const NUMBERS: [u64; 5] = [0, 1, 2, u64::MAX - 1, u64::MAX];
 
@@ -116,7 +117,7 @@
     Membership::new(config, node, Incarnation(0), seed).unwrap()
 }
 
-fn receive_senseless_messages(seeds: std::ops::Range<u64>, messages: u32) {
+fn receive_invalid_messages(seeds: std::ops::Range<u64>, messages: u32) {
     for seed in seeds {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut membership = start(seed);
@@ -139,15 +140,15 @@
     }
 }
 
-/// Guards against a frame that ends the process: a suspicion without a reporter, whose number of
-/// confirmations was one less than none.
+/// Guards against a frame that crashes the process: the number of confirmations is the number of
+/// reporters less one, which was below zero for a suspicion without a reporter.
 #[test]
-fn a_message_that_makes_no_sense_does_not_panic() {
-    receive_senseless_messages(0..200, 500);
+fn invalid_messages_do_not_panic() {
+    receive_invalid_messages(0..200, 500);
 }
 
 #[test]
-#[ignore = "a million messages: cargo test -p tulipgap-membership --test senseless_messages -- --ignored"]
-fn a_million_messages_that_make_no_sense_do_not_panic() {
-    receive_senseless_messages(0..2000, 500);
+#[ignore = "a million messages: cargo test -p tulipgap-membership --test invalid_messages -- --ignored"]
+fn a_million_invalid_messages_do_not_panic() {
+    receive_invalid_messages(0..2000, 500);
 }
--- a/crates/membership/tests/message_handling/main.rs
+++ b/crates/membership/tests/message_handling/main.rs
@@ -1,5 +1,5 @@
-//! What a membership does with messages and timers, one node at a time; whole clusters are
-//! simulated by `tulipgap-fault-injection`.
+//! How a single node handles messages and timers. `tulipgap-fault-injection` simulates whole
+//! clusters.
 
 mod name_conflicts;
 mod reachability;
@@ -51,7 +51,7 @@
     Membership::new(config, node, Incarnation(0), 1)
 }
 
-/// Member `a` at the first address, which has joined and been told of others.
+/// Member `a` at the first address, which has joined and has received the updates.
 fn joined(updates: Vec<MemberUpdate>) -> Membership {
     let mut membership = new_membership(Config::default(), node("a", 1)).unwrap();
     membership.handle_events(Duration::ZERO, &[Event::Started]);
@@ -68,7 +68,7 @@
     membership
 }
 
-/// Hands a message to `a`.
+/// Delivers a message to `a`.
 fn receive(
     membership: &mut Membership,
     at_ms: u64,
--- a/crates/membership/tests/message_handling/reachability.rs
+++ b/crates/membership/tests/message_handling/reachability.rs
@@ -7,7 +7,7 @@
 use crate::{address, joined, ping, receive, update};
 
 #[test]
-fn member_that_only_relays_reach_is_told_from_a_crashed_one_and_published() {
+fn member_reached_only_by_relays_is_distinguished_from_a_crashed_one_and_published() {
     let mut membership = joined(vec![
         update("b", 2, 0, MemberState::Alive),
         update("c", 3, 0, MemberState::Alive),
@@ -50,7 +50,7 @@
         "{:?}",
         membership.local()
     );
-    // Messages of c arrive: what is sent to it is lost.
+    // Messages from c arrive, so only messages to it are lost.
     receive(&mut membership, now_ms, "c", 3, ping(5), Vec::new());
     let member = membership
         .members()
--- a/crates/membership/tests/message_handling/timers.rs
+++ b/crates/membership/tests/message_handling/timers.rs
@@ -4,9 +4,9 @@
 
 use crate::{address, joined, receive, update};
 
-/// Every timer that expires sets the next one. When each suspicion and each relayed probe set one
-/// more, those went on for ever beside it, and a simulation of 100 members with slow links did not
-/// end.
+/// Guards against timers that multiply. Every timer that expires sets the next one, so when each
+/// suspicion and each relayed probe set an additional timer, each started a separate chain that
+/// continued indefinitely, and a simulation of 100 members with slow links did not end.
 #[test]
 fn timers_do_not_multiply() {
     let updates = (2..6)
--- a/crates/membership/tests/message_handling/updates_about_others.rs
+++ b/crates/membership/tests/message_handling/updates_about_others.rs
@@ -3,7 +3,7 @@
 use crate::{joined, new_membership, node, ping, receive, update};
 
 #[test]
-fn old_update_does_not_bring_back_a_member_that_has_left() {
+fn old_update_does_not_resurrect_a_member_that_has_left() {
     let mut membership = joined(vec![update("g", 7, 3, MemberState::Left)]);
     receive(
         &mut membership,
@@ -25,12 +25,12 @@
     assert_eq!(
         membership.state("g"),
         Some(MemberState::Alive),
-        "its own higher incarnation does"
+        "an update with a higher incarnation does"
     );
 }
 
 #[test]
-fn update_of_an_unknown_version_or_with_a_long_name_counts_as_an_anomaly_and_is_not_recorded() {
+fn update_with_an_unknown_version_or_a_long_name_is_counted_as_ignored_and_not_recorded() {
     let mut unknown_version = update("s", 8, 0, MemberState::Alive);
     unknown_version.node.version = 9;
     let mut long_name = update("l", 9, 0, MemberState::Alive);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn members_beyond_the_maximum_count_as_anomalies_and_are_not_recorded() {
+fn updates_about_members_beyond_the_maximum_are_counted_as_ignored_and_not_recorded() {
     let config = Config {
         max_members: 3,
         ..Config::default()
--- a/crates/membership/tests/message_handling/updates_about_this_node.rs
+++ b/crates/membership/tests/message_handling/updates_about_this_node.rs
@@ -15,7 +15,7 @@
         (Incarnation(5), MemberState::Alive)
     );
     let sent = sent_messages(&actions);
-    // At once to the member that reported it, and with the answer.
+    // The refutation is sent directly, and again with the ack.
     let refutes = |message: &Message| {
         let mut updates = message.updates.iter();
         updates.any(|update| &*update.node.name == "a" && update.incarnation == Incarnation(5))
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -1,5 +1,5 @@
 //! The bytes of a membership message. Enums are serialized by the position of their variants and
-//! structs by that of their fields, so a change of an order shows here.
+//! structs by that of their fields, so these tests fail if an order changes.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,9 +10,9 @@
     RelayedProbeOutcome, SequenceNumber,
 };
 
-/// The sender `a`, the recipient `b`.
+/// The bytes of the sender `a` and the recipient `b`.
 const HEAD: &[u8] = &[1, b'a', 1, 1, b'b'];
-/// An address of version 4: 127.0.0.7, port 7100.
+/// The bytes of an IPv4 address: 127.0.0.7, port 7100.
 const ADDRESS: &[u8] = &[0, 127, 0, 0, 7, 0xbc, 0x37];
 
 fn address() -> SocketAddr {
