--- a/crates/connection-limits/benches/structures.rs
+++ b/crates/connection-limits/benches/structures.rs
@@ -1,5 +1,5 @@
-//! The cost of an event in the structures of the limiter and in plain ones, with 512, 10,000 and
-//! 1,000,000 entries.
+//! The cost of an operation on the limiter's data structures and on equivalent ones of the standard
+//! library, and of a decision of the limiter, with 512, 10,000 and 1,000,000 entries.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::Ipv4Addr;
@@ -18,7 +18,7 @@
 }
 
 fn deadlines(c: &mut Criterion) {
-    let mut group = c.benchmark_group("a deadline moved, and time passed");
+    let mut group = c.benchmark_group("move a deadline and advance the time");
     for size in SIZES {
         let mut rng = fastrand::Rng::with_seed(1);
         let mut wheel = TimerWheel::new(Duration::from_millis(10));
@@ -56,8 +56,8 @@
                 }
             });
         });
-        // A sweep over all connections.
-        group.bench_function(BenchmarkId::new("look at all, once", size), |b| {
+        // A scan of the deadlines of all connections.
+        group.bench_function(BenchmarkId::new("scan all", size), |b| {
             b.iter(|| at.iter().filter(|&&at| at <= now).count());
         });
     }
@@ -65,7 +65,7 @@
 }
 
 fn eviction(c: &mut Criterion) {
-    let mut group = c.benchmark_group("one used, and the one used longest ago found");
+    let mut group = c.benchmark_group("use an entry and find the least recently used");
     for size in SIZES {
         let mut rng = fastrand::Rng::with_seed(2);
         let mut queues = LinkedQueues::new(5);
@@ -78,7 +78,7 @@
                 queues.front(3)
             });
         });
-        group.bench_function(BenchmarkId::new("look at all", size), |b| {
+        group.bench_function(BenchmarkId::new("scan all", size), |b| {
             b.iter(|| {
                 now += 1;
                 used[rng.usize(..size)] = now;
@@ -93,7 +93,7 @@
 }
 
 fn addresses(c: &mut Criterion) {
-    let mut group = c.benchmark_group("an address counted in and out");
+    let mut group = c.benchmark_group("increment and decrement the count of an address");
     for size in SIZES {
         let key = |number: usize| {
             NetworkPrefix::of_address(Ipv4Addr::from(number as u32 ^ 0x0A00_0000).into())
@@ -125,9 +125,9 @@
     group.finish();
 }
 
-/// A connection that is served and closed while that many are open.
+/// Accepts and closes a connection while this number of others are open.
 fn decisions(c: &mut Criterion) {
-    let mut group = c.benchmark_group("a connection");
+    let mut group = c.benchmark_group("decide on a connection");
     for size in SIZES {
         let limit = ConnectionLimit {
             max_connections: 2000,
@@ -168,7 +168,7 @@
         }
         let connection = ConnectionId(size);
         let mut number = size;
-        group.bench_function(BenchmarkId::new("let in and closed", size), |b| {
+        group.bench_function(BenchmarkId::new("accept and close", size), |b| {
             b.iter(|| {
                 number += 1;
                 now += us(1);
--- a/crates/connection-limits/src/accept_pause.rs
+++ b/crates/connection-limits/src/accept_pause.rs
@@ -1,25 +1,25 @@
 //! How long accepting pauses after `accept` has failed.
 //!
 //! Without a pause the listener would spin: the connection stays in the backlog, and the next
-//! `accept` fails at once for the same lack of descriptors or memory. The pause is longer where
-//! other processes cause the lack, since closing connections here does not end it. The price is
-//! that a new client waits for the pause.
+//! `accept` fails immediately for the same lack of descriptors or memory. The pause is longer if
+//! the shortage may be caused by other processes, since closing connections of this server may not
+//! end it. The trade-off is that a new client waits for the pause.
 
 use std::time::Duration;
 
 use crate::event::AcceptError;
 
-/// How long accepting pauses after `EMFILE`: until a connection that is evicted has been closed.
+/// How long accepting pauses after `EMFILE`: the host closes an evicted connection in this time.
 const PROCESS_LIMIT_PAUSE: Duration = Duration::from_millis(20);
 /// How long accepting pauses after `ENFILE`.
 const SYSTEM_LIMIT_PAUSE: Duration = Duration::from_millis(100);
 /// How long accepting pauses after `ENOBUFS` or `ENOMEM`.
 const OUT_OF_MEMORY_PAUSE: Duration = Duration::from_millis(200);
-/// How long accepting pauses after an error that is not known.
+/// How long accepting pauses after any other error.
 const OTHER_ERROR_PAUSE: Duration = Duration::from_millis(20);
 
-/// The pause after an error; none where the error concerns one connection only, and the next may be
-/// accepted at once.
+/// The pause after an error; `None` if the error concerns one connection only, so that the next may
+/// be accepted immediately.
 pub(crate) fn accept_pause(error: AcceptError) -> Option<Duration> {
     match error {
         AcceptError::ConnectionAborted => None,
--- a/crates/connection-limits/src/config.rs
+++ b/crates/connection-limits/src/config.rs
@@ -8,9 +8,9 @@
 /// The limits of one size of network.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionLimit {
-    /// The most connections that are open at a time.
+    /// The maximum number of open connections.
     pub max_connections: u32,
-    /// The most connections that are opened in a second, on average over three seconds: a burst of
+    /// The maximum number of new connections per second, on average over three seconds: a burst of
     /// three seconds' worth is accepted at once.
     pub max_rate: u32,
 }
@@ -26,7 +26,7 @@
     pub wide_network: ConnectionLimit,
 }
 
-/// What happens to a new connection when all descriptors are taken by connections that may not be
+/// How a new connection is handled when all descriptors are taken by connections that may not be
 /// closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FullPolicy {
@@ -39,34 +39,34 @@
 /// The parameters of a [`Limiter`](crate::Limiter).
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The most descriptors that the process may have.
+    /// The maximum number of descriptors of the process.
     pub max_descriptors: usize,
-    /// How many of them are reserved, and for whom. Several reservations of one owner add up.
+    /// The descriptors that are reserved for each owner. Several reservations for one owner add up.
     pub reservations: Vec<Reservation>,
-    /// The limits by network; `None` where connections are not limited by network.
+    /// The limits by network; `None` if connections are not limited by network.
     pub network_limits: Option<NetworkLimits>,
-    /// What happens when all descriptors are taken.
+    /// How a new connection is handled when all descriptors are taken.
     pub full_policy: FullPolicy,
     /// Networks whose clients are known from the start.
     pub trusted_networks: Vec<NetworkPrefix>,
-    /// The time in which the reputation of a client halves.
+    /// The half-life of a client's reputation.
     pub reputation_half_life: Duration,
     /// The time limit for the first message of a connection, and for a message from its first byte
     /// to its last.
     pub message_timeout: Duration,
-    /// The time without use after which a client is asked to close a connection.
+    /// The time without use after which the limiter asks a client to close its connection.
     pub idle_timeout: Duration,
     /// The fraction of the capacity that a cold server accepts at its start, from 0 to 1. It rises
     /// to 1 during the warm-up.
     pub cold_start_fraction: f64,
-    /// How long the server warms up; zero for a warm one.
+    /// The length of the warm-up; zero for a server that starts warm.
     pub warm_up: Duration,
 }
 
 /// Why a configuration was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// More descriptors are reserved than there are.
+    /// The reservations exceed the number of descriptors.
     #[error("{reserved} descriptors are reserved, but the limit is {limit}")]
     ReservationsExceedLimit {
         /// The sum of the reservations.
--- a/crates/connection-limits/src/connection.rs
+++ b/crates/connection-limits/src/connection.rs
@@ -9,26 +9,27 @@
 /// An open connection. Owned by the limiter.
 pub(crate) struct Connection {
     pub(crate) address: IpAddr,
-    /// The owner of its descriptor: whether the client was known when it connected.
+    /// The owner of its descriptor, which records whether the client was known when it connected.
     pub(crate) owner: DescriptorOwner,
     pub(crate) accepted_at: Duration,
     pub(crate) last_used_at: Duration,
-    /// When the client was asked to close it.
+    /// The time at which the client was asked to close it.
     pub(crate) close_requested_at: Option<Duration>,
-    /// Since when a complete message is awaited: the first one, or one that has started.
+    /// The start of the message timeout, for the first message or for one that has started; `None`
+    /// if neither is expected.
     pub(crate) message_awaited_since: Option<Duration>,
-    /// When a message started that is not complete.
+    /// The time at which the incomplete message started, if there is one.
     pub(crate) partial_message_since: Option<Duration>,
     pub(crate) has_sent_message: bool,
     /// Requests and health checks in flight.
     pub(crate) open_requests: u32,
-    /// A message timed out while a request was in flight: the connection is closed once that has
-    /// finished.
+    /// A message timed out while a request was in flight: the limiter closes the connection once no
+    /// request is in flight.
     pub(crate) is_message_overdue: bool,
-    /// The client did not close it in time while a request was in flight: the connection is closed
-    /// once that has finished.
+    /// The client did not close it in time while a request was in flight: the limiter closes the
+    /// connection once no request is in flight.
     pub(crate) is_close_overdue: bool,
-    /// The host was told to close it.
+    /// The limiter has returned the action that closes it.
     pub(crate) is_closing: bool,
 }
 
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Why it is closed once no request is in flight, if it is.
+    /// The reason for which the limiter closes it once no request is in flight, if it is overdue.
     pub(crate) fn overdue(&self) -> Option<CloseReason> {
         if self.is_message_overdue {
             Some(CloseReason::MessageTimeout)
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Whether no request is in flight and no message is awaited.
+    /// Whether no request is in flight and the message timeout does not run.
     pub(crate) fn is_idle(&self) -> bool {
         self.open_requests == 0 && self.message_awaited_since.is_none()
     }
--- a/crates/connection-limits/src/connection_table.rs
+++ b/crates/connection-limits/src/connection_table.rs
@@ -3,7 +3,7 @@
 use crate::connection::Connection;
 use crate::event::ConnectionId;
 
-/// The open connections by their index. The indices are chosen by the host and small.
+/// The open connections by index. The host assigns small indices, so they index an array.
 #[derive(Default)]
 pub(crate) struct ConnectionTable {
     connections: Vec<Option<Connection>>,
@@ -16,7 +16,7 @@
         self.open
     }
 
-    /// All indices that have been in use, whether their connection is open or not.
+    /// All indices up to the greatest that was ever used, with or without an open connection.
     pub(crate) fn indices(&self) -> impl Iterator<Item = ConnectionId> + use<> {
         (0..self.connections.len()).map(ConnectionId)
     }
--- a/crates/connection-limits/src/deadlines.rs
+++ b/crates/connection-limits/src/deadlines.rs
@@ -1,19 +1,19 @@
-//! The deadline of each connection, and the one timer of the host that serves them all.
+//! The deadline of each connection, and the single timer of the host for all deadlines.
 
 use std::time::Duration;
 
 use crate::event::ConnectionId;
 use crate::timer_wheel::TimerWheel;
 
-/// The resolution of deadlines: how late one may be noticed by a host that hands in
-/// [`Event::TimerExpired`](crate::event::Event::TimerExpired) on time. One that hands it in at
-/// intervals instead, as the server does, notices a deadline later by up to its interval.
+/// The resolution of deadlines: the maximum delay of a deadline if the host sends
+/// [`Event::TimerExpired`](crate::event::Event::TimerExpired) on time. If the host sends it at
+/// intervals instead, as the server does, the delay grows by up to one interval.
 const TIMER_TICK: Duration = Duration::from_millis(10);
 
-/// One deadline for each connection. Several events may move it; only the last one counts.
+/// One deadline for each connection. A new deadline replaces the previous one.
 pub(crate) struct Deadlines {
     wheel: TimerWheel,
-    /// The buffer of expired deadlines, kept to be reused.
+    /// The reusable buffer of expired deadlines.
     buffer: Vec<usize>,
     /// The time for which the host has set its timer.
     timer_at: Option<Duration>,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Sets the deadline of a connection, in place of the one that it had.
+    /// Sets the deadline of a connection, which replaces its previous one.
     pub(crate) fn set(&mut self, id: ConnectionId, deadline: Duration) {
         self.wheel.set(id.0, deadline);
     }
@@ -37,7 +37,7 @@
         self.wheel.cancel(id.0);
     }
 
-    /// Takes the connections whose deadline has come. The list goes back through
+    /// Takes the connections whose deadline has expired. The caller returns the list with
     /// [`Deadlines::reuse`].
     pub(crate) fn take_expired(&mut self, now: Duration) -> Vec<usize> {
         let mut expired = std::mem::take(&mut self.buffer);
@@ -45,7 +45,7 @@
         expired
     }
 
-    /// Takes back an empty list from [`Deadlines::take_expired`], so that none is allocated again.
+    /// Takes back the emptied list of [`Deadlines::take_expired`], to avoid a new allocation.
     pub(crate) fn reuse(&mut self, expired: Vec<usize>) {
         debug_assert!(
             expired.is_empty(),
@@ -54,12 +54,12 @@
         self.buffer = expired;
     }
 
-    /// The host's timer has expired.
+    /// Records that the host's timer has expired.
     pub(crate) fn timer_expired(&mut self) {
         self.timer_at = None;
     }
 
-    /// The time for which the host has to set its timer, where that is not the one it has.
+    /// The time for which the host has to set its timer, if it differs from the current setting.
     pub(crate) fn timer_to_set(&mut self) -> Option<Duration> {
         let next = self.wheel.next_deadline()?;
         if self.timer_at == Some(next) {
--- a/crates/connection-limits/src/descriptor_budget.rs
+++ b/crates/connection-limits/src/descriptor_budget.rs
@@ -3,8 +3,8 @@
 use crate::config::ConfigError;
 use crate::descriptor_owner::{DescriptorOwner, Reservation};
 
-/// Counts the descriptors of each owner. An owner may take what is reserved for it and what is
-/// reserved for nobody; the sum of what is in use or reserved never exceeds the limit.
+/// Counts the descriptors of each owner. An owner may take the descriptors that are reserved for it
+/// and the unreserved ones. The number of descriptors in use or reserved never exceeds the limit.
 #[derive(Clone, Debug)]
 pub struct DescriptorBudget {
     limit: usize,
@@ -13,12 +13,11 @@
 }
 
 impl DescriptorBudget {
-    /// Creates a budget of which nothing is in use.
+    /// Creates a budget without descriptors in use.
     ///
     /// # Errors
     ///
-    /// [`ConfigError::ReservationsExceedLimit`] where the reservations add up to more than the
-    /// limit.
+    /// [`ConfigError::ReservationsExceedLimit`] if the sum of the reservations exceeds the limit.
     pub fn new(limit: usize, reservations: &[Reservation]) -> Result<Self, ConfigError> {
         let mut reserved = [0; DescriptorOwner::ALL.len()];
         for reservation in reservations {
@@ -38,7 +37,7 @@
         })
     }
 
-    /// The descriptors that are in use, or reserved and not in use.
+    /// The number of descriptors that are in use, or reserved and not in use.
     fn committed(&self) -> usize {
         self.in_use
             .iter()
@@ -47,13 +46,13 @@
             .sum()
     }
 
-    /// How many more descriptors the owner may take.
+    /// The number of further descriptors that the owner may take.
     pub fn available(&self, owner: DescriptorOwner) -> usize {
         let own = self.reserved[owner as usize].saturating_sub(self.in_use[owner as usize]);
         own + self.limit.saturating_sub(self.committed())
     }
 
-    /// Takes a descriptor, where one is available. Returns whether it was.
+    /// Takes a descriptor, if one is available. Returns whether it did.
     pub fn try_acquire(&mut self, owner: DescriptorOwner) -> bool {
         let is_available = self.available(owner) > 0;
         self.in_use[owner as usize] += usize::from(is_available);
@@ -64,7 +63,7 @@
         is_available
     }
 
-    /// Gives a descriptor back.
+    /// Returns a descriptor to the budget.
     pub fn release(&mut self, owner: DescriptorOwner) {
         debug_assert!(
             self.in_use[owner as usize] > 0,
@@ -73,12 +72,12 @@
         self.in_use[owner as usize] = self.in_use[owner as usize].saturating_sub(1);
     }
 
-    /// The descriptors that the owner has.
+    /// The number of descriptors that the owner uses.
     pub fn in_use(&self, owner: DescriptorOwner) -> usize {
         self.in_use[owner as usize]
     }
 
-    /// The descriptors that all owners have.
+    /// The number of descriptors that all owners use.
     pub fn total_in_use(&self) -> usize {
         self.in_use.iter().sum()
     }
--- a/crates/connection-limits/src/descriptor_owner.rs
+++ b/crates/connection-limits/src/descriptor_owner.rs
@@ -1,16 +1,17 @@
-//! Who needs file descriptors, and what is reserved for each.
+//! The owners of file descriptors, and their reservations.
 
-/// Who needs descriptors.
+/// An owner of file descriptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum DescriptorOwner {
-    /// The process itself: listener, log, runtime, and a spare one to accept and close a connection
-    /// when no other is left.
+    /// The process itself: listener, log, runtime, and a spare descriptor with which a connection
+    /// is accepted and closed when no other descriptor is free.
     Process,
     /// The connections to the store.
     Store,
-    /// Connections of clients that are not known.
+    /// Connections of clients without sufficient reputation.
     NewClients,
-    /// Connections of known clients. Their reservation is on top of what all clients share.
+    /// Connections of known clients. Their reservation adds to the descriptors that all clients
+    /// share.
     KnownClients,
 }
 
--- a/crates/connection-limits/src/event.rs
+++ b/crates/connection-limits/src/event.rs
@@ -3,7 +3,8 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// The index of a connection, chosen by the host: small, and free again after [`Event::Closed`].
+/// The index of a connection, assigned by the host: a small number that the host may reuse after
+/// [`Event::Closed`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionId(pub usize);
 
@@ -16,14 +17,14 @@
     SystemDescriptorLimit,
     /// `ENOBUFS`, `ENOMEM`: the system has no memory left.
     OutOfMemory,
-    /// `ECONNABORTED`: the client had closed the connection before.
+    /// `ECONNABORTED`: the client closed the connection before it was accepted.
     ConnectionAborted,
-    /// Any other error: nothing says that a connection here is its cause.
+    /// Any other error: it does not imply that a connection of this server is its cause.
     Other,
 }
 
 impl AcceptError {
-    /// Whether descriptors or memory are short, so that it helps to close a connection.
+    /// Whether descriptors or memory are short, so that closing a connection may help.
     pub(crate) fn is_shortage(self) -> bool {
         match self {
             AcceptError::ProcessDescriptorLimit
@@ -34,7 +35,7 @@
     }
 }
 
-/// What has happened. Handed to [`Limiter::handle_event`](crate::Limiter::handle_event).
+/// An input of [`Limiter::handle_event`](crate::Limiter::handle_event).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
     /// A connection was accepted. The actions of this event contain either [`Action::Serve`] or
@@ -45,7 +46,7 @@
         /// The address of the client.
         address: IpAddr,
     },
-    /// The first bytes of a message have arrived, but not all of it.
+    /// The first bytes of a message have arrived, but not the complete message.
     MessageStarted {
         /// The connection.
         connection: ConnectionId,
@@ -55,19 +56,19 @@
         /// The connection.
         connection: ConnectionId,
     },
-    /// A request or a health check is in flight from now on.
+    /// A request or a health check has started.
     RequestStarted {
         /// The connection.
         connection: ConnectionId,
     },
-    /// A request or a health check is no longer in flight.
+    /// A request or a health check has finished.
     RequestFinished {
         /// The connection.
         connection: ConnectionId,
-        /// Whether the client got a final answer that was written completely.
+        /// Whether a final answer was written to the client completely.
         is_answered: bool,
     },
-    /// The client has violated the protocol.
+    /// The client violated the protocol.
     ProtocolViolation {
         /// The connection.
         connection: ConnectionId,
@@ -87,30 +88,29 @@
         /// The new value of [`Config::idle_timeout`](crate::Config::idle_timeout).
         timeout: Duration,
     },
-    /// The server was told to shut down. It still serves, and whoever waits in the backlog goes
-    /// before a connection that is not in use.
+    /// The server received the shutdown notice. It still serves, and evicts connections that are
+    /// not in use to accept the connections in the backlog.
     ShutdownNotice,
-    /// The server drains: clients are asked to close all connections, new ones too.
+    /// The server drains: it asks clients to close all connections, including new ones.
     Drain,
-    /// The time of the last [`Action::SetTimer`] has come. An event that comes earlier does no
-    /// harm.
+    /// The time of the last [`Action::SetTimer`] has come. An earlier event has no adverse effect.
     TimerExpired,
 }
 
 /// Why a new connection is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RejectReason {
-    /// Its address has as many connections as it may.
+    /// Its address has reached its connection limit.
     AddressConnections,
-    /// Its network has as many connections as it may.
+    /// Its network has reached its connection limit.
     NetworkConnections,
-    /// Its wider network has as many connections as it may.
+    /// Its wider network has reached its connection limit.
     WideNetworkConnections,
-    /// Its address opens connections too often.
+    /// Its address has reached its limit on the rate of new connections.
     AddressRate,
-    /// Its network opens connections too often.
+    /// Its network has reached its limit on the rate of new connections.
     NetworkRate,
-    /// Its wider network opens connections too often.
+    /// Its wider network has reached its limit on the rate of new connections.
     WideNetworkRate,
     /// All descriptors are taken, or reserved for known clients.
     Full,
@@ -118,18 +118,18 @@
     WarmingUp,
 }
 
-/// Why a connection is closed by the server.
+/// Why the server closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum CloseReason {
     /// Another connection needs its descriptor.
     Evicted,
     /// No complete message arrived in time.
     MessageTimeout,
-    /// The client did not close it in time when it was asked to.
+    /// The client did not close the connection in time when it was asked to.
     CloseTimeout,
 }
 
-/// What the host is to do, in the order of the actions.
+/// An instruction for the host, which carries out actions in their order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
     /// Serve the new connection.
@@ -144,25 +144,25 @@
         /// The cause.
         reason: RejectReason,
     },
-    /// Ask the client to send no more requests on the connection and to close it.
+    /// Ask the client to stop sending requests on the connection and to close it.
     RequestClose {
         /// The connection.
         connection: ConnectionId,
     },
-    /// Close the connection once what has arrived is read and no request is in flight.
+    /// Close the connection once the received bytes are read and no request is in flight.
     Close {
         /// The connection.
         connection: ConnectionId,
         /// The cause.
         reason: CloseReason,
     },
-    /// Accept no connection before this time, on the clock of the events.
+    /// Accept no connection before this time, which is on the clock of the events.
     PauseAccepting {
         /// The time.
         until: Duration,
     },
-    /// Hand in [`Event::TimerExpired`] at this time, in place of an earlier timer. A host may hand
-    /// it in at intervals instead; it then notices deadlines later by up to its interval.
+    /// Send [`Event::TimerExpired`] at this time; this replaces an earlier timer. A host may send
+    /// it at intervals instead; deadlines are then handled late by up to one interval.
     SetTimer {
         /// The time.
         at: Duration,
--- a/crates/connection-limits/src/eviction.rs
+++ b/crates/connection-limits/src/eviction.rs
@@ -1,22 +1,25 @@
 //! Eviction: which connection is closed so that another gets its descriptor.
 //!
 //! When descriptors are short, a server full of silent or idle connections would reject clients
-//! that have work for it. One connection gives way: the first of the first class that has one, in
-//! the order of [`EvictionClass`], so that whoever uses the server least goes first. Grace periods
-//! keep a connection whose next message may be in transit, and keep two active clients from
-//! evicting each other with each message. A connection with a request in flight has no class and
-//! is never evicted. The price is that an idle client has to connect anew.
+//! that have requests for it. So the limiter evicts one connection: the first connection of the
+//! first class, in the order of [`EvictionClass`], whose first connection is past its grace period.
+//! The least used connections are thus evicted first. Grace periods protect a connection whose next
+//! message may be in transit, and prevent two active clients from evicting each other with each
+//! message. A connection with a request in flight has no class and is never evicted. The trade-off
+//! is that an idle client has to connect again.
 //!
-//! While a new connection waits in the backlog, the grace periods are shorter, and newcomers give
-//! way to newcomers: a flood of connections that send nothing would otherwise evict a client whose
-//! first message is in transit, or one that was answered a moment ago. The price is that at most
-//! the capacity is accepted anew in each [`NEWCOMER_GRACE`].
+//! While a new connection waits in the backlog, the grace periods are shorter, and silent
+//! connections beyond [`MAX_DISPLACING_SILENT_CONNECTIONS`] cause no eviction of idle ones: a flood
+//! of connections that send nothing would otherwise evict a client whose first message is in
+//! transit, or one that was answered immediately before. The trade-off is that at most the capacity
+//! is newly accepted in each [`FIRST_MESSAGE_GRACE`].
 //!
-//! From the shutdown notice on the time is short in which whoever waits in the backlog can be
-//! answered at all, and a request that is lost there was complete. So nothing spares a connection
-//! beyond the crossing of a message: half a message is no request, and newcomers displace idle
-//! connections without a limit. Once the server drains not even that is spared. The price is that a
-//! client whose message takes longer than the grace has to send it again elsewhere.
+//! After the shutdown notice there is little time left to answer the requests in the backlog, and a
+//! request that is lost there was complete, while a partial message is not yet a request. So no
+//! grace period is longer than the transit of a message, and a connection in the backlog displaces
+//! an idle one regardless of the number of silent connections. During the drain there is no grace
+//! period. The trade-off is that a client whose message takes longer than the grace period has to
+//! send it again to another server.
 
 use std::time::Duration;
 
@@ -26,39 +29,40 @@
 use crate::event::ConnectionId;
 use crate::linked_queues::LinkedQueues;
 
-/// How long a connection may be silent, or in the middle of a message, before it is evicted.
+/// How long a connection may be silent, or have an incomplete message, before it may be evicted.
 const SILENCE_GRACE: Duration = Duration::from_millis(500);
-/// How long a client has to close a connection while descriptors are short: a request that was in
-/// transit when it was asked to is sent again on another. `DRAIN_CLOSE_TIMEOUT` in
+/// How long a client has to close a connection while descriptors are short. The client resends a
+/// request that was in transit at that time on another connection. `DRAIN_CLOSE_TIMEOUT` in
 /// [`crate::timeouts`] is the same time during a drain.
 const CLOSE_GRACE: Duration = Duration::from_millis(60);
-/// How long a silent connection is spared after it was accepted while others wait in the backlog:
-/// its first message may be in transit.
-const NEWCOMER_GRACE: Duration = Duration::from_millis(60);
-/// How long an idle connection is spared after its last use while others wait in the backlog: its
-/// next message may be in transit.
+/// How long a silent connection is protected after it was accepted while others wait in the
+/// backlog: its first message may be in transit.
+const FIRST_MESSAGE_GRACE: Duration = Duration::from_millis(60);
+/// How long an idle connection is protected after its last use while others wait in the backlog:
+/// its next message may be in transit.
 const RECENT_USE_GRACE: Duration = Duration::from_millis(60);
-/// How long a message that has begun is spared from the shutdown notice on while others wait in the
-/// backlog: its end may be in transit.
+/// How long a connection with an incomplete message is protected after the shutdown notice while
+/// others wait in the backlog: the rest of the message may be in transit.
 const SHUTDOWN_MESSAGE_GRACE: Duration = Duration::from_millis(60);
-/// Newcomers that may displace idle connections before they have sent a message. Behind them others
-/// wait, so that silent connections cannot take the place of all who work.
-const MAX_DISPLACING_NEWCOMERS: usize = 1;
-/// How long a connection of a new client stays unused before it is evicted. Without this hysteresis
-/// two clients would evict each other with each message.
+/// The maximum number of silent connections at which a connection in the backlog may still displace
+/// an idle one. Further connections wait in the backlog, so that silent connections cannot displace
+/// all active clients.
+const MAX_DISPLACING_SILENT_CONNECTIONS: usize = 1;
+/// How long a connection of a new client is unused before it may be evicted. Without this
+/// hysteresis two clients would evict each other with each message.
 const NEW_CLIENT_IDLE_GRACE: Duration = Duration::from_millis(250);
-/// How long a connection of a known client stays unused before it is evicted, for other known
-/// clients only.
+/// How long a connection of a known client is unused before it may be evicted, and then only in
+/// favour of another known client.
 const KNOWN_CLIENT_IDLE_GRACE: Duration = Duration::from_secs(1);
 
 /// The classes of connections without a request in flight, in the order in which they are evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EvictionClass {
-    /// It has never sent a message.
+    /// The client has not sent a complete message on it.
     Silent,
-    /// A message has started and is not complete.
+    /// It has an incomplete message.
     PartialMessage,
-    /// The client was asked to close it.
+    /// The client was asked to close it, and has not done so.
     CloseRequested,
     /// It is idle, and the client was not known when it connected.
     IdleNewClient,
@@ -79,7 +83,7 @@
     pub(crate) const IDLE: [EvictionClass; 2] =
         [EvictionClass::IdleNewClient, EvictionClass::IdleKnownClient];
 
-    /// The class of a connection; none while a request is in flight.
+    /// The class of a connection; `None` while a request is in flight or the connection is closing.
     fn of(connection: &Connection) -> Option<EvictionClass> {
         if connection.open_requests > 0 || connection.is_closing {
             None
@@ -100,7 +104,7 @@
         Self::IDLE.contains(&self)
     }
 
-    /// The queue of the class.
+    /// The index of the class's queue.
     fn queue(self) -> usize {
         self as usize
     }
@@ -109,34 +113,36 @@
 /// How soon an eviction has to free a descriptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Urgency {
-    /// At once, as the system refuses descriptors: most grace periods are skipped.
+    /// Immediately, as `accept` failed for lack of descriptors or memory: most grace periods are
+    /// skipped.
     Immediate,
     /// Soon, as a connection waits in the backlog: the shorter grace periods apply.
     Backlog,
-    /// Soon, as connections wait in the backlog of a server that was told to shut down: no grace
-    /// period is longer than the crossing of a message.
+    /// Soon, as connections wait in the backlog after the shutdown notice: no grace period is
+    /// longer than the transit of a message.
     ShutdownBacklog,
-    /// At once, as connections wait in the backlog of a server that drains.
+    /// Immediately, as connections wait in the backlog of a server that drains.
     DrainBacklog,
-    /// After the grace periods.
+    /// After the full grace periods.
     Gradual {
         /// Whether the descriptor is for a known client.
         for_known_client: bool,
     },
 }
 
-/// How a connection that is evicted ends.
+/// How an eviction ends a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Eviction {
     /// The client is asked to close it.
     RequestClose(ConnectionId),
-    /// The client is asked to close it, and it is closed at once.
+    /// The client is asked to close it, and the host closes it immediately.
     RequestCloseAndClose(ConnectionId),
-    /// It is closed at once.
+    /// The host closes it immediately.
     Close(ConnectionId),
 }
 
-/// The connections that may be evicted, a queue for each class. The one at the front goes first.
+/// The connections that may be evicted, in one queue for each class. The connection at the front of
+/// a queue is evicted first.
 pub(crate) struct EvictionQueues {
     queues: LinkedQueues,
 }
@@ -148,8 +154,9 @@
         }
     }
 
-    /// Puts a connection in the queue of its class, or in none while it may not be evicted. In its
-    /// old class it keeps its position, unless it was used.
+    /// Moves a connection to the queue of its class, or removes it while it may not be evicted. A
+    /// connection whose class is unchanged keeps its position, unless the class is one of the idle
+    /// classes: the connection was used, so it moves to the back.
     pub(crate) fn update(&mut self, id: ConnectionId, connection: &Connection) {
         let Some(class) = EvictionClass::of(connection) else {
             return self.remove(id);
@@ -168,8 +175,8 @@
         self.queues.front(class.queue()).map(ConnectionId)
     }
 
-    /// The connection that is evicted now, if any: the first of the first class whose grace period
-    /// is over.
+    /// Selects the connection to evict now, if there is one: the first of the first class whose
+    /// first connection is past its grace period.
     pub(crate) fn choose(
         &self,
         connections: &ConnectionTable,
@@ -186,7 +193,7 @@
             .into_iter()
             .filter_map(first_of_class)
             .find(is_evictable)?;
-        if class.is_idle() && urgency == Urgency::Backlog && self.newcomers_give_way() {
+        if class.is_idle() && urgency == Urgency::Backlog && self.has_too_many_silent() {
             return None;
         }
         Some(match urgency {
@@ -199,18 +206,19 @@
         })
     }
 
-    /// Whether the next newcomer waits for those before it, in place of displacing who is idle.
-    fn newcomers_give_way(&self) -> bool {
-        self.queues.len(EvictionClass::Silent.queue()) > MAX_DISPLACING_NEWCOMERS
+    /// Whether the number of silent connections exceeds the limit up to which a connection in the
+    /// backlog displaces an idle one.
+    fn has_too_many_silent(&self) -> bool {
+        self.queues.len(EvictionClass::Silent.queue()) > MAX_DISPLACING_SILENT_CONNECTIONS
     }
 
-    /// Whether a connection is silent: it sends its first message soon, or is evicted soon.
+    /// Whether there is a silent connection: it sends its first message soon, or is evicted soon.
     pub(crate) fn has_silent(&self) -> bool {
         self.first_in(EvictionClass::Silent).is_some()
     }
 }
 
-/// Whether a connection of this class may be evicted now: its grace period is over, or is skipped.
+/// Whether a connection of this class may be evicted now: its grace period is over or skipped.
 fn is_evictable(
     connection: &Connection,
     class: EvictionClass,
@@ -223,7 +231,7 @@
         EvictionClass::Silent => match urgency {
             Urgency::Immediate | Urgency::DrainBacklog => true,
             Urgency::Backlog | Urgency::ShutdownBacklog => {
-                is_older(connection.accepted_at, NEWCOMER_GRACE)
+                is_older(connection.accepted_at, FIRST_MESSAGE_GRACE)
             }
             Urgency::Gradual { .. } => is_older(connection.accepted_at, SILENCE_GRACE),
         },
@@ -231,7 +239,7 @@
             match urgency {
                 Urgency::DrainBacklog => true,
                 Urgency::ShutdownBacklog => is_older(at, SHUTDOWN_MESSAGE_GRACE),
-                // Never at once: the rest of the message may be in transit.
+                // Never immediately: the rest of the message may be in transit.
                 Urgency::Immediate | Urgency::Backlog | Urgency::Gradual { .. } => {
                     is_older(at, SILENCE_GRACE)
                 }
--- a/crates/connection-limits/src/known_clients.rs
+++ b/crates/connection-limits/src/known_clients.rs
@@ -1,14 +1,15 @@
-//! The reputation of clients, by address: who is known to behave well.
+//! The reputation of clients, by address: which clients are known to behave well.
 //!
-//! Known clients get descriptors that are reserved for them and are not held to the rate of new
-//! connections. Without that a flood of strangers would keep out the clients that the server has
-//! served all day. A flood that only connects, or whose requests are rejected, earns no reputation:
-//! that takes answered requests, over [`MIN_EARNING_PERIOD`] at least.
+//! Known clients get reserved descriptors and are exempt from the limit on the rate of new
+//! connections. Otherwise a connection flood from new clients would exclude clients that the server
+//! has served for a long time. A flood that only connects, or whose requests are rejected, earns no
+//! reputation: this takes answered requests over at least [`MIN_EARNING_PERIOD`].
 //!
-//! The price: an address whose requests are answered for so long is known, whoever uses it. With a
-//! half-life far above the earning period four answers are enough, so a flood from many addresses
-//! that behave well at first is not kept out by this rule. Clients behind one address share one
-//! reputation, and one of them that violates the protocol loses it for all.
+//! The trade-off: any address whose requests are answered over that period becomes known,
+//! regardless of the client that uses it. With a half-life far above the period four answers are
+//! enough, so this rule does not stop a flood from many addresses that behave well at first. All
+//! clients that share an address share one reputation, and a protocol violation by one of them
+//! loses it for all.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -16,23 +17,23 @@
 
 use crate::network_prefix::NetworkPrefix;
 
-/// The reputation from which a client is known. An answered request adds one.
+/// The minimum reputation of a known client. An answered request adds one.
 const KNOWN_REPUTATION: f64 = 3.0;
-/// The highest reputation, so that what was earned long ago does not last for ever: from here a
-/// client that is silent stays known for four half-lives (`50 / 2^4` is just above 3).
+/// The maximum reputation, so that an earned reputation does not last indefinitely: at the maximum,
+/// a client without requests stays known for four half-lives (`50 / 2^4` is just above 3).
 const MAX_REPUTATION: f64 = 50.0;
-/// The reputation below which a client starts anew.
+/// The reputation below which the earning period of a client starts again.
 const FORGOTTEN_REPUTATION: f64 = 0.1;
-/// The shortest time over which a client earns the reputation to be known.
+/// The minimum time between the first and the last answered request of a known client.
 const MIN_EARNING_PERIOD: Duration = Duration::from_secs(2);
-/// The number of addresses that are compared to find the one that gives way: a random sample in
-/// place of a search through all, whose cost would grow with the table.
+/// The number of addresses that are sampled to find the one that is replaced. The cost of a search
+/// through all addresses would grow with the table.
 const EVICTION_SAMPLES: usize = 8;
 
 #[derive(Clone, Copy)]
 struct Client {
     address: IpAddr,
-    /// The reputation at `updated_at`; it decays since.
+    /// The reputation at `updated_at`, from which it decays.
     reputation: f64,
     updated_at: Duration,
     first_earned_at: Duration,
@@ -55,9 +56,9 @@
     }
 }
 
-/// The clients with a reputation. An address earns reputation with each request that was answered.
-/// Its reputation halves with time and is lost with a violation of the protocol. The client is
-/// known only once it has earned some over a while: a burst of one second is not enough.
+/// The clients with a reputation. An address earns reputation with each answered request. The
+/// reputation decays exponentially and is lost with a protocol violation. A client is known only
+/// after it has earned reputation for [`MIN_EARNING_PERIOD`]: a burst of one second is not enough.
 pub(crate) struct KnownClients {
     /// Networks whose clients are known from the start.
     trusted_networks: Vec<NetworkPrefix>,
@@ -70,7 +71,7 @@
 }
 
 impl KnownClients {
-    /// Remembers up to `max_clients` addresses, beside the networks that are trusted.
+    /// Creates a store of up to `max_clients` addresses, in addition to the trusted networks.
     pub(crate) fn new(
         trusted_networks: Vec<NetworkPrefix>,
         max_clients: usize,
@@ -107,7 +108,7 @@
         })
     }
 
-    /// A request of the address was answered.
+    /// Records that a request of the address was answered.
     pub(crate) fn record_success(&mut self, now: Duration, address: IpAddr) {
         if let Some(&index) = self.indices.get(&address) {
             let reputation = self.reputation(index, now);
@@ -125,9 +126,10 @@
         }
     }
 
-    /// Replaces the client with the lowest reputation of a few, unless all of them are known. A
-    /// flood of addresses that earn a little each cannot displace known clients; the price is that
-    /// new clients are not remembered beside many known ones.
+    /// Replaces the client with the lowest reputation in a random sample, unless all sampled
+    /// clients are known. Thus a flood of addresses that earn little reputation each cannot
+    /// displace known clients. The trade-off is that a new client may not be stored while most
+    /// clients are known.
     fn replace_unknown_client(&mut self, now: Duration, address: IpAddr) {
         let samples: Vec<usize> = (0..EVICTION_SAMPLES)
             .map(|_| self.rng.usize(..self.clients.len()))
@@ -142,7 +144,7 @@
         }
     }
 
-    /// The address violated the protocol: its reputation is lost.
+    /// Records that the address violated the protocol: its reputation is lost.
     pub(crate) fn record_violation(&mut self, now: Duration, address: IpAddr) {
         if let Some(&index) = self.indices.get(&address) {
             self.clients[index] = Client {
--- a/crates/connection-limits/src/lib.rs
+++ b/crates/connection-limits/src/lib.rs
@@ -1,19 +1,20 @@
 //! Limits on client connections: which are accepted, which are rejected at once, and which are
 //! closed when descriptors are short.
 //!
-//! The crate is a state machine without I/O and without a clock. The host tells a [`Limiter`] what
-//! happens to its connections as [`Event`]s, together with the time since its start, and carries
-//! out the [`Action`]s that come back. The same events, in the same order and with the same seed,
+//! The crate is a state machine without I/O and without a clock. The host passes a [`Limiter`] the
+//! [`Event`]s of its connections, each with the time since its start, and carries out the
+//! [`Action`]s that the limiter returns. The same events, in the same order and with the same seed,
 //! give the same actions. The cost of an event does not grow with the number of open connections.
 //!
-//! What it decides:
+//! The limiter decides on:
 //!
 //! - **Admission** of a new connection: limits on the connections and the connection rate of an
 //!   address and the networks around it, the slow start of a cold server, and descriptors reserved
 //!   for clients that are known to behave well.
-//! - **Eviction**: which connection is closed to make room. Never one with an open request.
-//! - **Timeouts**: connections that are idle, that do not complete a message, or that do not close
-//!   when they are asked to.
+//! - **Eviction**: which connection is closed to free its descriptor. A connection with an open
+//!   request is never evicted.
+//! - **Timeouts**: connections that are idle, that do not complete a message, or that the client
+//!   does not close when it is asked to.
 //!
 //! `docs/design-admission.md` has the alternatives and the measurements.
 //!
@@ -58,12 +59,12 @@
 mod event;
 mod eviction;
 mod known_clients;
-mod leaving;
 mod limiter;
 mod linked_queues;
 mod network_counts;
 mod network_limiter;
 mod network_prefix;
+mod pending_closes;
 mod rate_sketch;
 mod slow_start;
 #[cfg(test)]
--- a/crates/connection-limits/src/limiter/closing.rs
+++ b/crates/connection-limits/src/limiter/closing.rs
@@ -1,5 +1,5 @@
-//! How connections end: the deadlines that come, the evictions that are chosen, and the order in
-//! which a client is asked to close and the host is told to.
+//! How connections end: expired deadlines, evictions, and the actions that ask a client to close a
+//! connection and instruct the host to close it.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::timeouts::DeadlineOutcome;
 
 impl Limiter {
-    /// Handles the deadlines that have come, and sets the timer for the next one.
+    /// Handles expired deadlines, and sets the timer for the next one.
     pub(super) fn advance_time(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let mut expired = self.deadlines.take_expired(now);
         for index in expired.drain(..) {
@@ -30,7 +30,7 @@
             DeadlineOutcome::Extend(deadline) => self.deadlines.set(id, deadline),
             DeadlineOutcome::MessageOverdue => {
                 connection.is_message_overdue = true;
-                // A request in flight is answered first.
+                // A request in flight is answered before the connection is closed.
                 if connection.open_requests == 0 {
                     self.close(now, id, CloseReason::MessageTimeout, actions);
                 }
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Asks for the connections to be closed that have been idle for too long.
+    /// Asks the clients of connections that have exceeded the idle timeout to close them.
     fn close_idle_connections(&mut self, now: Duration, actions: &mut Vec<Action>) {
         for class in EvictionClass::IDLE {
             while let Some(id) = self.eviction_queues.first_in(class)
@@ -54,26 +54,26 @@
         }
     }
 
-    /// Evicts one connection for each of so many that wait, less those that are about to leave
-    /// their places, as far as there are any that may be evicted.
-    pub(super) fn make_room_for_all(
+    /// Evicts one connection for each of the `waiting` connections in the backlog, as long as one
+    /// may be evicted. Pending closes count as evictions, since they free a descriptor each.
+    pub(super) fn evict_for_backlog(
         &mut self,
         now: Duration,
         waiting: usize,
         urgency: Urgency,
         actions: &mut Vec<Action>,
     ) {
-        for _ in self.leaving.count(now)..waiting.min(self.capacity) {
+        for _ in self.pending_closes.count(now)..waiting.min(self.capacity) {
             let actions_before = actions.len();
-            self.make_room(now, urgency, actions);
+            self.evict_one(now, urgency, actions);
             if actions.len() == actions_before {
                 break;
             }
         }
     }
 
-    /// Evicts one connection, where one may be evicted, so that another gets its descriptor.
-    pub(super) fn make_room(&mut self, now: Duration, urgency: Urgency, actions: &mut Vec<Action>) {
+    /// Evicts one connection, if one may be evicted, so that another gets its descriptor.
+    pub(super) fn evict_one(&mut self, now: Duration, urgency: Urgency, actions: &mut Vec<Action>) {
         let eviction = self.eviction_queues.choose(&self.connections, now, urgency);
         match eviction {
             Some(Eviction::RequestClose(id)) => self.request_close(now, id, actions),
@@ -86,14 +86,14 @@
         }
     }
 
-    /// Puts a connection in the queue of its eviction class after it has changed.
+    /// Moves a connection to the queue of its eviction class after its state has changed.
     pub(super) fn update_eviction_class(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get(id) {
             self.eviction_queues.update(id, connection);
         }
     }
 
-    /// Asks the client to close a connection, once.
+    /// Asks the client to close a connection, at most once.
     pub(super) fn request_close(
         &mut self,
         now: Duration,
@@ -115,7 +115,7 @@
         actions.push(Action::RequestClose { connection: id });
     }
 
-    /// Has the host close a connection, once.
+    /// Instructs the host to close a connection, at most once.
     pub(super) fn close(
         &mut self,
         now: Duration,
@@ -134,7 +134,7 @@
             "invariant: no request is in flight on a closing connection"
         );
         connection.is_closing = true;
-        self.leaving.add(id, now);
+        self.pending_closes.add(id, now);
         self.eviction_queues.remove(id);
         self.deadlines.cancel(id);
         actions.push(Action::Close {
--- a/crates/connection-limits/src/limiter/mod.rs
+++ b/crates/connection-limits/src/limiter/mod.rs
@@ -1,5 +1,5 @@
-//! The state machine: its API, the dispatch of events, and the life of a connection. Each decision
-//! is a rule in a module of its own; `closing.rs` carries out how connections end.
+//! The state machine: its API, the dispatch of events, and the life cycle of a connection. Each
+//! rule has a separate module; `closing.rs` applies the rules by which connections end.
 
 mod closing;
 
@@ -16,12 +16,12 @@
 use crate::event::{AcceptError, Action, ConnectionId, Event, RejectReason};
 use crate::eviction::{EvictionQueues, Urgency};
 use crate::known_clients::KnownClients;
-use crate::leaving::LeavingConnections;
 use crate::network_limiter::NetworkLimiter;
+use crate::pending_closes::PendingCloses;
 use crate::slow_start::{OpenConnections, SlowStart};
 use crate::timeouts::Timeouts;
 
-/// The number of clients whose reputation is remembered, for each connection of the capacity.
+/// The number of clients whose reputation is stored, per connection of the capacity.
 const REMEMBERED_CLIENTS_FACTOR: usize = 4;
 /// The fraction of the capacity beyond which connections are evicted gradually, so that a
 /// descriptor is free before the next client connects.
@@ -34,7 +34,7 @@
 pub struct Limiter {
     full_policy: FullPolicy,
     timeouts: Timeouts,
-    /// The most connections there can be.
+    /// The maximum number of open connections.
     capacity: usize,
     descriptors: DescriptorBudget,
     connections: ConnectionTable,
@@ -44,17 +44,17 @@
     eviction_queues: EvictionQueues,
     deadlines: Deadlines,
     phase: Phase,
-    /// The connections that the host was told to close a moment ago.
-    leaving: LeavingConnections,
+    /// The connections that the host was recently instructed to close.
+    pending_closes: PendingCloses,
 }
 
-/// How far the server's shutdown is.
+/// The progress of the server's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Serving,
     /// The shutdown notice was received, and the server still serves.
-    Leaving,
-    /// Clients are asked to close all connections.
+    ShutdownNotified,
+    /// The server drains: clients are asked to close all connections.
     Draining,
 }
 
@@ -63,7 +63,8 @@
     ///
     /// # Errors
     ///
-    /// [`ConfigError::ReservationsExceedLimit`] where more descriptors are reserved than there are.
+    /// [`ConfigError::ReservationsExceedLimit`] if the reservations exceed the number of
+    /// descriptors.
     pub fn new(config: Config, seed: u64) -> Result<Self, ConfigError> {
         let descriptors = DescriptorBudget::new(config.max_descriptors, &config.reservations)?;
         let capacity = descriptors
@@ -89,7 +90,7 @@
             eviction_queues: EvictionQueues::new(),
             deadlines: Deadlines::new(),
             phase: Phase::Serving,
-            leaving: LeavingConnections::default(),
+            pending_closes: PendingCloses::default(),
         })
     }
 
@@ -103,16 +104,16 @@
         &self.descriptors
     }
 
-    /// Whether another connection may be accepted without one being evicted.
+    /// Whether another connection may be accepted without an eviction.
     pub fn may_accept_at_once(&self) -> bool {
         let rejects_when_full = self.full_policy == FullPolicy::Reject;
         rejects_when_full || self.descriptors.available(DescriptorOwner::NewClients) > 0
     }
 
     /// Whether another connection may be accepted now. Under [`FullPolicy::Wait`] a full server
-    /// evicts a connection, so that the next one in the backlog finds a descriptor. From the
-    /// shutdown notice on it evicts one for each of the connections in the backlog; one at each
-    /// call where their number is not known.
+    /// evicts a connection, so that a descriptor is free for the next one in the backlog. After the
+    /// shutdown notice it evicts one for each connection in the backlog, or one at each call if
+    /// their number is not known.
     pub fn may_accept(
         &mut self,
         now: Duration,
@@ -124,37 +125,39 @@
         }
         let urgency = match self.phase {
             Phase::Serving => Urgency::Backlog,
-            Phase::Leaving => Urgency::ShutdownBacklog,
+            Phase::ShutdownNotified => Urgency::ShutdownBacklog,
             Phase::Draining => Urgency::DrainBacklog,
         };
         match backlog {
             Some(waiting) if self.is_shutting_down() => {
-                self.make_room_for_all(now, waiting, urgency, actions);
+                self.evict_for_backlog(now, waiting, urgency, actions);
             }
-            _ => self.make_room(now, urgency, actions),
+            _ => self.evict_one(now, urgency, actions),
         }
         false
     }
 
-    /// Whether the shutdown notice was received: a full server has room within a short time then.
+    /// Whether the server received the shutdown notice. A full server then frees descriptors within
+    /// a short time.
     pub fn is_shutting_down(&self) -> bool {
         self.phase != Phase::Serving
     }
 
-    /// The connections that there can be.
+    /// The maximum number of open connections.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
 
-    /// Whether a connection has sent nothing yet. A full server has room within a short time then:
-    /// its first message comes, so that others may be evicted, or it is evicted itself.
+    /// Whether there is a connection that has sent nothing yet. A full server then frees a
+    /// descriptor within a short time: either the first message arrives, so that idle connections
+    /// may be evicted, or the silent connection itself is evicted.
     pub fn has_silent_connection(&self) -> bool {
         self.eviction_queues.has_silent()
     }
 
-    /// Handles an event, and the deadlines that have come by `now`, the time since a start that the
-    /// host chooses. Appends the actions in the order in which the host is to carry them out; the
-    /// caller may reuse the buffer.
+    /// Handles an event and the deadlines that have expired at `now`, the time since a start that
+    /// the host selects. Appends the actions in the order in which the host must carry them out;
+    /// the caller may reuse the buffer.
     pub fn handle_event(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Accepted {
@@ -183,7 +186,7 @@
         self.advance_time(now, actions);
     }
 
-    /// Serves or rejects a connection that was accepted.
+    /// Serves or rejects an accepted connection.
     fn handle_accepted(
         &mut self,
         now: Duration,
@@ -198,8 +201,8 @@
         };
         if let Err(reason) = self.admit(now, address, is_known) {
             if reason == RejectReason::Full {
-                // The next connection finds a descriptor, where one can be freed.
-                self.make_room(now, urgency, actions);
+                // Frees a descriptor for the next connection, if a connection may be evicted.
+                self.evict_one(now, urgency, actions);
             }
             return actions.push(Action::Reject {
                 connection: id,
@@ -208,10 +211,10 @@
         }
         self.open(now, id, address, DescriptorOwner::of_client(is_known));
         actions.push(Action::Serve { connection: id });
-        // Before the new connection is in its eviction class: none is evicted for having just been
-        // accepted.
+        // The eviction precedes the queueing of the new connection, so that the new connection is
+        // not evicted itself.
         if self.connections.open() as f64 > self.capacity as f64 * SATURATION_FRACTION {
-            self.make_room(now, urgency, actions);
+            self.evict_one(now, urgency, actions);
         }
         self.update_eviction_class(id);
         self.deadlines
@@ -221,7 +224,7 @@
         }
     }
 
-    /// Passes a new connection through all limits, or returns the first that it exceeds.
+    /// Checks a new connection against all limits and returns the first limit that it exceeds.
     fn admit(
         &mut self,
         now: Duration,
@@ -245,7 +248,7 @@
         Ok(())
     }
 
-    /// Counts a connection that is served.
+    /// Acquires the descriptor of a connection that is served, and records the connection.
     fn open(&mut self, now: Duration, id: ConnectionId, address: IpAddr, owner: DescriptorOwner) {
         let is_acquired = self.descriptors.try_acquire(owner);
         debug_assert!(
@@ -265,7 +268,7 @@
             return;
         }
         connection.partial_message_since = Some(now);
-        // The time limit of the first message counts from when the connection was accepted.
+        // The timeout of the first message already runs since the connection was accepted.
         if connection.message_awaited_since.is_none() {
             connection.message_awaited_since = Some(now);
             self.deadlines
@@ -335,7 +338,7 @@
         let Some(connection) = self.connections.remove(id) else {
             return;
         };
-        self.leaving.remove(id);
+        self.pending_closes.remove(id);
         self.eviction_queues.remove(id);
         self.deadlines.cancel(id);
         self.descriptors.release(connection.owner);
@@ -352,8 +355,8 @@
             return;
         };
         if error.is_shortage() {
-            // Descriptors are in use that the budget does not know of.
-            self.make_room(now, Urgency::Immediate, actions);
+            // The budget does not count all descriptors that are in use.
+            self.evict_one(now, Urgency::Immediate, actions);
         }
         actions.push(Action::PauseAccepting {
             until: now.saturating_add(pause),
@@ -362,7 +365,7 @@
 
     fn handle_shutdown_notice(&mut self) {
         if self.phase == Phase::Serving {
-            self.phase = Phase::Leaving;
+            self.phase = Phase::ShutdownNotified;
         }
     }
 
--- a/crates/connection-limits/src/linked_queues.rs
+++ b/crates/connection-limits/src/linked_queues.rs
@@ -1,11 +1,11 @@
 //! Queues of small indices, linked through an array.
 
-/// Stands for the lack of an index or a queue.
+/// Marks a missing index or queue.
 const NONE: u32 = u32::MAX;
 
 #[derive(Clone, Copy)]
 struct Entry {
-    /// The queue of the index; `NONE` where it is in none.
+    /// The queue of the index; `NONE` if it is in no queue.
     queue: u32,
     previous: u32,
     next: u32,
@@ -18,8 +18,8 @@
     length: usize,
 }
 
-/// Several queues, of which an index is in one at most. Every operation takes constant time, and
-/// nothing is allocated once the array has grown to the greatest index.
+/// Several queues; each index is in one of them at most. Every operation takes constant time, and
+/// nothing is allocated after the array has grown to the greatest index.
 pub struct LinkedQueues {
     queues: Vec<Queue>,
     entries: Vec<Entry>,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Moves an index to the back of a queue, out of the one in which it is.
+    /// Moves an index to the back of a queue, and removes it from its previous queue.
     pub fn push_back(&mut self, index: usize, queue: usize) {
         self.remove(index);
         if self.entries.len() <= index {
@@ -68,7 +68,7 @@
         self.queues[queue].length += 1;
     }
 
-    /// Removes an index from the queue in which it is.
+    /// Removes an index from its queue, if it is in one.
     pub fn remove(&mut self, index: usize) {
         let Some(&Entry {
             queue,
@@ -99,7 +99,7 @@
         (front != NONE).then_some(front as usize)
     }
 
-    /// The queue in which an index is.
+    /// The queue of an index; `None` if it is in no queue.
     pub fn queue_of(&self, index: usize) -> Option<usize> {
         self.entries
             .get(index)
--- a/crates/connection-limits/src/network_counts.rs
+++ b/crates/connection-limits/src/network_counts.rs
@@ -1,4 +1,4 @@
-//! An exact count for each network.
+//! Exact connection counts for each network.
 
 use crate::network_prefix::NetworkPrefix;
 
@@ -8,12 +8,12 @@
     count: u32,
 }
 
-/// How many connections each network has. A hash table with open addressing and linear probing in
-/// one array; a removal moves later entries up in place of leaving a tombstone (Knuth, "The Art of
-/// Computer Programming", volume 3, section 6.4, algorithm R), so that the table does not degrade
-/// under churn. Its capacity is fixed.
+/// The number of connections of each network. A hash table with open addressing and linear probing
+/// in one array. A removal moves later entries up instead of leaving a tombstone (Knuth, "The Art
+/// of Computer Programming", volume 3, section 6.4, algorithm R), so that the table does not
+/// degrade under churn. Its capacity is fixed.
 pub struct NetworkCounts {
-    /// A power of two, and at least twice as many as networks.
+    /// Their number is a power of two and at least twice `max_networks`.
     slots: Vec<Option<Slot>>,
     seed: u64,
     networks: usize,
@@ -21,7 +21,7 @@
 }
 
 impl NetworkCounts {
-    /// A table for up to `max_networks` networks with a count over zero.
+    /// Creates a table for up to `max_networks` networks with a count over zero.
     pub fn new(max_networks: usize, seed: u64) -> Self {
         let max_networks = max_networks.max(1);
         let slots = vec![None; (max_networks * 2).next_power_of_two()];
@@ -42,10 +42,10 @@
         self.slots.len() - 1
     }
 
-    /// The slot of a network, or the free one in which it would be put.
+    /// The slot of a network, or the free slot into which it would be inserted.
     fn find(&self, network: NetworkPrefix) -> usize {
         let mut index = self.home(network);
-        // At least half of the slots are free, so this ends.
+        // At least half of the slots are free, so the loop ends.
         while self.slots[index].is_some_and(|slot| slot.network != network) {
             index = (index + 1) & self.mask();
         }
@@ -57,8 +57,8 @@
         self.slots[self.find(network)].map_or(0, |slot| slot.count)
     }
 
-    /// Increments the count of a network. Returns false, and does nothing, where the network is new
-    /// and there are as many as there may be.
+    /// Increments the count of a network. Returns false and does nothing if the network is new and
+    /// the table is full.
     pub fn increment(&mut self, network: NetworkPrefix) -> bool {
         let index = self.find(network);
         match &mut self.slots[index] {
@@ -72,7 +72,7 @@
         true
     }
 
-    /// Decrements the count of a network, where it has one.
+    /// Decrements the count of a network, if it has one.
     pub fn decrement(&mut self, network: NetworkPrefix) {
         let index = self.find(network);
         match &mut self.slots[index] {
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Empties a slot, and moves up the entries that would not be found behind the gap.
+    /// Empties a slot, and moves up the later entries that a search would otherwise miss because of
+    /// the gap.
     fn remove(&mut self, mut gap: usize) {
         let mask = self.mask();
         self.slots[gap] = None;
--- a/crates/connection-limits/src/network_limiter.rs
+++ b/crates/connection-limits/src/network_limiter.rs
@@ -1,11 +1,11 @@
 //! Limits on the connections of an address and of the networks around it.
 //!
-//! A new connection is rejected where its address, its network or its wider network has too many
-//! open connections, or has opened too many in the last seconds. This guards against one client, or
-//! a few networks, that take all descriptors: without it others find the server full although it
-//! serves few clients. It holds because the three levels are checked together, so that an attacker
-//! with many addresses meets the limit of the network instead. The price is that clients behind one
-//! address translator share a limit; known clients get a multiple of it.
+//! A new connection is rejected if its address, its network or its wider network has too many open
+//! connections, or has opened too many in the last seconds. This guards against one client, or a
+//! few networks, that take all descriptors: without it other clients would find the server full
+//! although it serves few clients. All three levels are checked, so an attacker with many addresses
+//! reaches the limit of its network instead. The trade-off is that all clients of one address
+//! translator share a limit; known clients get a multiple of it.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -16,17 +16,17 @@
 use crate::network_prefix::{EnclosingNetworks, NetworkPrefix};
 use crate::rate_sketch::RateSketch;
 
-/// How many times the connections of a new client a known one may have.
+/// The factor by which the connection limits are higher for known clients than for new ones.
 const KNOWN_CLIENT_FACTOR: u32 = 4;
-/// The window over which the rate of new connections is measured.
+/// The window of the rate of new connections.
 const RATE_WINDOW: Duration = Duration::from_secs(3);
-/// The number of columns of the rate sketch, which takes 256 KB in all.
+/// The number of columns of the rate sketch, whose counters take 256 KB in total.
 const SKETCH_COLUMNS: usize = 4096;
 /// Distinguishes the seed of the rate sketch from that of the other hash tables.
 const SKETCH_SEED: u64 = 0x5EED;
 
-/// A limit with the network that it holds for and the reasons for which a connection beyond it is
-/// rejected.
+/// A limit, the network that it applies to, and the reasons for the rejection of connections that
+/// exceed it.
 struct NetworkCheck {
     network: NetworkPrefix,
     limit: ConnectionLimit,
@@ -36,16 +36,16 @@
 
 /// Counts the connections of each network and compares them with the limits.
 pub(crate) struct NetworkLimiter {
-    /// `None` where connections are not limited by network.
+    /// `None` if connections are not limited by network.
     limits: Option<NetworkLimits>,
-    /// The open connections of each address and network.
+    /// The number of open connections of each address and network.
     open_connections: NetworkCounts,
-    /// The connections that each address and network opened recently.
+    /// The number of connections that each address and network opened recently.
     open_rates: RateSketch,
 }
 
 impl NetworkLimiter {
-    /// A limiter for up to `max_connections` open connections, and one that is about to open.
+    /// Creates a limiter for up to `max_connections` open connections and one that is being opened.
     pub(crate) fn new(limits: Option<NetworkLimits>, max_connections: usize, seed: u64) -> Self {
         let max_networks = (max_connections + 1) * EnclosingNetworks::COUNT;
         NetworkLimiter {
@@ -60,7 +60,7 @@
     /// # Errors
     ///
     /// The first limit that the connection exceeds, the narrowest network first. A rejected
-    /// connection is not recorded: otherwise a client that retries would be rejected for ever.
+    /// connection is not recorded: otherwise a client that retries would be rejected indefinitely.
     pub(crate) fn admit(
         &mut self,
         now: Duration,
@@ -72,8 +72,8 @@
         };
         for check in network_checks(limits, address) {
             self.check_open_connections(&check, is_known)?;
-            // The rate of known clients is not limited: an estimate may contain the openings of
-            // others.
+            // The rate of known clients is not limited: an estimate may include connections that
+            // other networks opened.
             if !is_known {
                 self.check_open_rate(now, &check)?;
             }
@@ -114,7 +114,7 @@
             let is_counted = self.open_connections.increment(network);
             debug_assert!(
                 is_counted,
-                "invariant: there are no more networks than connections can have"
+                "invariant: open connections have at most `max_networks` networks"
             );
         }
     }
@@ -126,14 +126,14 @@
         }
     }
 
-    /// The open connections of one address.
+    /// The number of open connections of one address.
     pub(crate) fn open_connections(&self, address: IpAddr) -> u32 {
         self.open_connections
             .get(NetworkPrefix::of_address(address))
     }
 
-    /// An estimate, from below, of the number of addresses with an open connection: each accounts
-    /// for [`EnclosingNetworks::COUNT`] networks at the most.
+    /// A lower bound of the number of addresses with an open connection: each address adds at most
+    /// [`EnclosingNetworks::COUNT`] networks.
     pub(crate) fn estimated_addresses(&self) -> f64 {
         self.open_connections.network_count() as f64 / EnclosingNetworks::COUNT as f64
     }
--- a/crates/connection-limits/src/network_prefix.rs
+++ b/crates/connection-limits/src/network_prefix.rs
@@ -1,4 +1,4 @@
-//! Addresses and the networks around them.
+//! Addresses and the networks that contain them.
 
 use std::net::IpAddr;
 use std::str::FromStr;
@@ -18,11 +18,11 @@
 /// The prefix length of a wider IPv6 network for which connections are counted: one site.
 const IPV6_WIDE_NETWORK_LENGTH: u8 = 48;
 
-/// A network: the first bits of an address. IPv4 is represented in its IPv6-mapped form, so that an
-/// address that arrives in both forms is one.
+/// A network: the first bits of an address. IPv4 is represented in its IPv6-mapped form, so that
+/// both forms of an address are equal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct NetworkPrefix {
-    /// The address; the bits behind the prefix are zero.
+    /// The address; the bits after the prefix are zero.
     bits: u128,
     length: u8,
 }
@@ -67,8 +67,8 @@
 }
 
 impl NetworkPrefix {
-    /// The network of this length around an address; a length beyond that of the address gives the
-    /// address itself.
+    /// The network with a prefix of this length that contains an address. A length beyond that of
+    /// the address gives the address itself.
     pub fn new(address: IpAddr, length: u8) -> Self {
         let (bits, length) = match address {
             IpAddr::V4(v4) => (
@@ -110,26 +110,26 @@
     }
 }
 
-/// Why a text is no network.
+/// Why a text could not be parsed as a network.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParsePrefixError {
-    /// The part before the slash is no address.
-    #[error("'{text}' is no address and no network such as 10.1.2.0/24")]
+    /// The part before the slash is not an address.
+    #[error("'{text}' is neither an address nor a network such as 10.1.2.0/24")]
     Address {
         /// The text.
         text: String,
         /// The cause.
         source: std::net::AddrParseError,
     },
-    /// The part behind the slash is no number.
-    #[error("'{text}' is no address and no network such as 10.1.2.0/24")]
+    /// The part after the slash is not a number.
+    #[error("'{text}' is neither an address nor a network such as 10.1.2.0/24")]
     Length {
         /// The text.
         text: String,
         /// The cause.
         source: std::num::ParseIntError,
     },
-    /// The length is greater than that of the address.
+    /// The prefix is longer than the address.
     #[error("'{text}' has a prefix length over {max}")]
     LengthOutOfRange {
         /// The text.
@@ -137,8 +137,8 @@
         /// The greatest length: 32 for IPv4, 128 for IPv6.
         max: u8,
     },
-    /// Bits behind the prefix are set.
-    #[error("'{text}' has bits set behind the prefix")]
+    /// Bits after the prefix are set.
+    #[error("'{text}' has bits set after the prefix")]
     HostBits {
         /// The text.
         text: String,
@@ -148,7 +148,7 @@
 impl FromStr for NetworkPrefix {
     type Err = ParsePrefixError;
 
-    /// Reads `10.1.2.0/24`, `2001:db8::/32`, or an address alone.
+    /// Parses `10.1.2.0/24`, `2001:db8::/32`, or a single address.
     fn from_str(text: &str) -> Result<Self, ParsePrefixError> {
         let (address, length) = match text.split_once('/') {
             Some((address, length)) => {
--- a/crates/connection-limits/src/rate_sketch.rs
+++ b/crates/connection-limits/src/rate_sketch.rs
@@ -1,34 +1,34 @@
-//! How often each network opened a connection recently, in constant memory.
+//! The recent rate of new connections of each network, in constant memory.
 
 use std::time::Duration;
 
 use crate::network_prefix::NetworkPrefix;
 
-/// The number of rows of the sketch, each with a hash of its own.
+/// The number of rows of the sketch, each with a separate hash.
 const ROWS: usize = 4;
-/// The number of buckets of time: three cover the window, and one is being filled.
+/// The number of time buckets: three cover the window, and one is being filled.
 const BUCKETS: usize = 4;
 
 /// A count-min sketch (Cormode, Muthukrishnan, 2005) with conservative update (Estan, Varghese,
-/// 2002) over a sliding window in buckets of time.
+/// 2002) over a sliding window of time buckets.
 ///
-/// An estimate is never too low. It may be too high where other networks share all counters of a
-/// network: with n openings in the window, by more than 2.72 n / columns with a probability of
-/// e^-4, as there are four rows. That affects new clients alone, since the rate of known clients is
-/// not limited.
+/// An estimate is never too low. It may be too high if other networks share all counters of a
+/// network: with n new connections in the window, it is too high by more than 2.72 n / columns with
+/// a probability of at most e^-4, as there are four rows. This affects new clients only, since the
+/// rate of known clients is not limited.
 pub struct RateSketch {
     bucket_width: Duration,
     columns: usize,
-    /// The number of the current bucket since time zero.
+    /// The number of the current bucket, counted from time zero.
     current_bucket: u64,
-    /// For each bucket of time its counters, row by row.
+    /// The counters of each time bucket, row by row.
     buckets: Vec<Vec<u32>>,
     seed: u64,
 }
 
 impl RateSketch {
-    /// A sketch over a window of this length. The number of columns is rounded up to a power of
-    /// two.
+    /// Creates a sketch over a window of this length. The number of columns is rounded up to a
+    /// power of two.
     pub fn new(window: Duration, columns: usize, seed: u64) -> Self {
         let columns = columns.next_power_of_two();
         let bucket_width = (window / (BUCKETS as u32 - 1)).max(Duration::from_millis(1));
@@ -51,10 +51,11 @@
         self.current_bucket = self.current_bucket.max(bucket);
     }
 
-    /// The counters of a network, one in each row.
+    /// The indices of a network's counters, one in each row.
     fn counters(&self, network: NetworkPrefix) -> [usize; ROWS] {
         let hash = network.hash(self.seed);
-        // Two halves of one hash stand for a hash of each row (Kirsch, Mitzenmacher, 2006).
+        // The hash of each row is derived from the two halves of one hash (Kirsch, Mitzenmacher,
+        // 2006).
         let (first, step) = (hash as u32 as usize, (hash >> 32) as usize | 1);
         std::array::from_fn(|row| {
             let column = first.wrapping_add(row.wrapping_mul(step)) & (self.columns - 1);
@@ -62,7 +63,7 @@
         })
     }
 
-    /// An upper bound of the openings within the window.
+    /// An upper bound of the number of connections that a network opened within the window.
     pub fn estimate(&mut self, now: Duration, network: NetworkPrefix) -> u32 {
         self.advance(now);
         self.minimum(&self.counters(network))
@@ -73,12 +74,13 @@
         counters.iter().map(sum).min().unwrap_or(0)
     }
 
-    /// Records an opening and returns the new estimate.
+    /// Records a new connection and returns the new estimate.
     pub fn record(&mut self, now: Duration, network: NetworkPrefix) -> u32 {
         self.advance(now);
         let counters = self.counters(network);
         let bucket = &mut self.buckets[(self.current_bucket % BUCKETS as u64) as usize];
-        // Conservative update: a counter that is higher already belongs to other networks as well.
+        // Conservative update: a counter above the minimum is shared with other networks and needs
+        // no increment.
         let minimum = counters
             .iter()
             .map(|&counter| bucket[counter])
--- a/crates/connection-limits/src/slow_start.rs
+++ b/crates/connection-limits/src/slow_start.rs
@@ -1,31 +1,32 @@
-//! Slow start: a server that is warming up accepts a fraction of its connections.
+//! Slow start: a server that is warming up accepts a fraction of its capacity.
 //!
 //! Clients that lose a server connect to its replacement all at once. A cold server that accepted
 //! them all would be overloaded before it is warm, fail requests, and be replaced again. So the
-//! capacity rises linearly from a fraction at the start to all of it at the end of the warm-up.
-//! Within it each address has an equal share, so that those that connect first do not take all. The
-//! price is that clients connect elsewhere, or wait, while the server is cold.
+//! capacity rises linearly from a fraction at the start to its full value at the end of the
+//! warm-up. Each address has an equal share of it, so that the first clients to connect do not take
+//! all of it. The trade-off is that clients connect to another server, or wait, while the server is
+//! cold.
 
 use std::time::Duration;
 
-/// The fraction of the present capacity below which an address is not held to its equal share.
+/// The fraction of the current capacity below which the equal share of an address is not enforced.
 const FAIR_SHARE_FRACTION: f64 = 0.5;
 
 /// The parameters of the slow start.
 pub(crate) struct SlowStart {
     /// The fraction of the capacity that is accepted at the start, from 0 to 1.
     pub(crate) cold_start_fraction: f64,
-    /// How long the server warms up; zero for a warm one.
+    /// The length of the warm-up; zero for a server that starts warm.
     pub(crate) warm_up: Duration,
 }
 
-/// The connections that a new one is weighed against.
+/// The open connections at the time of a decision on a new one.
 pub(crate) struct OpenConnections {
-    /// The most connections that a warm server has.
+    /// The maximum number of open connections of a warm server.
     pub(crate) capacity: usize,
-    /// All open connections.
+    /// The number of open connections.
     pub(crate) total: usize,
-    /// The open connections of the client's address.
+    /// The number of open connections of the client's address.
     pub(crate) of_address: u32,
     /// The estimated number of addresses with an open connection.
     pub(crate) addresses: f64,
@@ -46,7 +47,7 @@
         total < capacity && !exceeds_fair_share
     }
 
-    /// The fraction of the capacity that is accepted during the warm-up.
+    /// The fraction of the capacity that is accepted at this time of the warm-up.
     fn accepted_fraction(&self, now: Duration) -> f64 {
         let progress = now.as_secs_f64() / self.warm_up.as_secs_f64();
         self.cold_start_fraction + (1.0 - self.cold_start_fraction) * progress
--- a/crates/connection-limits/src/tests/eviction.rs
+++ b/crates/connection-limits/src/tests/eviction.rs
@@ -12,7 +12,7 @@
     for_known_client: true,
 };
 
-/// A table with these connections, numbered from zero, and the queues of their classes.
+/// The eviction queues and the table of these connections, whose ids count from zero.
 fn queued(connections: Vec<Connection>) -> (EvictionQueues, ConnectionTable) {
     let mut queues = EvictionQueues::new();
     let mut table = ConnectionTable::default();
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn silent_connection_is_evicted_after_its_grace_and_at_once_where_it_is_urgent() {
+fn silent_connection_is_evicted_after_its_grace_and_immediately_if_urgent() {
     let (queues, table) = queued(vec![silent_connection()]);
     let choose = |at, urgency| queues.choose(&table, ms(at), urgency);
     let evicted = Some(Eviction::Close(ConnectionId(0)));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn idle_connection_of_a_known_client_gives_way_to_known_clients_only() {
+fn idle_connection_of_a_known_client_is_evicted_only_for_known_clients() {
     let (queues, table) = queued(vec![idle_connection(DescriptorOwner::KnownClients)]);
     let choose = |at, urgency| queues.choose(&table, ms(at), urgency);
     assert_eq!(choose(60_000, FOR_NEW_CLIENT), None);
@@ -84,10 +84,10 @@
     assert_eq!(queues.choose(&table, ms(60_000), Urgency::Backlog), None);
 }
 
-/// Guards against a client whose first message is in transit while a flood of silent connections
-/// waits in the backlog: the oldest silent connection was evicted at once.
+/// Guards against the eviction of a client whose first message is in transit: while a flood of
+/// connections waited in the backlog, the oldest silent connection was evicted immediately.
 #[test]
-fn silent_connection_is_spared_while_its_first_message_may_be_in_transit() {
+fn silent_connection_is_not_evicted_while_its_first_message_may_be_in_transit() {
     for silent_connections in [1, 2, 40] {
         let silent = (0..silent_connections).map(|_| silent_connection());
         let (queues, table) = queued(silent.collect());
@@ -98,9 +98,10 @@
     }
 }
 
-/// Guards against a client that was answered a moment ago and loses its connection to a newcomer.
+/// Guards against the eviction of a client that was answered immediately before a new connection
+/// arrived in the backlog.
 #[test]
-fn idle_connection_is_spared_after_its_use_while_others_wait_in_the_backlog() {
+fn recently_used_connection_is_not_evicted_while_others_wait_in_the_backlog() {
     for owner in [DescriptorOwner::NewClients, DescriptorOwner::KnownClients] {
         let (queues, table) = queued(vec![idle_connection(owner)]);
         let choose = |at| queues.choose(&table, ms(at), Urgency::Backlog);
@@ -111,11 +112,12 @@
     }
 }
 
-/// One newcomer displaces an idle connection. Behind it the next one waits until the first has sent
-/// a message, or has been silent for too long.
+/// Guards against silent connections that displace all idle ones: with one silent connection the
+/// next in the backlog displaces an idle one; with two it waits until a silent one has sent a
+/// message or may be evicted itself.
 #[test]
-fn newcomers_that_have_sent_nothing_give_way_to_one_another() {
-    let newcomer = || Connection {
+fn backlog_displaces_no_idle_connection_while_several_are_silent() {
+    let silent = || Connection {
         accepted_at: ms(1000),
         ..silent_connection()
     };
@@ -125,10 +127,10 @@
         queues.choose(&table, ms(at), Urgency::Backlog)
     };
     assert_eq!(
-        evicted_at(vec![idle(), newcomer()], 1000),
+        evicted_at(vec![idle(), silent()], 1000),
         Some(Eviction::RequestCloseAndClose(ConnectionId(0)))
     );
-    let connections = || vec![idle(), newcomer(), newcomer()];
+    let connections = || vec![idle(), silent(), silent()];
     assert_eq!(evicted_at(connections(), 1060), None);
     assert_eq!(
         evicted_at(connections(), 1061),
@@ -136,7 +138,7 @@
     );
 }
 
-/// A connection of which a message began at time zero.
+/// A connection with an incomplete message that started at time zero.
 fn partial_message() -> Connection {
     Connection {
         has_sent_message: true,
@@ -145,10 +147,11 @@
     }
 }
 
-/// Guards against connections that keep their places at a shutdown for longer than a message
-/// crosses, while whole requests wait in the backlog and are lost when the process ends.
+/// Guards against the loss of requests in the backlog at a shutdown: connections kept their
+/// descriptors for longer than a message is in transit, and the process ended before it accepted
+/// the connections in the backlog.
 #[test]
-fn nothing_is_spared_beyond_a_crossing_from_the_shutdown_notice_on() {
+fn grace_periods_are_60_ms_after_the_shutdown_notice_and_zero_during_a_drain() {
     let close = Some(Eviction::Close(ConnectionId(0)));
     let request_close = Some(Eviction::RequestCloseAndClose(ConnectionId(0)));
     for (connection, evicted) in [
@@ -168,16 +171,16 @@
     }
 }
 
-/// Guards against newcomers that displace idle connections one at a time: at a shutdown the backlog
-/// has to be gone through.
+/// Guards against a backlog that is accepted one connection at a time during a shutdown, which is
+/// too slow: the whole backlog has to be accepted before the process ends.
 #[test]
-fn newcomers_do_not_give_way_from_the_shutdown_notice_on() {
-    let newcomers = (0..3).map(|_| Connection {
+fn backlog_displaces_idle_connections_despite_silent_ones_after_the_shutdown_notice() {
+    let silent = (0..3).map(|_| Connection {
         accepted_at: ms(1000),
         ..silent_connection()
     });
     let idle = idle_connection(DescriptorOwner::NewClients);
-    let (queues, table) = queued(std::iter::once(idle).chain(newcomers).collect());
+    let (queues, table) = queued(std::iter::once(idle).chain(silent).collect());
     let choose = |urgency| queues.choose(&table, ms(1000), urgency);
     assert_eq!(choose(Urgency::Backlog), None);
     assert_eq!(
--- a/crates/connection-limits/src/tests/mod.rs
+++ b/crates/connection-limits/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The rules alone, at their thresholds.
+//! Unit tests of each rule, at its thresholds.
 
 mod accept_pause;
 mod eviction;
@@ -25,7 +25,7 @@
     Connection::new(address(1), DescriptorOwner::NewClients, Duration::ZERO)
 }
 
-/// A connection that was used last at time zero and is idle.
+/// An idle connection that was last used at time zero.
 fn idle_connection(owner: DescriptorOwner) -> Connection {
     Connection {
         has_sent_message: true,
--- a/crates/connection-limits/src/tests/network_limiter.rs
+++ b/crates/connection-limits/src/tests/network_limiter.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn rate_of_three_seconds_may_come_at_once_and_rejected_connections_do_not_count() {
+fn burst_of_three_seconds_is_admitted_and_rejected_connections_do_not_count() {
     let mut limiter = limiter(limit(1000, 1));
     let client = address(1);
     for _ in 0..3 {
--- a/crates/connection-limits/src/tests/slow_start.rs
+++ b/crates/connection-limits/src/tests/slow_start.rs
@@ -23,12 +23,12 @@
 }
 
 #[test]
-fn address_is_held_to_its_share_once_half_of_the_capacity_is_taken() {
+fn address_is_limited_to_its_share_once_half_of_the_capacity_is_taken() {
     let slow_start = SlowStart {
         cold_start_fraction: 0.5,
         warm_up: ms(1000),
     };
-    // At the start 50 connections are accepted: of five addresses each may have ten.
+    // At the start the capacity is 50 connections, so each of five addresses may have ten.
     let may_accept =
         |total, of_address| slow_start.may_accept(ms(0), &open(total, of_address, 5.0));
     assert!(may_accept(24, 10), "below half of the capacity");
--- a/crates/connection-limits/src/timeouts.rs
+++ b/crates/connection-limits/src/timeouts.rs
@@ -1,43 +1,44 @@
 //! Timeouts of connections: messages that do not complete, idle connections, and clients that do
-//! not close.
+//! not close a connection when asked to.
 //!
-//! A client that starts a message and stops, or that is never heard of again, would keep its
-//! descriptor for ever. A request in flight is answered before its connection is closed, so no
-//! answer is lost to a timeout.
+//! Without timeouts a client that stops in the middle of a message, or that disappears, would keep
+//! its descriptor indefinitely. A request in flight is answered before its connection is closed, so
+//! no answer is lost to a timeout.
 //!
-//! In a drain the client of each connection was asked to send nothing more. So a connection on
-//! which nothing has begun is closed as an idle one is, whether or not it was ever used: it would
-//! otherwise hold the drain for the time of a first message that does not come.
+//! During a drain the server has asked the client of each connection to send no further requests.
+//! So a connection without an incomplete message is closed like an idle one, even if it was never
+//! used: otherwise it would delay the drain by the timeout of a first message that does not arrive.
 //!
-//! The price: a client whose message takes longer than the message timeout is cut off in its midst,
-//! an idle client has to connect anew, and a request that is in transit when its connection is
-//! closed is lost; the client has to send it again.
+//! The trade-off: a client whose message takes longer than the message timeout is disconnected in
+//! the middle of it, an idle client has to connect again, and a request that is in transit when its
+//! connection is closed is lost; the client has to send it again.
 
 use std::time::Duration;
 
 use crate::connection::Connection;
 use crate::event::CloseReason;
 
-/// How long a client has to close a connection when it is asked to, outside a drain.
+/// How long a client has to close a connection after it was asked to, outside a drain.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a client has to close a connection while the server drains: short, as the process is
-/// about to end. How late the host notices is on top.
+/// about to end. The delay with which the host handles the deadline adds to it.
 const DRAIN_CLOSE_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// The time limits that hold now.
+/// The current timeouts.
 #[derive(Clone, Copy)]
 pub(crate) struct Timeouts {
-    /// For the first message of a connection, and for each message from its first byte to its last.
+    /// The timeout of the first message of a connection, and of each message from its first byte to
+    /// its last.
     pub(crate) message: Duration,
-    /// Without use, until the client is asked to close the connection.
+    /// The time without use after which the client is asked to close the connection.
     pub(crate) idle: Duration,
-    /// From the request to close until the connection is closed.
+    /// The time from the request to close until the limiter closes the connection.
     pub(crate) close: Duration,
     is_draining: bool,
 }
 
 impl Timeouts {
-    /// The time limits outside a drain.
+    /// Creates the timeouts outside a drain.
     pub(crate) fn new(message: Duration, idle: Duration) -> Self {
         Timeouts {
             message,
@@ -47,13 +48,14 @@
         }
     }
 
-    /// Clients get less time to close from now on: the process is about to end.
+    /// Gives clients less time to close from now on, as the process is about to end.
     pub(crate) fn start_drain(&mut self) {
         self.close = DRAIN_CLOSE_TIMEOUT;
         self.is_draining = true;
     }
 
-    /// Since when a complete message is awaited for which the connection is kept.
+    /// The start of the message timeout, if it applies to the connection. It does not apply during
+    /// a drain, except to an incomplete message.
     fn message_awaited_since(&self, connection: &Connection) -> Option<Duration> {
         let sends_nothing_more = self.is_draining && connection.close_requested_at.is_some();
         if sends_nothing_more && connection.partial_message_since.is_none() {
@@ -62,7 +64,7 @@
         connection.message_awaited_since
     }
 
-    /// The deadline of a connection on which a message has completed.
+    /// The deadline of a connection after a complete message.
     pub(crate) fn deadline_after_message(
         &self,
         connection: &Connection,
@@ -75,7 +77,7 @@
         }
     }
 
-    /// The deadline of a connection that has become idle.
+    /// The deadline of a connection after it has become idle.
     pub(crate) fn idle_deadline(&self, connection: &Connection, now: Duration) -> Duration {
         match connection.close_requested_at {
             Some(requested_at) => requested_at.saturating_add(self.close),
@@ -83,13 +85,13 @@
         }
     }
 
-    /// Whether a connection has been idle for longer than it may. Its deadline is too late where
-    /// the idle timeout has become shorter since.
+    /// Whether a connection has exceeded the idle timeout. Its deadline is too late for this check
+    /// if the idle timeout was shortened after the deadline was set.
     pub(crate) fn is_idle_too_long(&self, connection: &Connection, now: Duration) -> bool {
         now.saturating_sub(connection.last_used_at) > self.idle
     }
 
-    /// What becomes of a connection whose deadline has come.
+    /// Decides on a connection whose deadline has expired.
     pub(crate) fn handle_deadline(
         &self,
         connection: &Connection,
@@ -103,7 +105,7 @@
             };
         }
         if connection.open_requests > 0 {
-            // A client that goes on sending may never be without a request in flight.
+            // A client that sends without a pause may always have a request in flight.
             let close_at = connection
                 .close_requested_at
                 .map(|at| at.saturating_add(self.close));
@@ -111,7 +113,7 @@
                 Some(close_at) if self.is_draining && close_at <= now => {
                     DeadlineOutcome::CloseOverdue
                 }
-                // The deadline is set again when the request has finished.
+                // The end of the request sets a new deadline.
                 _ => DeadlineOutcome::Nothing,
             };
         }
@@ -130,19 +132,22 @@
     }
 }
 
-/// What becomes of a connection whose deadline has come.
+/// The decision on a connection whose deadline has expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DeadlineOutcome {
-    /// The connection was used meanwhile: its deadline is later.
+    /// The connection is not overdue, for example because it was used in the meantime: its deadline
+    /// moves to this time.
     Extend(Duration),
-    /// A message did not complete in time: the connection is closed once no request is in flight.
+    /// A message did not complete in time: the limiter closes the connection once no request is in
+    /// flight.
     MessageOverdue,
-    /// The client did not close in time: the connection is closed once no request is in flight.
+    /// The client did not close in time: the limiter closes the connection once no request is in
+    /// flight.
     CloseOverdue,
-    /// The connection is closed.
+    /// The limiter closes the connection now.
     Close(CloseReason),
-    /// The client is asked to close the connection.
+    /// The limiter asks the client to close the connection.
     RequestClose,
-    /// The connection has a request in flight and stays.
+    /// The connection stays open, as a request is in flight.
     Nothing,
 }
--- a/crates/connection-limits/src/timer_wheel.rs
+++ b/crates/connection-limits/src/timer_wheel.rs
@@ -3,43 +3,43 @@
 
 use std::time::Duration;
 
-/// The bits of a deadline that one level of the wheel looks at.
+/// The number of bits of a deadline that one level of the wheel covers.
 const LEVEL_BITS: u32 = 6;
 /// The number of slots of one level.
 const SLOTS: usize = 1 << LEVEL_BITS;
-/// The number of levels: the wheel reaches 2^30 ticks ahead.
+/// The number of levels: the wheel covers 2^30 ticks.
 const LEVELS: usize = 5;
-/// Stands for the lack of an index or a slot.
+/// Marks a missing index or slot.
 const NONE: u32 = u32::MAX;
 
 #[derive(Clone, Copy)]
 struct Entry {
     /// The tick of the deadline.
     deadline: u64,
-    /// The slot among those of all levels; `NONE` where the index has no deadline.
+    /// The slot, numbered over all levels; `NONE` if the index has no deadline.
     slot: u32,
     previous: u32,
     next: u32,
 }
 
-/// Deadlines of indices, one each. Setting, moving and cancelling a deadline takes constant time,
-/// and the passing of time costs one step for each deadline that expires and for each level that it
-/// descends. The lists of the slots are linked through an array, so nothing is allocated once that
-/// has grown to the greatest index.
+/// One deadline for each index. Setting, moving and cancelling a deadline takes constant time.
+/// Advancing the time costs one step for each deadline that expires and for each level that a
+/// deadline descends. The lists of the slots are linked through an array, so nothing is allocated
+/// after the array has grown to the greatest index.
 pub struct TimerWheel {
     tick: Duration,
     /// The current tick.
     now: u64,
     /// The first entry of each slot, level by level.
     heads: Vec<u32>,
-    /// For each level a bit for each slot that has an entry.
+    /// One bitmap for each level, with a bit for each slot that has an entry.
     occupied: [u64; LEVELS],
     entries: Vec<Entry>,
     pending: usize,
 }
 
 impl TimerWheel {
-    /// An empty wheel. Deadlines expire up to one tick late, and never early.
+    /// Creates an empty wheel. Deadlines expire up to one tick late, and never early.
     pub fn new(tick: Duration) -> Self {
         TimerWheel {
             tick: tick.max(Duration::from_micros(1)),
@@ -56,12 +56,12 @@
         self.pending
     }
 
-    /// The tick at or after a time.
+    /// The first tick at or after a time.
     fn tick_after(&self, at: Duration) -> u64 {
         u64::try_from(at.as_nanos().div_ceil(self.tick.as_nanos())).unwrap_or(u64::MAX)
     }
 
-    /// Sets the deadline of an index, in place of the one that it had. A deadline in the past
+    /// Sets the deadline of an index, which replaces its previous one. A deadline in the past
     /// expires with the next tick.
     pub fn set(&mut self, index: usize, deadline: Duration) {
         self.cancel(index);
@@ -81,7 +81,7 @@
         self.pending += 1;
     }
 
-    /// Removes the deadline of an index, where it has one.
+    /// Removes the deadline of an index, if it has one.
     pub fn cancel(&mut self, index: usize) {
         if self
             .entries
@@ -93,14 +93,14 @@
         }
     }
 
-    /// Puts an entry in its slot: on the lowest level that reaches as far as its deadline.
+    /// Inserts an entry into its slot, on the lowest level that covers its deadline.
     fn link(&mut self, index: u32) {
         let deadline = self.entries[index as usize].deadline.max(self.now + 1);
         let highest_difference = 63 - (deadline ^ self.now).leading_zeros();
         let level = ((highest_difference / LEVEL_BITS) as usize).min(LEVELS - 1);
         let shift = LEVEL_BITS * level as u32;
-        // A deadline beyond the wheel waits in the slot that comes last, and is put in its place
-        // then.
+        // A deadline beyond the range of the wheel is put into the last slot, and is inserted again
+        // when that slot is due.
         let slots_ahead = ((deadline >> shift) - (self.now >> shift)).min(SLOTS as u64 - 1);
         let slot_in_level = ((self.now >> shift) + slots_ahead) as usize % SLOTS;
         let slot = level * SLOTS + slot_in_level;
@@ -135,26 +135,27 @@
         self.entries[index as usize].slot = NONE;
     }
 
-    /// Lets time pass. Appends the indices whose deadline has come to `expired`; they have none any
-    /// more.
+    /// Advances the time. Appends the indices whose deadline has expired to `expired`; they no
+    /// longer have a deadline.
     pub fn advance(&mut self, now: Duration, expired: &mut Vec<usize>) {
         let target = u64::try_from(now.as_nanos() / self.tick.as_nanos()).unwrap_or(u64::MAX);
         while self.now < target {
-            // Ticks at which nothing can happen are skipped.
+            // Ticks without a due slot are skipped.
             let Some(next) = self.next_occupied_tick().filter(|&next| next <= target) else {
                 self.now = target;
                 return;
             };
             self.now = next;
-            // From the top: an entry of a higher level may expire at once.
+            // Higher levels first: an entry that descends from a higher level may expire at this
+            // tick.
             for level in (0..LEVELS).rev() {
                 self.empty_current_slot(level, expired);
             }
         }
     }
 
-    /// Expires the entries of the slot of a level that begins with the current tick, or moves them
-    /// to a lower level.
+    /// If a slot of this level begins at the current tick, expires its entries or moves them to a
+    /// lower level.
     fn empty_current_slot(&mut self, level: usize, expired: &mut Vec<usize>) {
         let shift = LEVEL_BITS * level as u32;
         let lower_bits = (1u64 << shift) - 1;
@@ -181,7 +182,7 @@
             .map(|level| {
                 let shift = LEVEL_BITS * level as u32;
                 let current_slot = (self.now >> shift) as u32 % SLOTS as u32;
-                // Slots behind the current one come in this turn of the wheel, the others in the
+                // Slots after the current one are due in this turn of the wheel, the others in the
                 // next.
                 let from_next_slot =
                     self.occupied[level].rotate_right((current_slot + 1) % SLOTS as u32);
@@ -191,7 +192,7 @@
             .min()
     }
 
-    /// A time before which no deadline expires.
+    /// A time before which no deadline expires; `None` if there is no deadline.
     pub fn next_deadline(&self) -> Option<Duration> {
         let tick = self.next_occupied_tick()?;
         Some(
--- a/crates/connection-limits/tests/golden_transcripts.rs
+++ b/crates/connection-limits/tests/golden_transcripts.rs
@@ -1,6 +1,6 @@
-//! Golden transcripts: seeded random events go into the limiter, and the checksum of all actions
-//! that come out is compared with the recorded one. A change that is meant to leave decisions alone
-//! must not move a checksum.
+//! Golden transcripts: the limiter handles seeded random events, and the checksum of its actions is
+//! compared with the recorded one. Guards against unintended changes of decisions: a change that is
+//! meant to preserve them must not change a checksum.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
@@ -16,15 +16,14 @@
 /// The number of connection indices that the host has.
 const MAX_CONNECTIONS: usize = 80;
 
-/// The checksum of the actions before the drain for each seed, as the limiter of 38f3fa5 decided.
+/// The checksum of the actions before the drain, for each seed.
 const EXPECTED_BEFORE_DRAIN: [u32; 10] = [
     4074368056, 3233449900, 2107206016, 1228536159, 3246998979, 992618503, 3420096810, 9928888,
     1756346914, 1254896479,
 ];
 
-/// The checksum of all actions for each seed. The drain at their end is as decided since 38f3fa5:
-/// an unused connection closes as an idle one does, and one that is always in use at its first moment
-/// without a request.
+/// The checksum of all actions, for each seed. During the drain at the end the limiter closes an
+/// unused connection like an idle one, and a busy one as soon as no request is in flight.
 const EXPECTED: [u32; 10] = [
     1926675380, 2337232852, 67116655, 1841844573, 1377608518, 541477784, 378476256, 2213672859,
     2627076406, 37813737,
@@ -41,7 +40,7 @@
     Reservation { owner, descriptors }
 }
 
-/// Limits of which those on open connections are met first.
+/// Limits of which connections exceed the number of open connections first.
 fn few_connections() -> NetworkLimits {
     NetworkLimits {
         address: limit(4, 8),
@@ -50,7 +49,7 @@
     }
 }
 
-/// Limits of which those on the rate of new connections are met first.
+/// Limits of which connections exceed the rate of new connections first.
 fn low_rates() -> NetworkLimits {
     NetworkLimits {
         address: limit(9, 2),
@@ -94,16 +93,16 @@
     }
 }
 
-/// What the host knows of an open connection.
+/// The state that the host keeps of an open connection.
 #[derive(Default)]
 struct OpenConnection {
     open_requests: u32,
     has_partial_message: bool,
-    /// The limiter wants it closed.
+    /// Whether the limiter has instructed the host to close it.
     is_closing: bool,
 }
 
-/// A host that carries out the actions and does everything else at random.
+/// A host that carries out the limiter's actions and generates random events.
 struct RandomHost {
     limiter: Limiter,
     now: Duration,
@@ -111,7 +110,7 @@
     open: BTreeMap<ConnectionId, OpenConnection>,
     rng: fastrand::Rng,
     checksum: crc32fast::Hasher,
-    /// The kinds of actions that occurred, with their reasons.
+    /// The kinds of the actions so far, with their reasons.
     kinds: BTreeSet<String>,
 }
 
@@ -154,8 +153,8 @@
         }
     }
 
-    /// Lets time pass, with the timers on the way.
-    fn pass_time(&mut self, span: Duration) {
+    /// Advances the time, and expires the timers that are due.
+    fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(at) = self.timer_at.filter(|&at| at <= end) {
             self.now = self.now.max(at);
@@ -165,8 +164,8 @@
         self.now = end;
     }
 
-    /// One address in five is that of a regular client, which becomes known.
-    fn draw_address(&mut self) -> IpAddr {
+    /// Samples an address; one in five is that of a regular client, which becomes known.
+    fn sample_address(&mut self) -> IpAddr {
         if self.rng.u8(..) < 51 {
             return Ipv4Addr::new(10, 0, 9, 1).into();
         }
@@ -186,7 +185,7 @@
             .map(ConnectionId)
             .find(|id| !self.open.contains_key(id));
         if let Some(connection) = free.filter(|_| may_accept) {
-            let address = self.draw_address();
+            let address = self.sample_address();
             self.handle(Event::Accepted {
                 connection,
                 address,
@@ -194,13 +193,14 @@
         }
     }
 
-    fn draw_connection(&mut self) -> Option<ConnectionId> {
+    fn sample_connection(&mut self) -> Option<ConnectionId> {
         let index = self.rng.usize(..self.open.len().max(1));
         self.open.keys().nth(index).copied()
     }
 
-    /// Something happens on a connection: bytes, a complete message, an answer, or its end.
-    fn use_connection(&mut self, connection: ConnectionId) {
+    /// Generates a random event of a connection: partial message, request, answer, violation or
+    /// close.
+    fn run_connection_step(&mut self, connection: ConnectionId) {
         let state = self.open.get_mut(&connection).unwrap();
         let is_answered = self.rng.u8(..) < 230;
         match self.rng.u8(..100) {
@@ -230,7 +230,7 @@
         }
     }
 
-    fn fail_to_accept(&mut self) {
+    fn fail_accept(&mut self) {
         let errors = [
             AcceptError::ProcessDescriptorLimit,
             AcceptError::SystemDescriptorLimit,
@@ -241,32 +241,32 @@
         self.handle(Event::AcceptFailed { error });
     }
 
-    fn play_step(&mut self) {
+    fn run_step(&mut self) {
         match self.rng.u16(..1000) {
             0..300 => self.accept(),
             300..860 => {
-                if let Some(connection) = self.draw_connection() {
-                    self.use_connection(connection);
+                if let Some(connection) = self.sample_connection() {
+                    self.run_connection_step(connection);
                 }
             }
-            860..864 => self.fail_to_accept(),
+            860..864 => self.fail_accept(),
             864..866 => {
                 let timeout = Duration::from_millis(self.rng.u64(200..6000));
                 self.handle(Event::SetIdleTimeout { timeout });
             }
             866..870 => {
                 let span = Duration::from_millis(self.rng.u64(500..5000));
-                self.pass_time(span);
+                self.advance(span);
             }
             _ => {
                 let span = Duration::from_micros(self.rng.u64(..120_000));
-                self.pass_time(span);
+                self.advance(span);
             }
         }
     }
 }
 
-/// The text of an action, spelled here so that a new name of a variant moves no checksum.
+/// The text of an action, spelled out here so that renaming a variant changes no checksum.
 fn line(now: Duration, action: &Action) -> String {
     let text = match *action {
         Action::Serve { connection } => format!("serve {}", connection.0),
@@ -313,19 +313,19 @@
     }
 }
 
-/// Plays a transcript: random steps, the last tenth of them while the server drains. Returns the
-/// checksum before the drain, too.
-fn play(seed: u64) -> (RandomHost, u32) {
+/// Runs a transcript: random steps, the last tenth of them while the server drains. Also returns
+/// the checksum before the drain.
+fn run_transcript(seed: u64) -> (RandomHost, u32) {
     let mut host = RandomHost::new(seed);
     let mut before_drain = 0;
     for step in 0..STEPS {
         if step == STEPS / 10 * 9 {
             before_drain = host.checksum.clone().finalize();
             host.handle(Event::Drain);
-            // Idle connections meet the timeout before they are used again.
-            host.pass_time(Duration::from_millis(150));
+            // Idle connections reach the timeout before their next use.
+            host.advance(Duration::from_millis(150));
         }
-        host.play_step();
+        host.run_step();
     }
     (host, before_drain)
 }
@@ -336,13 +336,13 @@
     let mut checksums = Vec::new();
     let mut checksums_before_drain = Vec::new();
     for seed in 0..EXPECTED.len() as u64 {
-        let (host, before_drain) = play(seed);
+        let (host, before_drain) = run_transcript(seed);
         kinds.extend(host.kinds);
         checksums_before_drain.push(before_drain);
         checksums.push(host.checksum.finalize());
     }
     assert_eq!(checksums_before_drain, EXPECTED_BEFORE_DRAIN);
     assert_eq!(checksums, EXPECTED, "{kinds:?}");
-    // Six kinds of actions, of which rejections have eight reasons and closes three.
+    // There are six kinds of actions; rejections have eight reasons, and closes have three.
     assert_eq!(kinds.len(), 4 + 8 + 3, "{kinds:?}");
 }
--- a/crates/connection-limits/tests/limiter/admission.rs
+++ b/crates/connection-limits/tests/limiter/admission.rs
@@ -1,4 +1,4 @@
-//! Which new connections are served, and which are rejected for which reason.
+//! Admission: which new connections are served, and for which reason the others are rejected.
 
 use std::net::Ipv6Addr;
 use std::time::Duration;
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn networks_have_connection_limits_of_their_own() {
+fn networks_have_separate_connection_limits() {
     let mut server = Server::new(config());
     let served = (0..200)
         .filter(|&host| server.accept(v4(127, 1, 1, host)).is_some())
@@ -65,7 +65,7 @@
         "{:?}",
         server.rejected
     );
-    // The owner of a /64 has all of its addresses, so it counts as one network.
+    // A site controls all addresses of its /64, so the /64 counts as one network.
     let mut server = Server::new(config());
     let v6 = |last: u16| Ipv6Addr::new(0x2001, 0xdb8, 1, 1, 0, 0, 0, last).into();
     assert_eq!(
@@ -82,7 +82,7 @@
     let client = v4(127, 1, 1, 1);
     let connection = server.become_known(client);
     server.close(connection);
-    // New clients of many networks, all of them silent.
+    // New clients from many networks, all of them silent.
     for host in 0..200u8 {
         server.accept(v4(127, 100 + host % 100, host, 1));
     }
@@ -114,7 +114,7 @@
     fill(&mut server);
     assert!(
         server.accept(quick).is_none(),
-        "a burst of one moment earns nothing"
+        "a burst earns no reputation"
     );
     assert!(server.accept(old).is_some());
     server.advance(Duration::from_secs(300));
@@ -156,8 +156,8 @@
         ..config()
     });
     let single = v4(127, 1, 1, 1);
-    let herd = (0..100).filter(|_| server.accept(single).is_some()).count();
-    assert!((5..=13).contains(&herd), "{herd}");
+    let accepted = (0..100).filter(|_| server.accept(single).is_some()).count();
+    assert!((5..=13).contains(&accepted), "{accepted}");
     assert!(
         server
             .rejected
@@ -168,26 +168,26 @@
         server.serve(connection);
     }
     server.advance(ms(9000));
-    // Nearly warm: most of the capacity is there for others.
+    // The server is nearly warm, so most of the capacity is available to other addresses.
     let others = (0..30u8)
         .filter(|&host| server.accept(v4(127, 2, host, 1)).is_some())
         .count();
     assert!(others >= 20, "{others}");
-    // Many addresses together get no more than that fraction, either.
+    // Many addresses together do not exceed that fraction either.
     let mut server = Server::new(Config {
         network_limits: None,
         cold_start_fraction: 0.25,
         warm_up: Duration::from_secs(10),
         ..config()
     });
-    let herd = (0..100u8)
+    let accepted = (0..100u8)
         .filter(|&host| server.accept(v4(127, 3, host, 1)).is_some())
         .count();
-    assert!((10..=13).contains(&herd), "{herd}");
+    assert!((10..=13).contains(&accepted), "{accepted}");
 }
 
 #[test]
-fn a_million_addresses_leave_no_open_connection() {
+fn connections_of_a_million_addresses_are_all_released() {
     let mut server = Server::new(config());
     for number in 0..1_000_000u32 {
         let [_, b, c, d] = number.to_be_bytes();
@@ -198,6 +198,7 @@
             server.advance(ms(10));
         }
     }
-    // The sketch has one size, counts are of open connections, and no client has a reputation.
+    // The sketch has a constant size, the counts cover open connections only, and no client has a
+    // reputation, so memory does not grow with the number of addresses.
     assert_eq!(server.limiter.open_connections(), 0);
 }
--- a/crates/connection-limits/tests/limiter/eviction.rs
+++ b/crates/connection-limits/tests/limiter/eviction.rs
@@ -1,4 +1,4 @@
-//! Which connection is closed so that another gets its descriptor.
+//! Eviction: which connection is closed so that another gets its descriptor.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 #[test]
 fn connections_are_evicted_in_the_order_of_their_classes() {
-    // Without limits by network and with long timeouts, so that only the descriptors count.
+    // There are no network limits and the timeouts are long, so only the descriptors are limited.
     let minute = Duration::from_secs(60);
     let mut server = Server::new(Config {
         network_limits: None,
@@ -41,7 +41,7 @@
             order.extend(server.closed.drain(..).map(|(connection, _)| connection));
             continue;
         };
-        // These have an open request from the start, so that none of them is evicted.
+        // The new connections have an open request from the start, so none of them is evicted.
         server.start_request(connection);
         server.advance(ms(70));
         order.extend(server.closed.drain(..).map(|(connection, _)| connection));
@@ -49,7 +49,7 @@
     assert_eq!(
         order,
         [silent, partial, idle],
-        "neither the busy one nor, for new clients, that of a known one"
+        "neither the busy connection nor, for new clients, that of a known client"
     );
     assert!(server.open.contains_key(&busy) && server.open.contains_key(&known));
 }
@@ -60,7 +60,7 @@
         network_limits: None,
         ..config()
     });
-    // All connections but a few have an open request; two clients use theirs every 100 ms.
+    // 38 connections have an open request; two clients use their connections every 100 ms.
     for host in 0..38u8 {
         let connection = server.accept(v4(126, host, 1, 1)).unwrap();
         server.start_request(connection);
@@ -103,11 +103,11 @@
     );
 }
 
-/// Where new connections wait in the backlog, the one that filled the capacity was closed at once,
-/// as the only silent one: its first message was in transit, and its client saw the connection
-/// close.
+/// Guards against the eviction of a new connection whose first message is in transit: the
+/// connection that filled the capacity was the only silent one, so it was closed immediately when
+/// another waited in the backlog.
 #[test]
-fn new_connection_that_fills_the_capacity_is_spared_while_its_first_message_is_in_transit() {
+fn connection_that_fills_the_capacity_is_not_evicted_while_its_first_message_is_in_transit() {
     let mut config = config();
     (config.full_policy, config.network_limits) = (FullPolicy::Wait, None);
     let mut server = Server::new(config);
@@ -141,13 +141,13 @@
             server.serve(last.unwrap());
         }
     }
-    // The others were answered at this very moment: one of them gives way once its next message has
-    // had time, and the newcomer stays.
+    // The others were answered at this time. One of them is evicted once its grace period for the
+    // next message is over, and the new connection stays open.
     assert_eq!(evicted(&mut server), (false, None));
     server.now += ms(59);
-    let newcomer = last.expect("a descriptor was available");
-    server.close(newcomer);
-    assert_eq!(server.accept(v4(10, 0, 0, 1)), Some(newcomer));
+    let newest = last.expect("a descriptor was available");
+    server.close(newest);
+    assert_eq!(server.accept(v4(10, 0, 0, 1)), Some(newest));
     server.now += ms(1);
     assert_eq!(evicted(&mut server), (false, None));
     server.now += ms(1);
@@ -156,7 +156,7 @@
         !may && first.is_some() && first != last,
         "{first:?} of {last:?}"
     );
-    // Of several silent connections the oldest is evicted, once its first message has had time.
+    // Of several silent connections the oldest is evicted, once its grace period is over.
     let mut server = Server::new(Config {
         full_policy: FullPolicy::Wait,
         network_limits: None,
@@ -178,12 +178,12 @@
     assert_eq!(evicted(&mut server), (false, silent.first().copied()));
 }
 
-/// Guards against a flood of connections that send nothing, which closed the connection of a client
-/// that was being served: 1,000 of them wait in the backlog while one client sends its first
-/// message 5 ms after it was accepted, and then one each 5 ms. It keeps its connection, newcomers
-/// get theirs at the promised rate, and descriptors stay within the limit.
+/// Guards against a flood of connections that send nothing, which closed the connection of an
+/// active client. For 1,000 ms silent connections wait in the backlog while one client sends a
+/// message every 5 ms, the first one 5 ms after it was accepted. The client keeps its connection,
+/// new connections are accepted at the guaranteed rate, and descriptors stay within the limit.
 #[test]
-fn a_flood_of_silent_connections_displaces_no_client_that_works() {
+fn flood_of_silent_connections_evicts_no_active_client() {
     let mut server = Server::new(Config {
         full_policy: FullPolicy::Wait,
         network_limits: None,
@@ -192,7 +192,7 @@
     let client = server.accept(v4(127, 1, 1, 1)).unwrap();
     let mut accepted = 0;
     let mut longest_wait = Duration::ZERO;
-    let mut waits_since = server.now;
+    let mut last_accepted_at = server.now;
     for millisecond in 0..1000 {
         server.now = ms(millisecond);
         server.handle(Event::TimerExpired);
@@ -205,8 +205,8 @@
         while server.limiter.may_accept(server.now, None, &mut actions) {
             server.accept(v4(10, 0, 0, 1)).expect("a descriptor");
             accepted += 1;
-            longest_wait = longest_wait.max(server.now - waits_since);
-            waits_since = server.now;
+            longest_wait = longest_wait.max(server.now - last_accepted_at);
+            last_accepted_at = server.now;
         }
         for action in actions {
             if let Action::Close { connection, .. } = action {
@@ -220,7 +220,8 @@
     assert!((39 * 14..=39 * 18).contains(&accepted), "{accepted}");
 }
 
-/// A server whose places are all taken by connections that were used, and others wait for them.
+/// A server whose descriptors are all taken by connections that were used, so that new connections
+/// wait in the backlog.
 fn full_server() -> Server {
     let mut config = config();
     (config.full_policy, config.network_limits) = (FullPolicy::Wait, None);
@@ -233,7 +234,7 @@
     server
 }
 
-/// How many are evicted where so many wait.
+/// The number of connections that the limiter evicts for a backlog of this length.
 fn evicted(server: &mut Server, backlog: Option<usize>) -> usize {
     let mut actions = Vec::new();
     assert!(!server.limiter.may_accept(server.now, backlog, &mut actions));
@@ -241,43 +242,55 @@
     actions.iter().filter(is_close).count()
 }
 
-/// Guards against a backlog that is gone through at one connection a call when the server shuts
-/// down: the process ended before it came to the last of those that waited.
+/// Guards against a backlog that is accepted too slowly during a shutdown: at one eviction per call
+/// the process ended before it accepted the last connection of the backlog.
 #[test]
-fn one_connection_is_evicted_for_each_that_waits_at_a_shutdown() {
+fn shutdown_evicts_one_connection_for_each_in_the_backlog() {
     let mut server = full_server();
     server.closed.clear();
     server.handle(Event::ShutdownNotice);
-    assert_eq!(evicted(&mut server, Some(3)), 0, "all were used just now");
+    assert_eq!(
+        evicted(&mut server, Some(3)),
+        0,
+        "all were used at this time"
+    );
     server.advance(ms(61));
     assert_eq!(evicted(&mut server, Some(3)), 3);
-    assert_eq!(evicted(&mut server, Some(3)), 0, "those are leaving");
-    assert_eq!(evicted(&mut server, Some(5)), 2, "two more have come");
+    assert_eq!(evicted(&mut server, Some(3)), 0, "three closes are pending");
+    assert_eq!(evicted(&mut server, Some(5)), 2, "the backlog grew by two");
     server.advance(ms(5));
-    assert_eq!(evicted(&mut server, Some(0)), 0, "nobody waits");
+    assert_eq!(evicted(&mut server, Some(0)), 0, "the backlog is empty");
     server.advance(ms(5));
-    assert_eq!(evicted(&mut server, None), 1, "one, where it is not known");
+    assert_eq!(
+        evicted(&mut server, None),
+        1,
+        "one, as the backlog is not known"
+    );
     assert_eq!(evicted(&mut server, None), 1);
 }
 
-/// Guards against connections that do not leave their places, as their clients do not read: while
-/// they counted among the evicted, nobody else was evicted for those who wait.
+/// Guards against connections that stay open after the limiter asks to close them, as their clients
+/// do not read: while they counted as evictions, no other connection was evicted for the backlog.
 #[test]
-fn connections_that_do_not_leave_keep_nobody_waiting_at_a_shutdown() {
+fn unfinished_closes_do_not_block_evictions_during_a_shutdown() {
     let mut server = full_server();
     server.handle(Event::ShutdownNotice);
     server.advance(ms(61));
     assert_eq!(evicted(&mut server, Some(3)), 3);
     server.now += ms(4);
-    assert_eq!(evicted(&mut server, Some(3)), 0, "those are leaving");
+    assert_eq!(evicted(&mut server, Some(3)), 0, "three closes are pending");
     server.now += ms(1);
-    assert_eq!(evicted(&mut server, Some(3)), 3, "they did not leave");
+    assert_eq!(
+        evicted(&mut server, Some(3)),
+        3,
+        "the pending closes have expired"
+    );
 }
 
-/// Guards against a client that loses its connection to an error of `accept` that it has not
-/// caused: any error that is not known was taken for a lack of descriptors.
+/// Guards against the eviction of a connection after an `accept` error that it did not cause: the
+/// limiter treated any unknown error as a shortage of descriptors.
 #[test]
-fn no_connection_is_evicted_for_an_error_that_is_not_known() {
+fn unknown_accept_error_evicts_no_connection() {
     let mut server = Server::new(config());
     server.accept(v4(127, 1, 1, 1)).unwrap();
     server.handle(Event::AcceptFailed {
--- a/crates/connection-limits/tests/limiter/harness.rs
+++ b/crates/connection-limits/tests/limiter/harness.rs
@@ -1,5 +1,5 @@
-//! A server around the limiter that keeps a model of its connections and checks each action
-//! against it.
+//! A simulated server that carries out the limiter's actions and checks each of them against a
+//! model of its connections.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr};
@@ -66,7 +66,7 @@
     pub(crate) is_closing: bool,
 }
 
-/// A server that keeps a model of its connections.
+/// A simulated server with a model of its connections.
 pub(crate) struct Server {
     pub(crate) limiter: Limiter,
     pub(crate) now: Duration,
@@ -143,7 +143,7 @@
                     self.closed.push((connection, reason));
                 }
                 Action::PauseAccepting { until } => self.paused_until = until,
-                Action::SetTimer { at } => assert!(at > self.now, "a timer is set ahead"),
+                Action::SetTimer { at } => assert!(at > self.now, "a timer is set in the future"),
             }
         }
         let is_accept = matches!(event, Event::Accepted { .. });
@@ -153,15 +153,15 @@
         );
         let descriptors = self.limiter.descriptors();
         assert!(descriptors.total_in_use() <= self.max_descriptors);
-        // New clients take nothing that is reserved for known clients or others.
+        // New clients take no descriptor that is reserved for another owner.
         let reserved = 6 + 4 + 10;
         assert!(descriptors.in_use(DescriptorOwner::NewClients) <= self.max_descriptors - reserved);
         assert_eq!(self.limiter.open_connections(), self.open.len());
     }
 
-    /// Accepts a connection. Returns it where it is served.
+    /// Accepts a connection. Returns it if the limiter serves it.
     pub(crate) fn accept(&mut self, address: IpAddr) -> Option<ConnectionId> {
-        let connection = self.free.pop_first().expect("indices are enough");
+        let connection = self.free.pop_first().expect("a connection index is free");
         self.handle(Event::Accepted {
             connection,
             address,
@@ -186,7 +186,7 @@
         });
     }
 
-    /// A request that is read and answered completely.
+    /// Reads and answers a complete request.
     pub(crate) fn serve(&mut self, connection: ConnectionId) {
         self.handle(Event::MessageCompleted { connection });
         self.start_request(connection);
@@ -199,7 +199,8 @@
         self.handle(Event::Closed { connection });
     }
 
-    /// Lets time pass; a connection that is to be closed is closed at once.
+    /// Advances the time in ticks of 10 ms, and closes connections as soon as the limiter asks for
+    /// it.
     pub(crate) fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -217,7 +218,7 @@
             .for_each(|connection| self.close(connection));
     }
 
-    /// Makes the client of an address known.
+    /// Serves requests of an address until its client is known. Returns the connection.
     pub(crate) fn become_known(&mut self, address: IpAddr) -> ConnectionId {
         let connection = self.accept(address).unwrap();
         for _ in 0..8 {
--- a/crates/connection-limits/tests/limiter/invariants.rs
+++ b/crates/connection-limits/tests/limiter/invariants.rs
@@ -1,5 +1,5 @@
-//! Whatever the events and their order, the invariants that the harness checks hold, and every
-//! connection ends.
+//! Random events in random order: the invariants that the harness checks hold, and every connection
+//! is closed in the end.
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use tulipgap_connection_limits::{AcceptError, Action, Event, FullPolicy};
@@ -34,8 +34,8 @@
         }
         let mut server = Server::new(config);
         for Step { action, selector, span } in steps {
-            let any = server.open.keys().nth(usize::from(selector) % server.open.len().max(1)).copied();
-            match (action % 12, any) {
+            let selected = server.open.keys().nth(usize::from(selector) % server.open.len().max(1)).copied();
+            match (action % 12, selected) {
                 (0..=3, _) => {
                     let mut actions = Vec::new();
                     let may = server.limiter.may_accept(server.now, None, &mut actions);
@@ -58,7 +58,7 @@
                 }
                 (4, Some(connection)) => server.handle(Event::MessageStarted { connection }),
                 (5, Some(connection)) => server.handle(Event::MessageCompleted { connection }),
-                // No request starts on a connection that is closing.
+                // The host starts no request on a connection that is closing.
                 (6 | 7, Some(connection)) if !server.open[&connection].is_closing => {
                     server.start_request(connection);
                 }
@@ -77,7 +77,8 @@
                 _ => {}
             }
         }
-        // Every connection ends once its requests have finished and time passes.
+        // Every connection is closed after its requests have finished and its timeouts have
+        // expired.
         for connection in server.open.keys().copied().collect::<Vec<_>>() {
             while server.open[&connection].open_requests > 0 {
                 server.finish_request(connection, true);
--- a/crates/connection-limits/tests/limiter/main.rs
+++ b/crates/connection-limits/tests/limiter/main.rs
@@ -1,6 +1,6 @@
-//! The limiter against a plain model: whatever the events and their order, the budget of
-//! descriptors and its reservations hold, no connection with an open request is closed, and each
-//! connection is open or was rejected or closed for a reason.
+//! Tests of the limiter against a model of its connections. Guards against a limiter that exceeds
+//! the descriptor budget or ignores its reservations, closes a connection with an open request, or
+//! neither serves, rejects nor closes a connection.
 
 mod admission;
 mod eviction;
--- a/crates/connection-limits/tests/limiter/timeouts.rs
+++ b/crates/connection-limits/tests/limiter/timeouts.rs
@@ -1,4 +1,4 @@
-//! Idle connections, messages that do not complete, and the drain.
+//! Timeouts: idle connections, messages that do not complete, and the drain.
 
 use tulipgap_connection_limits::{CloseReason, Event};
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn idle_connection_is_asked_to_close_and_then_closed_and_a_shorter_timeout_holds_at_once() {
+fn idle_connection_is_asked_to_close_and_then_closed_and_a_shorter_timeout_applies_at_once() {
     let mut server = Server::new(config());
     let connection = server.accept(v4(127, 1, 1, 1)).unwrap();
     server.serve(connection);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn drain_asks_all_clients_to_close_and_closes_what_stays() {
+fn drain_asks_all_clients_to_close_and_closes_the_remaining_connections() {
     let mut server = Server::new(config());
     let connection = server.accept(v4(127, 1, 1, 1)).unwrap();
     server.serve(connection);
@@ -57,10 +57,10 @@
     assert!(!server.open.contains_key(&connection));
 }
 
-/// Guards against a drain that is held by connections on which nothing was ever sent: they were
-/// kept for the time of a first message, which does not come behind the request to close.
+/// Guards against a drain that is delayed by unused connections: they were kept open for the
+/// timeout of the first message, which the client does not send after the request to close.
 #[test]
-fn drain_closes_unused_connections_as_idle_ones() {
+fn drain_closes_unused_connections_like_idle_ones() {
     let mut server = Server::new(config());
     let silent = server.accept(v4(127, 1, 1, 1)).unwrap();
     let partial = server.accept(v4(127, 2, 1, 1)).unwrap();
@@ -74,7 +74,7 @@
         connection: cancelling,
     });
     server.advance(ms(50));
-    assert!(server.closed.is_empty(), "each may still send for 60 ms");
+    assert!(server.closed.is_empty(), "each client has 60 ms to close");
     server.advance(ms(30));
     assert!(!server.open.contains_key(&silent));
     assert!(!server.open.contains_key(&cancelling));
@@ -86,10 +86,10 @@
     assert!(!server.open.contains_key(&partial));
 }
 
-/// Guards against a client that holds a drain by sending without a pause: it was never without a
-/// request in flight when its deadline came.
+/// Guards against a client that delays a drain by sending without a pause: it always had a request
+/// in flight when the deadline of its connection expired.
 #[test]
-fn drain_closes_a_connection_at_its_first_moment_without_a_request() {
+fn drain_closes_a_busy_connection_as_soon_as_no_request_is_in_flight() {
     let mut server = Server::new(config());
     let connection = server.accept(v4(127, 1, 1, 1)).unwrap();
     server.serve(connection);
@@ -98,7 +98,7 @@
     server.advance(ms(100));
     server.start_request(connection);
     server.finish_request(connection, true);
-    assert!(server.closed.is_empty(), "another is in flight");
+    assert!(server.closed.is_empty(), "another request is in flight");
     server.finish_request(connection, true);
     assert_eq!(server.closed, [(connection, CloseReason::CloseTimeout)]);
 }
--- a/crates/connection-limits/tests/structures.rs
+++ b/crates/connection-limits/tests/structures.rs
@@ -1,4 +1,5 @@
-//! The structures of the limiter against plain ones, with random input.
+//! Model-based tests of the limiter's data structures, with random input and models from the
+//! standard library.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, Ipv4Addr};
@@ -19,39 +20,39 @@
 }
 
 quickcheck! {
-    fn network_counts_equal_those_of_a_hash_map(steps: Vec<(u8, bool)>) -> bool {
-        let (mut counts, mut plain) = (NetworkCounts::new(20, 3), HashMap::<NetworkPrefix, u32>::new());
+    fn network_counts_match_a_hash_map(steps: Vec<(u8, bool)>) -> bool {
+        let (mut counts, mut model) = (NetworkCounts::new(20, 3), HashMap::<NetworkPrefix, u32>::new());
         for (host, is_increment) in steps {
             let key = NetworkPrefix::of_address(v4(10, 0, 0, host % 32));
             if is_increment {
-                let fits = plain.contains_key(&key) || plain.len() < 20;
+                let fits = model.contains_key(&key) || model.len() < 20;
                 assert_eq!(counts.increment(key), fits);
                 if fits {
-                    *plain.entry(key).or_default() += 1;
+                    *model.entry(key).or_default() += 1;
                 }
             } else {
                 counts.decrement(key);
-                match plain.get_mut(&key) {
+                match model.get_mut(&key) {
                     Some(count) if *count > 1 => *count -= 1,
-                    _ => drop(plain.remove(&key)),
+                    _ => drop(model.remove(&key)),
                 }
             }
         }
-        assert_eq!(counts.network_count(), plain.len());
+        assert_eq!(counts.network_count(), model.len());
         (0..32).all(|host| {
             let key = NetworkPrefix::of_address(v4(10, 0, 0, host));
-            counts.get(key) == plain.get(&key).copied().unwrap_or(0)
+            counts.get(key) == model.get(&key).copied().unwrap_or(0)
         })
     }
 
-    fn timer_wheel_expires_what_a_sorted_list_does(steps: Vec<(u8, u32, bool)>) -> bool {
-        let (mut wheel, mut plain) = (TimerWheel::new(ms(1)), BTreeMap::<usize, u64>::new());
+    fn timer_wheel_expires_the_same_deadlines_as_an_ordered_map(steps: Vec<(u8, u32, bool)>) -> bool {
+        let (mut wheel, mut model) = (TimerWheel::new(ms(1)), BTreeMap::<usize, u64>::new());
         let mut now = 0u64;
         for (index, span, is_set) in steps {
             let span = u64::from(span >> (u32::from(index) % 32));
             if is_set {
                 wheel.set(usize::from(index), ms(now + span));
-                plain.insert(usize::from(index), now + span);
+                model.insert(usize::from(index), now + span);
             } else {
                 now += span;
                 let mut expired = Vec::new();
@@ -60,13 +61,13 @@
                 // A deadline in the past expires with the next tick.
                 let has_passed = |at: u64| at <= now && span > 0;
                 let expected: Vec<usize> =
-                    plain.iter().filter(|(_, at)| has_passed(**at)).map(|(&index, _)| index).collect();
+                    model.iter().filter(|(_, at)| has_passed(**at)).map(|(&index, _)| index).collect();
                 assert_eq!(expired, expected, "at {now}");
-                plain.retain(|_, at| !has_passed(*at));
+                model.retain(|_, at| !has_passed(*at));
             }
-            assert_eq!(wheel.pending(), plain.len());
-            assert!(plain.is_empty() || wheel.next_deadline().is_some_and(|next| {
-                next <= ms((*plain.values().min().unwrap()).max(now + 1))
+            assert_eq!(wheel.pending(), model.len());
+            assert!(model.is_empty() || wheel.next_deadline().is_some_and(|next| {
+                next <= ms((*model.values().min().unwrap()).max(now + 1))
             }));
         }
         true
@@ -74,14 +75,14 @@
 
     fn rate_sketch_never_estimates_too_low(keys: Vec<u8>, span: u16) -> bool {
         let mut sketch = RateSketch::new(ms(3000), 64, 5);
-        let mut plain: HashMap<u8, u32> = HashMap::new();
+        let mut model: HashMap<u8, u32> = HashMap::new();
         for (at, key) in keys.iter().enumerate() {
             let now = ms(at as u64 * u64::from(span) / 1000 % 3000);
-            *plain.entry(*key).or_default() += 1;
+            *model.entry(*key).or_default() += 1;
             assert!(sketch.record(now, NetworkPrefix::of_address(v4(10, 1, 1, *key))) >= 1);
         }
         let now = ms(keys.len() as u64 * u64::from(span) / 1000 % 3000);
-        plain.iter().all(|(&key, &count)| {
+        model.iter().all(|(&key, &count)| {
             let estimate = sketch.estimate(now.min(ms(2999)), NetworkPrefix::of_address(v4(10, 1, 1, key)));
             estimate >= count || keys.len() as u64 * u64::from(span) / 1000 >= 3000
         })
@@ -101,7 +102,7 @@
                 budget.release(owner);
             }
             assert!(budget.total_in_use() <= 20);
-            // An owner that has not taken all of its reservation always can.
+            // An owner can always take the rest of its reservation.
             for Reservation { owner, descriptors } in reservations {
                 let in_use = budget.in_use(owner);
                 assert!(in_use >= descriptors || budget.available(owner) >= descriptors - in_use);
@@ -115,7 +116,7 @@
 fn networks_are_parsed_and_malformed_ones_rejected() {
     let network: NetworkPrefix = "10.1.0.0/16".parse().unwrap();
     assert!(network.contains(v4(10, 1, 200, 3)) && !network.contains(v4(10, 2, 0, 1)));
-    // The IPv6-mapped form of an address is the same address.
+    // The IPv6-mapped form of an address belongs to the same network.
     assert!(network.contains("::ffff:10.1.2.3".parse().unwrap()));
     let v6: NetworkPrefix = "2001:db8::/32".parse().unwrap();
     assert!(
