--- a/crates/connection-limits/src/tests/mod.rs
+++ b/crates/connection-limits/src/tests/mod.rs
@@ -1,4 +1,5 @@
-//! Unit tests of each rule, at its thresholds.
+//! Unit tests of each rule, at its thresholds. Guards against a decision that changes at another
+//! time or count than documented.
 
 mod accept_pause;
 mod eviction;
--- a/crates/connection-limits/tests/golden_transcripts.rs
+++ b/crates/connection-limits/tests/golden_transcripts.rs
@@ -40,7 +40,8 @@
     Reservation { owner, descriptors }
 }
 
-/// Limits of which connections exceed the number of open connections first.
+/// Network limits under which connections reach the limit on open connections before the rate
+/// limit.
 fn few_connections() -> NetworkLimits {
     NetworkLimits {
         address: limit(4, 8),
@@ -49,7 +50,8 @@
     }
 }
 
-/// Limits of which connections exceed the rate of new connections first.
+/// Network limits under which connections reach the rate limit before the limit on open
+/// connections.
 fn low_rates() -> NetworkLimits {
     NetworkLimits {
         address: limit(9, 2),
--- a/crates/connection-limits/tests/limiter/admission.rs
+++ b/crates/connection-limits/tests/limiter/admission.rs
@@ -1,4 +1,6 @@
 //! Admission: which new connections are served, and for which reason the others are rejected.
+//! Guards against one client or a few networks that take all descriptors, known clients that are
+//! rejected during a connection flood, and a cold server that accepts more than its fraction.
 
 use std::net::Ipv6Addr;
 use std::time::Duration;
--- a/crates/connection-limits/tests/limiter/eviction.rs
+++ b/crates/connection-limits/tests/limiter/eviction.rs
@@ -1,4 +1,6 @@
-//! Eviction: which connection is closed so that another gets its descriptor.
+//! Eviction: which connection is closed so that another gets its descriptor. Guards against idle
+//! connections that keep descriptors from active clients, and against the eviction of active
+//! clients.
 
 use std::time::Duration;
 
--- a/crates/connection-limits/tests/limiter/timeouts.rs
+++ b/crates/connection-limits/tests/limiter/timeouts.rs
@@ -1,4 +1,6 @@
-//! Timeouts: idle connections, messages that do not complete, and the drain.
+//! Timeouts: idle connections, messages that do not complete, and the drain. Guards against
+//! descriptors that are never freed and a drain that does not end, after clients stop sending or
+//! ignore the request to close.
 
 use tulipgap_connection_limits::{CloseReason, Event};
 
--- a/crates/connection-limits/tests/structures.rs
+++ b/crates/connection-limits/tests/structures.rs
@@ -1,5 +1,5 @@
 //! Model-based tests of the limiter's data structures, with random input and models from the
-//! standard library.
+//! standard library. Guards against lost or misplaced entries, for example after a removal.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, Ipv4Addr};
