--- a/crates/peer-protocol/src/frame.rs
+++ b/crates/peer-protocol/src/frame.rs
@@ -1,65 +1,67 @@
-//! Frames: encoding, decoding, and why a frame is rejected.
+//! Frames: encoding, decoding, and the reasons for rejection.
 
 use crate::message::Envelope;
 
-/// The version of the protocol. Frames of another one are rejected.
+/// The version of the protocol. Frames of another version are rejected.
 pub const PROTOCOL_VERSION: u16 = 1;
 /// The length of a frame's header, in bytes.
 pub const HEADER_BYTES: usize = HASH_OFFSET + HASH_BYTES;
-/// The longest body of a frame, in bytes. Bounds what a peer makes this process allocate.
+/// The maximum length of a frame's body, in bytes. It bounds the memory that a peer can make this
+/// process allocate.
 pub const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// The longest frame that is sent as a datagram, in bytes, so that it fits into one packet of an
-/// Ethernet; a longer one goes over a stream.
+/// The maximum length of a frame in a datagram, in bytes, so that it fits into one Ethernet packet.
+/// Longer frames are sent on a stream.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// The shortest key, in bytes.
+/// The minimum length of a key, in bytes.
 pub const MIN_KEY_BYTES: usize = 16;
 
-/// What each frame begins with.
+/// The first bytes of each frame.
 const MAGIC: [u8; 2] = *b"tG";
 /// The length of the cluster tag, in bytes.
 const TAG_BYTES: usize = 4;
 /// The length of the keyed hash, in bytes.
 const HASH_BYTES: usize = 16;
-/// Where the version begins, in bytes from the start of a frame.
+/// The offset of the version, in bytes from the start of a frame.
 const VERSION_OFFSET: usize = MAGIC.len();
-/// Where the cluster tag begins, in bytes from the start of a frame.
+/// The offset of the cluster tag, in bytes from the start of a frame.
 const TAG_OFFSET: usize = VERSION_OFFSET + 2;
-/// Where the length of the body begins, in bytes from the start of a frame.
+/// The offset of the length of the body, in bytes from the start of a frame.
 const LENGTH_OFFSET: usize = TAG_OFFSET + TAG_BYTES;
-/// Where the checksum begins, in bytes from the start of a frame.
+/// The offset of the checksum, in bytes from the start of a frame.
 const CHECKSUM_OFFSET: usize = LENGTH_OFFSET + 4;
-/// Where the keyed hash begins, in bytes from the start of a frame.
+/// The offset of the keyed hash, in bytes from the start of a frame.
 const HASH_OFFSET: usize = CHECKSUM_OFFSET + 4;
-/// Separates the key of this use from other uses of the same secret.
+/// The context of the key derivation, which separates the frame key from other keys derived from
+/// the same secret.
 const KEY_CONTEXT: &str = "tulipgap peer frames, version 1";
 
 /// Why a frame was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The bytes do not begin with a header, or the body has another length than the header says.
-    #[error("it is no frame")]
-    NotAFrame,
-    /// Another version of the protocol.
+    /// The bytes do not begin with a header, or the length of the body differs from the header.
+    #[error("it is malformed")]
+    Malformed,
+    /// The frame has another version of the protocol.
     #[error("version {0} of the protocol is not known")]
     UnknownVersion(u16),
-    /// Another cluster's tag.
+    /// The frame has the tag of another cluster.
     #[error("it belongs to another cluster")]
     OtherCluster,
-    /// See [`MAX_BODY_BYTES`].
+    /// The body is longer than [`MAX_BODY_BYTES`].
     #[error("its body has {0} bytes (at most {MAX_BODY_BYTES} are allowed)")]
     BodyTooLong(usize),
-    /// The frame was damaged on its way.
+    /// The frame was damaged in transit.
     #[error("its checksum does not match")]
     ChecksumMismatch,
     /// The sender has another key.
     #[error("it was made with another key")]
     OtherKey,
-    /// The body is no envelope.
+    /// The body is not a valid envelope.
     #[error("its message can't be decoded: {0}")]
     InvalidMessage(#[source] postcard::Error),
 }
 
-/// A key is too short to keep anybody out.
+/// A key is shorter than [`MIN_KEY_BYTES`], so it does not protect the cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a key takes {MIN_KEY_BYTES} bytes or more")]
 pub struct KeyTooShort;
@@ -70,10 +72,10 @@
 /// | --- | --- |
 /// | 2 | `tG` |
 /// | 2 | version, little-endian as all integers |
-/// | 4 | cluster tag: the beginning of the BLAKE3 hash of its name |
+/// | 4 | cluster tag: the first bytes of the BLAKE3 hash of the cluster's name |
 /// | 4 | length of the body |
 /// | 4 | CRC-32 of all of the above and the body |
-/// | 16 | the beginning of the keyed BLAKE3 hash of all of the above and the body |
+/// | 16 | the first bytes of the keyed BLAKE3 hash of all of the above and the body |
 /// | length | body: an [`Envelope`], encoded by postcard |
 #[derive(Clone)]
 pub struct FrameCodec {
@@ -82,10 +84,10 @@
 }
 
 impl FrameCodec {
-    /// The codec of the cluster of that name, whose processes share that key.
+    /// Creates the codec of the cluster with this name, whose processes share this key.
     ///
     /// # Errors
-    /// [`KeyTooShort`] below [`MIN_KEY_BYTES`].
+    /// [`KeyTooShort`] if the key is shorter than [`MIN_KEY_BYTES`].
     pub fn new(cluster: &str, key: &[u8]) -> Result<Self, KeyTooShort> {
         if key.len() < MIN_KEY_BYTES {
             return Err(KeyTooShort);
@@ -103,7 +105,7 @@
         })
     }
 
-    /// The frame of an envelope.
+    /// Encodes an envelope as a frame.
     pub fn encode(&self, envelope: &Envelope) -> Vec<u8> {
         let body = postcard::to_stdvec(envelope).unwrap_or_default();
         let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
@@ -118,14 +120,15 @@
         frame
     }
 
-    /// How many bytes of body follow this header. Whatever can be checked without the body is.
+    /// Checks a header as far as possible without the body, and returns the length of the body in
+    /// bytes.
     ///
     /// # Errors
-    /// [`FrameError::NotAFrame`], [`FrameError::UnknownVersion`], [`FrameError::OtherCluster`],
+    /// [`FrameError::Malformed`], [`FrameError::UnknownVersion`], [`FrameError::OtherCluster`],
     /// [`FrameError::BodyTooLong`].
     pub fn decode_header(&self, header: &[u8; HEADER_BYTES]) -> Result<usize, FrameError> {
         if header[..VERSION_OFFSET] != MAGIC {
-            return Err(FrameError::NotAFrame);
+            return Err(FrameError::Malformed);
         }
         let version = u16::from_le_bytes([header[VERSION_OFFSET], header[VERSION_OFFSET + 1]]);
         if version != PROTOCOL_VERSION {
@@ -143,19 +146,19 @@
         }
     }
 
-    /// The envelope in a frame.
+    /// Decodes the envelope in a frame.
     ///
     /// # Errors
-    /// Any [`FrameError`]; the body is decoded only where all else matches.
+    /// Any [`FrameError`]; the body is decoded only after all other checks have passed.
     pub fn decode(&self, header: &[u8; HEADER_BYTES], body: &[u8]) -> Result<Envelope, FrameError> {
         if self.decode_header(header)? != body.len() {
-            return Err(FrameError::NotAFrame);
+            return Err(FrameError::Malformed);
         }
         if header[CHECKSUM_OFFSET..HASH_OFFSET] != checksum(&header[..CHECKSUM_OFFSET], body) {
             return Err(FrameError::ChecksumMismatch);
         }
-        // All bytes are compared whichever differ, so that the time it takes does not tell how many
-        // match.
+        // All bytes are always compared, so that the duration of the comparison does not reveal how
+        // many of them match.
         let hash = self.hash(&header[..HASH_OFFSET], body);
         let differences = header[HASH_OFFSET..]
             .iter()
@@ -167,12 +170,12 @@
         postcard::from_bytes(body).map_err(FrameError::InvalidMessage)
     }
 
-    /// The envelope in a datagram, which holds one frame.
+    /// Decodes the envelope in a datagram, which holds one frame.
     ///
     /// # Errors
-    /// As [`decode`](Self::decode).
+    /// The errors of [`decode`](Self::decode).
     pub fn decode_datagram(&self, datagram: &[u8]) -> Result<Envelope, FrameError> {
-        let (header, body) = datagram.split_first_chunk().ok_or(FrameError::NotAFrame)?;
+        let (header, body) = datagram.split_first_chunk().ok_or(FrameError::Malformed)?;
         self.decode(header, body)
     }
 
--- a/crates/peer-protocol/src/lib.rs
+++ b/crates/peer-protocol/src/lib.rs
@@ -1,12 +1,12 @@
-//! The protocol between processes of a cluster: what a [`Message`] is, and its frame, in a datagram
-//! or on a stream.
+//! The protocol between processes of a cluster: [`Message`]s, and the frames that carry them in
+//! datagrams and on streams.
 //!
 //! A [`FrameCodec`] encodes and decodes the frames of one cluster. A frame has a bounded length, a
 //! version, a cluster tag, a checksum and a hash keyed by the cluster's secret; the message in it
 //! is decoded only after all of these match. The codec does no I/O: a host that reads a stream
-//! decodes the header first and learns how long the body is.
+//! decodes the header first to learn the length of the body.
 //!
-//! `docs/design-leases.md` and [`FrameCodec`] give the layout.
+//! `docs/design-leases.md` and [`FrameCodec`] describe the layout of a frame.
 //!
 //! ```
 //! use tulipgap_leases::Incarnation;
--- a/crates/peer-protocol/src/message.rs
+++ b/crates/peer-protocol/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages and their envelope. They are serialized by position: variants and fields keep their
-//! order.
+//! Messages and their envelope. They are serialized by position, so the order of variants and
+//! fields must not change.
 
 use std::net::SocketAddr;
 
@@ -23,21 +23,21 @@
     },
     /// The result of a command.
     LeaseResponse {
-        /// The run of the process that sent the request.
+        /// The incarnation of the process that sent the request.
         incarnation: Incarnation,
         /// The id of the request.
         request: RequestId,
         /// The result.
         response: Response,
     },
-    /// A request or a read was rejected, as the voter does not lead.
+    /// A request or a read was rejected, as the voter is not the leader.
     NotLeader {
         /// The id of the request.
         request: RequestId,
-        /// Who leads, where the voter knows.
+        /// The leader, if the voter knows it.
         leader: Option<Name>,
     },
-    /// A queued owner would be granted a slot if it requested it now.
+    /// Notifies a queued owner that it would be granted a slot if it requested one now.
     SlotAvailable {
         /// The lease.
         lease: Name,
@@ -46,21 +46,21 @@
     ReadLeases {
         /// The id that the response repeats.
         request: RequestId,
-        /// One lease, or all.
+        /// The lease to read; `None` for all leases.
         lease: Option<Name>,
     },
-    /// The leases that were read.
+    /// The result of a read of leases.
     LeaseList {
         /// The id of the read.
         request: RequestId,
-        /// The leases and their names.
+        /// The names of the leases, and the leases.
         leases: Vec<(Name, Lease)>,
     },
-    /// An operator replaces a voter.
+    /// An operator's command to replace a voter.
     ReplaceVoter {
-        /// The voter that is removed.
+        /// The voter to remove.
         old: Name,
-        /// The voter that is added.
+        /// The voter to add.
         new: Name,
     },
 }
@@ -70,10 +70,10 @@
 pub struct Envelope {
     /// The sender.
     pub from: Name,
-    /// Where the sender is reached.
+    /// The address of the sender.
     pub address: SocketAddr,
-    /// The sender's run, drawn when the process was started.
+    /// The sender's incarnation, sampled at the start of the process.
     pub incarnation: Incarnation,
-    /// What it sends.
+    /// The message.
     pub message: Message,
 }
--- a/crates/peer-protocol/tests/common/mod.rs
+++ b/crates/peer-protocol/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The codec of these tests, and the comparison with files that an earlier version wrote.
+//! The codec of the tests, and the comparison with golden files that an earlier release wrote.
 
 use std::path::Path;
 
@@ -10,8 +10,8 @@
     FrameCodec::new("penhoat", KEY).unwrap()
 }
 
-/// The file holds exactly the frames of these envelopes, and is decoded to them. GOLDEN_WRITE=1
-/// writes it anew, which only another version of the protocol may need.
+/// Asserts that the file consists of the frames of these envelopes, and decodes to them.
+/// GOLDEN_WRITE=1 rewrites the file, which only a new version of the protocol may require.
 pub(crate) fn assert_golden(file: &str, envelopes: Vec<Envelope>) {
     let file = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
--- a/crates/peer-protocol/tests/every_kind.rs
+++ b/crates/peer-protocol/tests/every_kind.rs
@@ -1,5 +1,6 @@
-//! One frame of every kind of message, with every variant of what it carries, as an earlier version
-//! wrote them.
+//! One frame of every kind of message, with every variant of its content, against a file that an
+//! earlier release wrote. Guards against a changed field or variant order, with which processes of
+//! different releases can't decode each other's frames.
 
 mod common;
 
@@ -265,6 +266,6 @@
 }
 
 #[test]
-fn frames_of_every_kind_are_written_and_read_as_before() {
+fn frames_of_every_kind_match_the_golden_file() {
     common::assert_golden("every-kind.bin", every_kind());
 }
--- a/crates/peer-protocol/tests/frames.rs
+++ b/crates/peer-protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames as they are on the wire: the bytes of version 1, and which frames are rejected.
+//! Frames on the wire: the bytes of version 1, and the rejection of foreign or damaged frames.
 
 mod common;
 
@@ -13,7 +13,7 @@
 };
 use tulipgap_peer_protocol::{Envelope, FrameCodec, FrameError, Message};
 
-/// A request of the membership to probe on behalf of another member, with an update.
+/// An indirect ping of the membership protocol, with an update.
 fn indirect_ping() -> tulipgap_membership::Message {
     let node = tulipgap_membership::Node {
         name: "north-1".into(),
@@ -42,7 +42,7 @@
     }
 }
 
-/// A lease that this owner holds and waits for again.
+/// A lease that this owner holds and for which it is queued again.
 fn lease_with_queue(owner: Owner) -> Lease {
     Lease {
         spec: LeaseSpec {
@@ -132,7 +132,7 @@
     messages.into_iter().map(envelope).collect()
 }
 
-/// The bytes of version 1 are those of the file: a change of them needs another version.
+/// Guards against a change of the frame format without a new protocol version.
 #[test]
 fn the_bytes_of_version_1_are_unchanged() {
     common::assert_golden("version-1.bin", one_of_each_kind());
