--- a/crates/write-ahead-log/src/corruption.rs
+++ b/crates/write-ahead-log/src/corruption.rs
@@ -1,21 +1,21 @@
-//! How a file may differ from what was written.
+//! The kinds of damage to a file.
 
-/// How a file differs from what was written.
+/// A kind of damage to a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Corruption {
     /// The header's checksum does not match.
-    #[error("the header of a record is not what was written")]
+    #[error("the header of a record does not match its checksum")]
     Header,
     /// The payload's checksum or the end marker does not match.
-    #[error("a record is not what was written")]
+    #[error("a record does not match its checksum or has no end marker")]
     Payload,
     /// The sequence numbers have a gap.
-    #[error("a record is missing before it")]
+    #[error("the previous record is missing")]
     MissingRecord,
     /// A file that is not the last one ends within a record.
-    #[error("it ends in the middle of a record, and another file follows")]
+    #[error("the file ends in the middle of a record, but is not the last file")]
     TruncatedFile,
-    /// A file of a single record, such as a snapshot, holds something else.
-    #[error("it is not the single record that was written")]
+    /// A file that must hold a single record, such as a snapshot, does not.
+    #[error("the file is not a single valid record")]
     SingleRecord,
 }
--- a/crates/write-ahead-log/src/disk.rs
+++ b/crates/write-ahead-log/src/disk.rs
@@ -1,52 +1,50 @@
-//! What the log needs of a disk, and the real one: a directory.
+//! The disk interface of the log, and its implementation by a directory.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Named files in one place. Nothing is durable before it is synced, but for
-/// [`replace`](Disk::replace), [`truncate`](Disk::truncate) and [`remove`](Disk::remove), which
-/// sync themselves.
+/// A set of named files. Only a sync makes an appended record durable; [`replace`](Disk::replace),
+/// [`truncate`](Disk::truncate) and [`remove`](Disk::remove) are durable when they return.
 ///
 /// All methods fail with the error of the device or file system.
 pub trait Disk {
     /// The names of all files.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// The content of a file; `NotFound` where there is none.
+    /// The content of a file; `NotFound` if there is no such file.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Appends to a file, which is created where there is none.
+    /// Appends to a file, and creates it if it does not exist.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
     /// Makes a file's content durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Replaces a file's content atomically and durably: after a crash it is the old or the new
-    /// one.
+    /// Replaces a file's content atomically and durably: after a crash the file has its old or its
+    /// new content.
     fn replace(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Truncates a file to that length in bytes, durably.
+    /// Truncates a file to this length in bytes, durably.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
     /// Removes a file, durably.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// A directory that one process uses at a time. It owns the directory's lock file until it is
-/// dropped.
+/// A directory that one process uses at a time. The directory stays locked until this is dropped.
 pub struct Directory {
     path: PathBuf,
-    /// Holds the lock until the process ends.
+    /// The locked file; closing it releases the lock.
     _lock: File,
-    /// The file that is appended to, kept open.
+    /// The file to which the log appends, which stays open.
     open_file: Option<(String, File)>,
 }
 
-/// The file that the process which uses the directory holds locked.
+/// The file that a process locks while it uses the directory.
 const LOCK_FILE: &str = "lock";
-/// A file that is being replaced, before it gets its name.
+/// The temporary name of a file's new content, until it is complete and durable.
 const TEMPORARY_FILE: &str = "half";
 
 impl Directory {
     /// Opens a directory, or creates it.
     ///
     /// # Errors
-    /// The file system's error, or `WouldBlock` where another process uses it.
+    /// The file system's error, or `WouldBlock` if another process uses the directory.
     pub fn open(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
         let lock = OpenOptions::new()
@@ -63,7 +61,7 @@
         })
     }
 
-    /// Makes the names of the files durable.
+    /// Makes the names of the directory's files durable.
     fn sync_directory(&self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
--- a/crates/write-ahead-log/src/error.rs
+++ b/crates/write-ahead-log/src/error.rs
@@ -5,42 +5,42 @@
 use crate::corruption::Corruption;
 use crate::record::MAX_RECORD_BYTES;
 
-/// An error of [`crate::WriteAheadLog`]. After any of them but [`LogError::RecordTooLong`] the log
-/// is of no use.
+/// An error of [`crate::WriteAheadLog`]. After a failed write or sync the log rejects all further
+/// writes.
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
     /// The directory could not be listed.
-    #[error("the folder: {0}")]
+    #[error("the folder could not be listed: {0}")]
     List(#[source] io::Error),
     /// A file could not be read or written.
     #[error("{file}: {source}")]
     Io {
         /// The file's name within the directory.
         file: String,
-        /// What the disk reported.
+        /// The error of the disk.
         source: io::Error,
     },
-    /// A record that was acknowledged is not what was written.
+    /// An acknowledged record is damaged or missing.
     #[error(
         "{file} is damaged at byte {offset}: {corruption}; it was acknowledged, so it can't be skipped"
     )]
     Corrupt {
         /// The file's name within the directory.
         file: String,
-        /// Where the damaged record begins, in bytes from the start of the file.
+        /// The offset of the damaged record, in bytes from the start of the file.
         offset: usize,
-        /// What is wrong with it.
+        /// The kind of damage.
         corruption: Corruption,
     },
-    /// An earlier write or sync failed, so what is on the disk is unknown. The log must be opened
-    /// again.
-    #[error("an earlier write or sync failed ({cause}); what is on the disk is unknown")]
+    /// An earlier write or sync failed, so the content of the disk is unknown. The log must be
+    /// opened again.
+    #[error("an earlier write or sync failed ({cause}); the content of the disk is unknown")]
     Poisoned {
         /// The earlier failure.
         cause: String,
     },
     /// The payload is longer than a record may be.
-    #[error("a record of {0} bytes (at most {MAX_RECORD_BYTES} are allowed)")]
+    #[error("the record has {0} bytes (at most {MAX_RECORD_BYTES} are allowed)")]
     RecordTooLong(usize),
 }
 
--- a/crates/write-ahead-log/src/fault_injection.rs
+++ b/crates/write-ahead-log/src/fault_injection.rs
@@ -6,31 +6,31 @@
 
 use crate::disk::Disk;
 
-/// The faults that a [`FaultyDisk`] has at present.
+/// The current faults of a [`FaultyDisk`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiskFaults {
-    /// The disk is full: a write fails after a part of it was written.
+    /// The disk is full: an append fails after a part of it was written, and a replacement fails
+    /// without effect.
     pub is_full: bool,
-    /// The next sync fails and drops what it was to write, as kernels do; the one after it
-    /// succeeds.
+    /// The next sync fails and drops the unsynced data, as kernels do; the sync after it succeeds.
     pub next_sync_fails: bool,
-    /// A sync reports success and makes nothing durable.
+    /// A sync reports success but makes nothing durable.
     pub ignores_syncs: bool,
 }
 
-/// What a [`FaultyDisk`] was asked to do so far.
+/// The number of operations on a [`FaultyDisk`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiskUsage {
-    /// Syncs, those of replaced files included.
+    /// The number of syncs, including the syncs of replaced files.
     pub syncs: u64,
-    /// Bytes written.
+    /// The number of bytes written.
     pub written_bytes: u64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct File {
     bytes: Vec<u8>,
-    /// The prefix that survives a crash.
+    /// The length of the prefix that survives a crash.
     synced_bytes: usize,
 }
 
@@ -50,8 +50,8 @@
     usage: DiskUsage,
 }
 
-/// A disk in memory. Clones share the files, which outlive a simulated crash; what is not synced
-/// may be lost in part.
+/// A disk in memory. Clones share the files, which survive a simulated crash except for unsynced
+/// bytes, of which any part may be lost.
 #[derive(Clone, Debug, Default)]
 pub struct FaultyDisk(Arc<Mutex<State>>);
 
@@ -60,18 +60,18 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets the faults from now on.
+    /// Sets the faults of all further operations.
     pub fn set_faults(&self, faults: DiskFaults) {
         self.state().faults = faults;
     }
 
-    /// Syncs and bytes written so far.
+    /// The number of syncs and of bytes written so far.
     pub fn usage(&self) -> DiskUsage {
         self.state().usage
     }
 
-    /// The machine crashes. Of each file's unsynced bytes, whose number `surviving_bytes` is given,
-    /// as many survive as it returns.
+    /// Simulates a crash of the machine. For each file `surviving_bytes` takes the number of
+    /// unsynced bytes and returns how many of them survive.
     pub fn crash(&self, mut surviving_bytes: impl FnMut(usize) -> usize) {
         for file in self.state().files.values_mut() {
             let unsynced = file.bytes.len() - file.synced_bytes;
@@ -90,7 +90,7 @@
             .collect()
     }
 
-    /// Replaces all files, as though a backup were restored.
+    /// Replaces all files, as if a backup were restored.
     pub fn restore_files(&self, files: BTreeMap<String, Vec<u8>>) {
         self.state().files = files
             .into_iter()
@@ -98,7 +98,8 @@
             .collect();
     }
 
-    /// Flips one bit of a file, counted from its start. A bit beyond its end is ignored.
+    /// Flips one bit of a file, counted from the start of the file. A bit beyond the end is
+    /// ignored.
     pub fn flip_bit(&self, name: &str, bit: usize) {
         if let Some(file) = self.state().files.get_mut(name)
             && let Some(byte) = file.bytes.get_mut(bit / 8)
@@ -145,8 +146,8 @@
             return Ok(());
         };
         if faults.next_sync_fails {
-            // The pages count as clean from now on and their content is lost: it reads as zeros
-            // after a crash.
+            // As in a kernel, the pages count as clean from now on although their content is lost.
+            // After a crash they read as zeros.
             let synced_bytes = file.synced_bytes;
             file.bytes[synced_bytes..].fill(0);
             file.synced_bytes = file.bytes.len();
--- a/crates/write-ahead-log/src/lib.rs
+++ b/crates/write-ahead-log/src/lib.rs
@@ -1,16 +1,16 @@
 //! A write-ahead log: records in order, each durable before it is acknowledged, and a snapshot that
 //! replaces all records before it.
 //!
-//! The crate decides what a damaged file means. A last record that a crash cut short was never
-//! acknowledged and is dropped. Any other damage affects what was acknowledged, so
+//! On opening, the log interprets damaged files. A torn last record, which a crash cut short, was
+//! never acknowledged and is dropped. Any other damage affects an acknowledged record, so
 //! [`WriteAheadLog::open`] fails and names the file and the byte. After a failed write or sync the
-//! log refuses every further write: a second sync may succeed although the data of the first is
+//! log rejects all further writes: a second sync may succeed although the data of the first is
 //! lost.
 //!
-//! Input: payloads to append, snapshots, and small named files. Output: [`Recovered`] at the start,
-//! and a [`LogError`] where durability can't be promised. All I/O goes through [`Disk`]:
-//! [`Directory`] is the real one, [`FaultyDisk`] fails on demand. `docs/design-leases.md` lists
-//! each kind of damage and its answer.
+//! Input: payloads to append, snapshots, and small named files. Output: [`Recovered`] after
+//! opening, and a [`LogError`] if durability can't be guaranteed. All I/O uses [`Disk`]:
+//! [`Directory`] is the implementation on a file system, [`FaultyDisk`] one in memory that fails on
+//! demand. `docs/design-leases.md` lists each kind of damage and its handling.
 //!
 //! ```
 //! use tulipgap_write_ahead_log::{FaultyDisk, WriteAheadLog};
--- a/crates/write-ahead-log/src/log.rs
+++ b/crates/write-ahead-log/src/log.rs
@@ -1,7 +1,7 @@
 //! The write-ahead log: opening and recovery, appending, snapshots.
 //!
-//! A directory holds `log-N` files with records and a `snapshot` in a file `state-N`, where N is
-//! the sequence number of the last record before the file began.
+//! A directory holds `log-N` files with records and a snapshot in a file `state-N`, where N is the
+//! sequence number of the last record before the start of the file.
 
 use std::io;
 
@@ -9,33 +9,33 @@
 use crate::disk::Disk;
 use crate::error::LogError;
 use crate::record::{self, Decoded, MAX_RECORD_BYTES};
-use crate::recovery::{FilePlace, scan_records};
+use crate::recovery::{FileContext, scan_records};
 
-/// What the names of files with records begin with.
+/// The prefix of the names of log files, which hold records.
 const LOG_PREFIX: &str = "log-";
-/// What the names of snapshots begin with.
+/// The prefix of the names of snapshot files.
 const SNAPSHOT_PREFIX: &str = "state-";
-/// The sequence number in files of a single record, which have no place in the sequence.
+/// The sequence number in files of a single record, which do not belong to the sequence.
 const NO_SEQUENCE: u64 = 0;
 
-/// A bug that tests inject to show that their checks can fail. Each stands for a mistake that is
-/// easily made.
+/// A bug that tests inject to verify that their checks detect it. Each one is a plausible mistake
+/// of an implementation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
-    /// A record is acknowledged before it is synced.
+    /// The log acknowledges a record without a sync.
     SkipSync,
-    /// A failed sync is retried, and its success is taken for durability.
+    /// The log retries a failed sync and treats the success of the retry as durability.
     RetryFailedSync,
 }
 
-/// What was on the disk when the log was opened.
+/// The content of the log when it was opened.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// The latest snapshot, where one was ever written.
+    /// The latest snapshot, if one was ever written.
     pub snapshot: Option<Vec<u8>>,
     /// The payloads after the snapshot, in order.
     pub records: Vec<Vec<u8>>,
-    /// Bytes of a last record that a crash had cut short and that were dropped.
+    /// The number of dropped bytes of a torn last record, which a crash had cut short.
     pub dropped_bytes: usize,
 }
 
@@ -45,22 +45,22 @@
 /// have no gap; once a write or sync failed, every further write fails with [`LogError::Poisoned`].
 pub struct WriteAheadLog<D: Disk> {
     disk: D,
-    /// The sequence number of the last record. A snapshot does not restart the numbers.
+    /// The sequence number of the last record. A snapshot does not restart the numbering.
     last_sequence: u64,
-    /// The file that records are appended to.
+    /// The file to which records are appended.
     log_file: String,
-    /// The failure after which nothing on the disk is certain.
+    /// The failure after which the content of the disk is unknown.
     poisoned_by: Option<String>,
     #[cfg(feature = "injected-bugs")]
     injected_bug: Option<InjectedBug>,
 }
 
 impl<D: Disk> WriteAheadLog<D> {
-    /// Opens what is on the disk, or begins an empty log.
+    /// Opens the log on the disk, or starts an empty one.
     ///
     /// # Errors
-    /// [`LogError::Corrupt`] where an acknowledged record is damaged or missing; [`LogError::List`]
-    /// and [`LogError::Io`] where the disk fails.
+    /// [`LogError::Corrupt`] if an acknowledged record is damaged or missing; [`LogError::List`]
+    /// and [`LogError::Io`] if the disk fails.
     pub fn open(disk: D) -> Result<(Self, Recovered), LogError> {
         let mut log = WriteAheadLog {
             disk,
@@ -81,17 +81,17 @@
         let snapshot_sequence = log.last_sequence;
         let logs = sequence_numbers(&files, LOG_PREFIX);
         for (position, &sequence) in logs.iter().enumerate() {
-            let place = FilePlace {
+            let context = FileContext {
                 is_last: position + 1 == logs.len(),
                 snapshot_sequence,
                 last_sequence: log.last_sequence,
             };
-            log.replay(&log_file_name(sequence), place, &mut recovered)?;
+            log.replay(&log_file_name(sequence), context, &mut recovered)?;
         }
         if let Some(&latest) = logs.last() {
             log.log_file = log_file_name(latest);
         }
-        // A crash may come between a new snapshot and the removal of what it replaces.
+        // A crash may occur between the write of a new snapshot and the removal of the old one.
         for outdated in snapshots
             .iter()
             .filter(|&&sequence| sequence < snapshot_sequence)
@@ -101,7 +101,7 @@
         Ok((log, recovered))
     }
 
-    /// Makes the log behave as though it had that bug.
+    /// Makes the log behave as if it had this bug.
     #[cfg(feature = "injected-bugs")]
     pub fn inject_bug(&mut self, bug: Option<InjectedBug>) {
         self.injected_bug = bug;
@@ -117,7 +117,7 @@
         false
     }
 
-    /// The disk beneath.
+    /// The underlying disk.
     pub fn disk(&self) -> &D {
         &self.disk
     }
@@ -125,7 +125,7 @@
     /// Appends one record; it is durable when this returns.
     ///
     /// # Errors
-    /// [`LogError::RecordTooLong`] leaves the log as it was. After any other error the log is
+    /// [`LogError::RecordTooLong`] leaves the log unchanged. After any other error the log is
     /// poisoned.
     pub fn append(&mut self, payload: &[u8]) -> Result<(), LogError> {
         self.ensure_not_poisoned()?;
@@ -144,10 +144,10 @@
         Ok(())
     }
 
-    /// Writes a snapshot that replaces all records so far; it is durable when this returns.
+    /// Writes a snapshot that replaces all previous records; it is durable when this returns.
     ///
     /// # Errors
-    /// After an error the log is poisoned, but for a listing that failed.
+    /// After any error but [`LogError::List`] the log is poisoned.
     pub fn write_snapshot(&mut self, snapshot: &[u8]) -> Result<(), LogError> {
         self.ensure_not_poisoned()?;
         let old_log = self.log_file.clone();
@@ -168,8 +168,8 @@
         Ok(())
     }
 
-    /// Writes a small file beside the log, in place of what it held; it is durable when this
-    /// returns.
+    /// Writes a small file next to the log, which replaces its previous content; it is durable when
+    /// this returns.
     ///
     /// # Errors
     /// After an error the log is poisoned.
@@ -181,10 +181,12 @@
         self.poison_on_error(name, replaced)
     }
 
-    /// What [`write_file`](Self::write_file) last wrote under that name; `None` where it never did.
+    /// Reads the payload that [`write_file`](Self::write_file) last wrote to the file with this
+    /// name; `None` if there is no such file.
     ///
     /// # Errors
-    /// [`LogError::Corrupt`] where the file holds something else.
+    /// [`LogError::Corrupt`] if the file is not a single valid record, and [`LogError::Io`] if the
+    /// disk fails.
     pub fn read_file(&self, name: &str) -> Result<Option<Vec<u8>>, LogError> {
         let bytes = match self.disk.read(name) {
             Ok(bytes) => bytes,
@@ -199,15 +201,15 @@
         }
     }
 
-    /// Reads one log file and drops a last record that was cut short.
+    /// Reads one log file and drops a torn last record.
     fn replay(
         &mut self,
         file: &str,
-        place: FilePlace,
+        context: FileContext,
         recovered: &mut Recovered,
     ) -> Result<(), LogError> {
         let bytes = self.disk.read(file).map_err(LogError::io(file))?;
-        let scanned = scan_records(&bytes, place)
+        let scanned = scan_records(&bytes, context)
             .map_err(|damage| corrupt(file, damage.offset, damage.corruption))?;
         self.last_sequence = scanned.last_sequence;
         recovered.records.extend(scanned.payloads);
@@ -242,9 +244,9 @@
         }
     }
 
-    /// After a failure the content of the disk is unknown, and a second sync may report success
-    /// although the data of the first is lost. So nothing more is written until the log is opened
-    /// again.
+    /// Poisons the log if the result is an error. After a failure the content of the disk is
+    /// unknown, and a second sync may report success although the data of the first is lost. So the
+    /// log rejects writes until it is opened again.
     fn poison_on_error<T>(&mut self, file: &str, result: io::Result<T>) -> Result<T, LogError> {
         result.map_err(|error| {
             self.poisoned_by = Some(format!("{file}: {error}"));
@@ -261,7 +263,7 @@
     }
 }
 
-/// The numbers of the files with that prefix, in rising order.
+/// The sequence numbers in the names of the files with this prefix, in ascending order.
 fn sequence_numbers(files: &[String], prefix: &str) -> Vec<u64> {
     let number = |name: &String| name.strip_prefix(prefix)?.parse().ok();
     let mut numbers: Vec<u64> = files.iter().filter_map(number).collect();
--- a/crates/write-ahead-log/src/record.rs
+++ b/crates/write-ahead-log/src/record.rs
@@ -9,25 +9,27 @@
 //! | length | payload |
 //! | 1 | end marker `0xa5` |
 //!
-//! The header has a checksum of its own, so that a damaged length is not mistaken for a record that
-//! was cut short.
+//! The header has a separate checksum, so that a record with a damaged length is not mistaken for a
+//! torn record, which a crash cut short.
 
 use crate::corruption::Corruption;
 
 /// The length of a header, in bytes: length, sequence number, and the two checksums.
 const HEADER_BYTES: usize = 4 + 8 + 4 + 4;
-/// Where the header's checksum begins, in bytes from the start of a record.
+/// The offset of the header's checksum, in bytes from the start of a record.
 const HEADER_CHECKSUM_OFFSET: usize = 12;
-/// Where the payload's checksum begins, in bytes from the start of a record.
+/// The offset of the payload's checksum, in bytes from the start of a record.
 const PAYLOAD_CHECKSUM_OFFSET: usize = 16;
-/// A complete record never ends in zeros, as preallocated space that was never written does.
+/// The last byte of a record. It is not zero, so that a complete record never ends like
+/// preallocated space that was never written.
 const END_MARKER: u8 = 0xa5;
-/// How many zeros at the end of a file are taken for space that was allocated and never written.
+/// The number of zeros at the end of a file that count as space that was allocated but never
+/// written.
 const UNWRITTEN_TAIL_BYTES: usize = 16;
-/// The longest payload that is appended, in bytes. Snapshots may be longer.
+/// The maximum length of an appended payload, in bytes. Snapshots may be longer.
 pub(crate) const MAX_RECORD_BYTES: usize = 64 * 1024 * 1024;
 
-/// What the next bytes of a file are.
+/// The result of decoding the next bytes of a file.
 pub(crate) enum Decoded<'a> {
     Complete {
         sequence: u64,
@@ -43,7 +45,7 @@
     HEADER_BYTES + payload.len() + 1
 }
 
-/// The bytes of a record in a file.
+/// Encodes a record as bytes of a file.
 pub(crate) fn encode(sequence: u64, payload: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(encoded_len(payload));
     bytes.extend((payload.len() as u32).to_le_bytes());
@@ -55,7 +57,7 @@
     bytes
 }
 
-/// The record that a file's remaining bytes begin with.
+/// Decodes the first record of a file's remaining bytes.
 pub(crate) fn decode(bytes: &[u8]) -> Decoded<'_> {
     let Some(header) = bytes.first_chunk::<HEADER_BYTES>() else {
         return Decoded::Torn;
@@ -87,7 +89,8 @@
     Decoded::Complete { sequence, payload }
 }
 
-/// Space that a file system allocated and that was never written reads as zeros.
+/// Whether the bytes may be space that the file system allocated but that was never written, which
+/// reads as zeros.
 fn is_unwritten(bytes: &[u8]) -> bool {
     bytes.iter().all(|byte| *byte == 0)
 }
--- a/crates/write-ahead-log/src/recovery.rs
+++ b/crates/write-ahead-log/src/recovery.rs
@@ -1,18 +1,18 @@
-//! What a damaged file of records means.
+//! The interpretation of damaged log files.
 //!
-//! A record that a crash cut short was never acknowledged, so it may be dropped; it can only be the
-//! last one of the last file. Any other damage affects a record that was acknowledged. Skipping it
-//! would lose a vote or a committed entry of a voter without a word, and a lease could be granted
-//! twice, so the log does not open. The price: one flipped bit takes the voter out of service until
-//! an operator replaces it.
+//! A torn record, which a crash cut short, was never acknowledged, so it may be dropped; it can
+//! only be the last record of the last file. Any other damage affects an acknowledged record.
+//! Skipping it would silently lose a vote or a committed entry of a voter, and a lease could be
+//! granted twice, so the log does not open. The trade-off: a single flipped bit takes the voter out
+//! of service until an operator replaces it.
 
 use crate::corruption::Corruption;
 use crate::record::{self, Decoded};
 
-/// Where a file stands among the files of a log.
+/// The position of a file within the log.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct FilePlace {
-    /// Whether no file of records follows.
+pub(crate) struct FileContext {
+    /// Whether this is the last log file.
     pub(crate) is_last: bool,
     /// Records up to this sequence number are covered by the snapshot.
     pub(crate) snapshot_sequence: u64,
@@ -20,28 +20,28 @@
     pub(crate) last_sequence: u64,
 }
 
-/// What a file holds beyond the snapshot.
+/// The records of a file after the snapshot.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct ScannedRecords {
     pub(crate) payloads: Vec<Vec<u8>>,
     pub(crate) last_sequence: u64,
-    /// Where a record that was cut short begins, in bytes from the start of the file.
+    /// The offset of a torn last record, in bytes from the start of the file.
     pub(crate) torn_at: Option<usize>,
 }
 
-/// Damage of a record that was acknowledged.
+/// Damage of an acknowledged record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Damage {
-    /// Where the record begins, in bytes from the start of the file.
+    /// The offset of the record, in bytes from the start of the file.
     pub(crate) offset: usize,
     pub(crate) corruption: Corruption,
 }
 
 /// Reads the records of one file in order.
-pub(crate) fn scan_records(bytes: &[u8], place: FilePlace) -> Result<ScannedRecords, Damage> {
+pub(crate) fn scan_records(bytes: &[u8], context: FileContext) -> Result<ScannedRecords, Damage> {
     let mut scanned = ScannedRecords {
         payloads: Vec::new(),
-        last_sequence: place.last_sequence,
+        last_sequence: context.last_sequence,
         torn_at: None,
     };
     let mut offset = 0;
@@ -49,7 +49,7 @@
         let damage = |corruption| Damage { offset, corruption };
         match record::decode(&bytes[offset..]) {
             Decoded::Complete { sequence, payload } => {
-                if sequence > place.snapshot_sequence {
+                if sequence > context.snapshot_sequence {
                     if sequence != scanned.last_sequence + 1 {
                         return Err(damage(Corruption::MissingRecord));
                     }
@@ -58,7 +58,7 @@
                 }
                 offset += record::encoded_len(payload);
             }
-            Decoded::Torn if place.is_last => {
+            Decoded::Torn if context.is_last => {
                 scanned.torn_at = Some(offset);
                 break;
             }
--- a/crates/write-ahead-log/tests/recovery.rs
+++ b/crates/write-ahead-log/tests/recovery.rs
@@ -1,5 +1,5 @@
-//! What a log recovers after a crash, on a disk that is full, fails, ignores syncs or has a flipped
-//! bit.
+//! Recovery of the log after a crash, and on a disk that is full, fails, ignores syncs or has a
+//! flipped bit. Guards against the undetected loss of an acknowledged record.
 
 use quickcheck::quickcheck;
 use tulipgap_write_ahead_log::{
@@ -15,8 +15,8 @@
 }
 
 quickcheck! {
-    /// Whatever part of the unsynced bytes survives, acknowledged records are there, in order, and
-    /// appending goes on.
+    /// After a crash in which an arbitrary part of the unsynced bytes survives, the log recovers
+    /// all acknowledged records in order and accepts further ones.
     fn acknowledged_records_survive_a_crash(payloads: Vec<Vec<u8>>, snapshots: Vec<bool>, torn: usize) -> bool {
         let disk = FaultyDisk::default();
         let (mut log, _) = open(&disk);
@@ -29,7 +29,7 @@
                 (snapshot, acknowledged) = (Some(payload.clone()), Vec::new());
             }
         }
-        // One more record that the crash cuts short.
+        // The last record is torn by the crash.
         let mut torn_disk = disk.clone();
         let log_file = torn_disk.list().unwrap().into_iter().rfind(|name| name.starts_with("log-"));
         if let Some(log_file) = log_file {
@@ -73,12 +73,13 @@
     let third = log.append(b"third");
     assert!(
         matches!(third, Err(LogError::Poisoned { .. })),
-        "space that is free again does not unpoison it"
+        "the log stays poisoned after space is free again"
     );
     assert_eq!(recovered_records(&disk), [b"first"]);
 }
 
-/// Kernels drop what a failed sync was to write and mark it clean: the next sync reports success.
+/// Guards against a retry of a failed sync. Kernels drop the unwritten pages of a failed sync and
+/// mark them clean, so that the next sync reports success although the data is lost.
 #[test]
 fn a_failed_sync_is_not_retried() {
     let recovers_acknowledged_records = |bug: Option<InjectedBug>| {
@@ -91,7 +92,7 @@
                 next_sync_fails: at == 2,
                 ..DiskFaults::default()
             });
-            // Long enough that lost bytes are detected.
+            // The payload is long enough that lost bytes are detected.
             if log.append(&[at + 1; 40]).is_ok() {
                 acknowledged.push(vec![at + 1; 40]);
             }
@@ -123,10 +124,10 @@
     );
 }
 
-/// A disk that reports syncs it has not done can't be told from a working one:
-/// docs/design-leases.md names this limit.
+/// Documents a limit that docs/design-leases.md states: the log can't distinguish a disk that
+/// reports success for syncs that it ignores from a working disk.
 #[test]
-fn records_that_the_disk_only_claims_to_have_synced_are_lost_undetected() {
+fn records_are_lost_undetected_if_the_disk_ignores_syncs() {
     let disk = FaultyDisk::default();
     let (mut log, _) = open(&disk);
     log.append(b"first").unwrap();
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn a_directory_is_locked_by_one_process_and_keeps_what_was_written() {
+fn a_directory_is_locked_by_one_process_and_keeps_its_content() {
     let directory = tempfile::tempdir().unwrap();
     {
         let (mut log, recovered) =
