--- a/crates/server/src/clock.rs
+++ b/crates/server/src/clock.rs
@@ -1,8 +1,10 @@
-//! Deadlines of coroutines. A thread keeps them and wakes the coroutines that wait.
+//! Timed waits of coroutines. A thread keeps the deadlines and wakes each coroutine at its
+//! deadline.
 //!
-//! The timers of the runtime `may` are not used. After waits of over 1,024 different durations it
-//! frees lists of waiters that are still in use; then an assertion of its queue fails, its timer
-//! thread ends, and no wait ever ends. It shows as a server whose connections all hang.
+//! This module replaces the timers of the runtime `may`. After waits of more than 1,024 different
+//! durations, `may` frees lists of waiters that are still in use; an assertion of its queue then
+//! fails, its timer thread ends, and no timed wait ends any more. The symptom is a server whose
+//! connections all hang.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, LazyLock, Weak};
@@ -12,7 +14,7 @@
 use may::sync::Blocker;
 use parking_lot::{Condvar, Mutex, MutexGuard};
 
-/// A waiter that can be woken, also one that was woken before.
+/// A waiter that can be woken. It may be woken more than once.
 pub(crate) trait Wake: Send + Sync {
     fn wake(&self);
 }
@@ -29,11 +31,11 @@
     }
 }
 
-/// The waiters by deadline, and by the order of their calls. A waiter that was dropped is skipped.
+/// The waiters, ordered by deadline and then by registration. Dropped waiters are skipped.
 #[derive(Default)]
 struct Deadlines {
     waiters: BTreeMap<(Instant, u64), Weak<dyn Wake>>,
-    /// The number of waiters so far, which makes keys unique.
+    /// The number of waiters registered so far, which makes the keys unique.
     count: u64,
 }
 
@@ -70,7 +72,7 @@
         }
     }
 
-    fn wake(&self, at: Instant, waiter: Weak<dyn Wake>) {
+    fn schedule_wake(&self, at: Instant, waiter: Weak<dyn Wake>) {
         let mut deadlines = self.deadlines.lock();
         deadlines.count += 1;
         let key = (at, deadlines.count);
@@ -85,24 +87,24 @@
     }
 }
 
-/// Wakes a waiter at that time, unless it is dropped by then.
+/// Wakes the waiter at `at`, unless it has been dropped by then.
 pub(crate) fn wake_at<W: Wake + 'static>(at: Instant, waiter: &Arc<W>) {
     let waiter: Weak<W> = Arc::downgrade(waiter);
-    CLOCK.wake(at, waiter);
+    CLOCK.schedule_wake(at, waiter);
 }
 
-/// Blocks a coroutine until it is woken or until the deadline; it may wake up spuriously.
+/// Blocks the coroutine until it is woken or the deadline passes. Spurious wake-ups are possible.
 pub(crate) fn park(waiter: &Arc<Blocker>, deadline: Option<Instant>) {
     if let Some(deadline) = deadline {
         wake_at(deadline, waiter);
     }
-    // An error says that it was woken early; the caller checks what it waits for.
+    // An error reports an early wake-up; the caller checks its condition again.
     let _ = waiter.park(None);
 }
 
-/// Blocks a coroutine for a duration.
-pub(crate) fn sleep(span: Duration) {
-    let Some(end) = Instant::now().checked_add(span) else {
+/// Blocks the coroutine for that duration.
+pub(crate) fn sleep(duration: Duration) {
+    let Some(end) = Instant::now().checked_add(duration) else {
         return;
     };
     let waiter = Arc::new(Blocker::new(true));
--- a/crates/server/src/cluster/admin.rs
+++ b/crates/server/src/cluster/admin.rs
@@ -1,9 +1,9 @@
-//! Operators' commands, as the control socket hands them on.
+//! Carries out the operators' commands that the control socket receives.
 //!
-//! The event loop drives [`Admin`]. A command that concerns this process alone is answered at once;
-//! one that changes or reads leases is sent to the voters and waits in [`PendingRequests`] for the
-//! response of their leader. A command that fails shows as the [`AdminError`] of its reply, which
-//! the control socket sends to the operator.
+//! The event loop calls [`Admin`]. A command that concerns only this process is answered at once; a
+//! command that reads, revokes or transfers leases is sent to the voters and waits in
+//! [`PendingRequests`] for the response of their leader. The reply to a failed command is an
+//! [`AdminError`], which the control socket sends to the operator.
 
 use std::sync::mpsc::SyncSender;
 use std::time::Duration;
@@ -21,15 +21,15 @@
 use super::local_node::LocalNode;
 use super::pending_requests::PendingRequests;
 
-/// Carries out operators' commands. It owns those that wait for the leader of the voters.
+/// Carries out operators' commands. It owns the commands that wait for the leader of the voters.
 pub(crate) struct Admin {
     pending: PendingRequests,
-    /// Where the configuration bounds how many processes drain.
+    /// Present if the configuration bounds how many processes drain.
     drain: Option<DrainLease>,
 }
 
 impl Admin {
-    /// No commands so far; those about leases go to these voters.
+    /// An instance without commands. Commands about leases go to `voters`.
     pub(crate) fn new(voters: Vec<Name>, drain: Option<DrainLease>) -> Self {
         Admin {
             pending: PendingRequests::new(voters),
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Carries out a command. The result goes to `reply`, now or when a leader has responded.
+    /// Carries out a command. The result is sent to `reply`, at once or when a leader has
+    /// responded.
     pub(crate) fn handle_request(
         &mut self,
         node: &mut LocalNode,
@@ -69,17 +70,17 @@
         }
     }
 
-    /// When [`retry_due`](Self::retry_due) is to be called next.
+    /// When [`retry_due`](Self::retry_due) is due next.
     pub(crate) fn next_attempt_at(&self) -> Option<Duration> {
         self.pending.next_attempt_at()
     }
 
-    /// Sends the commands again whose next attempt is due.
+    /// Retries the commands whose next attempt is due.
     pub(crate) fn retry_due(&mut self, node: &LocalNode, now: Duration) {
         self.pending.retry_due(now, node.router());
     }
 
-    /// A leader has applied a command.
+    /// Completes a command with the response of a leader.
     pub(crate) fn handle_response(&mut self, request: RequestId, response: Response) {
         let result = match response {
             Response::Rejected(reason) => Err(AdminError::Rejected(reason)),
@@ -90,14 +91,15 @@
         self.pending.complete(request, result);
     }
 
-    /// A leader has read leases.
+    /// Completes a read of leases with the response of a leader.
     pub(crate) fn handle_lease_list(&mut self, request: RequestId, leases: &[(Name, Lease)]) {
         self.pending
             .complete(request, Ok(AdminResponse::leases(leases)));
     }
 
-    /// A voter that does not lead has rejected a command. Where it knows no leader, the next
-    /// attempt is made when it is due.
+    /// Handles the rejection of a command by a voter that does not lead. The command is redirected
+    /// to the leader that the voter reports; if it reports none, the command waits for its next
+    /// attempt.
     pub(crate) fn handle_not_leader(
         &mut self,
         node: &LocalNode,
@@ -116,7 +118,7 @@
         acquire_lease(node, drain.name(), drain.spec(), drain.max_step())
     }
 
-    /// Asks all voters; the leader carries it out.
+    /// Sends the request to all voters; the leader carries it out.
     fn replace_voter(&self, node: &LocalNode, old: &Name, new: &Name) -> AdminResult {
         for voter in self.pending.voters() {
             node.router().send(
@@ -130,7 +132,7 @@
         Ok(AdminResponse::REQUESTED)
     }
 
-    /// Has the leader read one lease, or all.
+    /// Requests a read of one lease, or of all, from the leader.
     fn read_leases(
         &mut self,
         node: &LocalNode,
@@ -143,7 +145,7 @@
         });
     }
 
-    /// Has the leader apply a command.
+    /// Requests that the leader applies a command.
     fn submit_command(
         &mut self,
         node: &LocalNode,
@@ -167,7 +169,8 @@
     }
 }
 
-/// Sends the result of a command that waits for no leader. An operator who has gone misses it.
+/// Sends the result of a command that does not wait for a leader. The result is dropped if the
+/// control socket no longer waits for it.
 fn respond(reply: &SyncSender<AdminResult>, result: AdminResult) {
     let _ = reply.try_send(result);
 }
@@ -194,7 +197,7 @@
     }
 }
 
-/// Acquires a lease under which this process takes no steps.
+/// Acquires a lease under which this process carries out no operations.
 fn acquire(node: &mut LocalNode, lease: &str, spec: LeaseSpec) -> AdminResult {
     acquire_lease(node, lease, spec, Duration::ZERO)
 }
--- a/crates/server/src/cluster/clock.rs
+++ b/crates/server/src/cluster/clock.rs
@@ -4,17 +4,17 @@
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Added to each wait, so that a thread does not wake shortly before its time.
+/// Added to each wait, so that a thread does not wake shortly before its timer is due.
 const WAIT_MARGIN: Duration = Duration::from_micros(50);
-/// The longest wait of a thread that has no timer before that.
+/// The longest wait of a thread whose timers are due later or not set.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// Time since the process joined, including the time for which the machine was suspended, because
-/// the TTL of a lease goes on in that time.
+/// The time since the process joined, including the time for which the machine was suspended,
+/// because the TTL of a lease also elapses in that time.
 #[derive(Clone, Copy)]
 pub(crate) struct ClusterClock {
     start: Duration,
-    /// Seconds of this clock in one of the machine's; other than one only where a fault is
+    /// Seconds of this clock per second of the machine's clock; other than 1 only if a fault is
     /// injected.
     rate: f64,
 }
@@ -28,7 +28,7 @@
 }
 
 impl ClusterClock {
-    /// A clock that starts at zero and runs at that rate.
+    /// A clock that starts at zero and runs at `rate`.
     pub(crate) fn start(rate: f64) -> Self {
         ClusterClock {
             start: boot_time(),
@@ -41,7 +41,7 @@
         boot_time().saturating_sub(self.start).mul_f64(self.rate)
     }
 
-    /// How long a thread may wait until that time, at most [`MAX_WAIT`], in the machine's time.
+    /// How long a thread waits until that time, at most [`MAX_WAIT`], by the machine's clock.
     pub(crate) fn wait_until(&self, at: Option<Duration>) -> Duration {
         at.map_or(MAX_WAIT, |at| self.time_until(at).min(MAX_WAIT))
     }
@@ -51,7 +51,7 @@
     }
 }
 
-/// A timer. Of several times that are set, it keeps the earliest.
+/// A timer. If several times are set, it keeps the earliest.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Timer {
     at: Option<Duration>,
@@ -63,17 +63,17 @@
         Timer { at: Some(at) }
     }
 
-    /// When it is due, where it is set.
+    /// When the timer is due, if it is set.
     pub(crate) fn at(&self) -> Option<Duration> {
         self.at
     }
 
-    /// Sets it, unless it is due earlier.
+    /// Sets the timer, unless it is due earlier.
     pub(crate) fn set_earliest(&mut self, at: Duration) {
         self.at = Some(self.at.map_or(at, |earlier| earlier.min(at)));
     }
 
-    /// Whether it is due, which clears it.
+    /// Whether the timer is due. A due timer is cleared.
     pub(crate) fn take_if_due(&mut self, now: Duration) -> bool {
         self.at.take_if(|at| *at <= now).is_some()
     }
--- a/crates/server/src/cluster/control_protocol.rs
+++ b/crates/server/src/cluster/control_protocol.rs
@@ -1,5 +1,5 @@
-//! The requests and responses of the control socket. The words of its JSON are those that
-//! operators' programs know; this module alone relates them to the names in the code.
+//! The requests and responses of the control socket. Operators' programs depend on the words of its
+//! JSON; only this module maps them to the names in the code.
 
 use std::time::Duration;
 
@@ -50,7 +50,7 @@
         /// The fencing token of the grant.
         token: u64,
     },
-    /// Revokes a grant, and serves a process next.
+    /// Revokes a grant, and grants the lease to a given process next.
     Transfer {
         /// The lease.
         lease: String,
@@ -72,7 +72,7 @@
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AdminError {
-    /// The line is no request.
+    /// The line is not a valid request.
     #[error(transparent)]
     InvalidRequest(#[from] serde_json::Error),
     /// The event loop did not respond.
@@ -81,7 +81,7 @@
     /// The configuration names no voters.
     #[error("this cluster has no voters")]
     NoVoters,
-    /// Too many commands wait for voters.
+    /// Too many commands wait for a leader.
     #[error("too many ask already")]
     TooManyPending,
     /// No leader has responded in time.
@@ -107,25 +107,25 @@
 pub(crate) enum AdminResponse {
     /// The command was carried out.
     Done {
-        /// Always set.
+        /// Always true.
         done: bool,
     },
-    /// The voters were asked; whether one carries it out is seen by its status.
+    /// The request was sent to the voters; the status of a voter shows whether it was carried out.
     Requested {
-        /// Always set.
+        /// Always true.
         #[serde(rename = "asked")]
         requested: bool,
     },
-    /// The lease is requested.
+    /// The lease was requested.
     Acquiring {
-        /// Always set.
+        /// Always true.
         wanted: bool,
         /// The lease.
         lease: String,
     },
     /// The leases that were read.
     Leases {
-        /// By name.
+        /// The leases, in the order of their names.
         leases: Vec<LeaseRow>,
     },
     /// The leases of this process, and its voter.
@@ -137,10 +137,10 @@
 impl AdminResponse {
     /// The command was carried out.
     pub(crate) const DONE: AdminResponse = AdminResponse::Done { done: true };
-    /// The voters were asked.
+    /// The request was sent to the voters.
     pub(crate) const REQUESTED: AdminResponse = AdminResponse::Requested { requested: true };
 
-    /// A lease is requested.
+    /// The lease was requested.
     pub(crate) fn acquiring(lease: &str) -> Self {
         AdminResponse::Acquiring {
             wanted: true,
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Leases were read.
+    /// The leases that were read.
     pub(crate) fn leases(leases: &[(Name, Lease)]) -> Self {
         let leases = leases
             .iter()
@@ -161,14 +161,14 @@
 /// A failed command.
 #[derive(Serialize)]
 struct ErrorResponse {
-    /// The cause, for people.
+    /// The cause, in words for the operator.
     error: String,
 }
 
-/// The JSON of a result, with its keys in the order of the alphabet.
+/// The JSON of a result, with its keys in alphabetical order.
 ///
 /// # Errors
-/// Where a number has no form in JSON, which none of these has.
+/// If a number cannot be represented in JSON, which does not occur in these types.
 pub(crate) fn to_json(result: &AdminResult) -> Result<Value, serde_json::Error> {
     match result {
         Ok(response) => serde_json::to_value(response),
@@ -178,19 +178,19 @@
     }
 }
 
-/// A lease, as voters have it.
+/// A lease in the voters' state.
 #[derive(Debug, Serialize)]
 pub(crate) struct LeaseRow {
-    /// Its name.
+    /// The name of the lease.
     lease: String,
-    /// In milliseconds.
+    /// The TTL in milliseconds.
     #[serde(rename = "term_ms")]
     ttl_ms: u64,
     #[serde(rename = "places")]
     capacity: u32,
     #[serde(rename = "held")]
     holders: Vec<HolderRow>,
-    /// The processes that wait for a slot; the first is served first.
+    /// The processes that wait for a slot, in the order in which they are served.
     queue: Vec<String>,
 }
 
@@ -201,9 +201,9 @@
     process: String,
     #[serde(rename = "life")]
     incarnation: Incarnation,
-    /// Of its grant.
+    /// The fencing token of the grant.
     token: FencingToken,
-    /// It gets no further renewal.
+    /// Whether the grant is revoked: it gets no further renewal.
     #[serde(rename = "ends")]
     revoked: bool,
 }
@@ -240,26 +240,27 @@
 pub(crate) struct OwnStatus {
     /// The name of this process.
     pub(crate) name: String,
-    /// The leases that it holds or requests.
+    /// The leases that this process holds or requests.
     pub(crate) wanted: Vec<WantedLeaseRow>,
-    /// Its voter, where it has one.
+    /// The voter of this process, if it has one.
     pub(crate) voter: Option<VoterRow>,
-    /// Frames that were dropped because their peer reads too slowly.
+    /// The number of frames that were dropped because their peer reads too slowly or too many
+    /// streams are open.
     pub(crate) dropped_frames: usize,
 }
 
 /// A lease that this process holds or requests.
 #[derive(Debug, Serialize)]
 pub(crate) struct WantedLeaseRow {
-    /// Its name.
+    /// The name of the lease.
     lease: String,
-    /// Whether it is held, and not only requested.
+    /// Whether the lease is held, and not only requested.
     #[serde(rename = "held")]
     is_active: bool,
-    /// Where it is held.
+    /// The fencing token, if the lease is held.
     #[serde(skip_serializing_if = "Option::is_none")]
     token: Option<FencingToken>,
-    /// Where it is queued: the owners that are served before.
+    /// The number of owners that are served before this process, if the request is queued.
     #[serde(skip_serializing_if = "Option::is_none")]
     ahead: Option<u32>,
 }
@@ -291,18 +292,18 @@
 /// The voter of this process.
 #[derive(Debug, Serialize)]
 pub(crate) struct VoterRow {
-    /// The words are those of [`VoterPhase`](tulipgap_consensus::VoterPhase)'s `Display`.
+    /// The phase, in the words of [`VoterPhase`](tulipgap_consensus::VoterPhase)'s `Display`.
     phase: String,
-    /// Raft's term.
+    /// The Raft term.
     term: u64,
-    /// Who leads, where that is known.
+    /// The leader, if it is known.
     leader: Option<String>,
-    /// The last entry that it applied.
+    /// The index of the last entry that the voter applied.
     #[serde(rename = "applied")]
     applied_index: u64,
-    /// Names its folder.
+    /// The id of the voter, which identifies its folder.
     id: VoterId,
-    /// Who votes, as of the last entry that it applied.
+    /// The names of all voters, as of the last entry that the voter applied.
     voters: Vec<String>,
 }
 
@@ -326,7 +327,7 @@
 /// The members of the cluster, as this process sees them.
 #[derive(Debug, Serialize)]
 pub(crate) struct MemberList {
-    /// This process first.
+    /// The members, with this process first.
     pub(crate) members: Vec<MemberRow>,
     /// See [`Membership::health_score`](tulipgap_membership::Membership::health_score).
     #[serde(rename = "badly")]
@@ -346,29 +347,29 @@
     /// A variant of [`MemberState`](tulipgap_membership::MemberState), in lower case.
     state: String,
     incarnation: tulipgap_membership::Incarnation,
-    /// The member that declared it suspect or dead.
+    /// The member that declared this member suspect or dead.
     #[serde(rename = "by")]
     reported_by: Option<String>,
-    /// What it publishes.
+    /// The metadata that the member publishes.
     #[serde(rename = "facts")]
     metadata: Metadata,
-    /// Members that it cannot reach although others can.
+    /// The members that this member cannot reach although others can.
     #[serde(rename = "unheard")]
     unreachable_peers: Vec<String>,
-    /// How this process reaches it: see [`reachability_word`].
+    /// How this process reaches the member: see [`reachability_word`].
     #[serde(rename = "reach")]
     reachability: &'static str,
-    /// What this process observes of another.
+    /// Absent for this process itself.
     #[serde(flatten)]
     observation: Option<Observation>,
 }
 
-/// What this process observes of another.
+/// The observations of this process about another member.
 #[derive(Debug, Serialize)]
 struct Observation {
-    /// The members that suspect it.
+    /// The members that suspect the observed member.
     suspected_by: Vec<String>,
-    /// How long the member has had its state, in seconds.
+    /// How long the observed member has had its state, in seconds.
     #[serde(rename = "for_s")]
     state_age_s: f64,
 }
--- a/crates/server/src/cluster/control_socket.rs
+++ b/crates/server/src/cluster/control_socket.rs
@@ -1,9 +1,9 @@
-//! The control socket: operators' commands over a Unix socket, one line of JSON each, answered by
-//! one line.
+//! The control socket: it accepts operators' commands on a Unix socket, each as one line of JSON,
+//! and answers each with one line.
 //!
-//! A thread of its own serves one connection at a time, and hands each command to the event loop. A
-//! command that fails is answered with its error; a connection that fails shows as a debug line
-//! `control connection failed`, and the next one is served.
+//! A dedicated thread serves one connection at a time, and hands each command to the event loop. A
+//! command that fails is answered with its error; a connection that fails is logged at debug level
+//! as `control connection failed`, and the thread serves the next one.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::os::unix::fs::PermissionsExt;
@@ -18,20 +18,21 @@
 
 /// The longest request.
 const MAX_REQUEST_BYTES: u64 = 4096;
-/// How long an operator's program may take to send a request, or to read the response.
+/// The time limit for each read of a request from an operator's program, and each write of a
+/// response.
 const IO_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the event loop may take: longer than a command waits for a leader.
+/// How long the socket waits for the event loop: longer than a command waits for a leader.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The socket belongs to the user of this process.
+/// Only the user of this process may use the socket.
 const SOCKET_MODE: u32 = 0o600;
 
-/// Listens on a path. Commands go to `inputs`.
+/// Listens on a path, and sends commands to `inputs`.
 ///
 /// # Errors
-/// `AddrInUse` where another process listens there, or the system's error.
+/// `AddrInUse` if another process listens on the path, or the error of the operating system.
 pub(crate) fn listen(path: &Path, inputs: SyncSender<Input>) -> io::Result<()> {
-    // An earlier run of this process may have left its socket; a process that still runs accepts
-    // the connection.
+    // An earlier run of this process may have left its socket, which accepts no connection. If the
+    // connection succeeds, another process listens.
     if UnixStream::connect(path).is_ok() {
         return Err(io::Error::new(
             io::ErrorKind::AddrInUse,
@@ -42,7 +43,7 @@
     let listener = UnixListener::bind(path)?;
     std::fs::set_permissions(path, std::fs::Permissions::from_mode(SOCKET_MODE))?;
     spawn_thread("control", move || {
-        // One at a time: operators are few, and each waits for its response.
+        // One connection at a time, because operators are few and each waits for its response.
         for stream in listener.incoming().map_while(Result::ok) {
             if let Err(error) = serve(&stream, &inputs) {
                 log::debug!("control connection failed error=\"{error}\"");
--- a/crates/server/src/cluster/drain.rs
+++ b/crates/server/src/cluster/drain.rs
@@ -1,8 +1,8 @@
 //! The lease that bounds how many processes of a zone drain at a time.
 //!
-//! [`DrainLease`] has no state of its own. It is acquired by an operator's command, or on a thread
-//! of its own after a shutdown notice, and kept until the process ends. A process that has no slot
-//! drains after a shutdown notice all the same.
+//! [`DrainLease`] has no state. An operator's command or, after a shutdown notice, a separate
+//! thread acquires the lease, which is kept until the process ends. After a shutdown notice, a
+//! process drains even if it has no slot.
 
 use std::time::Duration;
 
@@ -10,9 +10,9 @@
 
 use super::lease_handle::LeaseHandle;
 
-/// How long a process that has died counts as draining.
+/// The TTL of the lease: how long a process that has died still counts as draining.
 const DRAIN_LEASE_TTL: Duration = Duration::from_secs(3);
-/// The longest step under the lease. Nothing is done step by step under it.
+/// The longest operation under the lease. The drain carries out no operations that check the lease.
 const MAX_DRAIN_STEP: Duration = Duration::from_millis(100);
 
 /// The drain lease of this process's zone.
@@ -24,7 +24,7 @@
 }
 
 impl DrainLease {
-    /// The lease of that zone.
+    /// The drain lease of `zone`.
     pub(crate) fn for_zone(zone: &str, capacity: u32) -> Self {
         DrainLease {
             name: format!("drain/{zone}"),
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Its name.
+    /// The name of the lease.
     pub(crate) fn name(&self) -> &str {
         &self.name
     }
 
-    /// Its TTL and capacity.
+    /// The TTL and capacity of the lease.
     pub(crate) fn spec(&self) -> LeaseSpec {
         LeaseSpec {
             ttl: DRAIN_LEASE_TTL,
@@ -45,12 +45,12 @@
         }
     }
 
-    /// The longest step under it.
+    /// The longest operation under the lease.
     pub(crate) fn max_step(&self) -> Duration {
         MAX_DRAIN_STEP
     }
 
-    /// Acquires it and keeps it until the process ends.
+    /// Acquires the lease and keeps it until the process ends.
     pub(crate) fn acquire(&self, leases: &LeaseHandle) {
         leases.acquire(&self.name, self.spec(), self.max_step());
     }
--- a/crates/server/src/cluster/error.rs
+++ b/crates/server/src/cluster/error.rs
@@ -8,8 +8,7 @@
 use tulipgap_membership::ConfigError;
 use tulipgap_peer_protocol::KeyTooShort;
 
-/// Why a process cannot join its cluster. Each text names the setting or the file that is to be
-/// mended.
+/// Why a process cannot join its cluster. Each text names the setting or the file at fault.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ClusterError {
     /// The setting `listen` is not an address with a port.
@@ -20,7 +19,7 @@
     ReadKey {
         /// The key file.
         path: PathBuf,
-        /// What the system reported.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The key is too short.
@@ -28,15 +27,15 @@
     InvalidKey {
         /// The key file.
         path: PathBuf,
-        /// What is wrong with the key.
+        /// The fault of the key.
         source: KeyTooShort,
     },
-    /// The address for peers can't be listened on.
+    /// The process can't listen on its address for peers.
     #[error("cluster: {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system reported.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The names of this process are outside their limits.
@@ -47,7 +46,7 @@
     OpenFolder {
         /// The folder.
         path: PathBuf,
-        /// What the system reported.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The voter can't be restored from its folder.
@@ -55,21 +54,21 @@
     RestoreVoter {
         /// The folder.
         path: PathBuf,
-        /// What is wrong with its content.
+        /// The fault of its content.
         source: VoterError,
     },
-    /// This process is one of the voters, and has no folder to write to.
+    /// This process is one of the voters, but has no folder for its files.
     #[error("cluster: folder: a voter needs one")]
     VoterWithoutFolder,
     /// A thread can't be started.
     #[error("cluster: threads: {0}")]
     SpawnThread(#[source] io::Error),
-    /// The control socket can't be listened on.
+    /// The process can't listen on the control socket.
     #[error("cluster: {}: {source}", path.display())]
     ControlSocket {
         /// The socket.
         path: PathBuf,
-        /// What the system reported.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
--- a/crates/server/src/cluster/event_loop.rs
+++ b/crates/server/src/cluster/event_loop.rs
@@ -1,8 +1,8 @@
 //! The event loop of the cluster: it takes the [`Input`]s of other threads, and routes each to the
-//! part that handles it: the local node, its voter, or the operators' commands.
+//! local node, its voter or the operators' commands.
 //!
-//! Its thread alone drives [`LocalNode`] and [`Admin`], and never waits for the disk or for a peer.
-//! Where it does not keep up, its queue fills: datagrams are dropped, streams of peers are no
+//! Only its thread calls [`LocalNode`] and [`Admin`], and it never waits for the disk or for a
+//! peer. If it does not keep up, its queue fills: datagrams are dropped, streams of peers are no
 //! longer read, and an operator's command waits and then fails with "no answer".
 
 use std::net::SocketAddr;
@@ -24,14 +24,14 @@
 /// How long a shutdown waits for a transfer of the leadership to begin.
 const LEADERSHIP_TRANSFER_PAUSE: Duration = Duration::from_millis(150);
 
-/// The event loop. Its thread owns all state of the cluster but the voter's.
+/// The event loop. Its thread owns all state of the cluster except the voter's.
 pub(crate) struct EventLoop {
     node: LocalNode,
     admin: Admin,
 }
 
 impl EventLoop {
-    /// A loop over that state.
+    /// An event loop that owns `node` and `admin`.
     pub(crate) fn new(node: LocalNode, admin: Admin) -> Self {
         EventLoop { node, admin }
     }
@@ -64,7 +64,7 @@
         self.admin.retry_due(&self.node, now);
     }
 
-    /// Breaks after a shutdown.
+    /// Handles an input. Breaks after a shutdown.
     fn handle_input(&mut self, input: Input) -> ControlFlow<()> {
         match input {
             Input::Received(envelope) => self.handle_envelope(envelope),
@@ -87,7 +87,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Routes a message of another process, or of this one to itself.
+    /// Routes a message from another process, or from this process to itself.
     fn handle_envelope(&mut self, envelope: Envelope) {
         let Envelope {
             from,
@@ -123,8 +123,8 @@
         }
     }
 
-    /// A message of the membership protocol. One in the name of another member than the sender of
-    /// its frame is ignored, so that a confused process cannot speak for a healthy one.
+    /// Handles a message of the membership protocol. A message in the name of a member that did not
+    /// send its frame is ignored, so that a faulty process cannot impersonate a healthy one.
     fn handle_member_message(&mut self, from: &Name, address: SocketAddr, message: MemberMessage) {
         if message.from == *from {
             self.node
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Leases are read by the voter of this process, where it has one.
+    /// Passes a read of leases to the voter of this process, if it has one.
     fn read_leases(&self, from: Name, request: RequestId, lease: Option<Name>) {
         self.node.send_to_voter(VoterEvent::Read {
             from,
@@ -144,14 +144,14 @@
         });
     }
 
-    /// The response to an operator's command, or to a request of the lease client.
+    /// Handles the response to an operator's command, or to a request of the lease client.
     fn handle_lease_response(
         &mut self,
         incarnation: Incarnation,
         request: RequestId,
         response: Response,
     ) {
-        if PendingRequests::is_operators(request) {
+        if PendingRequests::is_operator_request(request) {
             self.admin.handle_response(request, response);
         } else {
             self.node.handle_lease_event(LeaseEvent::Response {
@@ -162,10 +162,10 @@
         }
     }
 
-    /// A voter that does not lead has rejected an operator's command, or a request of the lease
-    /// client.
+    /// Handles the rejection of an operator's command, or of a request of the lease client, by a
+    /// voter that does not lead.
     fn handle_not_leader(&mut self, request: RequestId, leader: Option<Name>) {
-        if PendingRequests::is_operators(request) {
+        if PendingRequests::is_operator_request(request) {
             self.admin
                 .handle_not_leader(&self.node, request, leader.as_ref());
         } else {
@@ -174,8 +174,8 @@
         }
     }
 
-    /// A request to change a lease. A process without a voter answers that it does not lead, so
-    /// that the sender goes on to the next voter at once.
+    /// Handles a request to change a lease. A process without a voter answers that it does not
+    /// lead, so that the sender tries the next voter at once.
     fn handle_lease_request(&mut self, from: Name, request: RequestId, command: Command) {
         if !may_send(&from, &command) {
             return;
@@ -197,8 +197,8 @@
         }
     }
 
-    /// Releases all leases, hands the leadership on and leaves the cluster. No task acts under a
-    /// lease any more, as the process is about to end.
+    /// Releases all leases, transfers the leadership and leaves the cluster. Tasks no longer act
+    /// under leases, because the process is about to end.
     fn shut_down(&mut self, done: &SyncSender<()>) {
         for (lease, _) in self.node.leases() {
             self.node.handle_lease_event(LeaseEvent::Release { lease });
@@ -210,8 +210,8 @@
     }
 }
 
-/// Whether a process may send a command: an owner sends its own, an operator's may come from any,
-/// and expiries are the leader's own.
+/// Whether a process may send a command. An owner may acquire and release only for itself, any
+/// process may pass on an operator's command, and only the leader itself proposes expiries.
 fn may_send(from: &Name, command: &Command) -> bool {
     match command {
         Command::Acquire { owner, .. } | Command::Release { owner, .. } => owner.name == *from,
--- a/crates/server/src/cluster/fault_injection/faulty_disk.rs
+++ b/crates/server/src/cluster/fault_injection/faulty_disk.rs
@@ -5,20 +5,20 @@
 
 use tulipgap_write_ahead_log::Disk;
 
-/// While a file of this name is in the fault folder, the disk is full.
+/// While the fault folder contains a file of this name, the disk is full.
 const FULL_FILE: &str = "full";
-/// Where a file of this name is in the fault folder, the next sync removes it and fails.
+/// If the fault folder contains a file of this name, the next sync removes the file and fails.
 const FAILED_SYNC_FILE: &str = "fails";
 
-/// A disk that passes everything on to another, except while the fault folder has a file that asks
-/// for a fault.
+/// A disk that passes all operations to another, except while a file in the fault folder requests a
+/// fault.
 pub(crate) struct FaultyDisk<D> {
     disk: D,
     fault_folder: Option<PathBuf>,
 }
 
 impl<D: Disk> FaultyDisk<D> {
-    /// A disk that never fails by itself where there is no fault folder.
+    /// A disk that passes operations to `disk`. Without a fault folder, it injects no faults.
     pub(crate) fn new(disk: D, fault_folder: Option<PathBuf>) -> Self {
         FaultyDisk { disk, fault_folder }
     }
--- a/crates/server/src/cluster/fault_injection/lease_worker.rs
+++ b/crates/server/src/cluster/fault_injection/lease_worker.rs
@@ -14,20 +14,20 @@
 use crate::cluster::fault_injection::pause_step::{PauseStep, pause_if_armed};
 use crate::cluster::lease_handle::{LeaseHandle, ScopedGuard};
 
-/// The pause between two steps, and between two attempts to acquire a guard.
-const PAUSE: Duration = Duration::from_millis(10);
-/// How long the recorder may take to acknowledge a report.
+/// The pause between two operations, and between two attempts to acquire a guard.
+const OPERATION_PAUSE: Duration = Duration::from_millis(10);
+/// The time limit for the recorder to acknowledge a report.
 const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(30);
-/// What the recorder sends for a report whose fencing token is the latest.
+/// The recorder's reply to a report whose fencing token is the latest.
 const ACKNOWLEDGED: &str = "taken";
-/// A step takes this part of its longest time, or up to [`STEP_SPREAD`] more.
-const MIN_STEP_FRACTION: f64 = 0.2;
+/// The minimum duration of an operation, as a fraction of its maximum duration.
+const MIN_OPERATION_FRACTION: f64 = 0.2;
 /// Nanoseconds in a second.
 const NANOSECONDS_PER_SECOND: i64 = 1_000_000_000;
-/// How much longer a step may take at random, as a part of its longest time.
-const STEP_SPREAD: f64 = 0.4;
+/// The maximum random addition to the minimum duration, as a fraction of the maximum duration.
+const MAX_OPERATION_JITTER: f64 = 0.4;
 
-/// Why a report was not acknowledged. The worker gives its guard back and acquires another.
+/// Why a report was not acknowledged. The worker releases its guard and acquires another.
 #[derive(Debug, thiserror::Error)]
 enum ReportError {
     /// The recorder can't be reached, or did not respond in time.
@@ -38,39 +38,40 @@
     StaleToken,
 }
 
-/// A moment of a step.
+/// An event of an operation under the lease.
 #[derive(Clone, Copy)]
-enum StepEvent {
+enum OperationEvent {
     Begin,
     End,
 }
 
-/// The words of the recorder's protocol.
-impl fmt::Display for StepEvent {
+/// Writes the words of the recorder's protocol.
+impl fmt::Display for OperationEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            StepEvent::Begin => "begin",
-            StepEvent::End => "end",
+            OperationEvent::Begin => "begin",
+            OperationEvent::End => "end",
         })
     }
 }
 
-/// A task that wants one lease for ever. It owns the connection to the recorder.
+/// A task that acts under one lease for the life of the process. It owns the connection to the
+/// recorder.
 pub(crate) struct LeaseWorker {
     leases: LeaseHandle,
     lease: TestLease,
     local_name: Name,
     recorder: SocketAddr,
     connection: Option<BufReader<TcpStream>>,
-    /// Where the process finds the step at which it is to pause.
+    /// The folder with the file that names the step at which the process pauses.
     fault_folder: Option<PathBuf>,
 }
 
-/// A step that the lease was checked for.
+/// An operation for which the lease was checked.
 #[derive(Clone, Copy)]
-struct CheckedStep {
+struct CheckedOperation {
     token: FencingToken,
-    /// Just before the check, by the machine's monotonic clock.
+    /// The time just before the check, by the machine's monotonic clock.
     checked_at: Timespec,
 }
 
@@ -100,40 +101,40 @@
             capacity: self.lease.capacity,
         };
         loop {
-            // Requested each time, as an operator may have released it.
+            // The worker requests the lease each time, because an operator may have released it.
             self.leases
                 .acquire(&self.lease.name, spec, self.lease.max_operation);
             if let Ok(guard) = self.leases.acquire_guard(&self.lease.name) {
-                self.act_under(&guard);
+                self.run_operations(&guard);
             }
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(OPERATION_PAUSE);
         }
     }
 
-    /// Takes steps until the lease is lost or a report is not acknowledged.
-    fn act_under(&mut self, guard: &ScopedGuard) {
-        while let Ok(step) = self.check(guard) {
+    /// Carries out operations until the lease is lost or a report is not acknowledged.
+    fn run_operations(&mut self, guard: &ScopedGuard) {
+        while let Ok(operation) = self.check(guard) {
             self.pause_if_armed(PauseStep::Checked);
-            if self.report(StepEvent::Begin, step).is_err() {
+            if self.report(OperationEvent::Begin, operation).is_err() {
                 return;
             }
             self.pause_if_armed(PauseStep::UnderWay);
-            let fraction = MIN_STEP_FRACTION + STEP_SPREAD * fastrand::f64();
+            let fraction = MIN_OPERATION_FRACTION + MAX_OPERATION_JITTER * fastrand::f64();
             std::thread::sleep(self.lease.max_operation.mul_f64(fraction));
             self.pause_if_armed(PauseStep::BeforeEnd);
-            if self.report(StepEvent::End, step).is_err() {
+            if self.report(OperationEvent::End, operation).is_err() {
                 return;
             }
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(OPERATION_PAUSE);
         }
     }
 
-    /// Checks that the lease is held for one step that begins now.
-    fn check(&self, guard: &ScopedGuard) -> Result<CheckedStep, StaleGuard> {
+    /// Checks that the lease is held for one operation that begins now.
+    fn check(&self, guard: &ScopedGuard) -> Result<CheckedOperation, StaleGuard> {
         self.pause_if_armed(PauseStep::BeforeCheck);
         let checked_at = clock_gettime(ClockId::Monotonic);
         let token = guard.fencing_token()?;
-        Ok(CheckedStep { token, checked_at })
+        Ok(CheckedOperation { token, checked_at })
     }
 
     fn pause_if_armed(&self, step: PauseStep) {
@@ -143,19 +144,23 @@
     }
 
     /// Sends a report and waits for the acknowledgement. The connection is kept unless it fails.
-    fn report(&mut self, event: StepEvent, step: CheckedStep) -> Result<(), ReportError> {
+    fn report(
+        &mut self,
+        event: OperationEvent,
+        operation: CheckedOperation,
+    ) -> Result<(), ReportError> {
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
             None => self.connect()?,
         };
-        let CheckedStep { token, checked_at } = step;
+        let CheckedOperation { token, checked_at } = operation;
         let checked_at_ns = checked_at.tv_sec * NANOSECONDS_PER_SECOND + checked_at.tv_nsec;
         let line = format!(
             "{event} {} {token} {} {checked_at_ns}\n",
             self.lease.name, self.local_name
         );
         connection.get_mut().write_all(line.as_bytes())?;
-        if let StepEvent::Begin = event {
+        if let OperationEvent::Begin = event {
             self.pause_if_armed(PauseStep::BeginSent);
         }
         let mut response = String::new();
--- a/crates/server/src/cluster/fault_injection/mod.rs
+++ b/crates/server/src/cluster/fault_injection/mod.rs
@@ -1,5 +1,5 @@
-//! Fault injection, for the rig alone: off unless the block `trial` of the configuration asks for
-//! it.
+//! Fault injection, for `tulipgap chaos` only. It is off unless the configuration has the block
+//! `cluster.trial`.
 
 mod faulty_disk;
 mod lease_worker;
--- a/crates/server/src/cluster/fault_injection/pause_step.rs
+++ b/crates/server/src/cluster/fault_injection/pause_step.rs
@@ -1,5 +1,5 @@
-//! A process that pauses itself at a chosen step of an operation under a lease, as if the machine
-//! had taken its processor away just there.
+//! Pauses this process at a given step of an operation under a lease, as if the operating system
+//! had stopped scheduling it at that point.
 
 use std::fs;
 use std::path::Path;
@@ -12,13 +12,13 @@
 pub(crate) enum PauseStep {
     /// The lease is about to be checked.
     BeforeCheck,
-    /// The lease was checked, and the begin of the operation is not reported.
+    /// The lease was checked, and the beginning of the operation is not reported yet.
     Checked,
-    /// The begin of the operation was sent, and its response is not read.
+    /// The beginning of the operation was reported, and the response is not read yet.
     BeginSent,
-    /// The operation is under way.
+    /// The operation is in progress.
     UnderWay,
-    /// The operation is done, and its end is not reported.
+    /// The operation is done, and its end is not reported yet.
     BeforeEnd,
 }
 
@@ -35,14 +35,16 @@
     }
 }
 
-/// Pauses the whole process where the fault folder names this step. Returns once it is resumed.
+/// Pauses the whole process if the file in the fault folder names this step. Returns when the
+/// process is resumed.
 pub(crate) fn pause_if_armed(fault_folder: &Path, step: PauseStep) {
     let file = fault_folder.join(PAUSE_STEP_FILE);
     let is_armed = fs::read_to_string(&file).is_ok_and(|word| word == step.keyword());
-    // Of several tasks that reach the step, one pauses the process.
+    // If several tasks reach the step, only one of them pauses the process.
     if is_armed && fs::remove_file(&file).is_ok() {
-        // SAFETY: `raise` takes a number and touches no memory. It is sent to this thread, which
-        // therefore takes no further step; the kernel then pauses the others, too.
+        // SAFETY: `raise` takes a number and accesses no memory. It sends the signal to this
+        // thread, which therefore executes nothing further; the kernel then pauses the other
+        // threads.
         unsafe { libc::raise(libc::SIGSTOP) };
     }
 }
--- a/crates/server/src/cluster/input.rs
+++ b/crates/server/src/cluster/input.rs
@@ -1,4 +1,4 @@
-//! What other threads hand to the event loop.
+//! The inputs that other threads send to the event loop.
 
 use std::sync::mpsc::SyncSender;
 
@@ -7,7 +7,7 @@
 
 use super::control_protocol::{AdminRequest, AdminResult};
 
-/// Inputs that may wait for the event loop, or events for the voter.
+/// The capacity of the event loop's queue of inputs, and of the voter's queue of events.
 pub(crate) const MAX_QUEUED_INPUTS: usize = 4096;
 
 /// An entry of the metadata that a member publishes.
@@ -22,32 +22,32 @@
 pub(crate) enum Input {
     /// A message from another process, or from this one to itself.
     Received(Envelope),
-    /// What follows from a call of a lease's task, to be carried out.
+    /// Actions of the lease client that follow from a call of a task.
     LeaseActions(Vec<Action>),
     /// An operator's command.
     Admin {
         /// The command.
         request: AdminRequest,
-        /// Where the result goes.
+        /// Receives the result.
         reply: SyncSender<AdminResult>,
     },
-    /// Reads what the other live members of this zone publish under a key.
+    /// Reads the values that the other live members of this zone publish under a key.
     ReadMetadata {
         /// The key.
         key: &'static str,
-        /// Where the values go.
+        /// Receives the values.
         reply: SyncSender<Vec<PublishedValue>>,
     },
-    /// Publishes an entry of this process's metadata, or removes it.
+    /// Publishes an entry of this process's metadata, or removes the entry.
     PublishMetadata {
         /// The key.
         key: &'static str,
-        /// The value, or nothing to remove it.
+        /// The value; `None` removes the entry.
         value: Option<String>,
     },
-    /// Another voter is to lead, where this one does.
+    /// Transfers the leadership to another voter, if the voter of this process leads.
     TransferLeadership,
-    /// Leave the cluster and end the loop. The sender is notified once the messages to the other
+    /// Leaves the cluster and ends the loop. The sender is notified once the messages to the other
     /// members are queued.
     Shutdown(SyncSender<()>),
 }
--- a/crates/server/src/cluster/lease_handle.rs
+++ b/crates/server/src/cluster/lease_handle.rs
@@ -1,8 +1,8 @@
-//! Leases, as the tasks of this process use them.
+//! The access of this process's tasks to leases.
 //!
-//! [`LeaseHandle`] is called by the tasks on their own threads: the drain, the store probe, the
-//! workers of fault injection. A lease that is lost shows as [`StaleGuard`] at the task's next
-//! step, which then must not be made; the log has `lease lost` with the reason.
+//! The drain, the store probe and the workers of fault injection call [`LeaseHandle`] on their own
+//! threads. After a lease is lost, the task's next operation gets [`StaleGuard`] and must not be
+//! carried out; the log has `lease lost` with the reason.
 
 use std::sync::Arc;
 use std::sync::mpsc::SyncSender;
@@ -16,9 +16,9 @@
 use super::clock::ClusterClock;
 use super::input::Input;
 
-/// The only way for a task to act under a lease. The lease client is shared with the event loop,
-/// which hands it responses and timers; what follows from a task's call is carried out by the event
-/// loop, too.
+/// The only means for a task to act under a lease. The lease client is shared with the event loop,
+/// which hands it responses and timers. The event loop also carries out the actions that follow
+/// from a task's call.
 #[derive(Clone)]
 pub(crate) struct LeaseHandle {
     client: Arc<Mutex<LeaseClient>>,
@@ -27,7 +27,7 @@
 }
 
 impl LeaseHandle {
-    /// A handle to that client. Actions go to `inputs`.
+    /// A handle to `client`. Its actions are sent to `inputs`.
     pub(crate) fn new(
         client: Arc<Mutex<LeaseClient>>,
         clock: ClusterClock,
@@ -40,13 +40,13 @@
         }
     }
 
-    /// The clock that TTLs are measured by.
+    /// The clock of the TTLs.
     pub(crate) fn clock(&self) -> ClusterClock {
         self.clock
     }
 
-    /// Acquires a lease and keeps it until it is released, queueing where no slot is free. No step
-    /// of the task takes longer than `max_step`.
+    /// Acquires a lease and keeps it until it is released. If no slot is free, the request is
+    /// queued. No operation of the task under the lease may take longer than `max_step`.
     pub(crate) fn acquire(&self, lease: &str, spec: LeaseSpec, max_step: Duration) {
         self.handle_event(Event::Acquire {
             lease: lease.into(),
@@ -56,7 +56,7 @@
         });
     }
 
-    /// Releases a lease, once no guard is out.
+    /// Releases a lease as soon as no task has a guard of it.
     pub(crate) fn release(&self, lease: &str) {
         self.handle_event(Event::Release {
             lease: lease.into(),
@@ -66,7 +66,7 @@
     /// A guard of a lease that this process holds.
     ///
     /// # Errors
-    /// [`StaleGuard`] where it does not hold the lease.
+    /// [`StaleGuard`] if the process does not hold the lease.
     pub(crate) fn acquire_guard(&self, lease: &str) -> Result<ScopedGuard, StaleGuard> {
         let guard = self.client.lock().acquire_guard(self.clock.now(), lease)?;
         Ok(ScopedGuard {
@@ -81,12 +81,12 @@
     }
 
     fn carry_out(&self, actions: Vec<Action>) {
-        // Once the event loop has ended, the process is ending and has released its leases.
+        // The send fails only if the event loop has ended; it has then released all leases.
         let _ = self.inputs.send(Input::LeaseActions(actions));
     }
 }
 
-/// A guard that is given back when it is dropped. While it is out, its lease is not released.
+/// A guard that is released when it is dropped. While it exists, its lease is not released.
 pub(crate) struct ScopedGuard {
     /// Present until the drop.
     guard: Option<LeaseGuard>,
@@ -94,10 +94,10 @@
 }
 
 impl ScopedGuard {
-    /// The fencing token for one step that begins now.
+    /// The fencing token for one operation that begins now.
     ///
     /// # Errors
-    /// [`StaleGuard`] where the lease is lost, or ends before such a step would.
+    /// [`StaleGuard`] if the lease is lost, or may end before such an operation does.
     pub(crate) fn fencing_token(&self) -> Result<FencingToken, StaleGuard> {
         let guard = self.guard.as_ref().ok_or(StaleGuard)?;
         self.leases
--- a/crates/server/src/cluster/local_node.rs
+++ b/crates/server/src/cluster/local_node.rs
@@ -1,9 +1,9 @@
-//! This process's part in the cluster: its membership, its leases and its voter. Their actions are
-//! carried out here.
+//! The node of this process in the cluster: its membership, its leases and its voter. [`LocalNode`]
+//! carries out their actions.
 //!
-//! The event loop drives [`LocalNode`]: it hands it events, and calls it when a timer is due. What
-//! goes wrong shows in the log: `member name conflict`, `member metadata rejected`, `lease lost`,
-//! `lease rejected`, and a warning where one zone has a majority of the voters.
+//! The event loop passes events to [`LocalNode`], and calls it when a timer is due. Faults are
+//! logged as `member name conflict`, `member metadata rejected`, `lease lost` and `lease rejected`;
+//! a warning is logged if one zone has a majority of the voters.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,9 +26,9 @@
 use super::message_router::MessageRouter;
 use super::voter_thread::VoterHandle;
 
-/// The state machines of this process and what they need. The event loop's thread owns it. The
-/// lease client is shared with the tasks' [`LeaseHandle`](super::lease_handle::LeaseHandle)s, the
-/// voter is its own thread's.
+/// The state machines of this process, with their timers and the message router. The event loop's
+/// thread owns the node. The lease client is shared with the tasks'
+/// [`LeaseHandle`](super::lease_handle::LeaseHandle)s, and the voter's thread owns the voter.
 pub(crate) struct LocalNode {
     clock: ClusterClock,
     router: MessageRouter,
@@ -45,15 +45,15 @@
 
 /// The parts of a [`LocalNode`].
 pub(crate) struct LocalNodeParts {
-    /// The clock of all of them.
+    /// The clock of the state machines.
     pub(crate) clock: ClusterClock,
-    /// Delivers what they send.
+    /// Delivers the messages of the state machines.
     pub(crate) router: MessageRouter,
     /// The membership.
     pub(crate) membership: Membership,
     /// The lease client.
     pub(crate) lease_client: Arc<Mutex<LeaseClient>>,
-    /// The voter, where this process has one.
+    /// The voter, if this process has one.
     pub(crate) voter: Option<VoterHandle>,
     /// The initial voters.
     pub(crate) voters: Vec<Name>,
@@ -81,22 +81,22 @@
         self.clock
     }
 
-    /// Delivers messages to members.
+    /// The router that delivers messages to members.
     pub(crate) fn router(&self) -> &MessageRouter {
         &self.router
     }
 
-    /// The membership, to be read.
+    /// The membership, for reading.
     pub(crate) fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// The voter, where this process has one.
+    /// The voter, if this process has one.
     pub(crate) fn voter(&self) -> Option<&VoterHandle> {
         self.voter.as_ref()
     }
 
-    /// When [`handle_timers`](Self::handle_timers) is to be called next.
+    /// When [`handle_timers`](Self::handle_timers) is due next.
     pub(crate) fn next_timer_at(&self) -> Option<Duration> {
         [self.membership_timer.at(), self.lease_timer.at()]
             .into_iter()
@@ -114,14 +114,14 @@
         }
     }
 
-    /// Hands the voter an event, where this process has one.
+    /// Sends an event to the voter, if this process has one.
     pub(crate) fn send_to_voter(&self, event: VoterEvent) {
         if let Some(voter) = &self.voter {
             voter.send(event);
         }
     }
 
-    /// Hands the membership an event, and carries out what follows.
+    /// Passes an event to the membership, and carries out the resulting actions.
     pub(crate) fn handle_membership_event(&mut self, event: MembershipEvent) {
         self.handle_membership_event_at(self.clock.now(), event);
     }
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Warns once where one zone has a majority of the voters: when that zone fails, no lease is
+    /// Logs one warning if one zone has a majority of the voters: when that zone fails, no lease is
     /// granted or renewed.
     fn warn_of_zone_majority(&mut self) {
         let local = self.membership.local().clone();
@@ -183,7 +183,7 @@
         }
     }
 
-    /// What the other live members of this zone publish under a key.
+    /// The values that the other live members of this zone publish under a key.
     pub(crate) fn read_metadata(&self, key: &str) -> Vec<PublishedValue> {
         let zone = &self.membership.local().node.zone;
         let is_live_in_zone =
@@ -200,7 +200,7 @@
             .collect()
     }
 
-    /// Hands the lease client an event, and carries out what follows.
+    /// Passes an event to the lease client, and carries out the resulting actions.
     pub(crate) fn handle_lease_event(&mut self, event: LeaseEvent) {
         let actions = self
             .lease_client
@@ -209,7 +209,7 @@
         self.carry_out_lease_actions(actions);
     }
 
-    /// Carries out what follows from an event of the lease client.
+    /// Carries out actions of the lease client.
     pub(crate) fn carry_out_lease_actions(&mut self, actions: Vec<LeaseAction>) {
         for action in actions {
             self.carry_out_lease_action(action);
@@ -243,10 +243,11 @@
         }
     }
 
-    /// Acquires a lease, queueing where no slot is free, and keeps it until it is released.
+    /// Requests a lease, and keeps it until it is released. If no slot is free, the request is
+    /// queued.
     ///
     /// # Errors
-    /// The reason, where the lease client rejects that at once.
+    /// The reason, if the lease client rejects the request at once.
     pub(crate) fn acquire_lease(
         &mut self,
         lease: &str,
@@ -281,7 +282,8 @@
     }
 }
 
-/// The first zone, by name, that has more than half of several voters, and how many it has.
+/// The first zone, by name, that has more than half of the voters, and their number. `None` if
+/// there is only one voter.
 fn zone_with_majority(
     voters: &[Name],
     members: impl Iterator<Item = MemberUpdate>,
--- a/crates/server/src/cluster/message_router.rs
+++ b/crates/server/src/cluster/message_router.rs
@@ -1,7 +1,7 @@
 //! Delivers messages to members by name.
 //!
-//! The event loop, the operators' commands and the voter's thread share one [`MessageRouter`]. A
-//! message to a member whose address is not known yet is dropped, and its sender retries.
+//! The event loop, the operators' commands and the voter's thread share one [`MessageRouter`]. It
+//! drops a message to a member whose address is not known yet, and the sender retries.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 use super::input::Input;
 use super::peer_links::PeerLinks;
 
-/// Members whose addresses are remembered.
+/// The maximum number of members whose addresses are stored.
 const MAX_KNOWN_MEMBERS: usize = 4096;
 
 /// Delivers messages to members by name. Its clones share the links and the known addresses.
@@ -28,7 +28,7 @@
 }
 
 impl MessageRouter {
-    /// A router that knows this process alone. Messages to itself go to `inputs`.
+    /// A router that knows only the address of this process. Messages to itself go to `inputs`.
     pub(crate) fn new(
         links: Arc<PeerLinks>,
         local_name: Name,
@@ -54,8 +54,8 @@
         self.links.dropped_frames()
     }
 
-    /// Sends a message to a member. It may get lost; a message to a member that is not known yet
-    /// is.
+    /// Sends a message to a member. The message may be lost, and is dropped if the member's address
+    /// is not known yet.
     pub(crate) fn send(&self, to: &Name, message: Message) {
         let known_address = self.known_addresses.lock().get(to).copied();
         let Some(address) = known_address else { return };
@@ -69,16 +69,16 @@
             incarnation: Incarnation::default(),
             message,
         };
-        // This may run on the thread that takes from the queue, which must not wait for itself.
+        // This may run on the event loop's thread, which must not wait for its own queue.
         let _ = self.inputs.try_send(Input::Received(envelope));
     }
 
-    /// Sends a message to an address. It may get lost.
+    /// Sends a message to an address. The message may be lost.
     pub(crate) fn send_to_address(&self, to: SocketAddr, message: Message) {
         self.links.send(to, message);
     }
 
-    /// Remembers where a member is reached.
+    /// Stores the address of a member.
     pub(crate) fn learn_address(&self, name: &Name, address: SocketAddr) {
         let mut known = self.known_addresses.lock();
         if known.len() < MAX_KNOWN_MEMBERS || known.contains_key(name) {
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -1,17 +1,17 @@
 //! This process as a member of a cluster: membership, leases and, where it is one of the voters,
-//! consensus. Nothing here is started unless the block `cluster` of the configuration enables it,
-//! and all of it runs on threads of its own.
+//! consensus. It is started only if the block `cluster` of the configuration enables it, and runs
+//! on dedicated threads.
 //!
-//! Decisions are made by the packages `membership`, `leases` and `consensus`. This module hands
-//! them their input events and carries out their output actions:
+//! The packages `membership`, `leases` and `consensus` make the decisions. This module hands them
+//! their input events and carries out their output actions:
 //!
-//! - [`Cluster`] is the handle that the server has.
+//! - [`Cluster`] is the server's handle to the cluster.
 //! - [`event_loop`] owns the state of the cluster and takes all inputs; [`local_node`] holds the
 //!   state machines, [`admin`] carries out operators' commands, which [`control_socket`] accepts.
 //! - [`voter_thread`] runs the voter, whose writes wait for the disk.
 //! - [`peer_links`] sends and receives frames; [`message_router`] finds the address of a member.
-//! - [`lease_handle`] is what tasks use: [`drain`], [`store_probe`] and, for the rig,
-//!   [`fault_injection`].
+//! - [`lease_handle`] gives tasks access to leases: [`drain`], [`store_probe`] and, for
+//!   `tulipgap chaos`, [`fault_injection`].
 
 mod admin;
 mod clock;
@@ -69,25 +69,25 @@
 pub(crate) const DESCRIPTORS: usize = MAX_STREAMS + OTHER_DESCRIPTORS;
 /// The random part of the lease client's pauses, in thousandths of a pause.
 const RETRY_JITTER_PERMILLE: u32 = 250;
-/// How long the end of the process waits for the event loop to leave the cluster.
+/// How long the process waits at its end until the event loop has left the cluster.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// This process as a member of a cluster. The event loop and the other threads own the state; this
-/// has the way to them.
+/// The handle to the cluster of this process. The event loop and the other threads own the state;
+/// the handle sends them inputs.
 pub(crate) struct Cluster {
     inputs: SyncSender<Input>,
     leases: LeaseHandle,
-    /// Where the configuration bounds how many processes drain.
+    /// Present if the configuration bounds how many processes drain.
     drain: Option<DrainLease>,
     zone: String,
     control_socket: Option<PathBuf>,
 }
 
-/// Joins the cluster. `default_name` is the name of this process where the configuration has none.
+/// Joins the cluster. `default_name` is the name of this process if the configuration has none.
 ///
 /// # Errors
-/// [`ClusterError`] where the configuration makes no sense, an address is taken, or the voter's
-/// folder can't be used.
+/// [`ClusterError`] if the configuration is invalid, an address is in use, or the voter's folder
+/// can't be used.
 pub(crate) fn start(
     config: &tulipgap_config::ClusterConfig,
     default_name: &str,
@@ -97,17 +97,18 @@
 }
 
 impl Cluster {
-    /// Begins to drain after a shutdown notice, whether or not others of the zone drain. It
-    /// acquires a slot of the drain lease where it can, so that those that wait for a slot see it.
+    /// Begins to drain after a shutdown notice, whether or not other processes of the zone drain.
+    /// The process acquires a slot of the drain lease if one is free, so that the processes that
+    /// wait for a slot take this drain into account.
     pub(crate) fn start_drain(&self) {
-        // Another voter should lead before this process is busy draining; otherwise this one leads
-        // until its end.
+        // Another voter should lead before this process is busy draining; otherwise this process
+        // leads until it ends.
         let _ = self.inputs.try_send(Input::TransferLeadership);
         let Some(drain) = self.drain.clone() else {
             return;
         };
         let leases = self.leases.clone();
-        // On a thread of its own: the call waits while the event loop's queue is full, and that may
+        // On a separate thread: the call blocks while the event loop's queue is full, which must
         // not delay the drain.
         if let Err(error) = spawn_thread("drain", move || drain.acquire(&leases)) {
             log::warn!("drain lease not requested error=\"{error}\"");
@@ -127,8 +128,8 @@
         }
     }
 
-    /// Releases all leases, hands the leadership on and leaves the cluster, within `timeout` and
-    /// [`SHUTDOWN_TIMEOUT`].
+    /// Releases all leases, transfers the leadership and leaves the cluster. It takes at most
+    /// the shorter of `timeout` and [`SHUTDOWN_TIMEOUT`].
     pub(crate) fn shutdown(self, timeout: Duration) {
         let (done, is_done) = sync_channel(1);
         if self.inputs.try_send(Input::Shutdown(done)).is_ok() {
@@ -140,7 +141,7 @@
     }
 }
 
-/// What is known before anything is started.
+/// The configuration and identity of this process, from which its threads are started.
 struct Startup<'a> {
     config: &'a tulipgap_config::ClusterConfig,
     /// The faults to inject; none by default.
@@ -149,8 +150,7 @@
     listen: SocketAddr,
     codec: FrameCodec,
     clock: ClusterClock,
-    /// Drawn at each start, so that responses to an earlier run are told apart from those to this
-    /// one.
+    /// Sampled at each start, so that a response to a request of an earlier run is recognised.
     incarnation: Incarnation,
     seed: u64,
     voters: Vec<Name>,
@@ -183,7 +183,7 @@
         })
     }
 
-    /// Starts the threads, each after what it depends on.
+    /// Starts the threads, in the order of their dependencies.
     fn run(self) -> Result<Cluster, ClusterError> {
         let (inputs, queued_inputs) = sync_channel(MAX_QUEUED_INPUTS);
         let (received, envelopes) = sync_channel(MAX_QUEUED_INPUTS);
@@ -224,7 +224,7 @@
         })
     }
 
-    /// The drain lease of this zone, where the configuration has one.
+    /// The drain lease of this zone, if the configuration has one.
     fn drain_lease(&self) -> Option<DrainLease> {
         let drain = self.config.drain.as_ref()?;
         Some(DrainLease::for_zone(&self.config.zone, drain.at_once))
@@ -272,7 +272,7 @@
         LeaseClient::new(owner, self.voters.clone(), config, self.seed)
     }
 
-    /// Starts the voter of this process, where it has one.
+    /// Starts the voter of this process, if it has one.
     fn start_voter(&self, router: &MessageRouter) -> Result<Option<VoterHandle>, ClusterError> {
         let Some(folder) = self.voter_folder()? else {
             return Ok(None);
@@ -283,8 +283,8 @@
             .map_err(ClusterError::SpawnThread)
     }
 
-    /// The folder of this process's voter, where it has one. A member with a folder has a voter
-    /// even where it does not vote yet: an operator may let it replace another.
+    /// The folder of this process's voter, if it has one. A member with a folder has a voter even
+    /// if it does not vote yet, because an operator may let it replace another voter.
     fn voter_folder(&self) -> Result<Option<&Path>, ClusterError> {
         match self.config.folder.as_deref() {
             Some(folder) if !self.voters.is_empty() => Ok(Some(folder)),
@@ -330,8 +330,8 @@
         })
     }
 
-    /// For the rig: tasks that act under leases and report to a history recorder. None where no
-    /// recorder is configured.
+    /// For `tulipgap chaos`: starts the tasks that act under leases and report to a history
+    /// recorder. Without a configured recorder, it starts none.
     fn start_lease_workers(&self, leases: &LeaseHandle) -> Result<(), ClusterError> {
         let recorder = self
             .faults
@@ -371,7 +371,8 @@
     })
 }
 
-/// Hands what the links have received to the event loop. Its thread ends with either of them.
+/// Starts the thread that passes received envelopes from the links to the event loop. The
+/// thread ends when the links or the event loop end.
 fn start_forwarding(
     envelopes: Receiver<Envelope>,
     inputs: SyncSender<Input>,
--- a/crates/server/src/cluster/peer_links.rs
+++ b/crates/server/src/cluster/peer_links.rs
@@ -1,15 +1,16 @@
 //! Links to the other processes of a cluster: datagrams for messages that may be lost, streams for
-//! those that must arrive or are long. Each link is used one way, by the process that opened it.
+//! messages that must arrive or are long. Only the process that opened a stream sends messages on
+//! it.
 //!
-//! [`PeerLinks`] has threads of its own: one for datagrams, one that accepts streams, and one for
-//! each open stream. The message router hands it what is sent; what is received goes to the event
-//! loop. None of them runs on the worker of the requests, and a slow peer fills its own queue
-//! alone.
+//! [`PeerLinks`] runs on dedicated threads: one for datagrams, one that accepts streams, and one
+//! for each open stream. The message router passes it the messages to send; received messages go to
+//! the event loop. The worker that serves requests runs none of these threads' work, and a slow
+//! peer fills only its own queue.
 //!
 //! A link may fail at any time, and messages may be lost; their senders retry. A frame that is not
-//! authentic or not readable shows as `peer frame rejected`, a stream that cannot be opened or
-//! written as `peer stream failed`, and a full queue in the count of dropped frames that the
-//! control socket reports.
+//! authentic or not readable is logged as `peer frame rejected`, and a stream that cannot be opened
+//! or written as `peer stream failed`. The control socket reports the number of frames that were
+//! dropped because a queue was full.
 
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -29,36 +30,37 @@
 use super::threads::spawn_thread;
 use crate::log::LogLimit;
 
-/// Frames that may wait for one peer. Beyond them, the newest are dropped.
+/// The maximum number of frames that are queued for one peer. If the queue is full, new frames are
+/// dropped.
 const MAX_QUEUED_FRAMES: usize = 256;
-/// Streams that this process opens.
+/// The maximum number of streams that this process opens.
 const MAX_OUTGOING_STREAMS: usize = 24;
-/// Streams that other processes open to this one.
+/// The maximum number of streams that other processes open to this one.
 const MAX_INCOMING_STREAMS: usize = 32;
-/// Streams that are open at a time, in both directions.
+/// The maximum number of open streams, in both directions.
 pub(crate) const MAX_STREAMS: usize = MAX_OUTGOING_STREAMS + MAX_INCOMING_STREAMS;
 /// How long a stream without a frame is kept open. Streams between voters always carry heartbeats;
-/// others are used rarely.
+/// other streams are used rarely.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a peer may pause in the middle of a frame before its stream is closed.
 const STALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a connect may take.
+/// The time limit for opening a stream.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// By what the pause after a failed stream grows with each further failure.
+/// The factor by which the pause after a failed stream grows with each further failure.
 const RECONNECT_BACKOFF_FACTOR: u32 = 2;
 /// The first pause after a stream has failed.
 const MIN_RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
 /// The longest pause after a stream has failed.
 const MAX_RECONNECT_BACKOFF: Duration = Duration::from_secs(2);
-/// The least pause after a stream has failed, as a fraction of the backoff.
+/// The minimum pause after a stream has failed, as a fraction of the backoff.
 const MIN_PAUSE_FRACTION: f64 = 0.5;
-/// Datagrams that are read before the thread yields to others.
+/// The number of datagrams that the thread reads before it yields to others.
 const DATAGRAMS_PER_YIELD: u32 = 32;
 /// The buffer for a datagram, in bytes: the longest that UDP allows.
 const DATAGRAM_BUFFER_BYTES: usize = 64 * 1024;
-/// The pause after a datagram could not be read.
+/// The pause after a failed read of a datagram.
 const DATAGRAM_ERROR_PAUSE: Duration = Duration::from_millis(1);
-/// The pause after a stream could not be accepted.
+/// The pause after a failed accept of a stream.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(20);
 
 /// Limits the log lines about rejected frames, of all links together.
@@ -66,15 +68,15 @@
 /// Limits the log lines about failed streams, of all links together.
 static FAILED_STREAMS: LogLimit = LogLimit::new();
 
-/// What [`PeerLinks::open`] needs.
+/// The parameters of [`PeerLinks::open`].
 pub(crate) struct PeerLinksConfig {
-    /// Where the others reach this process, by UDP and TCP.
+    /// The UDP and TCP address at which other members reach this process.
     pub(crate) listen: SocketAddr,
     /// Encodes and decodes the frames of the cluster.
     pub(crate) codec: FrameCodec,
     /// The name of this process.
     pub(crate) local_name: Name,
-    /// The run of this process.
+    /// The incarnation of this process, which identifies its run.
     pub(crate) incarnation: Incarnation,
     /// For fault injection: messages to the first address go to the second.
     pub(crate) routes: HashMap<SocketAddr, SocketAddr>,
@@ -86,13 +88,13 @@
     udp: UdpSocket,
     /// The queue of each outgoing stream.
     outgoing: Mutex<HashMap<SocketAddr, SyncSender<Vec<u8>>>>,
-    /// Incoming streams that are open.
+    /// The number of open incoming streams.
     incoming_streams: AtomicUsize,
     /// See [`PeerLinks::dropped_frames`].
     dropped_frames: AtomicUsize,
 }
 
-/// A place among the incoming streams. Dropping it frees the place.
+/// A slot for an incoming stream. Dropping it frees the slot.
 struct IncomingStreamSlot(Arc<PeerLinks>);
 
 impl IncomingStreamSlot {
@@ -110,10 +112,11 @@
 }
 
 impl PeerLinks {
-    /// Listens for peers. What they send goes to `received`.
+    /// Listens for peers. Their messages go to `received`.
     ///
     /// # Errors
-    /// The system's, where the address can't be listened on or a thread can't be started.
+    /// The error of the operating system, if the process can't listen on the address or start a
+    /// thread.
     pub(crate) fn open(
         config: PeerLinksConfig,
         received: SyncSender<Envelope>,
@@ -142,8 +145,8 @@
         self.dropped_frames.load(Ordering::Relaxed)
     }
 
-    /// Sends a message to an address, on a stream where the message may not be lost by the network
-    /// or is too long for a datagram. A message may be lost all the same.
+    /// Sends a message to an address: on a stream if the network may not lose it or it is too long
+    /// for a datagram. A message on a stream may still be lost if the stream fails.
     pub(crate) fn send(self: &Arc<Self>, to: SocketAddr, message: Message) {
         let needs_stream = matches!(message, Message::Voter(PeerMessage::Raft(_)));
         let frame = self.config.codec.encode(&Envelope {
@@ -156,7 +159,7 @@
         if needs_stream || frame.len() > MAX_DATAGRAM_BYTES {
             self.send_on_stream(to, frame);
         } else {
-            // A datagram that is not sent counts as one that the network has lost.
+            // A failed send has the same effect as a datagram that the network has lost.
             let _ = self.udp.send_to(&frame, to);
         }
     }
@@ -184,18 +187,18 @@
 
     fn read_datagrams(&self, udp: &UdpSocket, received: &SyncSender<Envelope>) {
         let mut buffer = vec![0; DATAGRAM_BUFFER_BYTES];
-        for turn in 1u32.. {
+        for read_count in 1u32.. {
             match udp.recv_from(&mut buffer) {
                 Ok((length, from)) => match self.config.codec.decode_datagram(&buffer[..length]) {
-                    // Where the event loop does not keep up datagrams are lost, as on the network.
+                    // If the event loop does not keep up, datagrams are lost, as on the network.
                     Ok(envelope) => _ = received.try_send(envelope),
                     Err(error) => log_rejected_frame(from, &error),
                 },
-                // The error says that an earlier datagram of this process found no listener. The
-                // socket goes on.
+                // The error reports that an earlier datagram of this process found no listener. The
+                // socket remains usable.
                 Err(_) => std::thread::sleep(DATAGRAM_ERROR_PAUSE),
             }
-            if turn.is_multiple_of(DATAGRAMS_PER_YIELD) {
+            if read_count.is_multiple_of(DATAGRAMS_PER_YIELD) {
                 std::thread::yield_now();
             }
         }
@@ -211,7 +214,7 @@
                 continue;
             };
             let received = received.clone();
-            // Where no thread can be started the stream is closed, and its slot is free again.
+            // If no thread can be started, the stream is closed and its slot freed.
             let _ = spawn_thread("peers-in", move || {
                 slot.0.read_frames(stream, from, &received)
             });
@@ -236,7 +239,7 @@
             }
             match self.config.codec.decode(&header, &body) {
                 Ok(envelope) => {
-                    // Where the event loop does not keep up, the thread of this peer waits.
+                    // If the event loop does not keep up, the thread of this stream waits.
                     if received.send(envelope).is_err() {
                         return;
                     }
@@ -247,8 +250,8 @@
     }
 }
 
-/// Waits up to the idle timeout for the next frame. Once it has begun, each of its bytes must
-/// follow within the stall timeout.
+/// Reads the header of the next frame. The frame must begin within the idle timeout; after that,
+/// each read has the stall timeout.
 fn read_header(stream: &mut TcpStream) -> io::Result<[u8; HEADER_BYTES]> {
     let mut header = [0; HEADER_BYTES];
     stream.set_read_timeout(Some(IDLE_TIMEOUT))?;
@@ -258,8 +261,8 @@
     Ok(header)
 }
 
-/// Writes what is queued for one peer. It ends where nothing was queued for the idle timeout, or
-/// the process ends.
+/// Writes the frames that are queued for one peer. Returns if no frame is queued for the idle
+/// timeout, or if the process ends.
 fn write_frames(links: &Weak<PeerLinks>, to: SocketAddr, queue: &Receiver<Vec<u8>>) {
     let mut open_stream: Option<TcpStream> = None;
     let mut backoff = MIN_RECONNECT_BACKOFF;
@@ -274,7 +277,7 @@
                 log_failed_stream(to, &error);
                 std::thread::sleep(reconnect_pause(backoff, fastrand::f64()));
                 backoff = (backoff * RECONNECT_BACKOFF_FACTOR).min(MAX_RECONNECT_BACKOFF);
-                // Frames that were queued during the pause are out of date.
+                // Frames that were queued during the pause are outdated.
                 while queue.try_recv().is_ok() {}
             }
         }
@@ -284,9 +287,9 @@
     }
 }
 
-/// The pause before a stream that has failed is opened again: a random part of the backoff, so that
-/// the processes of a cluster do not all connect at once to one that has restarted. `random` is at
-/// least 0 and under 1.
+/// The pause before a failed stream is opened again: a random fraction of the backoff, so that the
+/// processes of a cluster do not all connect to a restarted process at the same time. `random` is
+/// at least 0 and less than 1.
 fn reconnect_pause(backoff: Duration, random: f64) -> Duration {
     backoff.mul_f64(MIN_PAUSE_FRACTION + (1.0 - MIN_PAUSE_FRACTION) * random)
 }
--- a/crates/server/src/cluster/pending_requests.rs
+++ b/crates/server/src/cluster/pending_requests.rs
@@ -1,9 +1,9 @@
 //! Operators' commands that wait for the leader of the voters.
 //!
-//! [`Admin`](super::admin::Admin) drives [`PendingRequests`]: it submits commands, hands on the
-//! responses, and calls when an attempt is due. A command goes to one voter after another until a
-//! leader responds. It fails where there are no voters, where too many commands wait, or after
-//! [`REQUEST_TIMEOUT`]; each shows as an [`AdminError`] at the operator's program.
+//! [`Admin`](super::admin::Admin) calls [`PendingRequests`]: it submits commands, passes on the
+//! responses, and calls again when an attempt is due. A command is sent to one voter after another
+//! until a leader responds. It fails if there are no voters, if too many commands wait, or after
+//! [`REQUEST_TIMEOUT`]; the operator's program then receives an [`AdminError`].
 
 use std::collections::BTreeMap;
 use std::sync::mpsc::SyncSender;
@@ -19,31 +19,31 @@
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// The pause between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
-/// How often a command follows a reported leader between two attempts. A leader that can't take it
-/// may name itself: without the limit the command would go to it without a pause until it fails.
+/// The maximum number of redirects of a command to a reported leader between two attempts. A leader
+/// that can't accept the command may report itself: without the limit, the command would be sent to
+/// it again without a pause until the command fails.
 const MAX_REDIRECTS_PER_ATTEMPT: u32 = 2;
-/// The limit on commands that wait at a time.
+/// The maximum number of commands that wait at a time.
 const MAX_PENDING_REQUESTS: usize = 64;
-/// Ids of operators' requests are greater than this; those of the lease client never are.
+/// The ids of operators' requests are greater than this; the lease client's ids never are.
 const ID_BASE: RequestId = RequestId(1 << 62);
 
-/// A command that waits.
+/// A command that waits for a leader.
 struct PendingRequest {
     reply: SyncSender<AdminResult>,
-    /// Sent with each attempt.
+    /// The message that each attempt sends.
     message: Message,
-    /// When it fails, on the cluster's clock.
+    /// When the command fails, by the cluster's clock.
     expires_at: Duration,
-    /// When it is sent to the next voter.
+    /// When the command is sent to the next voter.
     next_attempt_at: Duration,
-    /// Attempts, each to the next voter. A command that is sent to a reported leader does not
-    /// count.
+    /// The number of attempts, each to the next voter. Redirects to a reported leader do not count.
     attempts: usize,
-    /// How often it was sent to a reported leader since the last attempt.
+    /// The number of redirects to a reported leader since the last attempt.
     redirects: u32,
 }
 
-/// The commands that wait. It owns them and their ids.
+/// The commands that wait for a leader, and their ids.
 pub(crate) struct PendingRequests {
     voters: Vec<Name>,
     pending: BTreeMap<RequestId, PendingRequest>,
@@ -51,7 +51,7 @@
 }
 
 impl PendingRequests {
-    /// No commands, to be sent to these voters.
+    /// An instance without commands. Commands are sent to `voters`.
     pub(crate) fn new(voters: Vec<Name>) -> Self {
         PendingRequests {
             voters,
@@ -60,17 +60,17 @@
         }
     }
 
-    /// Whether a response with that id is for an operator, and not for the lease client.
-    pub(crate) fn is_operators(id: RequestId) -> bool {
+    /// Whether an id belongs to an operator's command, and not to a request of the lease client.
+    pub(crate) fn is_operator_request(id: RequestId) -> bool {
         id >= ID_BASE
     }
 
-    /// The voters that commands are sent to.
+    /// The voters to which commands are sent.
     pub(crate) fn voters(&self) -> &[Name] {
         &self.voters
     }
 
-    /// When [`retry_due`](Self::retry_due) is to be called next.
+    /// When [`retry_due`](Self::retry_due) is due next.
     pub(crate) fn next_attempt_at(&self) -> Option<Duration> {
         self.pending
             .values()
@@ -113,7 +113,7 @@
         Ok(())
     }
 
-    /// Ends a command with that result, where it still waits.
+    /// Completes a command with `result`, if it still waits.
     pub(crate) fn complete(&mut self, id: RequestId, result: AdminResult) {
         if let Some(request) = self.pending.remove(&id) {
             let _ = request.reply.try_send(result);
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Sends a command to the voter that leads, as a voter reported. Beyond
-    /// [`MAX_REDIRECTS_PER_ATTEMPT`] it waits for its next attempt.
+    /// Redirects a command to the leader that a voter reported. After
+    /// [`MAX_REDIRECTS_PER_ATTEMPT`] redirects, the command waits for its next attempt.
     pub(crate) fn redirect(
         &mut self,
         now: Duration,
@@ -166,7 +166,7 @@
         }
     }
 
-    /// A command that waits. One that has waited for too long fails here.
+    /// The command with that id, if it still waits. A command that has expired fails here.
     fn unexpired(&mut self, now: Duration, id: RequestId) -> Option<&mut PendingRequest> {
         if self.pending.get(&id)?.expires_at <= now {
             self.complete(
--- a/crates/server/src/cluster/pending_requests_tests.rs
+++ b/crates/server/src/cluster/pending_requests_tests.rs
@@ -1,4 +1,4 @@
-//! Operators' commands that wait: how often they go to a voter.
+//! How often an operator's command is sent to a voter while it waits.
 
 use std::collections::HashMap;
 use std::sync::mpsc::{Receiver, sync_channel};
@@ -15,7 +15,7 @@
 const CLUSTER_KEY: &[u8] = b"a key of more than sixteen bytes";
 const LOCAL_NAME: &str = "a-1";
 
-/// A router of a process that is the only voter, and what it sends to itself.
+/// A router of a process that is the only voter, and the messages that it sends to itself.
 fn local_router() -> (MessageRouter, Receiver<Input>) {
     let listen = ([127, 0, 0, 1], 0).into();
     let (received, _) = sync_channel(1);
@@ -34,10 +34,10 @@
     (router, queued)
 }
 
-/// Guards against a command that goes round for 5 s without a pause: a leader with too many pending
-/// reads answers that it does not lead, and names itself.
+/// Guards against a command that is sent without a pause until it fails after 5 s: a leader with
+/// too many pending reads answers that it does not lead, and reports itself as the leader.
 #[test]
-fn a_command_follows_a_leader_that_names_itself_a_bounded_number_of_times() {
+fn redirects_to_a_leader_that_reports_itself_are_bounded() {
     let (router, sent) = local_router();
     let mut requests = PendingRequests::new(vec![LOCAL_NAME.into()]);
     let (reply, _result) = sync_channel(1);
@@ -55,7 +55,7 @@
         requests.redirect(Duration::ZERO, &router, id, &leader);
     }
     assert_eq!(count(), MAX_REDIRECTS_PER_ATTEMPT);
-    // With the next attempt it follows a leader again.
+    // After the next attempt, the command is redirected again.
     requests.retry_due(RETRY_INTERVAL, &router);
     requests.redirect(RETRY_INTERVAL, &router, id, &leader);
     assert_eq!(count(), 2);
--- a/crates/server/src/cluster/store_probe.rs
+++ b/crates/server/src/cluster/store_probe.rs
@@ -1,10 +1,10 @@
-//! The health check of the store. Where it refuses connections, one process of a zone probes it,
-//! and all others go by the verdict that it publishes.
+//! The health check of the store. When the store refuses connections, one process of a zone probes
+//! it, and all other processes of the zone apply the verdict that the probing process publishes.
 //!
-//! [`StoreProbe`] has a thread of its own, which checks the store client every [`UPDATE_INTERVAL`]
-//! and lets [`DependencyProber`] decide. A process that loses the lease stops probing, and another
-//! takes over; without verdicts of others, a process decides by its own connections alone. The
-//! thread ends with the event loop.
+//! [`StoreProbe`] runs on a dedicated thread, which checks the store client every
+//! [`UPDATE_INTERVAL`] and lets [`DependencyProber`] decide. A process that loses the probe lease
+//! stops probing, and another takes over. Without verdicts of other processes, a process decides by
+//! its own connections alone. The thread ends with the event loop.
 
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -22,25 +22,25 @@
 
 /// The key of the metadata under which the verdict is published.
 const VERDICT_KEY: &str = "store";
-/// How often the store's connections are checked for refusals.
+/// How often the probe checks whether the store refuses connections.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
-/// How long the event loop may take to read the verdicts of others. Without them, this process
-/// decides by its own connections alone.
+/// The time limit for reading the other processes' verdicts from the event loop. Without them, this
+/// process decides by its own connections alone.
 const VERDICT_READ_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a probe may take: the longest step under the lease on probing.
+/// The time limit of a probe, which is the longest operation under the probe lease.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// The lease on probing. One process probes, and another takes over within this TTL of its death.
+/// The probe lease. One process probes, and another takes over within this TTL after its death.
 const PROBE_LEASE: LeaseSpec = LeaseSpec {
     ttl: Duration::from_secs(4),
     capacity: 1,
 };
 
-/// The event loop has ended, and the probe ends with it.
+/// The event loop has ended, which also ends the probe.
 #[derive(Debug, thiserror::Error)]
 #[error("the event loop of the cluster has ended")]
 struct EventLoopEnded;
 
-/// The probe of this process. It owns the prober's state and the guard of the lease on probing.
+/// The probe of this process. It owns the prober's state and the guard of the probe lease.
 pub(crate) struct StoreProbe {
     leases: LeaseHandle,
     inputs: SyncSender<Input>,
@@ -49,14 +49,14 @@
     prober: DependencyProber,
     /// Whether the lease is requested or held.
     wants_lease: bool,
-    /// Where the lease is held.
+    /// Present while the lease is held.
     guard: Option<ScopedGuard>,
-    /// The outcome of the last probe, until the prober has received it.
+    /// The outcome of the last probe, until it is passed to the prober.
     last_outcome: Option<ProbeOutcome>,
 }
 
 impl StoreProbe {
-    /// The probe of a store that the processes of a zone share.
+    /// A probe of the store that the processes of `zone` share.
     pub(crate) fn new(
         leases: LeaseHandle,
         inputs: SyncSender<Input>,
@@ -79,8 +79,8 @@
     pub(crate) fn run(mut self) {
         loop {
             std::thread::sleep(UPDATE_INTERVAL);
-            let store_answers = self.store.refused_in_a_row() == 0;
-            if store_answers && !self.wants_lease {
+            let is_store_reachable = self.store.refused_in_a_row() == 0;
+            if is_store_reachable && !self.wants_lease {
                 continue;
             }
             if self.update().is_err() {
@@ -103,7 +103,7 @@
             self.publish(change);
         }
         self.store.set_suspended(output.is_down);
-        self.want_lease(output.should_have_lease, has_lease);
+        self.update_lease(output.should_have_lease, has_lease);
         if output.should_probe
             && let Some(address) = self.store.address()
         {
@@ -112,8 +112,8 @@
         Ok(())
     }
 
-    /// The verdicts of the other live members of the zone; none where the event loop does not
-    /// respond in time.
+    /// The verdicts of the other live members of the zone; none if the event loop does not respond
+    /// in time.
     fn read_verdicts(&self) -> Result<Vec<Verdict>, EventLoopEnded> {
         let (reply, replied) = sync_channel(1);
         let read = Input::ReadMetadata {
@@ -133,7 +133,7 @@
             .collect())
     }
 
-    /// Whether this process may probe now. The guard is given back where it may not.
+    /// Whether this process may probe now. If not, it releases the guard.
     fn check_lease(&mut self) -> bool {
         if self.guard.is_none() && self.wants_lease {
             self.guard = self.leases.acquire_guard(&self.lease).ok();
@@ -159,9 +159,9 @@
         });
     }
 
-    /// Acquires or releases the lease on probing. A process that held it and needs it no more has
-    /// found the store healthy.
-    fn want_lease(&mut self, should_have_lease: bool, has_lease: bool) {
+    /// Acquires or releases the probe lease. A process that held the lease and no longer needs it
+    /// has found the store healthy.
+    fn update_lease(&mut self, should_have_lease: bool, has_lease: bool) {
         if should_have_lease && !self.wants_lease {
             self.leases.acquire(&self.lease, PROBE_LEASE, PROBE_TIMEOUT);
         } else if !should_have_lease && self.wants_lease {
--- a/crates/server/src/cluster/tests.rs
+++ b/crates/server/src/cluster/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the control socket's protocol, and of timers.
+//! Tests of the words of the control socket, on which operators' programs depend, and of timers.
 
 use std::time::Duration;
 
--- a/crates/server/src/cluster/threads.rs
+++ b/crates/server/src/cluster/threads.rs
@@ -1,18 +1,19 @@
-//! Threads of the cluster, and how they take what is queued for them.
+//! Starts the threads of the cluster, and receives batches from their queues.
 
 use std::io;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
 
-/// The stack of a thread, in bytes.
+/// The stack size of a thread, in bytes.
 const STACK_BYTES: usize = 256 * 1024;
-/// Items that are taken from a queue at a time. A voter makes them durable with one write.
+/// The maximum number of items that follow the first in a batch. A voter makes a batch durable with
+/// one write.
 const MAX_BATCH: usize = 256;
 
 /// Starts a thread with a small stack.
 ///
 /// # Errors
-/// The system's, where it has no room for one more thread.
+/// The error of the operating system, if it cannot start another thread.
 pub(crate) fn spawn_thread(name: &str, body: impl FnOnce() + Send + 'static) -> io::Result<()> {
     std::thread::Builder::new()
         .name(name.into())
@@ -21,8 +22,8 @@
         .map(|_| ())
 }
 
-/// Waits up to `timeout` for one item, and returns it with those that are queued behind it, up to
-/// [`MAX_BATCH`] of them. The batch is empty where no item was received in time; `None` once all
+/// Waits up to `timeout` for one item, and returns it with up to [`MAX_BATCH`] items that are
+/// queued after it. The batch is empty if no item was received in time. Returns `None` once all
 /// senders are dropped.
 pub(crate) fn receive_batch<T>(
     receiver: &Receiver<T>,
--- a/crates/server/src/cluster/voter_thread.rs
+++ b/crates/server/src/cluster/voter_thread.rs
@@ -1,10 +1,10 @@
-//! The thread of this process's voter. Its writes wait for the disk; nothing else of the cluster
-//! does.
+//! The thread of this process's voter. It is the only thread of the cluster that waits for the
+//! disk.
 //!
-//! The event loop hands it events by [`VoterHandle`], and never waits for it. While the disk hangs,
-//! events beyond the queue are dropped and their senders retry. A write that fails ends the voter
-//! until the process is restarted: the log has `voter ended`, and its status [`VoterPhase::Ended`].
-//! The other voters go on, as long as they are a majority.
+//! The event loop sends it events through [`VoterHandle`], and never waits for it. While the disk
+//! hangs, the queue fills, further events are dropped and their senders retry. A failed write ends
+//! the voter until the process is restarted: the log has `voter ended`, and the status of the voter
+//! is [`VoterPhase::Ended`]. The other voters still grant leases as long as they are a majority.
 
 use std::io;
 use std::sync::Arc;
@@ -23,17 +23,17 @@
 use super::message_router::MessageRouter;
 use super::threads::{receive_batch, spawn_thread};
 
-/// The voter, as the event loop sees it.
+/// The event loop's handle to the voter.
 pub(crate) struct VoterHandle {
     events: SyncSender<Event>,
     status: Arc<Mutex<VoterStatus>>,
 }
 
 impl VoterHandle {
-    /// Starts the thread of a voter. What the voter sends goes through `router`.
+    /// Starts the thread of a voter. The router sends the voter's messages.
     ///
     /// # Errors
-    /// The system's, where the thread can't be started.
+    /// The error of the operating system, if the thread can't be started.
     pub(crate) fn spawn<D: Disk + Send + 'static>(
         voter: DurableVoter<D>,
         clock: ClusterClock,
@@ -53,20 +53,20 @@
         Ok(VoterHandle { events, status })
     }
 
-    /// Hands the voter an event. Where the queue is full because its disk hangs, the event is
+    /// Sends an event to the voter. If the queue is full because the disk hangs, the event is
     /// dropped, so that the event loop never waits for the disk; the event's sender retries.
     pub(crate) fn send(&self, event: Event) {
         let _ = self.events.try_send(event);
     }
 
-    /// Its status after the last batch of events.
+    /// The voter's status after the last batch of events.
     pub(crate) fn status(&self) -> VoterStatus {
         self.status.lock().clone()
     }
 }
 
-/// The state of the thread. It owns the voter; the status is shared with the handle, and written
-/// here alone.
+/// The state of the thread. It owns the voter. The status is shared with the handle, but only the
+/// thread changes it.
 struct VoterThread<D: Disk> {
     voter: DurableVoter<D>,
     clock: ClusterClock,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// What the voter did before it failed is carried out, too.
+    /// Passes events to the voter, and carries out its actions even if it fails after them.
     fn handle_events(&mut self, now: Duration, events: Vec<Event>) -> Result<(), VoterError> {
         let (actions, result) = self.voter.handle_events(now, events);
         for action in actions {
@@ -146,7 +146,7 @@
             }
             Action::SetTimer { at } => self.timer.set_earliest(at),
             Action::Notice(notice) => log_notice(&notice),
-            // The durable voter has carried these out itself.
+            // The durable voter has carried out these actions itself.
             Action::AppendRecord(_) | Action::WriteSnapshot(_) | Action::WriteIdentity(_) => {}
         }
     }
--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -1,5 +1,5 @@
-//! The file that `LB_CONFIG` names: the name of this backend, the addresses of its peers, its
-//! limits and its settings. Only the addresses may change while the backend runs.
+//! The configuration file that `LB_CONFIG` names: the name of this backend, the addresses of its
+//! peers, its limits and its settings. Only the addresses may change while the backend runs.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,7 +13,7 @@
 
 /// The base of the seed's digits.
 const HEXADECIMAL: u32 = 16;
-/// The fewest descriptors with which a backend can serve at all.
+/// The minimum number of descriptors with which a backend can serve requests.
 pub(crate) const MIN_SOCKETS: usize = 32;
 
 #[derive(Deserialize)]
@@ -29,7 +29,8 @@
     #[serde(flatten)]
     peers: PeerAddresses,
     seed: String,
-    stop_ms: f64,
+    #[serde(rename = "stop_ms")]
+    termination_ms: f64,
     limits: Limits,
     settings: Settings,
 }
@@ -47,21 +48,19 @@
 }
 
 impl PeerAddresses {
-    /// The keys of the file that a reload takes.
+    /// The keys of the file that a reload applies.
     const KEYS: [&str; 3] = ["kernel", "announce", "store"];
 }
 
-/// The current address of a peer. It is owned by the client of that peer; a reload of the file sets
-/// it.
+/// The current address of a peer. The client of that peer owns it; a reload of the file sets it.
 pub(crate) struct CurrentAddress<T>(Mutex<T>);
 
 impl<T: Copy + PartialEq> CurrentAddress<T> {
-    /// An address that was read at the start.
+    /// Starts with the address that was read at the start.
     pub(crate) fn new(address: T) -> Self {
         CurrentAddress(Mutex::new(address))
     }
 
-    /// The address now.
     pub(crate) fn get(&self) -> T {
         *self.0.lock()
     }
@@ -85,12 +84,12 @@
     pub(crate) controller: Config,
     pub(crate) names: Names,
     pub(crate) steering: Steering,
-    /// The entries of the file, with which those of a reload are compared.
+    /// The top-level entries of the file, which a reload compares with the new ones.
     entries: Map<String, Value>,
 }
 
-/// What a reload of the file has changed.
-pub(crate) struct Reloaded {
+/// The changes that a reload of the file has found.
+pub(crate) struct ReloadedConfig {
     pub(crate) peers: PeerAddresses,
     /// Other keys that have changed; they take effect at a restart.
     pub(crate) needs_restart: Vec<String>,
@@ -113,7 +112,7 @@
     },
 }
 
-/// What is wrong with the text of the file, with the key at fault.
+/// An error in the text of the file, with the key at fault.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum InvalidConfig {
     #[error("{0}")]
@@ -186,7 +185,8 @@
             listen: file.listen,
             peers: file.peers,
             seed,
-            termination: milliseconds("stop_ms", file.stop_ms).map_err(InvalidConfig::Time)?,
+            termination: milliseconds("stop_ms", file.termination_ms)
+                .map_err(InvalidConfig::Time)?,
             memory_mb,
             sockets,
             controller,
@@ -196,12 +196,12 @@
         })
     }
 
-    /// Reads the file again. A file that is invalid, or that is of another backend, changes
-    /// nothing: this backend would send its requests to the other one's executor.
+    /// Reads the file again. A file of another backend is rejected, because this backend would send
+    /// its requests to the executor of the other one.
     ///
     /// # Errors
-    /// [`ConfigError`] where the file can't be used.
-    pub(crate) fn reload(&self, path: Option<&Path>) -> Result<Reloaded, ConfigError> {
+    /// [`ConfigError`] if the file is invalid or belongs to another backend.
+    pub(crate) fn reload(&self, path: Option<&Path>) -> Result<ReloadedConfig, ConfigError> {
         let new = Self::read(path)?;
         if (&new.name, new.listen) != (&self.name, self.listen) {
             let own_name = self.name.clone();
@@ -223,15 +223,15 @@
             .collect();
         needs_restart.sort();
         needs_restart.dedup();
-        Ok(Reloaded {
+        Ok(ReloadedConfig {
             peers: new.peers,
             needs_restart,
         })
     }
 }
 
-/// Parses the file. An error names the key at fault as well as its line: "at line 12" alone leaves
-/// the reader to count braces.
+/// Parses the file. An error names the key at fault as well as its line: with the line alone, the
+/// reader would have to count braces to find the key.
 fn parse_file(text: &str) -> Result<ConfigFile, InvalidConfig> {
     let parsed = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(text));
     parsed.map_err(|error| match error.path().to_string() {
--- a/crates/server/src/connection_limits.rs
+++ b/crates/server/src/connection_limits.rs
@@ -1,4 +1,4 @@
-//! The limits on client connections that follow from the configuration.
+//! Derives the limits on client connections from the configuration.
 
 use std::time::Duration;
 
@@ -10,22 +10,20 @@
 use crate::config::ServerConfig;
 use crate::net::frontend::{IDLE_MARGIN, MESSAGE_TIMEOUT, RESERVED_DESCRIPTORS};
 
-/// The half-life of a client's reputation, where it is not configured.
+/// The default half-life of a client's reputation.
 const DEFAULT_HALF_LIFE: Duration = Duration::from_secs(600);
-/// The least number of callers among which the limits of an address divide the capacity, where they
-/// are not configured.
+/// The minimum number of callers among which the default limits of an address divide the capacity.
 const MIN_CALLERS: u32 = 4;
-/// The default limit on the connections of an address, as a multiple of the equal share of a
-/// caller.
+/// The default limit on the connections of an address, as a multiple of a caller's equal share.
 const SHARE_FACTOR: usize = 2;
-/// The least limit on the connections of an address, where it is not configured.
+/// The minimum of the default limit on the connections of an address.
 const MIN_CONNECTIONS_PER_ADDRESS: usize = 4;
-/// The least limit on the connections that an address may open at once, where it is not configured.
-const MIN_CONNECTION_RATE: u32 = 8;
+/// The minimum of the default limit on new connections per second.
+const MIN_CONNECTIONS_PER_S: u32 = 8;
 
-/// The limits of this server. Without the block `admission`, connections beyond the descriptors
-/// wait in the backlog, and none is limited by its address. Limits that the block leaves out follow
-/// from the capacity and the number of callers.
+/// The connection limits of this server. Without the block `admission`, connections beyond the
+/// descriptors wait in the backlog, and no limit applies to an address. Limits that the block omits
+/// are derived from the capacity and the number of callers.
 pub(crate) fn limiter_config(
     config: &ServerConfig,
     store_connections: usize,
@@ -56,26 +54,27 @@
     };
     match admission.filter(|admission| admission.enabled) {
         Some(admission) => {
-            let places = config.sockets - RESERVED_DESCRIPTORS - store_connections;
-            configured(config, places, admission, default)
+            let client_descriptors = config.sockets - RESERVED_DESCRIPTORS - store_connections;
+            configured_limits(config, client_descriptors, admission, default)
         }
         None => default,
     }
 }
 
-fn configured(
+fn configured_limits(
     config: &ServerConfig,
-    places: usize,
+    client_descriptors: usize,
     admission: &ConnectionLimitsConfig,
     default: Config,
 ) -> Config {
-    // Twice the equal share of a caller, and never all of the capacity.
-    let share = SHARE_FACTOR * places / config.controller.callers.max(MIN_CALLERS) as usize;
-    let all_but_one = places.max(MIN_CONNECTIONS_PER_ADDRESS + 1) - 1;
+    // Twice the equal share of a caller, but never all of the capacity.
+    let share =
+        SHARE_FACTOR * client_descriptors / config.controller.callers.max(MIN_CALLERS) as usize;
+    let all_but_one = client_descriptors.max(MIN_CONNECTIONS_PER_ADDRESS + 1) - 1;
     let per_address = share.clamp(MIN_CONNECTIONS_PER_ADDRESS, all_but_one) as u32;
-    let per_network = (places as u32).max(1);
+    let per_network = (client_descriptors as u32).max(1);
     let mut reservations = default.reservations;
-    let known_clients = (places as f64 * admission.known_part) as usize;
+    let known_clients = (client_descriptors as f64 * admission.known_part) as usize;
     reservations.push(Reservation {
         owner: DescriptorOwner::KnownClients,
         descriptors: known_clients,
@@ -88,7 +87,7 @@
             wide_network: limit(&admission.wide, per_network),
         }),
         full_policy: admission.full_policy(),
-        // They were checked when the file was read.
+        // The networks were validated when the file was read.
         trusted_networks: admission
             .known
             .iter()
@@ -109,7 +108,7 @@
     let max_connections = configured.open.unwrap_or(default_connections);
     let max_rate = configured
         .rate
-        .unwrap_or(max_connections.max(MIN_CONNECTION_RATE));
+        .unwrap_or(max_connections.max(MIN_CONNECTIONS_PER_S));
     ConnectionLimit {
         max_connections,
         max_rate,
--- a/crates/server/src/connection_limits_tests.rs
+++ b/crates/server/src/connection_limits_tests.rs
@@ -5,7 +5,7 @@
 use super::limiter_config;
 use crate::config::{MIN_SOCKETS, ServerConfig};
 
-/// The configuration of a backend with that many descriptors.
+/// The configuration of a backend with `sockets` descriptors.
 fn server_config(sockets: usize) -> ServerConfig {
     let text = format!(
         r#"{{"name":"n","listen":"127.0.0.1:1","kernel":"127.0.0.1:2","announce":null,"store":null,
@@ -20,8 +20,8 @@
     ServerConfig::read(Some(file.path())).unwrap()
 }
 
-/// The limits that follow from any configuration that is accepted are valid ones, so that a backend
-/// that has bound its address starts.
+/// Guards against a backend that binds its address and then cannot start, because the limits that
+/// follow from an accepted configuration are invalid.
 #[test]
 fn limits_that_follow_from_the_configuration_are_valid() {
     let mut file = tempfile::NamedTempFile::new().unwrap();
--- a/crates/server/src/log.rs
+++ b/crates/server/src/log.rs
@@ -1,11 +1,11 @@
-//! The logger behind the `log` crate: a line on standard error for each record, with the time since
-//! the start in seconds.
+//! The logger of the `log` crate: it writes one line to standard error for each record, with the
+//! time since the start in seconds.
 //!
-//! A thread writes the lines, which wait for it in a queue of bounded length. The failure this
-//! guards against is a standard error that nobody reads, such as a full pipe: a server that wrote
-//! its lines itself would stop answering at its next line. Here the thread blocks, the queue fills,
-//! and further lines are dropped while the server goes on. The price: dropped lines are counted
-//! nowhere, so a gap shows only in the times of the lines.
+//! A dedicated thread writes the lines from a bounded queue. It guards against a standard error
+//! that is not read, such as a full pipe: a server that wrote its lines itself would block at the
+//! next line and stop answering. Here the writing thread blocks, the queue fills, and further lines
+//! are dropped while the server keeps running. Dropped lines are not counted, so a gap shows only
+//! in the times of the lines.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,14 +14,14 @@
 
 use log::{Level, LevelFilter, Log, Metadata, Record};
 
-/// Lines that may wait to be written.
-const MAX_WAITING_LINES: usize = 256;
-/// How long the end of the program waits for its last lines to be written.
+/// The maximum number of lines that are queued for writing.
+const MAX_QUEUED_LINES: usize = 256;
+/// How long the program waits at its end until the last lines are written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(20);
 
 enum Entry {
     Line(String),
-    /// Everything before it is written once the sender is dropped.
+    /// The writer drops the sender after it has written all earlier lines.
     Flush(#[expect(dead_code, reason = "dropping it is the signal")] SyncSender<()>),
 }
 
@@ -32,7 +32,7 @@
 
 impl Log for Logger {
     fn enabled(&self, metadata: &Metadata) -> bool {
-        // The runtime logs each socket; only its warnings are of interest here.
+        // The runtime `may` logs each socket; only warnings and errors of other crates are logged.
         metadata.level() <= Level::Warn || metadata.target().starts_with("tulipgapd")
     }
 
@@ -58,18 +58,18 @@
 fn write(entries: &Receiver<Entry>) {
     for entry in entries {
         if let Entry::Line(line) = entry {
-            // An error of standard error can be reported nowhere.
+            // There is no other place to report a failed write to standard error.
             let _ = std::io::stderr().write_all(line.as_bytes());
         }
     }
 }
 
-/// Starts logging at the level of this name.
+/// Starts logging at the named level, or at info if the name is missing or unknown.
 pub(crate) fn start(level: Option<&str>) {
     let level = level
         .and_then(|word| word.parse().ok())
         .unwrap_or(LevelFilter::Info);
-    let (entries, written) = sync_channel(MAX_WAITING_LINES);
+    let (entries, written) = sync_channel(MAX_QUEUED_LINES);
     std::thread::spawn(move || write(&written));
     if log::set_boxed_logger(Box::new(Logger {
         start: Instant::now(),
@@ -84,19 +84,19 @@
 /// Limits the log lines of one kind to the first 20 and then every thousandth, so that a peer
 /// cannot flood the log.
 ///
-/// Lines are of one kind where they share a `LogLimit`: usually one message, with all its reasons.
-/// The count goes on for the life of the process. The price: when one kind of fault begins anew
-/// after its first 20 lines, nothing is logged until the count reaches the next multiple of 1,000;
-/// the counts of the summaries show it meanwhile.
+/// Lines that share a `LogLimit` are of one kind: usually one message, with all its reasons. The
+/// count is never reset. When one kind of fault recurs after its first 20 lines, it is therefore
+/// not logged until the count reaches the next multiple of 1,000; until then only the counts of the
+/// summaries show it.
 pub(crate) struct LogLimit(AtomicU64);
 
 impl LogLimit {
-    /// The first lines of a kind, which are all logged.
-    const FIRST: u64 = 20;
-    /// After the first lines, one in this many is logged.
-    const INTERVAL: u64 = 1000;
+    /// The number of first events that are all logged.
+    const INITIAL_LINES: u64 = 20;
+    /// After the first events, one in this number is logged.
+    const EVENTS_PER_LINE: u64 = 1000;
 
-    /// A limit for one kind of line, which has not occurred yet.
+    /// A limit for one kind of line, with a count of 0.
     pub(crate) const fn new() -> Self {
         LogLimit(AtomicU64::new(0))
     }
@@ -109,6 +109,7 @@
     /// Counts an event, and returns the count if the event is to be logged.
     pub(crate) fn pass(&self) -> Option<u64> {
         let count = self.0.fetch_add(1, Ordering::Relaxed) + 1;
-        (count <= LogLimit::FIRST || count.is_multiple_of(LogLimit::INTERVAL)).then_some(count)
+        (count <= LogLimit::INITIAL_LINES || count.is_multiple_of(LogLimit::EVENTS_PER_LINE))
+            .then_some(count)
     }
 }
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,6 +1,7 @@
-//! `tulipgapd`: one backend. It reads the file that `LB_CONFIG` names, serves until SIGTERM,
-//! answers everything that it has read, and exits with 0. Where it cannot start, it writes one line
-//! to standard error and exits with 2. On SIGHUP it reads the addresses of its peers again.
+//! `tulipgapd` runs one backend. It reads the file that `LB_CONFIG` names, serves requests until
+//! SIGTERM, answers every request that it has read, and exits with 0. If it cannot start, it writes
+//! one line to standard error and exits with 2. On SIGHUP it reads the addresses of its peers
+//! again.
 
 mod clock;
 mod cluster;
@@ -33,15 +34,15 @@
 /// The number of stacks that are kept for reuse.
 const MAX_POOLED_STACKS: usize = 256;
 
-/// The exit code where the program cannot start.
+/// The exit code if the program cannot start.
 const CANNOT_START: u8 = 2;
 
-/// One backend. LB_CONFIG names the JSON file that tells it who it is, where its peers are, its
-/// limits and the settings; LB_LOG sets the level of the log (error, warn, info, debug).
+/// Runs one backend. LB_CONFIG names the JSON file with the name of the backend, the addresses of
+/// its peers, its limits and its settings; LB_LOG sets the log level (error, warn, info, debug).
 #[derive(Parser)]
 #[command(name = "tulipgapd", version)]
 struct Args {
-    /// The product's own configuration, in HCL; what it leaves out is off
+    /// The product configuration file, in HCL; a block that it omits is off
     #[arg(long, value_name = "FILE")]
     settings: Option<PathBuf>,
 }
@@ -72,7 +73,7 @@
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    // Before anything else: a signal that is not handled yet ends the program.
+    // The first step, because a signal that is not handled yet ends the program.
     let signals = Signals::register();
     log::start(std::env::var("LB_LOG").ok().as_deref());
     match run(&args, signals) {
@@ -135,9 +136,9 @@
     Ok(Some(Arc::new(tracer.map_err(StartError::Trace)?)))
 }
 
-/// Joins the cluster, where the block `cluster` enables it. Nothing listens, talks to peers or
-/// writes a folder without that block. The descriptors of a cluster member are taken from those of
-/// the server.
+/// Joins the cluster if the block `cluster` enables it. Without that block, the process neither
+/// listens for peers nor contacts any, and writes no voter folder. The cluster's descriptors are
+/// subtracted from the descriptors of the server.
 fn start_cluster(
     block: Option<&tulipgap_config::ClusterConfig>,
     config: &mut ServerConfig,
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -23,34 +23,34 @@
 use crate::requests::RequestRegistry;
 use crate::trace::Tracer;
 
-/// The store client gets at most one in this many of the descriptors.
+/// The store client gets at most the descriptors divided by this number.
 const STORE_DESCRIPTOR_DIVISOR: usize = 8;
 /// How often connections are checked for idleness and timeouts.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 /// Sweeps between two summaries in the log.
 const SWEEPS_PER_SUMMARY: u32 = 300;
-/// The least time before the termination in which edge nodes may close their connections.
+/// The minimum time before the termination that edge nodes get to close their connections.
 const MIN_CLOSE_TIME: Duration = Duration::from_secs(1);
-/// The time before the termination at which a drain ends, whether or not everything is answered:
-/// the last lines of the log are written, and the system closes what is open. Of a short
-/// termination it is no more than the fraction below.
+/// The time before the termination at which a drain ends, even if requests are still open: the
+/// process then writes the last lines of the log, and the operating system closes the connections.
+/// For a short termination, [`MAX_TERMINATION_MARGIN_DIVISOR`] bounds this time.
 const TERMINATION_MARGIN: Duration = Duration::from_millis(50);
-/// A drain has the rest of the termination.
+/// The margin is at most the termination divided by this number; the drain has the rest.
 const MAX_TERMINATION_MARGIN_DIVISOR: u32 = 4;
-/// The time before the termination at which the cluster is left, whether or not the drain is over.
-/// It is left by the time at which the drain ends.
+/// The time before the termination at which the process begins to leave the cluster, even if the
+/// drain is not over. It has until the end of the drain to leave.
 const CLUSTER_SHUTDOWN_MARGIN: Duration = Duration::from_millis(100);
-/// A termination that is later than this never comes.
+/// Replaces a termination that an [`Instant`] cannot represent.
 const MAX_TERMINATION: Duration = Duration::from_secs(365 * 24 * 3600);
-/// The time before the end of a drain from which connections whose edge nodes do not close are
-/// closed as soon as they may be. Before that a sweep notices them, and what crosses the close less
-/// often has to be sent once more.
+/// During this time before the end of a drain, the server closes connections that edge nodes leave
+/// open as soon as it may close them. Until then the periodic sweep closes them, so that fewer
+/// requests cross a close and have to be sent again.
 const PROMPT_CLOSE_TIME: Duration = Duration::from_millis(200);
 /// How often a drain checks whether everything is answered and closed.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The parts of a running server. Each owns its own state; the server owns the parts, and whether
-/// it is draining.
+/// A running server. It owns its parts, each of which owns its own state, and the flag whether it
+/// is draining.
 pub(crate) struct Server {
     registry: Arc<RequestRegistry>,
     executor: Arc<ExecutorClient>,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Logs what became of requests since the start, and the counters of the frontend.
+    /// Logs the counts and longest delays of requests, and the counters of the frontend.
     fn log_summary(&self) {
         self.registry.counts().log();
         self.registry.take_longest_delays().log();
@@ -162,15 +162,15 @@
         }
     }
 
-    /// Moves the links to the addresses at which the peers are from now on.
+    /// Moves the links to the new addresses of the peers.
     pub(crate) fn move_peers(&self, peers: PeerAddresses) {
         self.executor.move_to(peers.executor);
         self.store.move_to(peers.store);
         self.service_registry.set(peers.registry);
     }
 
-    /// Warns where the backlog takes longer to be answered than there is until `ends_at`.
-    fn warn_of_a_long_backlog(&self, ends_at: Instant) {
+    /// Logs a warning if answering the backlog may take longer than until `ends_at`.
+    fn warn_if_backlog_is_long(&self, ends_at: Instant) {
         let Some(backlog) = self.frontend.backlog() else {
             return;
         };
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Logs what the termination cuts off.
+    /// Logs the connections and requests that the termination cuts off.
     fn log_cut_short(&self) {
         ::log::warn!(
             "drain cut short waiting={} connections={} unfinished={} open_requests={}",
@@ -198,8 +198,8 @@
         );
     }
 
-    /// Drains after the notice that was received at `notice`, and returns once everything is
-    /// answered and closed, or shortly before the termination.
+    /// Drains after the shutdown notice that was received at `notice`. Returns when all requests
+    /// are answered and all connections closed, or shortly before the termination.
     pub(crate) fn drain(&self, notice: Instant, mut cluster: Option<Cluster>) {
         ::log::info!("shutdown notice received");
         self.log_summary();
@@ -211,7 +211,7 @@
         self.is_draining.store(true, Ordering::Release);
         self.registry.shutdown_notice(notice, self.termination);
         self.frontend.shutdown_notice(ends_at);
-        self.warn_of_a_long_backlog(ends_at);
+        self.warn_if_backlog_is_long(ends_at);
         let accepting_time = accepting_time(self.drain_grace, self.termination);
         std::thread::sleep(accepting_time.saturating_sub(notice.elapsed()));
         self.frontend.close();
@@ -234,7 +234,7 @@
         }
         let leaving = leaving.or_else(|| leave(cluster.take()?, ends_at));
         if let Some(leaving) = leaving {
-            // A panic there is logged, and nothing is left to do for it.
+            // The panic hook has reported a panic of that thread; the drain ends all the same.
             let _ = leaving.join();
         }
         let took = notice.elapsed().as_millis();
@@ -242,33 +242,33 @@
         self.log_summary();
     }
 
-    /// Whether everything is answered and closed.
+    /// Whether all requests are answered and all connections closed.
     fn is_over(&self) -> bool {
         self.frontend.is_over() && self.registry.open() == 0
     }
 }
 
-/// That long after `from`; far from now where the system cannot count so far.
-fn time_after(from: Instant, span: Duration) -> Instant {
-    from.checked_add(span).unwrap_or(from + MAX_TERMINATION)
+/// The time `duration` after `from`, or a distant time if an [`Instant`] cannot represent it.
+fn time_after(from: Instant, duration: Duration) -> Instant {
+    from.checked_add(duration).unwrap_or(from + MAX_TERMINATION)
 }
 
-/// Leaves the cluster on a thread, by `ends_at`.
+/// Leaves the cluster on a separate thread, by `ends_at`.
 fn leave(cluster: Cluster, ends_at: Instant) -> Option<JoinHandle<()>> {
     let left = ends_at.saturating_duration_since(Instant::now());
     Some(std::thread::spawn(move || cluster.shutdown(left)))
 }
 
-/// How long after a shutdown notice connections are still accepted. Edge nodes learn of the drain
-/// only after some time, and the controller goes on admitting for `drain_grace`; a connection that
-/// is refused in that time would be an error for its caller. Afterwards no request that arrives may
+/// How long after a shutdown notice the server still accepts connections. Edge nodes learn of the
+/// drain with a delay, and the controller still admits requests for `drain_grace`; a refused
+/// connection in that time would be an error for its caller. After that time new requests may not
 /// be run, and a refused connection sends its caller to another server sooner than a response
-/// could. Edge nodes get `MIN_CLOSE_TIME` before the termination in any case.
+/// could. Edge nodes get at least `MIN_CLOSE_TIME` before the termination.
 fn accepting_time(drain_grace: Duration, termination: Duration) -> Duration {
     drain_grace.min(termination.saturating_sub(MIN_CLOSE_TIME))
 }
 
-/// By what callers learn how much to send here, as the log names it.
+/// The log word for the means by which callers learn how much traffic to send.
 fn caller_feedback(steering: Steering) -> &'static str {
     match steering {
         Steering::FeedbackValue => "feedback_value",
--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -8,24 +8,24 @@
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
-use crate::config::{PeerAddresses, Reloaded, ServerConfig};
+use crate::config::{PeerAddresses, ReloadedConfig, ServerConfig};
 use crate::server::Server;
 
-/// The signals that this process handles. They are kept until they are read.
+/// The signals that this process handles. They stay pending until they are read.
 pub(crate) struct Signals(signal_hook::iterator::Signals);
 
 impl Signals {
-    /// Handles these signals from now on.
+    /// Registers handlers for these signals.
     ///
     /// # Errors
-    /// The system's error.
+    /// The error of the operating system.
     pub(crate) fn register() -> std::io::Result<Self> {
         signal_hook::iterator::Signals::new([SIGHUP, SIGTERM, SIGINT]).map(Signals)
     }
 
-    /// Blocks until the shutdown notice, and returns when it was received. A thread reloads the
-    /// configuration on SIGHUP, during the drain as well, because peers may move while this server
-    /// drains.
+    /// Blocks until the shutdown notice, and returns the time at which it was received. A thread
+    /// reloads the configuration on SIGHUP, during the drain as well, because peers may move while
+    /// this server drains.
     pub(crate) fn wait_for_shutdown(
         mut self,
         config: ServerConfig,
@@ -33,7 +33,7 @@
         server: &Arc<Server>,
     ) -> Instant {
         let (notices, first_notice) = channel();
-        // One request that waits is enough: it reads the file as it is by then.
+        // One queued request is enough: it reads the file as it is when the request is handled.
         let (reload_requests, requested) = sync_channel(1);
         std::thread::spawn(move || {
             for signal in &mut self.0 {
@@ -45,8 +45,8 @@
                 }
             }
         });
-        // Reading the file may take long, and never ends where it is a pipe without a writer. On
-        // this thread, it would hold up a shutdown notice.
+        // Reading the file may take long, and blocks indefinitely on a pipe without a writer. On
+        // this thread, it would delay a shutdown notice.
         let (path, server) = (path.map(Path::to_owned), server.clone());
         std::thread::spawn(move || reload_on_request(&requested, &config, path, &server));
         first_notice.recv().unwrap_or_else(|_| Instant::now())
@@ -61,7 +61,7 @@
 ) {
     for () in requested {
         match config.reload(path.as_deref()) {
-            Ok(Reloaded {
+            Ok(ReloadedConfig {
                 peers,
                 needs_restart,
             }) => {
--- a/crates/server/src/trace.rs
+++ b/crates/server/src/trace.rs
@@ -1,6 +1,6 @@
-//! The recording of each request, where one is configured: it turns what the registry knows of a
-//! request into a record. Records that the recorder cannot write are dropped and counted; serving
-//! never waits for the disk.
+//! Records each request, if a recording is configured: it turns the registry's trace of a request
+//! into a record. Records that the recorder cannot write are dropped and counted; serving never
+//! waits for the disk.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -16,23 +16,23 @@
 use crate::log::LogLimit;
 use crate::requests::{IncomingRequest, Response};
 
-/// How long the end of the program waits for the last records.
+/// How long the program waits at its end until the last records are written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
 static DISK_FAILURES: LogLimit = LogLimit::new();
 
-/// What only the recording needs to know of a request.
+/// The properties of a request that only the recording needs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TraceContext {
     pub(crate) number: u64,
     pub(crate) key: Option<u64>,
     pub(crate) subject: Option<u64>,
     pub(crate) caller: Option<u64>,
-    /// When it was read.
+    /// When the request was read.
     pub(crate) read: Instant,
 }
 
-/// What is known of a request so far.
+/// The properties and times of a request that are known so far.
 #[derive(Debug)]
 pub(crate) struct RequestTrace {
     context: TraceContext,
@@ -41,9 +41,9 @@
     is_retry: bool,
     client_wait: Option<Duration>,
     estimated_work: Option<Duration>,
-    /// When it was registered.
+    /// When the request was registered.
     registered: Instant,
-    /// How long before its registration it had reached the machine.
+    /// The time from its arrival at the machine to its registration.
     age: Duration,
     pub(crate) admitted: Option<Instant>,
     pub(crate) started: Option<Instant>,
@@ -52,7 +52,7 @@
     pub(crate) work: Option<Duration>,
     outcome: Outcome,
     reason: Reason,
-    no_more: bool,
+    no_retry: bool,
     retry_after: Option<Duration>,
     pub(crate) calls: u32,
     pub(crate) skipped_calls: u32,
@@ -78,7 +78,7 @@
             work: None,
             outcome: Outcome::Failed,
             reason: Reason::NONE,
-            no_more: false,
+            no_retry: false,
             retry_after: None,
             calls: 0,
             skipped_calls: 0,
@@ -86,12 +86,12 @@
         }
     }
 
-    /// Notes a rejection before the controller could decide on the request.
+    /// Records a rejection that was made before the controller decided on the request.
     pub(crate) fn rejected(&mut self, reason: Reason, now: Instant) {
         (self.outcome, self.reason, self.answered) = (Outcome::Rejected, reason, Some(now));
     }
 
-    /// Notes the final response, which is not sent where the caller is gone.
+    /// Records the final response, which is not sent if the caller is gone.
     pub(crate) fn answered(
         &mut self,
         response: &Response,
@@ -112,12 +112,12 @@
             retry_other_server,
         } = *response
         {
-            (self.retry_after, self.no_more) = (retry_after, !retry_other_server);
+            (self.retry_after, self.no_retry) = (retry_after, !retry_other_server);
         }
     }
 }
 
-/// The reason of a recording for a reason of the controller.
+/// Maps a reason of the controller to the reason in a recording.
 pub(crate) fn recorded_reason(reason: ControllerReason) -> Reason {
     match reason {
         ControllerReason::MemoryLimit => Reason::MEMORY_LIMIT,
@@ -140,7 +140,7 @@
 }
 
 impl Tracer {
-    /// Begins a recording in that folder, for a server of that name.
+    /// Starts a recording of the named server in the configured folder.
     pub(crate) fn start(
         tracing: &TraceConfig,
         server: &str,
@@ -176,14 +176,14 @@
         log::info!("recording summary missing_records={missing} storage_failures={failures}");
     }
 
-    /// Ends the recording.
+    /// Ends the recording, after the last records are written or [`FLUSH_TIMEOUT`] has passed.
     pub(crate) fn finish(&self) {
         if !self.recorder.finish(FLUSH_TIMEOUT) {
             log::warn!("recording not ended reason=flush_timeout");
         }
     }
 
-    /// Records a request that is released now.
+    /// Records a request that was released at `released`.
     pub(crate) fn record(&self, trace: &RequestTrace, released: Instant) {
         self.recorder
             .record(record(trace, released, |at| self.recorder.unix_time(at)));
@@ -221,7 +221,7 @@
         work: trace.work.map(micros),
         outcome: trace.outcome,
         reason: trace.reason,
-        no_retry: trace.no_more,
+        no_retry: trace.no_retry,
         retry_after: trace.retry_after.map(micros),
         calls: trace.calls,
         skipped_calls: trace.skipped_calls,
@@ -229,11 +229,12 @@
     }
 }
 
-/// Handlers and tenants with what a summary needs of them, in the order of their indices.
+/// The handlers and tenants, with the properties that a summary needs, in the order of their
+/// indices.
 fn dictionary(config: &Config, names: &Names) -> Dictionary {
     let named = |all: &std::collections::HashMap<String, usize>, at: usize| {
         all.iter()
-            .find(|(_, place)| **place == at)
+            .find(|(_, index)| **index == at)
             .map_or_else(String::new, |(name, _)| name.clone())
     };
     let handlers = config
