--- a/crates/config/src/cluster.rs
+++ b/crates/config/src/cluster.rs
@@ -1,5 +1,5 @@
-//! The block `cluster`: membership of a cluster. Without it a process neither listens for peers nor
-//! talks to any.
+//! The block `cluster`: membership of a cluster. Without it, a process neither listens for peers
+//! nor contacts any.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -21,7 +21,7 @@
     /// The name of the cluster; frames of another cluster are rejected.
     #[garde(length(bytes, min = 1, max = 64))]
     pub name: String,
-    /// The name of this process; that of the backend where it is left out.
+    /// The name of this process; by default, the name of the backend.
     #[garde(inner(length(bytes, min = 1, max = 64)))]
     pub member: Option<String>,
     /// The address and port, UDP and TCP, at which the other members reach this process.
@@ -36,7 +36,7 @@
     /// A file of 16 bytes or more that all members have: the key that authenticates frames.
     #[garde(custom(non_empty_path))]
     pub key: PathBuf,
-    /// Addresses at which members may be found; some of each zone.
+    /// Addresses through which this process finds members; some of each zone.
     #[serde(default)]
     #[garde(inner(custom(socket_address)))]
     pub seeds: Vec<String>,
@@ -78,8 +78,8 @@
 }
 
 impl ClusterConfig {
-    /// The addresses of `seeds`. Each is valid after the file was accepted; an invalid one is left
-    /// out.
+    /// The addresses of `seeds`. All are valid in a file that was accepted; an invalid address is
+    /// left out.
     pub fn seeds(&self) -> Vec<SocketAddr> {
         self.seeds
             .iter()
--- a/crates/config/src/connection_limits.rs
+++ b/crates/config/src/connection_limits.rs
@@ -8,13 +8,13 @@
 
 use crate::validators::{default_true, duration_between};
 
-/// Word of `when_full` for rejecting new connections.
+/// The value of `when_full` for rejecting new connections.
 const REJECT: &str = "refuse";
-/// Word of `when_full` for leaving new connections in the backlog.
+/// The value of `when_full` for leaving new connections in the backlog.
 const WAIT: &str = "wait";
 
-/// Limits on client connections. Limits that are left out follow from the number of descriptors and
-/// the number of callers.
+/// Limits on client connections. The defaults of the limits follow from the number of descriptors
+/// and the number of callers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Validate)]
 pub struct ConnectionLimitsConfig {
     /// Whether connections are limited by their addresses.
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -27,12 +27,12 @@
     /// The text is not HCL, or cannot be read as the configuration.
     #[error("{0}")]
     Syntax(String),
-    /// There is no such key.
+    /// The key is not in the schema.
     #[error("unknown key '{path}'{}", suggestion.map_or_else(String::new, |name| format!("; did you mean '{name}'?")))]
     UnknownKey {
-        /// The path as it is written.
+        /// The path as written in the file.
         path: String,
-        /// The known key that is nearest to it.
+        /// The known key that is most similar to the unknown one.
         suggestion: Option<&'static str>,
     },
     /// A key or block occurs more than once.
@@ -55,7 +55,7 @@
     WrongType {
         /// The path of the key.
         path: String,
-        /// A description of what the key takes.
+        /// A description of the values that the key takes.
         expected: &'static str,
     },
     /// The value is of the right type, but not one that the key accepts.
@@ -63,7 +63,7 @@
     InvalidValue {
         /// The path of the key.
         path: String,
-        /// A description of what is wrong with the value.
+        /// Why the key rejects the value.
         reason: String,
     },
 }
@@ -86,7 +86,7 @@
         path: PathBuf,
     },
     /// The file has problems.
-    #[error("{}", listed(path, problems))]
+    #[error("{}", problem_lines(path, problems))]
     Invalid {
         /// The file.
         path: PathBuf,
@@ -95,8 +95,8 @@
     },
 }
 
-/// One line for each problem: `file:line:column: what`.
-fn listed(path: &std::path::Path, problems: &[Problem]) -> String {
+/// One line for each problem: `file:line:column: problem`.
+fn problem_lines(path: &std::path::Path, problems: &[Problem]) -> String {
     let line = |problem: &Problem| format!("{}:{problem}", path.display());
     problems.iter().map(line).collect::<Vec<_>>().join("\n")
 }
--- a/crates/config/src/fault_injection.rs
+++ b/crates/config/src/fault_injection.rs
@@ -53,18 +53,18 @@
 /// A lease that the program uses under test.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TestLease {
-    /// Its name.
+    /// The name of the lease.
     pub name: String,
-    /// Its TTL.
+    /// The TTL of the lease.
     pub ttl: Duration,
-    /// How many members may hold it at a time.
+    /// How many members may hold the lease at a time.
     pub capacity: u32,
-    /// The maximum duration of an operation under it.
+    /// The maximum duration of an operation under the lease.
     pub max_operation: Duration,
 }
 
 impl FaultInjectionConfig {
-    /// The leases to be used. Each is valid after the file was accepted; an invalid one is left
+    /// The leases to be used. All are valid in a file that was accepted; an invalid lease is left
     /// out.
     pub fn leases(&self) -> Vec<TestLease> {
         self.leases
@@ -73,8 +73,8 @@
             .collect()
     }
 
-    /// The routes, as pairs of addresses. Each is valid after the file was accepted; an invalid one
-    /// is left out.
+    /// The routes, as pairs of addresses. All are valid in a file that was accepted; an invalid
+    /// route is left out.
     pub fn routes(&self) -> Vec<(SocketAddr, SocketAddr)> {
         self.routes
             .iter()
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,10 +1,10 @@
-//! The product's own configuration: one HCL file, accepted as a whole or not at all. [`read`]
-//! decides whether a file is accepted. Its input is the path of a file; its output is a
-//! [`ProductConfig`], or a [`ConfigError`] with every problem of the file at once, each with its
-//! line and column, and with the nearest known key in place of an unknown one.
+//! The product configuration: one HCL file, which is accepted as a whole or rejected. [`read`]
+//! takes the path of a file and returns a [`ProductConfig`], or a [`ConfigError`] with every
+//! problem of the file at once, each with its line and column. For an unknown key, the problem
+//! suggests the nearest known key.
 //!
-//! The fields of the configuration types have the names of their HCL keys, which the problems name,
-//! too. A key that is absent has its default, and a block that is absent is off.
+//! The fields of the configuration types have the names of their HCL keys, which the problems also
+//! use. A key that is absent has its default, and a block that is absent is off.
 //!
 //! ```
 //! let config = tulipgap_config::parse("trace {\n  folder = \"recordings\"\n}\n").unwrap();
@@ -59,8 +59,8 @@
 /// Reads a file.
 ///
 /// # Errors
-/// [`ConfigError::Read`] or [`ConfigError::TooLong`] where it cannot be read;
-/// [`ConfigError::Invalid`] with all of its problems.
+/// [`ConfigError::Read`] or [`ConfigError::TooLong`] if the file cannot be read;
+/// [`ConfigError::Invalid`], with all problems, if its content is invalid.
 pub fn read(path: &Path) -> Result<ProductConfig, ConfigError> {
     let read_error = |source| ConfigError::Read {
         path: path.to_owned(),
@@ -78,7 +78,7 @@
     })
 }
 
-/// Reads a text.
+/// Parses a text.
 ///
 /// # Errors
 /// All problems of the text, in the order of their positions.
--- a/crates/config/src/structure.rs
+++ b/crates/config/src/structure.rs
@@ -49,8 +49,8 @@
 pub(crate) struct KeyPositions(BTreeMap<String, Position>);
 
 impl KeyPositions {
-    /// The position of a key by its path, or of the nearest block around it where the key is
-    /// absent.
+    /// The position of the key at `path`. If the key is absent, the position of the nearest block
+    /// around it.
     pub(crate) fn of(&self, path: &str) -> Position {
         let mut path = path;
         loop {
@@ -101,7 +101,7 @@
 }
 
 impl Checker<'_> {
-    /// The position of a span; the start of the text where there is none.
+    /// The position of a span, or the start of the text if there is no span.
     fn position(&self, span: Option<Range<usize>>) -> Position {
         span.map_or(Position::START, |span| {
             Position::of_offset(self.text, span.start)
@@ -113,7 +113,7 @@
         self.found.problems.push(position.problem(kind));
     }
 
-    /// Checks the body of the block of that path (empty for the file), whose name is at `span`.
+    /// Checks the body of the block at `block_path` (empty for the file), whose name is at `span`.
     /// The recursion is as deep as the schema.
     fn check_body(
         &mut self,
--- a/crates/config/src/tests.rs
+++ b/crates/config/src/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn every_problem_is_reported_with_its_place() {
+fn every_problem_is_reported_with_its_position() {
     let text = r#"trace {
   fodler     = "t"
   format     = "two"
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn out_of_range_values_are_reported_with_their_places() {
+fn out_of_range_values_are_reported_with_their_positions() {
     let text = "trace {\n  folder = \"\"\n  format = 7\n  queue = 1\n  seal_after = \"5m\"\n  keep_size = \"1 MiB\"\n}\n";
     let found = problems(text);
     assert_eq!(found.len(), 5, "{found:?}");
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn syntax_errors_are_reported_with_their_places() {
+fn syntax_errors_are_reported_with_their_positions() {
     let found = problems("trace {\n  folder = \n}\n");
     assert!(found.len() == 1 && found[0].starts_with("2:"), "{found:?}");
     let twice = problems("trace {\n folder = \"a\"\n folder = \"b\"\n}\n");
@@ -95,10 +95,10 @@
 
 quickcheck::quickcheck! {
     fn any_text_is_accepted_or_has_problems(text: String, cut: usize) -> bool {
-        let some = "trace {\n  folder = \"t\"\n  queue = 100\n}\n";
-        let cut = cut % some.len();
-        let mixed = format!("{}{text}{}", &some[..cut], &some[cut..]);
-        parse(&mixed).is_ok() || !problems(&mixed).is_empty()
+        let valid = "trace {\n  folder = \"t\"\n  queue = 100\n}\n";
+        let cut = cut % valid.len();
+        let damaged = format!("{}{text}{}", &valid[..cut], &valid[cut..]);
+        parse(&damaged).is_ok() || !problems(&damaged).is_empty()
     }
 }
 
@@ -121,7 +121,7 @@
     let text = "admission {\n  known_part = 2\n  known = [\"here\"]\n  when_full = \"hope\"\n  address {\n    open = 0\n  }\n}\n";
     let found = problems(text);
     assert_eq!(found.len(), 4, "{found:?}");
-    for (place, name) in [
+    for (position, name) in [
         ("2:3", "known_part"),
         ("3:3", "known"),
         ("4:3", "when_full"),
@@ -130,7 +130,7 @@
         assert!(
             found
                 .iter()
-                .any(|p| p.starts_with(&format!("{place}: admission.{name}"))),
+                .any(|p| p.starts_with(&format!("{position}: admission.{name}"))),
             "{name}: {found:?}"
         );
     }
@@ -149,7 +149,7 @@
         "{base}  voters = [\"a\", \"a\"]\n  seeds = [\"here\"]\n  clock_off = 2\n  drain {{\n    at_once = 0\n  }}\n}}\n"
     );
     let found = problems(&text);
-    for (place, name) in [
+    for (position, name) in [
         ("7:3", "voters"),
         ("8:3", "seeds"),
         ("9:3", "clock_off"),
@@ -158,7 +158,7 @@
         assert!(
             found
                 .iter()
-                .any(|p| p.starts_with(&format!("{place}: cluster.{name}"))),
+                .any(|p| p.starts_with(&format!("{position}: cluster.{name}"))),
             "{name}: {found:?}"
         );
     }
--- a/crates/config/src/trace.rs
+++ b/crates/config/src/trace.rs
@@ -1,4 +1,4 @@
-//! The block `trace`: the recording of the life of each request.
+//! The block `trace`: the recording of requests.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 /// How much larger than `rotate_size` a file may become: by its last block, names and the index.
 const FILE_SLACK: ByteSize = ByteSize::mib(2);
 
-/// The recording of the life of each request.
+/// The recording of requests: one record for each, from its arrival to its release.
 #[derive(Clone, Debug, Deserialize, PartialEq, Validate)]
 #[garde(context(()))]
 pub struct TraceConfig {
@@ -20,10 +20,10 @@
     #[serde(default = "default_true")]
     #[garde(skip)]
     pub enabled: bool,
-    /// The directory of the files.
+    /// The directory of the recording.
     #[garde(custom(non_empty_path))]
     pub folder: PathBuf,
-    /// The format version.
+    /// The version of the file format.
     #[serde(default = "default_format")]
     #[garde(range(min = 1, max = 2))]
     pub format: u32,
@@ -51,7 +51,7 @@
     #[serde(default = "default_keep_size")]
     #[garde(custom(holds_two_files(&self.rotate_size)))]
     pub keep_size: ByteSize,
-    /// Whether blocks survive a crash of the machine, and not only of the process.
+    /// Whether blocks survive a crash of the machine, and not only a crash of the process.
     #[serde(default = "default_true")]
     #[garde(skip)]
     pub sync: bool,
--- a/crates/config/src/validators.rs
+++ b/crates/config/src/validators.rs
@@ -6,7 +6,7 @@
 
 use bytesize::ByteSize;
 
-/// The default of keys that enable something.
+/// The default of keys that enable a function.
 pub(crate) fn default_true() -> bool {
     true
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! The settings that a server receives at its start, as JSON, and the controller's configuration
-//! that follows from them. Both hosts of the controller read their settings here.
+//! Parses the settings that a server receives at its start as JSON, and derives the controller's
+//! configuration from them. The server and the simulator host both use this package.
 //!
 //! ```
 //! let text = r#"{"classes":[{"name":"page","objective":1e3,"deadline":2e3,"worth":1.0,
@@ -33,7 +33,7 @@
 /// Why settings cannot be used, with the key at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The text is no JSON, or a key is missing or of another type.
+    /// The text is not JSON, or a key is missing or of another type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// A time in milliseconds is out of range.
@@ -52,12 +52,12 @@
         /// The value as it was written.
         value: f64,
     },
-    /// A list with an entry for each class has another length than the list of classes.
+    /// The length of a list with an entry for each class differs from the number of classes.
     #[error("family_info.{key} has {length} entries for {classes} classes")]
     Length {
         /// The key of the list.
         key: &'static str,
-        /// Its length.
+        /// The length of the list.
         length: usize,
         /// The number of classes.
         classes: usize,
@@ -82,25 +82,25 @@
     pub tenants: HashMap<String, TenantIndex>,
     /// The names of gauges, in the order in which they are reported.
     pub gauges: Vec<String>,
-    /// Whether callers say when they no longer wait for an answer.
+    /// Whether callers send a cancellation when they no longer wait for an answer.
     pub callers_cancel: bool,
 }
 
 /// How callers learn to send less traffic to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Steering {
-    /// By the feedback value on its answers.
+    /// By the feedback value on the answers of the server.
     FeedbackValue,
-    /// By its health, which the endpoint list follows.
+    /// By the health of the server, which the endpoint list follows.
     EndpointList,
-    /// By both, as at recife-matching.
+    /// By both, as in the deployment recife-matching.
     Both,
-    /// By neither: only by the `retry_after` of rejections, as at verhaegen-remote and
-    /// zh-pipeline-fleet.
+    /// By neither: only by the `retry_after` of rejections, as in the deployments verhaegen-remote
+    /// and zh-pipeline-fleet.
     RetryAfterOnly,
 }
 
-/// The time that `value` milliseconds under `key` are.
+/// Converts the value of `key`, in milliseconds, to a duration.
 ///
 /// # Errors
 ///
@@ -120,7 +120,7 @@
     }
 }
 
-/// The gauge of that name, if the controller reads it.
+/// The gauge with that name, if it is one that the controller reads.
 pub fn gauge_mut<'a>(gauges: &'a mut Gauges, name: &str) -> Option<&'a mut Option<f64>> {
     match name {
         "core_use" => Some(&mut gauges.busy_fraction),
@@ -139,22 +139,25 @@
 }
 
 impl Settings {
-    /// How callers learn to send less traffic, by the settings.
+    /// How callers learn to send less traffic, according to the settings.
     ///
     /// # Errors
     ///
     /// Returns [`SettingsError::PureWrite`] for a write that is declared idempotent, so that an
     /// incomplete migration to settings with writes is not accepted.
     pub fn steering(&self) -> Result<Steering, SettingsError> {
-        let is_pure_write = |class: &Class| class.write && class.effect == Effect::None;
+        let is_pure_write = |class: &Class| class.is_write && class.effect == Effect::None;
         if let Some(class) = self.classes.iter().position(is_pure_write) {
             return Err(SettingsError::PureWrite { class });
         }
         Ok(
-            match (self.family_info.list_follows, self.family_info.say) {
-                (true, Say::Silent) => Steering::EndpointList,
+            match (
+                self.family_info.endpoint_list_follows_health,
+                self.family_info.feedback,
+            ) {
+                (true, Say::None) => Steering::EndpointList,
                 (true, _) => Steering::Both,
-                (false, Say::Silent) => Steering::RetryAfterOnly,
+                (false, Say::None) => Steering::RetryAfterOnly,
                 (false, _) => Steering::FeedbackValue,
             },
         )
@@ -175,8 +178,8 @@
         Names {
             handlers: handlers.collect(),
             tenants: tenants.collect(),
-            gauges: self.family_info.own_stats.clone(),
-            callers_cancel: self.family_info.cancel_seen,
+            gauges: self.family_info.gauge_names.clone(),
+            callers_cancel: self.family_info.callers_cancel,
         }
     }
 
@@ -188,8 +191,8 @@
     /// checked by [`Config::validate`].
     pub fn controller_config(&self) -> Result<Config, SettingsError> {
         let info = &self.family_info;
-        self.check_length("class_calls", info.class_calls.len())?;
-        self.check_length("class_skip_worth", info.class_skip_worth.len())?;
+        self.check_length("class_calls", info.class_calls_dependency.len())?;
+        self.check_length("class_skip_worth", info.class_degraded_weights.len())?;
         let classes = self.classes.iter().enumerate();
         let tenants = self.tenants.iter();
         Ok(Config {
@@ -198,52 +201,52 @@
                 .collect::<Result<_, _>>()?,
             tenants: tenants
                 .map(|tenant| TenantConfig {
-                    rate_quota_per_s: tenant.allowance_per_s,
+                    rate_quota_per_s: tenant.rate_quota_per_s,
                 })
                 .collect(),
-            over_quota_weight: fraction("over_share_worth", self.over_share_worth.unwrap_or(1.0))?,
+            over_quota_weight: fraction("over_share_worth", self.over_quota_weight.unwrap_or(1.0))?,
             cores: info.cores,
-            memory_kb: info.mem_limit_kb,
-            running_memory_factor: info.blowup,
-            key_kb: info.entry_kb,
-            starts_cold: info.cold,
-            cold_speed: self.rules.cold_from,
-            warm_up: milliseconds("rules.warm_up", self.rules.warm_up)?,
+            memory_kb: info.memory_kb,
+            running_memory_factor: info.running_memory_factor,
+            key_kb: info.key_kb,
+            starts_cold: info.starts_cold,
+            cold_speed: self.rules.cold_speed,
+            warm_up: milliseconds("rules.warm_up", self.rules.warm_up_ms)?,
             max_concurrency_per_core: self.max_concurrency_per_core()?,
-            response_slack: milliseconds("rules.grace_to_answer", self.rules.grace_to_answer)?,
-            drain_grace: milliseconds("rules.drain_grace", self.rules.drain_grace)?,
+            response_slack: milliseconds("rules.grace_to_answer", self.rules.response_slack_ms)?,
+            drain_grace: milliseconds("rules.drain_grace", self.rules.drain_grace_ms)?,
             dependency: self.dependency()?,
-            cancellation: match info.halt {
-                Halt::Silent => Cancellation::Unsupported,
-                Halt::Drop => Cancellation::DiscardsProgress,
-                Halt::Pause => Cancellation::KeepsProgress,
+            cancellation: match info.cancellation {
+                Halt::Unsupported => Cancellation::Unsupported,
+                Halt::DiscardsProgress => Cancellation::DiscardsProgress,
+                Halt::KeepsProgress => Cancellation::KeepsProgress,
             },
-            feedback: match info.say {
-                Say::Level => CallerFeedback::PriorityThreshold,
-                Say::Credit => CallerFeedback::ConcurrencyCredit,
-                Say::Weight => CallerFeedback::TrafficWeight,
-                Say::Silent => CallerFeedback::None,
+            feedback: match info.feedback {
+                Say::PriorityThreshold => CallerFeedback::PriorityThreshold,
+                Say::ConcurrencyCredit => CallerFeedback::ConcurrencyCredit,
+                Say::TrafficWeight => CallerFeedback::TrafficWeight,
+                Say::None => CallerFeedback::None,
             },
-            max_retry_after: match self.limits.retry_after {
+            max_retry_after: match self.limits.sends_retry_after {
                 true => Some(milliseconds(
                     "limits.max_retry_after",
-                    self.limits.max_retry_after,
+                    self.limits.max_retry_after_ms,
                 )?),
                 false => None,
             },
             servers: self.fleet_size,
             callers: info.callers,
             marks_retries: self.clients.marks_retry,
-            idle_timeout: milliseconds("family_info.idle", info.idle)?,
+            idle_timeout: milliseconds("family_info.idle", info.idle_timeout_ms)?,
         })
     }
 
-    /// Concurrent runs per core that a warm server survives as a mean over the window `rules.fall`.
-    /// The controller keeps the limit at every moment, so it needs no window; one that is no time
-    /// is still rejected.
+    /// The mean number of concurrent runs per core, over the window `rules.fall`, that a warm
+    /// server survives. The controller enforces this limit at every moment, so it does not use the
+    /// window; an invalid window is still rejected.
     fn max_concurrency_per_core(&self) -> Result<f64, SettingsError> {
-        milliseconds("rules.fall", self.rules.fall)?;
-        Ok(self.rules.fall_multiple)
+        milliseconds("rules.fall", self.rules.concurrency_window_ms)?;
+        Ok(self.rules.max_concurrency_per_core)
     }
 
     /// Checks that a list with an entry for each class is empty or has as many entries as classes.
@@ -261,33 +264,37 @@
 
     fn dependency(&self) -> Result<Dependency, SettingsError> {
         let info = &self.family_info;
-        Ok(match info.below {
-            DependencyKind::Silent => Dependency::None,
+        Ok(match info.dependency {
+            DependencyKind::None => Dependency::None,
             DependencyKind::Tier => Dependency::Tier,
             DependencyKind::Shared => Dependency::Shared {
-                share: info.calls_out,
-                window: milliseconds("family_info.share_span", info.share_span)?,
-                linger: milliseconds("family_info.stays_for", info.stays_for)?,
+                share: info.dependency_share,
+                window: milliseconds("family_info.share_span", info.dependency_window_ms)?,
+                linger: milliseconds("family_info.stays_for", info.dependency_linger_ms)?,
             },
         })
     }
 
     fn handler(&self, index: HandlerIndex, class: &Class) -> Result<HandlerConfig, SettingsError> {
         let info = &self.family_info;
-        let calls_dependency = info.class_calls.get(index).copied();
+        let calls_dependency = info.class_calls_dependency.get(index).copied();
         Ok(HandlerConfig {
-            latency_objective: milliseconds("classes.objective", class.objective)?,
-            objective_stretch: class.aim_stretch,
-            client_timeout: milliseconds("classes.deadline", class.deadline)?,
-            priority_weight: class.worth,
+            latency_objective: milliseconds("classes.objective", class.latency_objective_ms)?,
+            objective_stretch: class.objective_stretch,
+            client_timeout: milliseconds("classes.deadline", class.client_timeout_ms)?,
+            priority_weight: class.priority_weight,
             idempotency: match class.effect {
                 Effect::None => Idempotency::Idempotent,
                 Effect::Keyed => Idempotency::Keyed,
                 Effect::Unkeyed => Idempotency::NonIdempotent,
             },
-            key_retention: milliseconds("classes.memory_span", class.memory_span)?,
-            calls_dependency: calls_dependency.unwrap_or(info.below != DependencyKind::Silent),
-            degraded_weight: info.class_skip_worth.get(index).copied().unwrap_or(0.0),
+            key_retention: milliseconds("classes.memory_span", class.key_retention_ms)?,
+            calls_dependency: calls_dependency.unwrap_or(info.dependency != DependencyKind::None),
+            degraded_weight: info
+                .class_degraded_weights
+                .get(index)
+                .copied()
+                .unwrap_or(0.0),
         })
     }
 }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -6,7 +6,8 @@
 
 use super::{Settings, Steering};
 
-/// Settings as of regina-main or nairobi-calc, with these keys added.
+/// Settings in the form of the deployments regina-main and nairobi-calc, with the keys `info` added
+/// to `family_info` and the keys `class` to the second class.
 fn settings(info: &str, class: &str) -> Settings {
     let text = format!(
         r#"{{"classes":[{{"name":"save","objective":2200.0,"deadline":5600.0,"worth":5.0,"effect":"token",
@@ -58,10 +59,11 @@
     assert_eq!(unmarked.controller_config().unwrap().servers, 350);
 }
 
-/// recife-matching has a feedback value and an endpoint list that follows health. Both together
-/// were rejected at the start as an incomplete migration.
+/// Guards against a rejection of valid settings: the deployment recife-matching uses a feedback
+/// value and an endpoint list that follows health. The combination was rejected at the start as an
+/// incomplete migration.
 #[test]
-fn the_ways_of_steering_are_distinguished_and_an_idempotent_write_is_refused() {
+fn the_ways_of_steering_are_distinguished_and_an_idempotent_write_is_rejected() {
     let both = settings(
         r#","say":"weight","list_follows":true"#,
         r#","effect":"pure""#,
@@ -77,13 +79,13 @@
     );
 }
 
-/// The controller doesn't use the averaging window of the fall-over, but a window that is no time
-/// is still a mistake in the settings.
+/// The controller doesn't use the averaging window of the concurrency limit, but an invalid window
+/// is still an error in the settings.
 #[test]
-fn the_window_of_the_concurrency_must_be_a_time() {
+fn the_concurrency_window_must_be_a_valid_duration() {
     let with_window = |window| {
         let mut settings = settings(r#","say":"silent""#, r#","effect":"pure""#);
-        settings.rules.fall = window;
+        settings.rules.concurrency_window_ms = window;
         settings
             .controller_config()
             .map_err(|error| error.to_string())
--- a/crates/simulator-host/src/action.rs
+++ b/crates/simulator-host/src/action.rs
@@ -1,4 +1,5 @@
-//! The controllers' actions as lines of the wire. The words of the wire for them appear here alone.
+//! Writes the controllers' actions as lines of the simulator's wire protocol. Only this module has
+//! the words of the protocol for actions.
 
 use std::fmt::{Arguments, Write};
 use std::time::Duration;
@@ -6,10 +7,10 @@
 use slab::Slab;
 use tulipgap::{Action, RequestIndex};
 
-/// The line that closes a reply.
+/// The line that ends a reply.
 pub(crate) const END_OF_REPLY: &str = "NEXT\n";
 
-/// A time in the wire's milliseconds.
+/// Converts a time to milliseconds, the unit of the wire.
 fn as_millis(time: Duration) -> f64 {
     time.as_secs_f64() * 1e3
 }
@@ -18,15 +19,15 @@
 pub(crate) struct ActionWriter<'a> {
     /// The backend's id on the wire.
     pub(crate) backend: u64,
-    /// When the backend started, in the wire's milliseconds.
+    /// When the backend started, in milliseconds of the simulator's clock.
     pub(crate) started_at: f64,
-    /// The requests' ids on the wire.
+    /// The ids of the requests on the wire, by their index.
     pub(crate) ids: &'a Slab<String>,
     pub(crate) reply: &'a mut String,
 }
 
 impl ActionWriter<'_> {
-    /// Writes an action. The release of a request is not on the wire.
+    /// Writes an action. The protocol has no line for the release of a request.
     pub(crate) fn write(&mut self, action: &Action) {
         match *action {
             Action::Start { request } => self.request_line("EXECUTE", request, format_args!("")),
@@ -78,13 +79,13 @@
 
     fn request_line(&mut self, word: &str, request: RequestIndex, fields: Arguments) {
         let (backend, id) = (self.backend, &self.ids[request]);
-        // Writing to memory does not fail.
+        // Writing to a string does not fail.
         let _ = writeln!(self.reply, "{word} backend_id={backend} tid={id}{fields}");
     }
 
     fn backend_line(&mut self, word: &str, fields: Arguments) {
         let backend = self.backend;
-        // Writing to memory does not fail.
+        // Writing to a string does not fail.
         let _ = writeln!(self.reply, "{word} backend_id={backend}{fields}");
     }
 }
--- a/crates/simulator-host/src/backend.rs
+++ b/crates/simulator-host/src/backend.rs
@@ -1,4 +1,4 @@
-//! One simulated backend: its controller, and the events that wait for the end of a batch.
+//! One simulated backend: its controller, and the events that are queued until a batch closes.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,11 +13,11 @@
 
 /// A backend and the ids of the requests that its controller knows by index.
 pub(crate) struct Backend {
-    /// When it started, in the wire's milliseconds.
+    /// When the backend started, in milliseconds of the simulator's clock.
     started_at: f64,
     controller: Controller,
     names: Names,
-    /// The requests' ids on the wire, by index.
+    /// The ids of the requests on the wire, by their index.
     ids: Slab<String>,
     indices: HashMap<String, usize>,
     /// The events of the open batch.
@@ -25,10 +25,10 @@
 }
 
 impl Backend {
-    /// Starts a backend at `now`, in the wire's milliseconds.
+    /// Starts a backend at `now`, in milliseconds of the simulator's clock.
     ///
     /// # Errors
-    /// [`WireError`] where the seed or the settings are missing or invalid.
+    /// [`WireError`] if the seed or the settings are missing or invalid.
     pub(crate) fn spawn(fields: &Fields, now: f64) -> Result<Self, WireError> {
         let seed = fields.integer("prng")?;
         let text = fields.text(SETTINGS)?;
@@ -50,8 +50,8 @@
         })
     }
 
-    /// The index of a request that the controller has not released yet.
-    fn request(&self, fields: &Fields) -> Result<Option<usize>, WireError> {
+    /// The index of the request that a line names, unless the controller has released it.
+    fn request_index(&self, fields: &Fields) -> Result<Option<usize>, WireError> {
         Ok(self.indices.get(fields.text("tid")?).copied())
     }
 
@@ -59,7 +59,7 @@
     /// ignored.
     ///
     /// # Errors
-    /// [`WireError`] where a field is missing or invalid.
+    /// [`WireError`] if a field is missing or invalid.
     pub(crate) fn queue_event(
         &mut self,
         kind: EventKind,
@@ -68,19 +68,19 @@
         let event = match kind {
             EventKind::Arrived => Some(self.arrival(fields)?),
             EventKind::CallerGone => self
-                .request(fields)?
+                .request_index(fields)?
                 .map(|request| Event::CallerGone { request }),
             EventKind::ReachedCall => self
-                .request(fields)?
+                .request_index(fields)?
                 .map(|request| Event::ReachedCall { request }),
             EventKind::RunFinished => {
                 let outcome = fields.outcome()?;
-                self.request(fields)?
+                self.request_index(fields)?
                     .map(|request| Event::Finished { request, outcome })
             }
             EventKind::CallFinished => {
                 let outcome = fields.outcome()?;
-                self.request(fields)?
+                self.request_index(fields)?
                     .map(|request| Event::CallFinished { request, outcome })
             }
             EventKind::TimerFired => Some(Event::TimerFired {
@@ -101,17 +101,17 @@
     fn arrival(&mut self, fields: &Fields) -> Result<Event, WireError> {
         let id = fields.text("tid")?;
         if self.indices.contains_key(id) {
-            return Err(fields.error("tid", format!("'{id}' is here already")));
+            return Err(fields.error("tid", format!("request '{id}' already exists")));
         }
         let class = fields.text("type")?;
         let Some(&handler) = self.names.handlers.get(class) else {
-            return Err(fields.error("type", format!("'{class}' is no known class")));
+            return Err(fields.error("type", format!("unknown class '{class}'")));
         };
         let tenant = match fields.optional("realm") {
             None => None,
             Some(name) => match self.names.tenants.get(name) {
                 Some(&tenant) => Some(tenant),
-                None => return Err(fields.error("realm", format!("'{name}' is no known tenant"))),
+                None => return Err(fields.error("realm", format!("unknown tenant '{name}'"))),
             },
         };
         let positive = |name: &str| -> Result<Option<Duration>, WireError> {
@@ -143,8 +143,8 @@
         }))
     }
 
-    /// Lets the controller decide on the batch's events at `now`, in the wire's milliseconds, and
-    /// writes its actions as those of the backend with the id `backend`.
+    /// Lets the controller decide on the batch's events at `now`, in milliseconds of the simulator's
+    /// clock, and writes its actions to `reply` for the backend with the id `backend`.
     pub(crate) fn decide(&mut self, backend: u64, now: f64, reply: &mut String) {
         let since_start = Duration::from_secs_f64((now - self.started_at).max(0.0) / 1e3);
         for action in self.controller.handle_events(since_start, &self.events) {
--- a/crates/simulator-host/src/host.rs
+++ b/crates/simulator-host/src/host.rs
@@ -1,5 +1,5 @@
-//! Batches: the events between the line that opens a batch and the one that closes it, and the
-//! reply with the actions of all controllers.
+//! Handles batches: reads the events between the line that opens a batch and the line that closes
+//! it, and writes the reply with the actions of all controllers.
 
 use std::collections::{HashMap, HashSet};
 
@@ -12,13 +12,13 @@
 #[derive(Default)]
 pub(crate) struct Host {
     backends: HashMap<u64, Backend>,
-    /// The time of the last batch, in the wire's milliseconds.
+    /// The time of the last batch, in milliseconds of the simulator's clock.
     now: Option<f64>,
-    /// A batch is open: its closing line was not read yet.
+    /// Whether a batch is open: its closing line was not read yet.
     in_batch: bool,
-    /// Backends with an event in this batch, in the order of their first one.
-    with_events: Vec<u64>,
-    /// The same backends, so that each is listed once.
+    /// The backends with an event in this batch, in the order of their first event.
+    backends_with_events: Vec<u64>,
+    /// The same backends as a set, so that each is listed once.
     listed: HashSet<u64>,
 }
 
@@ -26,13 +26,17 @@
     /// Handles a line, and returns the reply where the line closes a batch.
     ///
     /// # Errors
-    /// [`WireError`] where the line is invalid, or not allowed inside or outside a batch.
+    /// [`WireError`] if the line is invalid, or not allowed at this point of a batch.
     pub(crate) fn line(&mut self, number: usize, line: &str) -> Result<Option<String>, WireError> {
         let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
         let kind = MessageKind::parse(word);
         if !self.in_batch {
             if kind != Some(MessageKind::OpenBatch) {
-                return Err(WireError::at(number, word, "a batch opens with CLOCK"));
+                return Err(WireError::at(
+                    number,
+                    word,
+                    "expected CLOCK, which opens a batch",
+                ));
             }
             self.open_batch(&Fields::parse(number, rest)?)?;
             return Ok(None);
@@ -43,7 +47,7 @@
         let fields = Fields::parse(number, rest)?;
         match kind {
             None | Some(MessageKind::OpenBatch) => {
-                return Err(WireError::at(number, word, "it is no known message"));
+                return Err(WireError::at(number, word, "unknown message"));
             }
             Some(kind) => self.handle_message(kind, &fields)?,
         }
@@ -53,20 +57,20 @@
     fn open_batch(&mut self, fields: &Fields) -> Result<(), WireError> {
         let now = fields.required_number("t")?;
         if self.now.is_some_and(|before| now < before) {
-            return Err(fields.error("t", "the clock went back"));
+            return Err(fields.error("t", "the time is earlier than in the previous batch"));
         }
         (self.now, self.in_batch) = (Some(now), true);
         Ok(())
     }
 
     /// Lets the controllers of all backends with an event decide, in the order of their first
-    /// event.
+    /// event, and returns the reply.
     fn close_batch(&mut self) -> String {
         self.in_batch = false;
         self.listed.clear();
         let now = self.now.unwrap_or_default();
         let mut reply = String::new();
-        for id in std::mem::take(&mut self.with_events) {
+        for id in std::mem::take(&mut self.backends_with_events) {
             if let Some(backend) = self.backends.get_mut(&id) {
                 backend.decide(id, now, &mut reply);
             }
@@ -90,19 +94,19 @@
                 Some(backend) => backend.queue_event(kind, fields)?,
                 None => return Ok(()),
             },
-            // They are handled before, with the state of the batch.
+            // `line` has handled these kinds, which change the state of the batch.
             MessageKind::OpenBatch | MessageKind::CloseBatch => {}
         }
         if self.listed.insert(id) {
-            self.with_events.push(id);
+            self.backends_with_events.push(id);
         }
         Ok(())
     }
 
-    /// The input has ended before this line.
+    /// Handles the end of the input before line `number`.
     ///
     /// # Errors
-    /// [`WireError`] inside a batch.
+    /// [`WireError`] if a batch is open.
     pub(crate) fn finish(&self, number: usize) -> Result<(), WireError> {
         match self.in_batch {
             true => Err(WireError::at(
--- a/crates/simulator-host/src/main.rs
+++ b/crates/simulator-host/src/main.rs
@@ -1,5 +1,5 @@
-//! `tulipgap-simhost`: hosts the controllers of simulated backends, one for each, on the
-//! simulator's wire.
+//! `tulipgap-simhost` hosts the controllers of simulated backends, one for each, and exchanges
+//! events and actions with the simulator.
 //!
 //! It reads batches of events from standard input and writes the controllers' actions to standard
 //! output. On invalid input it writes one line to standard error and exits with 2; at the end of
@@ -17,7 +17,7 @@
 use fields::WireError;
 use host::Host;
 
-/// The buffer of standard output, in bytes. The reply to a batch is flushed as a whole.
+/// The size of the buffer of standard output. The reply to a batch is flushed as a whole.
 const OUTPUT_BUFFER_BYTES: usize = 64 * 1024;
 /// The exit code for invalid input.
 const INVALID_INPUT: u8 = 2;
@@ -33,7 +33,7 @@
     }
 }
 
-/// Answers batch after batch until the input ends.
+/// Answers one batch after another until the input ends.
 fn serve(mut input: impl BufRead, output: &mut impl Write) -> Result<(), WireError> {
     let mut host = Host::default();
     let mut line = Vec::new();
@@ -43,7 +43,7 @@
             return host.finish(number);
         }
         let text = std::str::from_utf8(&line)
-            .map_err(|_| WireError::at(number, "line", "it is not UTF-8"))?;
+            .map_err(|_| WireError::at(number, "line", "not valid UTF-8"))?;
         if let Some(reply) = host.line(number, text.trim_end_matches(['\n', '\r']))? {
             output.write_all(reply.as_bytes())?;
             output.flush()?;
--- a/crates/simulator-host/src/message.rs
+++ b/crates/simulator-host/src/message.rs
@@ -1,15 +1,16 @@
-//! The kinds of lines that the simulator sends. The words of the wire for them appear here alone.
+//! The kinds of lines that the simulator sends. Only this module has the words of the protocol for
+//! them.
 
 /// The kind of a line.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum MessageKind {
     /// Opens a batch and gives its time.
     OpenBatch,
-    /// Closes a batch: the controllers are to decide.
+    /// Closes a batch: the controllers then decide.
     CloseBatch,
     /// A backend starts.
     StartBackend,
-    /// A backend has ended.
+    /// A backend stops.
     StopBackend,
     /// An event of a backend.
     Event(EventKind),
@@ -30,12 +31,12 @@
     CallFinished,
     /// A timer is due.
     TimerFired,
-    /// The backend is to drain.
+    /// The backend receives a shutdown notice and drains.
     ShutdownNotice,
 }
 
 impl MessageKind {
-    /// The kind that the first word of a line names.
+    /// The kind of a line with this first word.
     pub(crate) fn parse(word: &str) -> Option<Self> {
         Some(match word {
             "CLOCK" => MessageKind::OpenBatch,
--- a/crates/simulator-host/src/tests.rs
+++ b/crates/simulator-host/src/tests.rs
@@ -1,9 +1,9 @@
-//! The wire, line by line.
+//! Tests of the wire protocol: replies, errors, and two deployments in one process.
 
 use crate::host::Host;
 use crate::serve;
 
-const FACTS: &str = r#"{"classes":[{"name":"page","objective":1800.0,"deadline":4500.0,"worth":1.0,"effect":"pure"}],
+const SETTINGS_JSON: &str = r#"{"classes":[{"name":"page","objective":1800.0,"deadline":4500.0,"worth":1.0,"effect":"pure"}],
 "family_info":{"below":"silent","blowup":4.0,"cores":2,"halt":"drop","idle":9000.0,"mem_limit_kb":9000.0,"say":"weight","new_key":[1]},
 "fleet_size":3,"limits":{"max_retry_after":1000.0,"retry_after":true},"rules":{"cold_from":0.3,"drain_grace":1000.0,
 "fall":2000.0,"fall_multiple":4.0,"grace_to_answer":60.0,"warm_up":9000.0}}"#;
@@ -18,7 +18,7 @@
 fn spawn() -> String {
     format!(
         "SPAWN backend_id=3 prng=7 facts={}",
-        FACTS.replace('\n', "")
+        SETTINGS_JSON.replace('\n', "")
     )
 }
 
@@ -57,44 +57,41 @@
     for (line, message) in [
         (
             "HELLO backend_id=3".to_owned(),
-            "line 3: HELLO: it is no known message",
+            "line 3: HELLO: unknown message",
         ),
         (
             incoming("footprint=1 type=page"),
-            "line 3: tid: it is missing",
+            "line 3: tid: the field is missing",
         ),
         (
             incoming("tid=t/a type=page"),
-            "line 3: footprint: it is missing",
+            "line 3: footprint: the field is missing",
         ),
         (
             incoming("tid=t/a footprint=x type=page"),
-            "line 3: footprint: 'x' is no number of at least 0",
+            "line 3: footprint: 'x' is not a non-negative number",
         ),
         (
             incoming("tid=t/a footprint=1 type=pag"),
-            "line 3: type: 'pag' is no known class",
+            "line 3: type: unknown class 'pag'",
         ),
         (
             incoming("tid=t/a footprint"),
-            "line 3: footprint: it is no name=value pair",
+            "line 3: footprint: not a name=value pair",
         ),
         (
             "DONE backend_id=3 tid=t/a reason=fine".to_owned(),
-            "line 3: reason: 'fine' is no outcome",
+            "line 3: reason: 'fine' is not an outcome",
         ),
         (
             "SIGTERM backend_id=3".to_owned(),
-            "line 3: expires_in: it is missing",
+            "line 3: expires_in: the field is missing",
         ),
         (
             "GONE backend_id=x tid=t/a".to_owned(),
-            "line 3: backend_id: 'x' is no whole number",
-        ),
-        (
-            "CLOCK t=7".to_owned(),
-            "line 3: CLOCK: it is no known message",
+            "line 3: backend_id: 'x' is not a non-negative integer",
         ),
+        ("CLOCK t=7".to_owned(), "line 3: CLOCK: unknown message"),
     ] {
         let (output, result) = run(&["CLOCK t=5000", &spawn, &line, "OVER_TO_YOU"]);
         assert_eq!((output.as_str(), result), ("", Err(message.to_owned())));
@@ -117,13 +114,13 @@
 }
 
 #[test]
-fn the_clock_and_the_batches_are_in_order() {
+fn out_of_order_times_and_batch_lines_are_rejected() {
     let back = run(&["CLOCK t=10", "OVER_TO_YOU", "CLOCK t=9", "OVER_TO_YOU"]);
     assert_eq!(
         back,
         (
             "NEXT\n".to_owned(),
-            Err("line 3: t: the clock went back".to_owned())
+            Err("line 3: t: the time is earlier than in the previous batch".to_owned())
         )
     );
     let cut = run(&["CLOCK t=10"]).1;
@@ -133,11 +130,12 @@
     );
     assert_eq!(
         run(&["OVER_TO_YOU"]).1,
-        Err("line 1: OVER_TO_YOU: a batch opens with CLOCK".to_owned())
+        Err("line 1: OVER_TO_YOU: expected CLOCK, which opens a batch".to_owned())
     );
 }
 
-/// The second of two deployments: other classes, tenants, effects and figures than the first.
+/// The start of a second deployment, whose classes, tenants, effects and figures differ from the
+/// first.
 fn spawn_other() -> String {
     let other = spawn().replace("backend_id=3", "backend_id=4").replace("prng=7", "prng=8").replace(
         r#""name":"page","objective":1800.0,"deadline":4500.0,"worth":1.0,"effect":"pure"}"#,
@@ -159,14 +157,15 @@
     format!("CLOCK t={}", 5000 + step * 3)
 }
 
-/// One line a step for the backend of `deployment`: arrivals of drawn work, more than it can do.
-/// What runs ends some steps later, as a host of its own shows.
-fn generate_day(deployment: usize, spawn: String, rng: &mut fastrand::Rng) -> Vec<String> {
+/// Generates one line per step for the backend of `deployment`: arrivals with random work, more
+/// than the backend can process. Each run ends some steps after it starts; a separate host decides
+/// which requests start.
+fn generate_schedule(deployment: usize, spawn: String, rng: &mut fastrand::Rng) -> Vec<String> {
     let id = deployment + 3;
     let mut host = Host::default();
-    let mut day = vec![spawn];
+    let mut schedule = vec![spawn];
     let mut ends: Vec<(usize, String)> = Vec::new();
-    for (line, text) in [clock(0), day[0].clone(), "OVER_TO_YOU".to_owned()]
+    for (line, text) in [clock(0), schedule[0].clone(), "OVER_TO_YOU".to_owned()]
         .iter()
         .enumerate()
     {
@@ -187,7 +186,7 @@
             .iter()
             .position(|(by, _)| *by <= step)
             .map(|position| ends.swap_remove(position).1);
-        day.push(match (ended, step % 8) {
+        schedule.push(match (ended, step % 8) {
             (Some(tid), _) => format!("DONE backend_id={id} tid={tid} latency=20.0 reason=success"),
             (None, 0) => {
                 format!("ELAPSED backend_id={id} handle=beat feedback=core_use:0.9,on_cores:{}", rng.u32(..6))
@@ -198,9 +197,13 @@
             ),
         });
         let mut reply = None;
-        for (line, text) in [clock(step), day[step].clone(), "OVER_TO_YOU".to_owned()]
-            .iter()
-            .enumerate()
+        for (line, text) in [
+            clock(step),
+            schedule[step].clone(),
+            "OVER_TO_YOU".to_owned(),
+        ]
+        .iter()
+        .enumerate()
         {
             reply = host.line(3 * step + line + 1, text).unwrap();
         }
@@ -213,15 +216,15 @@
             ends.push((step + 2 + rng.usize(..20), tid.to_owned()));
         }
     }
-    day
+    schedule
 }
 
-/// The output of a process that plays these days in common batches.
-fn play(days: &[&Vec<String>]) -> String {
+/// The output of a process that runs these schedules in common batches.
+fn run_schedules(schedules: &[&Vec<String>]) -> String {
     let mut lines = Vec::new();
-    for step in 0..days[0].len() {
+    for step in 0..schedules[0].len() {
         lines.push(clock(step));
-        lines.extend(days.iter().map(|day| day[step].clone()));
+        lines.extend(schedules.iter().map(|schedule| schedule[step].clone()));
         lines.push("OVER_TO_YOU".to_owned());
     }
     let (output, result) = run(&lines.iter().map(|line| &line[..]).collect::<Vec<_>>());
@@ -238,19 +241,19 @@
         .collect()
 }
 
-/// Two customers in one process, the events of one between those of the other. Each acts exactly as
-/// it does alone: nothing static or remembered holds a figure of one of them.
+/// Guards against state that deployments in one process share, such as a static or cached figure of
+/// one of them. With the events of two deployments interleaved, each acts exactly as it does alone.
 #[test]
 fn two_deployments_in_one_process_act_as_each_does_alone() {
     let mut rng = fastrand::Rng::with_seed(7);
     let deployments = [spawn(), spawn_other()].into_iter().enumerate();
-    let days: Vec<Vec<String>> = deployments
-        .map(|(deployment, spawn)| generate_day(deployment, spawn, &mut rng))
+    let schedules: Vec<Vec<String>> = deployments
+        .map(|(deployment, spawn)| generate_schedule(deployment, spawn, &mut rng))
         .collect();
-    let together = play(&[&days[0], &days[1]]);
-    for (deployment, day) in days.iter().enumerate() {
+    let together = run_schedules(&[&schedules[0], &schedules[1]]);
+    for (deployment, schedule) in schedules.iter().enumerate() {
         let id = deployment + 3;
-        let alone = lines_of(&play(&[day]), id);
+        let alone = lines_of(&run_schedules(&[schedule]), id);
         assert!(alone.len() > 500, "{}", alone.len());
         assert_eq!(alone, lines_of(&together, id), "backend {id}");
     }
