--- a/crates/server/src/cluster/control_socket.rs
+++ b/crates/server/src/cluster/control_socket.rs
@@ -16,14 +16,14 @@
 use super::input::Input;
 use super::threads::spawn_thread;
 
-/// The longest request.
+/// The maximum length of a request, in bytes.
 const MAX_REQUEST_BYTES: u64 = 4096;
 /// The time limit for each read of a request from an operator's program, and each write of a
 /// response.
 const IO_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long the socket waits for the event loop: longer than a command waits for a leader.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Only the user of this process may use the socket.
+/// The mode of the socket: only the user of this process may use it.
 const SOCKET_MODE: u32 = 0o600;
 
 /// Listens on a path, and sends commands to `inputs`.
--- a/crates/server/src/cluster/fault_injection/lease_worker.rs
+++ b/crates/server/src/cluster/fault_injection/lease_worker.rs
@@ -1,5 +1,5 @@
-//! A task that acts under a lease and reports each step to a history recorder, which checks that no
-//! two processes act at the same time.
+//! A task that acts under a lease and reports the beginning and end of each operation to a history
+//! recorder, which checks that no two processes act at the same time.
 
 use std::fmt;
 use std::io::{self, BufRead, BufReader, Write};
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -98,8 +98,8 @@
 
 impl Cluster {
     /// Begins to drain after a shutdown notice, whether or not other processes of the zone drain.
-    /// The process acquires a slot of the drain lease if one is free, so that the processes that
-    /// wait for a slot take this drain into account.
+    /// The process requests a slot of the drain lease, so that processes that wait for a slot take
+    /// this drain into account.
     pub(crate) fn start_drain(&self) {
         // Another voter should lead before this process is busy draining; otherwise this process
         // leads until it ends.
--- a/crates/server/src/cluster/peer_links.rs
+++ b/crates/server/src/cluster/peer_links.rs
@@ -10,7 +10,7 @@
 //! A link may fail at any time, and messages may be lost; their senders retry. A frame that is not
 //! authentic or not readable is logged as `peer frame rejected`, and a stream that cannot be opened
 //! or written as `peer stream failed`. The control socket reports the number of frames that were
-//! dropped because a queue was full.
+//! dropped because a queue was full or too many streams were open.
 
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
--- a/crates/server/src/cluster/voter_thread.rs
+++ b/crates/server/src/cluster/voter_thread.rs
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Passes events to the voter, and carries out its actions even if it fails after them.
+    /// Passes events to the voter, and carries out the resulting actions even if the voter fails.
     fn handle_events(&mut self, now: Duration, events: Vec<Event>) -> Result<(), VoterError> {
         let (actions, result) = self.voter.handle_events(now, events);
         for action in actions {
--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -11,7 +11,7 @@
 use tulipgap::Config;
 use tulipgap_settings::{Names, Settings, SettingsError, Steering, milliseconds};
 
-/// The base of the seed's digits.
+/// The base of the digits of `seed`.
 const HEXADECIMAL: u32 = 16;
 /// The minimum number of descriptors with which a backend can serve requests.
 pub(crate) const MIN_SOCKETS: usize = 32;
@@ -71,7 +71,7 @@
     }
 }
 
-/// The configuration of this backend, checked.
+/// The validated configuration of this backend.
 pub(crate) struct ServerConfig {
     pub(crate) name: String,
     pub(crate) listen: SocketAddr,
@@ -196,8 +196,8 @@
         })
     }
 
-    /// Reads the file again. A file of another backend is rejected, because this backend would send
-    /// its requests to the executor of the other one.
+    /// Reads the file again. A file of another backend is rejected: with its addresses, this backend
+    /// would send its requests to the executor of the other backend.
     ///
     /// # Errors
     /// [`ConfigError`] if the file is invalid or belongs to another backend.
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -31,7 +31,7 @@
 
 /// The stack of a coroutine, in words of 8 bytes. Only the pages that are used take memory.
 const STACK_WORDS: usize = 8 * 1024;
-/// The number of stacks that are kept for reuse.
+/// The maximum number of stacks that are kept for reuse.
 const MAX_POOLED_STACKS: usize = 256;
 
 /// The exit code if the program cannot start.
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -25,7 +25,7 @@
 
 /// The store client gets at most the descriptors divided by this number.
 const STORE_DESCRIPTOR_DIVISOR: usize = 8;
-/// How often connections are checked for idleness and timeouts.
+/// How often the server checks connections for idleness and timeouts.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 /// Sweeps between two summaries in the log.
 const SWEEPS_PER_SUMMARY: u32 = 300;
@@ -46,7 +46,7 @@
 /// open as soon as it may close them. Until then the periodic sweep closes them, so that fewer
 /// requests cross a close and have to be sent again.
 const PROMPT_CLOSE_TIME: Duration = Duration::from_millis(200);
-/// How often a drain checks whether everything is answered and closed.
+/// How often a drain checks whether all requests are answered and all connections closed.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A running server. It owns its parts, each of which owns its own state, and the flag whether it
