--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -196,8 +196,8 @@
         })
     }
 
-    /// Reads the file again. A file of another backend is rejected: with its addresses, this backend
-    /// would send its requests to the executor of the other backend.
+    /// Reads the file again. A file of another backend is rejected: with its addresses, this
+    /// backend would send its requests to the executor of the other backend.
     ///
     /// # Errors
     /// [`ConfigError`] if the file is invalid or belongs to another backend.
--- a/crates/simulator-host/src/backend.rs
+++ b/crates/simulator-host/src/backend.rs
@@ -143,8 +143,8 @@
         }))
     }
 
-    /// Lets the controller decide on the batch's events at `now`, in milliseconds of the simulator's
-    /// clock, and writes its actions to `reply` for the backend with the id `backend`.
+    /// Lets the controller decide on the batch's events at `now`, in milliseconds of the
+    /// simulator's clock, and writes its actions to `reply` for the backend with the id `backend`.
     pub(crate) fn decide(&mut self, backend: u64, now: f64, reply: &mut String) {
         let since_start = Duration::from_secs_f64((now - self.started_at).max(0.0) / 1e3);
         for action in self.controller.handle_events(since_start, &self.events) {
