--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -1,20 +1,21 @@
-//! Bootstrap: which voters are the initial ones. It is decided once, while a voter has no log:
-//! [`Voter`](crate::Voter) asks this rule only in the phase `Bootstrapping`, which a directory with
-//! a log never enters.
+//! Bootstrap: the initial voters agree on their set. They decide it once, while a voter has no log:
+//! [`Voter`](crate::Voter) runs this protocol only in the phase `Bootstrapping`, which a voter
+//! whose directory has a log never enters.
 //!
-//! Each is known by an id that was drawn when its directory was created, not by its name: a
-//! directory that was emptied draws another id, and whoever has it is no voter. Once a voter knows
-//! the ids of all, it promises them, once and for all; when all have promised the same ids, those
-//! are the voters.
+//! A voter is identified by an id that is sampled when its directory is created, not by its name:
+//! if the directory is emptied, the process gets another id and is not a voter. Once a voter knows
+//! the ids of all initial voters, it promises this set and never promises another. When all have
+//! promised the same set, these are the voters.
 //!
-//! The failure it guards against: a directory is emptied during the bootstrap, and two sets of
-//! voters form that share a name, each with a majority of its own, so a lease is granted twice. It
-//! would show as two leaders in one term. A promise is durable before it is sent and never changed,
-//! and a set needs the promise of every member, so two sets can't both be complete. The price: a
-//! directory that is emptied before the bootstrap is complete leaves it incomplete, and an operator
-//! must empty all. Operators then see the phase `founding` in the answers of the control socket,
-//! for as long as that lasts; no log line tells them. One that is emptied later, or has another id
-//! than the voters agreed on, is outside: `voter is not a member reason=folder_not_bootstrapped`.
+//! This guards against the following failure: a directory is emptied during bootstrap, and two sets
+//! of voters form that share a name, each with its own majority, so that a lease is granted twice.
+//! The symptom would be two leaders in one term. A promise is durable before it is sent and never
+//! changes, and a set is complete only with the promise of every member, so two sets can't both be
+//! complete. The cost: if a directory is emptied before bootstrap is complete, bootstrap can't
+//! complete until an operator empties the directories of all initial voters. Until then the control
+//! socket shows the phase `founding`, and no log line reports it. A voter whose directory is
+//! emptied later, or whose id differs from the agreed one, is in the phase `Outside`, and its host
+//! logs `voter is not a member reason=folder_not_bootstrapped`.
 
 use std::collections::BTreeMap;
 
@@ -26,10 +27,10 @@
 #[cfg(test)]
 mod tests;
 
-/// What another voter's handshake says of its bootstrap.
+/// The bootstrap state in another voter's handshake.
 #[derive(Clone, Copy)]
 pub(crate) struct PeerBootstrap<'a> {
-    /// The name that the message came from.
+    /// The name of the sender.
     pub(crate) from: &'a Name,
     pub(crate) id: VoterId,
     /// The initial voters, as far as the sender knows them.
@@ -37,31 +38,31 @@
     pub(crate) stage: BootstrapStage,
 }
 
-/// What another voter has sent of itself.
-struct Candidate {
+/// The latest bootstrap state of another initial voter.
+struct PeerState {
     id: VoterId,
     promised: Option<BTreeMap<Name, VoterId>>,
 }
 
-/// What this voter knows of the others before they are bootstrapped.
+/// The state of this voter's bootstrap.
 pub(crate) struct Bootstrap {
-    /// The initial voters as they are configured, this one among them or not.
+    /// The configured initial voters, which may or may not include this one.
     names: Vec<Name>,
-    /// What the others that are configured have sent, by name.
-    others: BTreeMap<Name, Candidate>,
+    /// The latest state of the other configured voters, by name.
+    others: BTreeMap<Name, PeerState>,
 }
 
-/// What follows from another voter's handshake.
+/// The step that this voter takes after another voter's handshake.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum BootstrapStep {
-    /// Not all have promised the same yet.
+    /// Wait: not all initial voters have promised the same set yet.
     Wait,
-    /// Promise these; durable before it is sent.
+    /// Promise this set. The promise must be durable before it is sent.
     Promise(BTreeMap<Name, VoterId>),
-    /// These are the voters.
+    /// Complete bootstrap: this set was promised by all of its members.
     Complete(BTreeMap<Name, VoterId>),
-    /// Others were bootstrapped, with another id under this name or without it. This voter does not
-    /// vote until it replaces another.
+    /// The cluster was bootstrapped without this voter's name, or with another id for it. This
+    /// voter does not vote until it replaces another one.
     Outside,
 }
 
@@ -73,7 +74,8 @@
         }
     }
 
-    /// The ids this voter knows, its own included; what it has promised once it has.
+    /// The set that this voter has promised; before it promises one, the ids it knows, including
+    /// its own.
     pub(crate) fn known_voters(&self, own: &Identity) -> BTreeMap<Name, VoterId> {
         if let Some(promised) = &own.promised {
             return promised.clone();
@@ -85,11 +87,11 @@
         others.chain([(own.name.clone(), own.id)]).collect()
     }
 
-    /// Decides what follows from another voter's handshake; `own` is this voter's identity.
+    /// Decides the step after another voter's handshake; `own` is this voter's identity.
     ///
-    /// A complete set is taken over before the sender is looked at: the promises of its members
-    /// made it complete, whoever reports it, and a sender that is not configured here may have been
-    /// configured at the bootstrap. Sets that are not complete count only from configured names.
+    /// A complete set is accepted from any sender: the promises of its members made it complete,
+    /// and a sender that is not configured here may have been configured during bootstrap. An
+    /// incomplete set counts only from a configured name.
     pub(crate) fn handle_handshake(
         &mut self,
         own: &Identity,
@@ -125,11 +127,11 @@
         }
     }
 
-    /// A late message of the same directory takes no promise back.
+    /// Stores the sender's state. A delayed message with the same id does not withdraw a promise.
     fn update(&mut self, from: &Name, id: VoterId, promised: Option<BTreeMap<Name, VoterId>>) {
         let earlier = self.others.remove(from).filter(|other| other.id == id);
         let promised = promised.or_else(|| earlier.and_then(|other| other.promised));
-        self.others.insert(from.clone(), Candidate { id, promised });
+        self.others.insert(from.clone(), PeerState { id, promised });
     }
 
     fn all_promised(&self, own: &Identity, voters: &BTreeMap<Name, VoterId>) -> bool {
--- a/crates/consensus/src/bootstrap/tests.rs
+++ b/crates/consensus/src/bootstrap/tests.rs
@@ -6,8 +6,9 @@
 
 use tulipgap_leases::Name;
 
-/// Three voters bootstrap while the third is started anew with an empty directory, at any point:
-/// whatever order their messages come in, no two bootstrap with other ids.
+/// Three voters bootstrap, and in half of the runs the third restarts with an empty directory at a
+/// random step. Messages are reordered, repeated and lost. No two voters may complete bootstrap
+/// with different voter sets: a lease could then be granted twice.
 #[test]
 fn a_directory_emptied_during_bootstrap_never_makes_two_voter_sets() {
     let names: Vec<Name> = ["a", "b", "c"].map(Name::from).to_vec();
@@ -37,7 +38,7 @@
                 bootstrap.known_voters(own),
                 own.stage(),
             ));
-            // Any message that was ever sent may come now.
+            // Any message that was sent so far may arrive, at any voter.
             let (from, id, initial_voters, stage) = sent[random.usize(0..sent.len())].clone();
             let (own, bootstrap) = &mut voters[random.usize(0..3)];
             if own.is_bootstrapped {
@@ -62,5 +63,8 @@
         voter_sets.dedup();
         assert!(voter_sets.len() <= 1, "seed {seed}: {voter_sets:?}");
     }
-    assert!(completed > 300, "bootstrap does complete: {completed}");
+    assert!(
+        completed > 300,
+        "bootstrap completes in too few runs: {completed}"
+    );
 }
--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -2,25 +2,26 @@
 
 use std::time::Duration;
 
-/// The largest number of voters. A commit needs a majority of them, so more voters make it slower
-/// and no safer than five already do.
+/// The maximum number of voters. A commit needs a majority, so voters beyond five make commits
+/// slower and add little safety.
 pub const MAX_VOTERS: usize = 7;
 
 /// A voter's parameters. All voters should have the same.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
     /// The time between two ticks of the consensus; a leader sends heartbeats at each tick. A
-    /// shorter one finds a failed leader sooner and sends more messages.
+    /// shorter interval detects a failed leader sooner and sends more messages.
     pub tick_interval: Duration,
-    /// Ticks without a heartbeat before a follower campaigns. The timeout is drawn at random from
-    /// this up to twice as many (Raft, section 5.2), so that two seldom campaign at once. A
-    /// restarted voter waits as many ticks for the others before it votes.
+    /// The minimum number of ticks without a heartbeat before a follower campaigns. The timeout is
+    /// sampled from this number up to twice as many (Raft, section 5.2), so that two followers
+    /// rarely campaign at once. A restarted voter waits this many ticks for the replies of the
+    /// other voters before it votes.
     pub election_ticks: u32,
-    /// How far a clock may be off in its rate, in thousandths. The leader counts every TTL longer
-    /// by as much.
+    /// The maximum drift of a clock's rate, in thousandths. The leader extends every TTL by this
+    /// fraction.
     pub max_clock_drift_permille: u32,
-    /// Entries applied between two snapshots. More of them make a longer log to read at a start,
-    /// fewer make more writes of the complete state.
+    /// Entries applied between two snapshots. A longer interval makes the log longer to read at a
+    /// start; a shorter one writes the complete state more often.
     pub snapshot_interval_entries: u64,
 }
 
--- a/crates/consensus/src/durable_voter.rs
+++ b/crates/consensus/src/durable_voter.rs
@@ -1,4 +1,4 @@
-//! A voter and its write-ahead log as one.
+//! A voter together with its write-ahead log.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
@@ -13,24 +13,24 @@
 use crate::peer_message::VoterId;
 use crate::voter::Voter;
 
-/// The file beside the log that names the voter whose directory it is.
+/// The file next to the log that stores the voter's [`Identity`].
 const IDENTITY_FILE: &str = "identity";
 
-/// A voter whose writes are durable before anything that follows them is returned. It owns both the
-/// voter and its log. A failed write ends it for good: what was sent and what is on the disk may
-/// differ from then on.
+/// A voter whose writes are durable before it returns any action that follows them. It owns both
+/// the voter and its log. After a failed write the host must not use it any more: the sent messages
+/// and the content of the disk may differ.
 pub struct DurableVoter<D: Disk> {
     voter: Voter,
     log: WriteAheadLog<D>,
 }
 
 impl<D: Disk> DurableVoter<D> {
-    /// Continues what is on the disk, or makes a new voter of an empty one. `initial_voters` are
-    /// configured, this voter among them or not.
+    /// Loads the voter from its disk, or creates a new voter on an empty one. `initial_voters` are
+    /// the configured ones, which may or may not include this voter.
     ///
     /// # Errors
-    /// [`VoterError::Log`] where the log is damaged, [`VoterError::Load`] where its content is not
-    /// this voter's.
+    /// [`VoterError::Log`] if the log is damaged or can't be read or written, [`VoterError::Load`]
+    /// if its content is invalid or belongs to another voter, or if `initial_voters` are invalid.
     pub fn open(
         config: Config,
         name: &Name,
@@ -62,7 +62,7 @@
         Ok(identity)
     }
 
-    /// Makes the voter and its log behave as though they had those bugs.
+    /// Makes the voter and its log behave as if they had these bugs.
     #[cfg(feature = "injected-bugs")]
     pub fn inject_bugs(
         &mut self,
@@ -78,20 +78,20 @@
         &self.voter
     }
 
-    /// Handles events and returns the actions that are left to perform, in order; all writes are
-    /// done and durable. `now` is a clock that stood near zero when the voter was opened; see
+    /// Handles events, performs all writes durably, and returns the other actions for the host to
+    /// perform, in order. `now` is a clock that showed nearly zero when the voter was opened; see
     /// [`Voter::handle_events`].
     ///
     /// # Errors
-    /// With an error the voter has ended, and only the returned actions may still be performed:
-    /// they came before the failed write.
+    /// After an error the voter has ended. The host may still perform the returned actions: they
+    /// precede the failed write.
     pub fn handle_events(
         &mut self,
         now: Duration,
         events: Vec<Event>,
     ) -> (Vec<Action>, Result<(), VoterError>) {
-        // The consensus panics where its log contradicts itself; that must end this voter and
-        // nothing else.
+        // The crate `raft` panics if its log is inconsistent or a message contradicts it. This must
+        // end only this voter, not the process.
         let Ok(actions) = catch_unwind(AssertUnwindSafe(|| self.voter.handle_events(now, events)))
         else {
             return (Vec::new(), Err(VoterError::ConsensusPanicked));
--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -7,17 +7,17 @@
 use crate::notice::Notice;
 use crate::peer_message::PeerMessage;
 
-/// Leases in the response to one read, at most; a read of all leases is cut there.
+/// The maximum number of leases in the response to one read; a read of all leases is truncated.
 pub const MAX_LISTED_LEASES: usize = 500;
 
 /// Input events of a voter.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A timer that was set has elapsed.
+    /// A timer that the voter requested has elapsed.
     TimerElapsed,
     /// Another voter's message.
     PeerMessage {
-        /// Who sent it.
+        /// The sender.
         from: Name,
         /// The message.
         message: PeerMessage,
@@ -37,12 +37,13 @@
         from: Name,
         /// The id that the response repeats.
         request: RequestId,
-        /// One lease, or all.
+        /// One lease; all leases if `None`.
         lease: Option<Name>,
     },
-    /// Another voter is to lead, where this one does.
+    /// Transfer leadership to another voter. Ignored unless this voter leads.
     TransferLeadership,
-    /// An operator replaces a voter. Both names may be the same, where a directory was lost.
+    /// An operator replaces a voter. Both names are the same if the voter lost its directory and
+    /// has a new one.
     ReplaceVoter {
         /// The voter that is removed.
         old: Name,
@@ -54,12 +55,12 @@
 /// Output actions of a voter. Its host performs them in this order.
 #[derive(Debug)]
 pub enum Action {
-    /// Append a record to the log, durably before any later action. Where that fails, the voter
-    /// must do nothing more.
+    /// Append a record to the log. It must be durable before any later action; if the write fails,
+    /// the host must stop the voter.
     AppendRecord(Vec<u8>),
-    /// Write a snapshot that replaces all records, under the same condition.
+    /// Write a snapshot that replaces all records, under the same conditions.
     WriteSnapshot(Vec<u8>),
-    /// Write the voter's identity to a file of its own, under the same condition.
+    /// Write the voter's identity to a separate file, under the same conditions.
     WriteIdentity(Vec<u8>),
     /// Send a message to another voter.
     Send {
@@ -70,23 +71,23 @@
     },
     /// Respond to a proposal whose command was applied.
     Respond {
-        /// Who proposed it.
+        /// The process that proposed it.
         to: Name,
-        /// The run of that process that did; zero where an operator did.
+        /// The incarnation of that process; zero if an operator proposed it.
         incarnation: Incarnation,
         /// The id of the proposal.
         request: RequestId,
-        /// What the command resulted in.
+        /// The result of the command.
         response: Response,
     },
-    /// Reject a proposal or a read, as this voter does not lead, or leads and can't take it now: a
-    /// read while too many are pending, a proposal while too much is uncommitted.
+    /// Reject a proposal or a read. Either this voter does not lead, or it leads and is at a limit:
+    /// too many reads are pending, or too many bytes of entries are uncommitted.
     RejectNotLeader {
-        /// Who sent it.
+        /// The process that sent it.
         to: Name,
         /// The id of the request.
         request: RequestId,
-        /// Who leads, where that is known. This voter itself, where it leads and rejects a read.
+        /// The leader, if known. A leader that rejects a read names itself here.
         leader: Option<Name>,
     },
     /// Tell a queued owner that a slot is free for it.
@@ -98,16 +99,16 @@
     },
     /// Respond to a read.
     RespondRead {
-        /// Who sent it.
+        /// The process that sent it.
         to: Name,
         /// The id of the read.
         request: RequestId,
         /// The leases that were read, at most [`MAX_LISTED_LEASES`].
         leases: Vec<(Name, Lease)>,
     },
-    /// Send [`Event::TimerElapsed`] at that time.
+    /// Deliver [`Event::TimerElapsed`] to the voter at this time.
     SetTimer {
-        /// The time, by this process's clock.
+        /// The time, on the host's clock.
         at: Duration,
     },
     /// Log a change of the voter's state.
--- a/crates/consensus/src/identity.rs
+++ b/crates/consensus/src/identity.rs
@@ -1,6 +1,6 @@
-//! What a voter's directory says of the voter itself: its name, the id drawn when the directory was
-//! created, and what it promised at the bootstrap. It is serialized by position, in a file of its
-//! own: fields keep their order.
+//! The identity that a voter stores in its directory: its name, the id that was sampled when the
+//! directory was created, and the initial voters that it promised during bootstrap. It is
+//! serialized by position, in a separate file: fields keep their order.
 
 use std::collections::BTreeMap;
 
@@ -10,14 +10,14 @@
 use crate::error::LoadError;
 use crate::peer_message::{BootstrapStage, VoterId};
 
-/// What a voter's directory stores of the voter itself. It is durable before anything is sent.
+/// The stored identity of a voter. It is durable before the voter sends any message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Identity {
     pub(crate) name: Name,
     pub(crate) id: VoterId,
-    /// The initial voters that it promised.
+    /// The set of initial voters that this voter has promised.
     pub(crate) promised: Option<BTreeMap<Name, VoterId>>,
-    /// Whether all have promised the same.
+    /// Whether all initial voters have promised the same set.
     pub(crate) is_bootstrapped: bool,
 }
 
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Promises the initial voters. No other set is promised later.
+    /// Records the promised set of initial voters. A voter promises only one set.
     pub(crate) fn promise(&mut self, initial_voters: BTreeMap<Name, VoterId>) {
         self.promised = Some(initial_voters);
     }
 
-    /// All have promised these initial voters.
+    /// Records that all of these initial voters have promised this set.
     pub(crate) fn complete_bootstrap(&mut self, initial_voters: BTreeMap<Name, VoterId>) {
         self.promised = Some(initial_voters);
         self.is_bootstrapped = true;
--- a/crates/consensus/src/injected_bug.rs
+++ b/crates/consensus/src/injected_bug.rs
@@ -1,10 +1,10 @@
-//! Bugs that proofs inject to show that their checkers find them.
+//! Bugs that tests inject to show that the checkers detect them.
 
-/// A mistake that is easily made, and that a checker must find.
+/// A plausible implementation mistake that a checker must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
     /// A leader answers a read without confirming that it still leads.
     StaleRead,
-    /// A bug of the leases.
+    /// A bug in the lease state machine or the expiry of leases.
     Leases(tulipgap_leases::InjectedBug),
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,22 +1,23 @@
-//! Consensus on leases: three or five voters agree, command by command, on who holds which lease,
-//! and on who leads them.
+//! Consensus on leases: three or five voters agree on the holders of each lease, command by
+//! command, and elect a leader.
 //!
 //! The algorithm is Raft (Ongaro and Ousterhout, "In search of an understandable consensus
 //! algorithm", 2014) with pre-vote and the leader's check of its quorum, as implemented by the
-//! crate `raft`. Sections that modules name are those of that paper, or of Ongaro's dissertation
-//! ("Consensus: bridging theory and practice", 2014) where they say so. A [`Voter`] drives the
-//! crate without a clock and with everything random drawn from a seed, so that a simulation repeats
-//! to the last message.
+//! crate `raft`. Section numbers in the modules refer to that paper, or to Ongaro's dissertation
+//! ("Consensus: bridging theory and practice", 2014) where a module says so. A [`Voter`] drives the
+//! crate without a clock and samples every random value from a seed, so that a simulation with the
+//! same seed repeats exactly, down to the last message.
 //!
-//! Input: an [`Event`] and the time. Output: [`Action`]s, to be performed in their order, since
-//! what is to be written must be durable before what follows it is sent. A [`DurableVoter`] holds a
-//! voter and its write-ahead log together and does the writing. What is decided here beyond Raft:
+//! Input: an [`Event`] and the time. Output: [`Action`]s, which the host performs in order, since a
+//! write must be durable before the messages after it are sent. A [`DurableVoter`] combines a voter
+//! with its write-ahead log and performs the writes. This crate adds to Raft:
 //!
-//! - how the initial voters find each other (bootstrap), each known by an id drawn when its
-//!   directory was created;
-//! - that a voter whose directory was rolled back to an older state must not vote again;
+//! - bootstrap: how the initial voters find each other, each identified by an id that was sampled
+//!   when its directory was created;
+//! - rollback detection: a voter whose directory was rolled back to an older state must not vote
+//!   again;
 //! - the steps by which one voter replaces another;
-//! - reads that are as new as their request (Raft's read index).
+//! - linearizable reads (Raft's read index).
 //!
 //! `docs/design-leases.md` gives the reasons.
 //!
--- a/crates/consensus/src/log_store.rs
+++ b/crates/consensus/src/log_store.rs
@@ -1,5 +1,5 @@
-//! The consensus log and hard state. All of it is in memory, so that `raft` reads it without I/O;
-//! what changes is encoded here for the write-ahead log.
+//! The consensus log and hard state. Both are in memory, so that `raft` reads them without I/O;
+//! this module encodes their changes for the write-ahead log.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -14,12 +14,12 @@
 use crate::peer_message::VoterId;
 use crate::replicated_state::ReplicatedState;
 
-/// The entry that the log of all initial voters begins after.
+/// The index of the bootstrap snapshot, after which the log of every initial voter begins.
 const BOOTSTRAP_INDEX: u64 = 1;
-/// The term of that entry.
+/// The term of the bootstrap snapshot.
 const BOOTSTRAP_TERM: u64 = 1;
 
-/// Raft's hard state, as it is stored.
+/// Raft's hard state, as stored.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 struct StoredHardState {
     term: u64,
@@ -48,21 +48,21 @@
     }
 }
 
-/// Index and term of an entry.
+/// The index and term of an entry.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 struct EntryId {
     index: u64,
     term: u64,
 }
 
-/// One record of the write-ahead log: what changed.
+/// One record of the write-ahead log: a change of the hard state and the entries.
 #[derive(Default, Serialize, Deserialize)]
 struct StoredChange {
     hard_state: Option<StoredHardState>,
     entries: Vec<Vec<u8>>,
 }
 
-/// A snapshot of the write-ahead log: all there is.
+/// A snapshot of the write-ahead log: the complete consensus log and hard state.
 #[derive(Serialize, Deserialize)]
 struct StoredLog {
     hard_state: StoredHardState,
@@ -71,23 +71,24 @@
     entries: Vec<Vec<u8>>,
 }
 
-/// The log of one voter. The `RawNode` of the crate `raft` owns it.
+/// The consensus log of one voter, owned by the `RawNode` of the crate `raft`.
 ///
-/// Invariant: entries are numbered without a gap, the first after `compacted`.
+/// Invariant: the indexes of `entries` are contiguous and begin after `compacted`.
 #[derive(Default)]
 pub(crate) struct LogStore {
     hard_state: HardState,
-    /// The last entry that was removed from the log; the snapshot covers it.
+    /// The last entry that was removed from the log. The snapshot covers it.
     compacted: EntryId,
     entries: Vec<Entry>,
     snapshot: Snapshot,
-    /// A follower needs a snapshot that is newer than the latest one. The consensus asks for
-    /// snapshots by a shared reference.
-    needs_snapshot: Cell<bool>,
+    /// Whether a follower needs a newer snapshot than the latest one. A `Cell`, since the consensus
+    /// requests snapshots through a shared reference.
+    is_snapshot_requested: Cell<bool>,
 }
 
-/// Whether a snapshot names that voter or learner. One that does not is ignored by its receiver.
-fn names_member(snapshot: &Snapshot, id: u64) -> bool {
+/// Whether the member list of a snapshot contains this voter or learner. A receiver ignores a
+/// snapshot that does not list it.
+fn lists_member(snapshot: &Snapshot, id: u64) -> bool {
     let membership = snapshot.get_metadata().get_conf_state();
     let members = membership.get_voters().iter();
     let members = members.chain(membership.get_learners());
@@ -95,21 +96,21 @@
 }
 
 fn encode_message(message: &impl protobuf::Message) -> Vec<u8> {
-    // Writing to memory fails only where a required field is missing, and these have none.
+    // Writing to memory fails only if a required field is missing, and these messages have none.
     message.write_to_bytes().unwrap_or_default()
 }
 
-/// What a snapshot holds.
+/// The content of a snapshot.
 pub(crate) struct SnapshotContent<'a> {
-    /// The entry up to which the state is applied.
+    /// The index of the last applied entry.
     pub(crate) index: u64,
-    /// Who votes and who learns, as the consensus has it.
+    /// The voters and learners, as the consensus has them.
     pub(crate) membership: ConfState,
     pub(crate) state: &'a ReplicatedState,
 }
 
 impl SnapshotContent<'_> {
-    /// `term` is that of the entry of [`Self::index`].
+    /// `term` is the term of the entry at [`Self::index`].
     fn encode(self, term: u64) -> Snapshot {
         let mut snapshot = Snapshot::default();
         snapshot.set_data(self.state.encode().into());
@@ -121,7 +122,8 @@
 }
 
 impl LogStore {
-    /// The log that all initial voters begin with: who they are, as a snapshot of entry 1.
+    /// The log that every initial voter begins with: a snapshot as of entry 1 that lists the
+    /// initial voters.
     pub(crate) fn bootstrapped(initial_voters: &BTreeMap<Name, VoterId>) -> Self {
         let voters: BTreeMap<VoterId, Name> = initial_voters
             .iter()
@@ -143,7 +145,8 @@
         store
     }
 
-    /// Decodes what the write-ahead log recovered; `None` where nothing was ever written.
+    /// Decodes the snapshot and records that the write-ahead log recovered. Returns `None` if there
+    /// is no snapshot: the voter has no consensus log yet.
     pub(crate) fn decode(
         stored_log: Option<&[u8]>,
         changes: &[Vec<u8>],
@@ -168,7 +171,7 @@
             compacted: stored.compacted,
             entries: Vec::new(),
             snapshot,
-            needs_snapshot: Cell::default(),
+            is_snapshot_requested: Cell::default(),
         };
         store.append_encoded(&stored.entries)?;
         for change in changes {
@@ -205,7 +208,7 @@
         })?)
     }
 
-    /// All there is, for a snapshot of the write-ahead log.
+    /// Encodes the complete log and hard state, for a snapshot of the write-ahead log.
     pub(crate) fn encode(&self) -> Vec<u8> {
         let stored = StoredLog {
             hard_state: (&self.hard_state).into(),
@@ -216,7 +219,7 @@
         postcard::to_stdvec(&stored).unwrap_or_default()
     }
 
-    /// What changed, for a record of the write-ahead log.
+    /// Encodes a change, for a record of the write-ahead log.
     pub(crate) fn encode_change(hard_state: Option<&HardState>, entries: &[Entry]) -> Vec<u8> {
         let change = StoredChange {
             hard_state: hard_state.map(StoredHardState::from),
@@ -245,12 +248,12 @@
         self.compacted.index + self.entries.len() as u64
     }
 
-    /// Where an entry is among `entries`. It must be after `compacted`.
+    /// The position of an entry in `entries`. The entry must be after `compacted`.
     fn position(&self, index: u64) -> usize {
         (index - self.compacted.index - 1) as usize
     }
 
-    /// Appends entries. One that conflicts with the log replaces everything from there on.
+    /// Appends entries. An entry with the index of an existing one replaces it and all later ones.
     pub(crate) fn append(&mut self, entries: Vec<Entry>) -> Result<(), LoadError> {
         for entry in entries {
             let last = self.last_entry();
@@ -266,7 +269,7 @@
         Ok(())
     }
 
-    /// Replaces everything by another voter's snapshot.
+    /// Replaces the whole log with a snapshot: the leader's, or the one of bootstrap.
     pub(crate) fn install_snapshot(&mut self, snapshot: Snapshot) {
         let (index, term) = (snapshot.get_metadata().index, snapshot.get_metadata().term);
         self.compacted = EntryId { index, term };
@@ -276,13 +279,12 @@
         self.snapshot = snapshot;
     }
 
-    /// Whether a follower has needed a snapshot newer than the latest one since this was last
-    /// asked.
-    pub(crate) fn take_snapshot_need(&self) -> bool {
-        self.needs_snapshot.take()
+    /// Whether a follower has needed a newer snapshot than the latest one since the last call.
+    pub(crate) fn take_snapshot_request(&self) -> bool {
+        self.is_snapshot_requested.take()
     }
 
-    /// Takes a snapshot and removes the entries that it covers, but for the last `kept_entries`.
+    /// Stores a snapshot and removes the entries that it covers, except the last `kept_entries`.
     pub(crate) fn compact(&mut self, content: SnapshotContent<'_>, kept_entries: u64) {
         let index = content.index;
         let Ok(term) = Storage::term(self, index) else {
@@ -351,8 +353,8 @@
 
     fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<Snapshot> {
         let is_too_old = self.snapshot.get_metadata().index < request_index;
-        if is_too_old || !names_member(&self.snapshot, to) {
-            self.needs_snapshot.set(true);
+        if is_too_old || !lists_member(&self.snapshot, to) {
+            self.is_snapshot_requested.set(true);
             return Err(StorageError::SnapshotTemporarilyUnavailable.into());
         }
         Ok(self.snapshot.clone())
--- a/crates/consensus/src/notice.rs
+++ b/crates/consensus/src/notice.rs
@@ -1,28 +1,28 @@
-//! What a voter reports to its operators.
+//! Notices from a voter to its operators.
 
 use crate::error::LoadError;
 use crate::peer_message::LogPosition;
 
-/// A change that operators should know of. Its text continues a sentence whose subject is the
-/// voter.
+/// A change of a voter's state that operators should know of. The text is a predicate whose subject
+/// is the voter.
 #[derive(Debug, thiserror::Error)]
 pub enum Notice {
-    /// The initial voters are agreed on.
+    /// The initial voters have agreed on their set.
     #[error("bootstrapped voters={}", voters.join(","))]
     Bootstrapped {
-        /// Their names.
+        /// The names of the initial voters.
         voters: Vec<String>,
     },
-    /// The voter leads.
+    /// The voter became the leader and has applied an entry of its term.
     #[error("became leader term={term}")]
     BecameLeader {
         /// Raft's term.
         term: u64,
     },
-    /// The voter leads no more.
+    /// The voter no longer leads.
     #[error("lost leadership")]
     LostLeadership,
-    /// Others were bootstrapped without the voter's directory.
+    /// The cluster was bootstrapped without this voter's directory.
     #[error(
         "is not a member: the cluster was bootstrapped without this folder; it may replace another voter"
     )]
@@ -34,29 +34,29 @@
         own.term, own.index, observed.term, observed.index
     )]
     RolledBack {
-        /// How far its own log has come.
+        /// The last position of the voter's own log.
         own: LogPosition,
-        /// How far others have seen it.
+        /// The position of that log that other voters have observed.
         observed: LogPosition,
     },
-    /// The voter received or read something that it can't use.
+    /// The voter received or read data that it can't use.
     #[error("received or read invalid data: {0}")]
     InvalidData(#[source] InvalidData),
 }
 
-/// What a voter could not use.
+/// Data that a voter could not use.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidData {
-    /// A message of the consensus that can't be decoded. It is ignored.
+    /// A Raft message that can't be decoded. The voter ignores it.
     #[error("a message of the consensus can't be decoded")]
     RaftMessage,
-    /// A committed entry that can't be decoded. It is skipped.
+    /// A committed entry that can't be decoded. The voter skips it.
     #[error("entry {index} can't be decoded")]
     Entry {
-        /// Its index.
+        /// The entry's index.
         index: u64,
     },
-    /// A state that can't be loaded.
+    /// A log or snapshot that can't be loaded.
     #[error(transparent)]
     State(#[from] LoadError),
 }
--- a/crates/consensus/src/peer_message.rs
+++ b/crates/consensus/src/peer_message.rs
@@ -1,54 +1,54 @@
-//! What voters send each other. It is serialized by position: variants and fields keep their order.
+//! Messages between voters. They are serialized by position: variants and fields keep their order.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use tulipgap_leases::Name;
 
-/// Identifies a voter's directory: drawn at random when the directory is created, never zero. A
-/// directory that was emptied gets another id, so the process that uses it is no voter any more.
+/// Identifies a voter's directory. The id is sampled when the directory is created and is never
+/// zero. An emptied directory gets another id, so the process that uses it is no longer a voter.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct VoterId(pub u64);
 
-/// How far a log has come.
+/// The last position of a log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// The highest term.
+    /// The latest term.
     pub term: u64,
     /// The index of the last entry.
     pub index: u64,
 }
 
-/// How far a voter has come in agreeing on the initial voters.
+/// The stage of a voter's bootstrap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BootstrapStage {
-    /// The voter knows some of their ids.
+    /// The voter does not know the ids of all initial voters yet.
     Discovering,
-    /// The voter has promised a complete set of ids and will never promise another.
+    /// The voter has promised the set of all initial voters and will never promise another.
     Promised,
-    /// All have promised the same set.
+    /// All initial voters have promised the same set.
     Complete,
 }
 
 /// A message from one voter to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Who the sender is and what it knows of the others.
+    /// The sender's identity and bootstrap state, and how far it has observed the receiver's log.
     Handshake {
-        /// Whether the receiver is to send one back.
+        /// Whether the receiver replies with a handshake.
         wants_reply: bool,
         /// The sender's id.
         id: VoterId,
         /// The initial voters, as far as the sender knows them.
         initial_voters: BTreeMap<Name, VoterId>,
-        /// How far the sender has come in agreeing on them.
+        /// The stage of the sender's bootstrap.
         stage: BootstrapStage,
-        /// The furthest the sender has seen the receiver. Where the receiver's own log is behind,
-        /// it was rolled back.
+        /// The furthest position of the receiver's log that the sender has observed. If the
+        /// receiver's log ends before it, the receiver's directory was rolled back.
         observed: LogPosition,
     },
-    /// A message of the consensus algorithm, encoded by the crate `raft`.
+    /// A Raft message, encoded by the crate `raft`.
     Raft(Vec<u8>),
 }
--- a/crates/consensus/src/replicated_state.rs
+++ b/crates/consensus/src/replicated_state.rs
@@ -1,5 +1,5 @@
-//! What the voters agree on. It is serialized by position, in snapshots and in the entries of the
-//! log: fields keep their order.
+//! The state that the voters agree on. It is serialized by position, in snapshots and in log
+//! entries: fields keep their order.
 
 use std::collections::BTreeMap;
 
@@ -16,14 +16,14 @@
     pub(crate) replaces: VoterId,
 }
 
-/// The state after some entry of the log: the leases, and who votes.
+/// The state after a given log entry: the leases and the voters.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ReplicatedState {
     pub(crate) leases: LeaseStateMachine,
     pub(crate) voters: BTreeMap<VoterId, Name>,
-    /// Learners that will vote once their log is near the leader's.
+    /// Learners that will vote once their logs have caught up with the leader's.
     pub(crate) joining: BTreeMap<VoterId, JoiningVoter>,
-    /// Voters that were replaced and are not removed yet.
+    /// Voters that have been replaced but not removed yet.
     pub(crate) leaving: Vec<VoterId>,
 }
 
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -1,4 +1,4 @@
-//! A voter's state as operators see it.
+//! A voter's status for operators.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,26 +7,27 @@
 
 use crate::peer_message::VoterId;
 
-/// How far a voter takes part.
+/// A voter's phase of participation in the consensus.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum VoterPhase {
     /// The initial voters are finding each other.
     #[default]
     Bootstrapping,
-    /// The voter was restarted, and waits for the others to report how far they have seen its log.
+    /// The voter was restarted and waits for the other voters to report the furthest position of
+    /// its log that they have observed.
     Waiting,
     /// The voter votes.
     Voting,
-    /// Others were bootstrapped without this voter.
+    /// The cluster was bootstrapped without this voter.
     Outside,
-    /// The voter's directory is an older copy, or its state was found invalid while it ran: it
-    /// votes no more. Its [`Notice`](crate::Notice) tells which.
+    /// The voter's directory is an older copy, or its state was found invalid while it ran. It no
+    /// longer votes. Its [`Notice`](crate::Notice) tells which of the two happened.
     RolledBack,
     /// The host ended the voter after a failed write.
     Ended,
 }
 
-/// The names that operators see, in the answers of the control socket.
+/// The names that the control socket shows to operators.
 impl fmt::Display for VoterPhase {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -43,16 +44,16 @@
 /// A summary of a voter, for operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VoterStatus {
-    /// Its id.
+    /// The voter's id.
     pub id: VoterId,
     /// Raft's term.
     pub term: u64,
-    /// Who leads, where that is known.
+    /// The leader, if known.
     pub leader: Option<Name>,
-    /// The last entry that it applied.
+    /// The index of the last applied entry.
     pub applied_index: u64,
-    /// How far it takes part.
+    /// The phase of the voter.
     pub phase: VoterPhase,
-    /// Who votes, as of that entry.
+    /// The voters as of that entry.
     pub voters: BTreeMap<VoterId, Name>,
 }
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -1,8 +1,8 @@
-//! One voter: the state machine that owns the parts beneath, routes events to them and turns what
-//! they decide into actions.
+//! A voter: the state machine that owns the components in `voter/`, routes events to them and turns
+//! their decisions into actions.
 //!
-//! `voter.rs` handles events, `voter/ready.rs` performs what the consensus has ready. The other
-//! modules are the parts; none of them knows the voter.
+//! `voter.rs` handles events, and `voter/ready.rs` processes the `Ready` states of the consensus.
+//! The other modules are the components, none of which depends on [`Voter`].
 
 mod leadership;
 mod linearizable_reads;
@@ -51,31 +51,32 @@
 use tick_timer::TickTimer;
 
 /// A voter. It owns the consensus log, the replicated state and, while it leads, the expiry of
-/// leases; its host owns the disk and the network and performs its [`Action`]s.
+/// leases. Its host owns the disk and the network and performs its [`Action`]s.
 ///
-/// Invariants: it sends nothing that depends on a write before the action of that write; it applies
-/// entries once and in order; once rolled back, or stopped since its state was invalid, it sends
-/// nothing any more.
+/// Invariants: a voter emits the action of a write before any message that depends on the write; it
+/// applies each entry once and in order; after it has detected a rollback or an invalid state, it
+/// sends nothing.
 pub struct Voter {
     config: Config,
     identity: Identity,
-    /// The configured initial voters, this one among them or not.
+    /// The configured initial voters, which may or may not include this one.
     initial_voter_names: Vec<Name>,
     /// Seed of the election timeouts.
     seed: u64,
-    /// The latest time of an event. It never goes backwards.
+    /// The latest time of an event, which never decreases.
     now: Duration,
     phase: Phase,
     bootstrap: Bootstrap,
     peers: Peers,
     observed_logs: ObservedLogs,
     timer: TickTimer,
-    /// The consensus; `None` before bootstrap, after a rollback and where its state was invalid.
+    /// The consensus; `None` before bootstrap, and after a rollback or an invalid state was
+    /// detected.
     node: Option<RaftNode>,
     leadership: Leadership,
     reads: LinearizableReads,
     state: ReplicatedState,
-    /// The last entry that is applied to the state.
+    /// The index of the last entry that is applied to the state.
     applied_index: u64,
     snapshots: SnapshotSchedule,
     expiry: ExpiryTracker,
@@ -84,9 +85,9 @@
 }
 
 impl Voter {
-    /// A voter from what its directory holds. `initial_voter_names` are configured, this voter
-    /// among them or not. The clock of the later events must stand near zero now; see
-    /// [`Self::handle_events`].
+    /// Creates a voter from the content of its directory. `initial_voter_names` are the configured
+    /// ones, which may or may not include this voter. The clock of the later events must be near
+    /// zero now; see [`Self::handle_events`].
     pub(crate) fn load(
         config: Config,
         name: &str,
@@ -98,7 +99,7 @@
         if &*identity.name != name {
             return Err(LoadError::OtherVoter(identity.name.to_string()));
         }
-        check_names(&initial_voter_names)?;
+        check_initial_voters(&initial_voter_names)?;
         let store = LogStore::decode(recovered.snapshot.as_deref(), &recovered.records)?;
         let mut voter = Voter {
             bootstrap: Bootstrap::new(initial_voter_names.clone()),
@@ -129,16 +130,17 @@
 
     fn restart_from(&mut self, store: LogStore) -> Result<(), LoadError> {
         self.start_node(store)?;
-        // The log is written before the identity says that bootstrap is complete.
+        // After a crash during bootstrap, the log may be stored while the identity does not yet say
+        // that bootstrap is complete.
         let is_voter = self.state.voters.contains_key(&self.identity.id);
         self.identity.is_bootstrapped |= self.identity.promised.is_some() && is_voter;
-        // A time on the host's clock, which begins near zero with this voter.
+        // A time on the host's clock, which is near zero when the voter is opened.
         let until = self.config.tick_interval * self.config.election_ticks;
         self.phase = Phase::Waiting { until };
         Ok(())
     }
 
-    /// Makes the voter behave as though it had that bug.
+    /// Makes the voter behave as if it had this bug.
     #[cfg(feature = "injected-bugs")]
     pub fn inject_bug(&mut self, bug: Option<InjectedBug>) {
         self.injected_bug = bug;
@@ -159,7 +161,8 @@
         }
     }
 
-    /// Whether it takes itself for the leader. Another may lead already in a later term.
+    /// Whether this voter is the leader by its own state. Another voter may already lead in a later
+    /// term.
     pub fn is_leader(&self) -> bool {
         self.node.as_ref().is_some_and(RaftNode::is_leader)
     }
@@ -169,7 +172,7 @@
         &self.state.leases
     }
 
-    /// The last entry that it applied.
+    /// The index of the last applied entry.
     pub fn applied_index(&self) -> u64 {
         self.applied_index
     }
@@ -179,12 +182,13 @@
         self.state.voters.get(&leader_id).cloned()
     }
 
-    /// Handles events, all proposals among them as one entry, and returns the actions to perform,
-    /// in order. Once rolled back, or stopped since its state was invalid, it handles none: events
-    /// of the same batch that follow are dropped, and the proposals before them are rejected.
+    /// Handles a batch of events and returns the actions to perform, in order. All proposals of the
+    /// batch become one entry. After it has detected a rollback or an invalid state, the voter
+    /// handles no events: if an event of the batch reveals a rollback, the voter drops the later
+    /// events and rejects the earlier proposals.
     ///
-    /// `now` is the host's clock, which must stand near zero when the voter is opened: a restarted
-    /// voter waits until it shows `election_ticks` ticks. With a clock that is past that already,
+    /// `now` is the host's clock, which must be near zero when the voter is opened: a restarted
+    /// voter waits until the clock shows `election_ticks` ticks. If the clock is already past that,
     /// the voter votes after its first tick and skips the wait that guards against a rollback.
     pub fn handle_events(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
@@ -237,7 +241,7 @@
                     request,
                     lease,
                 };
-                self.read(read, actions);
+                self.handle_read(read, actions);
             }
             Event::TransferLeadership => {
                 if let Some(node) = &mut self.node {
@@ -269,7 +273,7 @@
         self.phase = self.phase.after_tick(self.now);
     }
 
-    /// Proposes to expire the owners whose TTL is over. Only a leader has any.
+    /// Proposes to expire the owners whose TTL has ended. Only a leader tracks TTLs.
     fn propose_expirations(&mut self, actions: &mut Vec<Action>) {
         let expirations = self.expiry.due_expirations(self.now).into_iter();
         self.propose(expirations.map(Proposal::expiration).collect(), actions);
@@ -289,7 +293,7 @@
                 stage,
                 observed,
             } => {
-                self.peers.remember(from, id, &self.initial_voter_names);
+                self.peers.record_id(from, id, &self.initial_voter_names);
                 match wants_reply {
                     true => self.send_handshake(from, false, actions),
                     false => self.peers.record_reply(from),
@@ -306,7 +310,7 @@
         }
     }
 
-    /// `observed` is how far the sender has seen this voter's log.
+    /// `observed` is the furthest position of this voter's log that the sender has observed.
     fn handle_handshake(
         &mut self,
         peer: PeerBootstrap<'_>,
@@ -315,7 +319,7 @@
     ) {
         let durable = self.node.as_ref().map(RaftNode::durable_position);
         if durable.is_some_and(|durable| is_rolled_back(durable, observed)) {
-            return self.roll_back(observed, actions);
+            return self.stop_after_rollback(observed, actions);
         }
         if self.phase == Phase::Bootstrapping {
             self.advance_bootstrap(peer, actions);
@@ -351,7 +355,7 @@
     }
 
     fn handle_raft_message(&mut self, bytes: &[u8], actions: &mut Vec<Action>) {
-        if !self.phase.takes_part() {
+        if !self.phase.accepts_raft_messages() {
             return;
         }
         let Ok(message) = Message::parse_from_bytes(bytes) else {
@@ -363,14 +367,15 @@
         }
         let Some(node) = &mut self.node else { return };
         if let Some(observed) = contradicting_position(&message, node.position()) {
-            return self.roll_back(observed, actions);
+            return self.stop_after_rollback(observed, actions);
         }
         self.observed_logs.observe(&message, &self.state.voters);
         node.step(message);
     }
 
-    /// Ends the voter: its directory is an older copy, as `observed` of its log shows.
-    fn roll_back(&mut self, observed: LogPosition, actions: &mut Vec<Action>) {
+    /// Stops the voter: its directory is an older copy, since another voter has observed the
+    /// position `observed` of its log.
+    fn stop_after_rollback(&mut self, observed: LogPosition, actions: &mut Vec<Action>) {
         let own = self.node.as_ref().map(RaftNode::position);
         let own = own.unwrap_or_default();
         self.stop_node();
@@ -404,8 +409,8 @@
     ) {
         let store = LogStore::bootstrapped(&initial_voters);
         let voters = initial_voters.keys().map(Name::to_string).collect();
-        // The log first: an identity alone would name voters and start without the log that they
-        // begin with.
+        // The log is written first: an identity that says bootstrap is complete, without the
+        // bootstrap log, would let the voter start with no log.
         actions.push(Action::WriteSnapshot(store.encode()));
         self.identity.complete_bootstrap(initial_voters);
         actions.push(Action::WriteIdentity(self.identity.encode()));
@@ -439,18 +444,19 @@
         }
     }
 
-    /// Ends the consensus for good, after a rollback or where its state is invalid: nothing sound
-    /// could follow.
+    /// Stops the consensus permanently after a rollback or an invalid state was detected, since the
+    /// voter could no longer take part safely.
     ///
-    /// The phase is `RolledBack` (`set back` on the control socket) for both. Only the notice tells
-    /// them apart: [`Notice::RolledBack`] after a rollback, [`Notice::InvalidData`] otherwise.
+    /// The phase is `RolledBack` (`set back` on the control socket) in both cases. Only the notice
+    /// distinguishes them: [`Notice::RolledBack`] after a rollback, [`Notice::InvalidData`] after
+    /// an invalid state.
     fn stop_node(&mut self) {
         self.phase = Phase::RolledBack;
         self.node = None;
     }
 
-    /// Proposes commands as one entry. Where the consensus accepts no more, they are rejected, and
-    /// whoever sent them sends them again.
+    /// Proposes commands as one entry. If the consensus does not accept the entry, the voter
+    /// rejects the commands, and the clients retry them.
     fn propose(&mut self, proposals: Vec<Proposal>, actions: &mut Vec<Action>) {
         if proposals.is_empty() {
             return;
@@ -462,10 +468,10 @@
         }
     }
 
-    /// Has a read confirmed, or rejects it. A leader with too many pending reads rejects as well,
-    /// and names itself as the leader; see [`linearizable_reads`].
-    fn read(&mut self, read: ReadRequest, actions: &mut Vec<Action>) {
-        if self.has_stale_reads() && self.is_leader() {
+    /// Asks the quorum to confirm a read, or rejects the read. A leader with too many pending reads
+    /// also rejects it and names itself as the leader; see [`linearizable_reads`].
+    fn handle_read(&mut self, read: ReadRequest, actions: &mut Vec<Action>) {
+        if self.has_stale_read_bug() && self.is_leader() {
             return self.respond_read(read, actions);
         }
         let leader = self.leader();
@@ -482,12 +488,12 @@
     }
 
     #[cfg(feature = "injected-bugs")]
-    fn has_stale_reads(&self) -> bool {
+    fn has_stale_read_bug(&self) -> bool {
         self.injected_bug == Some(InjectedBug::StaleRead)
     }
 
     #[cfg(not(feature = "injected-bugs"))]
-    fn has_stale_reads(&self) -> bool {
+    fn has_stale_read_bug(&self) -> bool {
         false
     }
 
@@ -501,7 +507,7 @@
         }
     }
 
-    /// Proposes the next step of a change that is under way.
+    /// Proposes the next step of a membership change in progress.
     fn advance_membership_change(&mut self) {
         let Some(node) = self.node.as_mut().filter(|node| node.is_leader()) else {
             return;
@@ -515,8 +521,8 @@
     }
 }
 
-/// The initial voters are some, not too many, and distinct.
-fn check_names(names: &[Name]) -> Result<(), LoadError> {
+/// Checks that there are 1 to [`MAX_VOTERS`] initial voters with distinct names.
+fn check_initial_voters(names: &[Name]) -> Result<(), LoadError> {
     let mut distinct = names.to_vec();
     distinct.sort();
     distinct.dedup();
--- a/crates/consensus/src/voter/membership_change.rs
+++ b/crates/consensus/src/voter/membership_change.rs
@@ -1,12 +1,14 @@
-//! Changes of who votes. One voter replaces another by three entries, each committed before the
-//! next is proposed: the new one learns, the new one votes, the old one is removed.
+//! Membership changes. One voter replaces another in three entries, each of which is committed
+//! before the next is proposed: the new voter becomes a learner, the learner becomes a voter, and
+//! the old voter is removed.
 //!
-//! One voter at a time, so that any two majorities share a member (Raft's dissertation, section
-//! 4.1). The new voter learns first (section 4.2.1): one with an empty log would count for the
-//! majority and confirm nothing, and a further failure would leave no quorum until it caught up.
-//! The old one leaves last, so a new one that fails on the way costs no vote. A leader does not
-//! remove itself: it hands leadership over, and the next leader removes it (section 4.2.2 has it
-//! step down after its removal, when nobody leads until an election).
+//! Voters are added and removed one at a time, so that any two majorities share a member (Raft's
+//! dissertation, section 4.1). The new voter is a learner first (section 4.2.1): a voter with an
+//! empty log would count for the majority and confirm nothing, and one more failure would leave no
+//! quorum until it has caught up. The old voter is removed last, so that a failure of the new voter
+//! during the change costs no vote. A leader does not remove itself: it transfers leadership, and
+//! the next leader removes it. In section 4.2.2 a leader steps down after its removal, which would
+//! leave the group without a leader until an election.
 
 use raft::prelude::{ConfChange, ConfChangeType};
 use tulipgap_leases::Name;
@@ -14,11 +16,10 @@
 use crate::peer_message::VoterId;
 use crate::replicated_state::{JoiningVoter, ReplicatedState, VoterChange};
 
-/// A learner may vote once its log has an entry and is at most this many entries behind the
-/// committed ones.
+/// The maximum number of committed entries that a learner's log may lack when it becomes a voter.
 const MAX_LEARNER_LAG_ENTRIES: u64 = 50;
 
-/// One step of a change, to be proposed.
+/// One step of a membership change, to be proposed.
 #[derive(Debug, PartialEq)]
 pub(super) struct ChangeStep {
     pub(super) kind: ConfChangeType,
@@ -28,7 +29,7 @@
 }
 
 impl ChangeStep {
-    /// Whether the step removes that voter.
+    /// Whether the step removes this voter.
     pub(super) fn removes(&self, id: VoterId) -> bool {
         self.kind == ConfChangeType::RemoveNode && self.id == id
     }
@@ -43,25 +44,26 @@
     }
 }
 
-/// How far a learner's log has come, by the leader's knowledge.
+/// The replication progress of a learner, as known to the leader.
 #[derive(Clone, Copy)]
 pub(super) struct LearnerProgress {
-    /// The last entry that is known to be in its log.
+    /// The index of the last entry that is known to match the leader's log.
     pub(super) matched_index: u64,
-    /// The last committed entry.
+    /// The index of the last committed entry.
     pub(super) committed_index: u64,
 }
 
 impl LearnerProgress {
-    /// Whether the learner may vote.
+    /// Whether the learner may vote. A learner with an empty log may not, however few entries are
+    /// committed.
     pub(super) fn has_caught_up(self) -> bool {
         self.matched_index > 0
             && self.matched_index + MAX_LEARNER_LAG_ENTRIES >= self.committed_index
     }
 }
 
-/// The first step by which `new`, whose directory has the id `new_id`, replaces the voter `old`.
-/// `None` where `old` does not vote or `new` does already.
+/// The first step of replacing the voter `old` with `new`, whose directory has the id `new_id`.
+/// `None` if `old` is not a voter or `new_id` already is one.
 pub(super) fn first_step(
     state: &ReplicatedState,
     old: &Name,
@@ -84,8 +86,8 @@
     })
 }
 
-/// The next step of a change that is under way. A replaced voter is removed before another learner
-/// votes. `has_caught_up` says of a learner whether it may vote.
+/// The next step of a membership change in progress. A replaced voter is removed before another
+/// learner becomes a voter. `has_caught_up` tells whether a learner may vote.
 pub(super) fn next_step(
     state: &ReplicatedState,
     has_caught_up: impl Fn(VoterId) -> bool,
@@ -113,7 +115,7 @@
     })
 }
 
-/// Applies a committed step that the consensus has accepted.
+/// Applies a committed step that the consensus has accepted to the replicated state.
 pub(super) fn apply_step(state: &mut ReplicatedState, conf_change: &ConfChange) {
     let id = VoterId(conf_change.node_id);
     let Ok(VoterChange { name, replaces }) = postcard::from_bytes(conf_change.get_context()) else {
--- a/crates/consensus/src/voter/peers.rs
+++ b/crates/consensus/src/voter/peers.rs
@@ -1,5 +1,5 @@
-//! The other voters as their handshakes describe them: which id belongs to which name, and who has
-//! replied since this voter was started.
+//! The other voters by their handshakes: the id of each name, and the voters that have replied
+//! since this voter was started.
 
 use std::collections::BTreeMap;
 
@@ -10,49 +10,49 @@
 use crate::peer_message::VoterId;
 use crate::replicated_state::ReplicatedState;
 
-/// Voters of which something is remembered, former and future ones included. Bounds the memory that
-/// handshakes of unknown senders can take.
-pub(super) const MAX_REMEMBERED_VOTERS: usize = 4 * MAX_VOTERS;
+/// The maximum number of voters, including former and future ones, whose ids or log positions are
+/// kept. It bounds the memory that messages from unknown senders can take.
+pub(super) const MAX_TRACKED_VOTERS: usize = 4 * MAX_VOTERS;
 
-/// What is known of the other voters.
+/// The other voters' ids and replies.
 #[derive(Default)]
 pub(super) struct Peers {
-    /// The id that each name last sent.
+    /// The latest id that each name has sent.
     ids: BTreeMap<Name, VoterId>,
-    /// Who has replied to a handshake since the start.
+    /// The voters that have replied to a handshake since the start.
     replied: Vec<Name>,
 }
 
 impl Peers {
-    /// Remembers the id that a name sent. Beyond [`MAX_REMEMBERED_VOTERS`] only the initial voters
-    /// and the sender are kept.
-    pub(super) fn remember(&mut self, name: &Name, id: VoterId, initial_voters: &[Name]) {
+    /// Stores the id that a name has sent. Beyond [`MAX_TRACKED_VOTERS`], only the initial
+    /// voters and the sender are kept.
+    pub(super) fn record_id(&mut self, name: &Name, id: VoterId, initial_voters: &[Name]) {
         self.ids.insert(name.clone(), id);
-        if self.ids.len() > MAX_REMEMBERED_VOTERS {
+        if self.ids.len() > MAX_TRACKED_VOTERS {
             self.ids
                 .retain(|known, _| initial_voters.contains(known) || known == name);
         }
     }
 
-    /// A voter has replied to a handshake.
+    /// Records that a voter has replied to a handshake.
     pub(super) fn record_reply(&mut self, from: &Name) {
         if !self.replied.contains(from) {
             self.replied.push(from.clone());
         }
     }
 
-    /// Who has replied to a handshake since the start.
+    /// The voters that have replied to a handshake since the start.
     pub(super) fn replied(&self) -> &[Name] {
         &self.replied
     }
 
-    /// The id that a name last sent.
+    /// The latest id that a name has sent.
     pub(super) fn id_of(&self, name: &Name) -> Option<VoterId> {
         self.ids.get(name).copied()
     }
 
-    /// The name of a voter: as agreed on, where it was; else as promised at the bootstrap; else as
-    /// its handshake said.
+    /// The name of a voter, from the first source that has it: the replicated state, the set that
+    /// this voter promised during bootstrap, the handshakes.
     pub(super) fn name_of(
         &self,
         id: VoterId,
@@ -76,7 +76,7 @@
         .map(|(name, _)| name)
 }
 
-/// The voters and the initial voters by name, this one left out.
+/// The names of the voters and of the configured initial voters, except this voter.
 pub(super) fn other_voters(
     state: &ReplicatedState,
     initial_voters: &[Name],
--- a/crates/consensus/src/voter/phase.rs
+++ b/crates/consensus/src/voter/phase.rs
@@ -1,11 +1,12 @@
-//! How far a voter takes part in the consensus.
+//! The phase of a voter's participation in the consensus.
 //!
-//! A restarted voter may not vote at once. Its directory may be an older copy, in which a vote or
-//! an entry that it confirmed is missing; voting again could elect a leader that lacks a committed
-//! entry, and a lease would be granted twice. So it first asks the others how far they have seen
-//! its log ([`super::rollback`]). It votes once all have replied, or after `election_ticks` ticks:
-//! a voter that is down must not keep the others from a quorum for ever. The price: a copy is not
-//! detected where none of those that saw more replies within that time.
+//! A restarted voter must not vote immediately. Its directory may be an older copy, in which a vote
+//! or an entry that the voter confirmed is missing; voting again could elect a leader that lacks a
+//! committed entry, and a lease would be granted twice. So the voter first asks the other voters
+//! how far they have observed its log ([`super::rollback`]). It votes after all have replied, or
+//! after `election_ticks` ticks, so that a voter that is down can't prevent a quorum indefinitely.
+//! The cost: an older copy stays undetected if no voter that has observed a later position replies
+//! within that time.
 
 use std::time::Duration;
 
@@ -13,24 +14,25 @@
 
 use crate::status::VoterPhase;
 
-/// How far a voter takes part; see [`VoterPhase`].
+/// The phase of a voter; see [`VoterPhase`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     Bootstrapping,
-    /// Restarted; votes with the first tick from that time on at the latest.
+    /// Restarted. The voter votes after all others have replied, or after the first tick at or
+    /// after `until`.
     Waiting {
-        /// On the host's clock, which must stand near zero when the voter is opened. With an older
-        /// clock there is no wait.
+        /// A time on the host's clock, which must be near zero when the voter is opened. If the
+        /// clock is already past `until`, there is no wait.
         until: Duration,
     },
     Voting,
     Outside,
-    /// Rolled back, or stopped since its state was invalid.
+    /// Stopped, since a rollback or an invalid state was detected.
     RolledBack,
 }
 
 impl Phase {
-    /// The phase after a handshake, where `replied` have replied to one since the start.
+    /// The phase after a handshake; `replied` are the voters that have replied since the start.
     pub(super) fn after_reply(self, others: &[Name], replied: &[Name]) -> Phase {
         let all_replied = || others.iter().all(|other| replied.contains(other));
         match self {
@@ -47,8 +49,8 @@
         }
     }
 
-    /// Whether messages of the consensus are handled.
-    pub(super) fn takes_part(self) -> bool {
+    /// Whether the voter handles Raft messages.
+    pub(super) fn accepts_raft_messages(self) -> bool {
         matches!(self, Phase::Voting | Phase::Outside)
     }
 }
--- a/crates/consensus/src/voter/proposals.rs
+++ b/crates/consensus/src/voter/proposals.rs
@@ -1,21 +1,22 @@
-//! Commands as entries of the log: proposed by the leader, and applied by all once committed.
+//! Commands as log entries, which the leader proposes and every voter applies once committed.
 
 use serde::{Deserialize, Serialize};
 use tulipgap_leases::{Command, LeaseStateMachine, Name, RequestId};
 
 use crate::event::Action;
 
-/// A command and whom to respond to. An entry of the log is a list of them, serialized by position.
+/// A command and the process to respond to. A log entry is a list of proposals, serialized by
+/// position.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Proposal {
-    /// Empty where the leader itself proposes.
+    /// The process that gets the response. Empty if the leader itself proposes the command.
     pub(super) from: Name,
     pub(super) request: RequestId,
     pub(super) command: Command,
 }
 
 impl Proposal {
-    /// The leader's own proposal that an owner's TTL is over.
+    /// A proposal of the leader itself to expire an owner whose TTL has ended.
     pub(super) fn expiration(command: Command) -> Self {
         Proposal {
             from: "".into(),
@@ -24,7 +25,7 @@
         }
     }
 
-    /// Rejects the proposal; `leader` is whom to ask instead, where that is known.
+    /// Rejects the proposal. `leader` is the voter to send it to instead, if known.
     pub(super) fn reject(self, leader: Option<Name>) -> Action {
         Action::RejectNotLeader {
             to: self.from,
@@ -34,18 +35,18 @@
     }
 }
 
-/// One entry of the log with all of these proposals.
+/// Encodes these proposals as one log entry.
 pub(super) fn encode_entry(proposals: &[Proposal]) -> Vec<u8> {
     postcard::to_stdvec(proposals).unwrap_or_default()
 }
 
-/// The proposals of an entry; `None` where it is not one of these.
+/// Decodes the proposals of a log entry; `None` if it can't be decoded.
 pub(super) fn decode_entry(data: &[u8]) -> Option<Vec<Proposal>> {
     postcard::from_bytes(data).ok()
 }
 
-/// Who is notified that a slot is free for it, after a command was applied: whoever would be
-/// granted one now. An owner that acquired a slot freed none for others.
+/// Notifications after a command was applied, to the queued owners that would now be granted a
+/// slot. None follow an `Acquire`, which frees no slot.
 pub(super) fn slot_notifications(
     leases: &LeaseStateMachine,
     applied: &Command,
--- a/crates/consensus/src/voter/raft_node.rs
+++ b/crates/consensus/src/voter/raft_node.rs
@@ -1,5 +1,5 @@
-//! The consensus algorithm: the crate `raft` with its parameters, its log, and the election
-//! timeouts drawn from the voter's seed.
+//! The consensus algorithm: a node of the crate `raft` with its parameters, its log, and election
+//! timeouts that are sampled from the voter's seed.
 
 use raft::prelude::{ConfChange, ConfChangeV2, ConfState, Message};
 use raft::{LightReady, ProgressState, RawNode, ReadOnlyOption, Ready, SnapshotStatus, StateRole};
@@ -11,27 +11,27 @@
 use crate::log_store::LogStore;
 use crate::peer_message::{LogPosition, VoterId};
 
-/// Entries that are proposed and not committed, in bytes, at most. Further proposals are rejected.
+/// The maximum size of proposed entries that are not committed. Further proposals are rejected.
 const MAX_UNCOMMITTED_BYTES: u64 = 1024 * 1024;
-/// Entries in one message to a follower, in bytes, at most.
+/// The maximum size of the entries in one message to a follower.
 const MAX_MESSAGE_BYTES: u64 = 256 * 1024;
-/// Messages with entries that are sent to one follower before it confirms the first.
+/// The maximum number of messages with entries that are in flight to one follower.
 const MAX_IN_FLIGHT_MESSAGES: usize = 64;
-/// Ticks between two heartbeats of a leader.
+/// The interval between two heartbeats of a leader.
 const HEARTBEAT_TICKS: usize = 1;
 
-/// How a node is started.
+/// The parameters to start a node with.
 pub(super) struct NodeConfig {
     pub(super) id: VoterId,
     /// See [`Config::election_ticks`](crate::Config::election_ticks).
     pub(super) election_ticks: u32,
-    /// The entry up to which the log is applied.
+    /// The index of the last applied entry.
     pub(super) applied_index: u64,
     /// Seed of the election timeouts.
     pub(super) seed: u64,
 }
 
-/// The node of one voter. It owns the log; the voter performs what it has ready.
+/// The Raft node of one voter. It owns the log; the voter processes its `Ready` states.
 pub(super) struct RaftNode {
     raw: RawNode<LogStore>,
     election_ticks: usize,
@@ -43,7 +43,7 @@
     /// Starts the consensus from a log.
     ///
     /// # Errors
-    /// [`LoadError::Consensus`] where the log is not accepted.
+    /// [`LoadError::Consensus`] if the crate `raft` does not accept the parameters or the log.
     pub(super) fn start(config: &NodeConfig, store: LogStore) -> Result<Self, LoadError> {
         let election_ticks = config.election_ticks as usize;
         let raft_config = raft::Config {
@@ -70,22 +70,24 @@
         Ok(node)
     }
 
-    /// Replaces the timeout that the consensus drew. Called after whatever may change term or role.
+    /// Replaces the election timeout that the crate `raft` sampled. Called after each operation
+    /// that may change the term or role.
     fn set_election_timeout(&mut self) {
         let (term, role) = (self.raw.raft.term, self.raw.raft.state);
         let ticks = self.election_timeout.ticks(term, role, self.election_ticks);
         self.raw.raft.set_randomized_election_timeout(ticks);
     }
 
-    /// One tick has passed.
+    /// Advances the node by one tick.
     pub(super) fn tick(&mut self) {
         self.raw.tick();
         self.resend_stalled_snapshots();
         self.set_election_timeout();
     }
 
-    /// Has the consensus send a snapshot again that its receiver has not confirmed in time: it
-    /// waits for that confirmation for ever, and the message may be lost.
+    /// Makes the consensus resend each snapshot that its receiver has not confirmed in time.
+    /// Without this, the consensus would wait for the confirmation indefinitely, even if the
+    /// message was lost.
     fn resend_stalled_snapshots(&mut self) {
         let progress = self.raw.raft.prs().iter();
         let receivers = progress
@@ -97,31 +99,31 @@
         }
     }
 
-    /// Handles another voter's message. One that is not accepted is out of date or from an unknown
-    /// sender.
+    /// Handles another voter's message. Errors are ignored: a message that the consensus does not
+    /// accept is out of date or from an unknown sender.
     pub(super) fn step(&mut self, message: Message) {
         let _ = self.raw.step(message);
         self.set_election_timeout();
     }
 
-    /// Proposes an entry. Returns whether it was accepted: it is not where this voter does not lead
-    /// or [`MAX_UNCOMMITTED_BYTES`] are reached.
+    /// Proposes an entry. Returns whether the consensus accepted it: it does not if this voter does
+    /// not lead or [`MAX_UNCOMMITTED_BYTES`] are reached.
     pub(super) fn propose(&mut self, data: Vec<u8>) -> bool {
         self.raw.propose(Vec::new(), data).is_ok()
     }
 
-    /// Proposes a step of a membership change. There is one at a time; what is not accepted is
-    /// proposed again at a later tick.
+    /// Proposes a step of a membership change. The consensus accepts one step at a time; the voter
+    /// proposes a rejected step again at a later tick.
     pub(super) fn propose_change(&mut self, step: &ChangeStep) {
         let _ = self.raw.propose_conf_change(Vec::new(), step.encode());
     }
 
-    /// Asks the quorum to confirm a read. `context` comes back with the confirmation.
+    /// Asks the quorum to confirm a read. The confirmation repeats `context`.
     pub(super) fn confirm_read(&mut self, context: Vec<u8>) {
         self.raw.read_index(context);
     }
 
-    /// Hands leadership over, where this voter leads and another is active.
+    /// Transfers leadership if this voter leads and another voter is active.
     pub(super) fn transfer_leadership(&mut self) {
         if !self.is_leader() || self.raw.raft.lead_transferee.is_some() {
             return;
@@ -140,8 +142,8 @@
         }
     }
 
-    /// Stops leading, where this voter does: it was removed, and the others elect one of theirs
-    /// (Raft's dissertation, section 4.2.2).
+    /// Steps down if this voter leads: it was removed, and the remaining voters elect another
+    /// leader (Raft's dissertation, section 4.2.2).
     pub(super) fn step_down(&mut self) {
         if self.is_leader() {
             let term = self.term();
@@ -165,12 +167,12 @@
         }
     }
 
-    /// Who leads; zero where that is not known.
+    /// The leader's id; zero if the leader is not known.
     pub(super) fn leader_id(&self) -> VoterId {
         VoterId(self.raw.raft.leader_id)
     }
 
-    /// The present term and the last entry of the log.
+    /// The current term and the last entry of the log.
     pub(super) fn position(&self) -> LogPosition {
         LogPosition {
             term: self.raw.raft.term,
@@ -178,7 +180,7 @@
         }
     }
 
-    /// The same with the term that was written.
+    /// The position of the log with the durable term instead of the current one.
     pub(super) fn durable_position(&self) -> LogPosition {
         LogPosition {
             term: self.raw.raft.store().term(),
@@ -186,7 +188,7 @@
         }
     }
 
-    /// How far a learner's log has come, as the leader knows it.
+    /// The replication progress of a learner, as known to the leader.
     pub(super) fn learner_progress(&self, learner: VoterId) -> LearnerProgress {
         let progress = self.raw.raft.prs().get(learner.0);
         LearnerProgress {
@@ -195,7 +197,7 @@
         }
     }
 
-    /// What is to be written, sent and applied next.
+    /// The next entries and messages to write, send and apply, if any.
     pub(super) fn next_ready(&mut self) -> Option<Ready> {
         self.raw.has_ready().then(|| self.raw.ready())
     }
@@ -204,7 +206,8 @@
         self.raw.mut_store()
     }
 
-    /// All of it is written and applied. Returns what has become ready by that.
+    /// Reports that `ready` is written and applied. Returns the messages and committed entries that
+    /// become ready as a result.
     pub(super) fn advance(&mut self, ready: Ready) -> LightReady {
         let light = self.raw.advance(ready);
         if let Some(commit) = light.commit_index() {
@@ -213,24 +216,25 @@
         light
     }
 
-    /// What [`advance`](Self::advance) returned is applied as well.
+    /// Reports that the entries returned by [`advance`](Self::advance) are applied.
     pub(super) fn finish_advance(&mut self) {
         self.raw.advance_apply();
         self.set_election_timeout();
     }
 
-    /// Applies a committed membership change. Returns whether it was accepted: one that would leave
-    /// no voter is not.
+    /// Applies a committed membership change. Returns whether the consensus accepted it: it rejects
+    /// a change that would leave no voter.
     pub(super) fn apply_change(&mut self, change: &ConfChange) -> bool {
         self.raw.apply_conf_change(change).is_ok()
     }
 
-    /// Applies a committed membership change of the second format. No voter proposes one.
+    /// Applies a committed membership change in Raft's `ConfChangeV2` format. No voter proposes
+    /// one.
     pub(super) fn apply_change_v2(&mut self, change: &ConfChangeV2) {
         let _ = self.raw.apply_conf_change(change);
     }
 
-    /// Who votes and who learns.
+    /// The voters and learners.
     pub(super) fn membership(&self) -> ConfState {
         self.raw.raft.prs().conf().to_conf_state()
     }
--- a/crates/consensus/src/voter/ready.rs
+++ b/crates/consensus/src/voter/ready.rs
@@ -1,6 +1,6 @@
-//! The ready loop: what the consensus wants is written first, then sent, then applied. A message
-//! may depend on what is written before it: a vote that was sent and is forgotten after a crash
-//! could be given twice.
+//! The ready loop: the voter first writes the state that the consensus has ready, then sends its
+//! messages, then applies its entries. A message may depend on a preceding write: if a voter sent a
+//! vote and lost it in a crash, it could vote twice in one term.
 
 use protobuf::Message as _;
 use raft::Ready;
@@ -24,7 +24,8 @@
 use crate::replicated_state::ReplicatedState;
 
 impl Voter {
-    /// Processes everything that the consensus has ready, and what follows from it.
+    /// Processes all `Ready` states of the consensus, then updates leadership, reads, snapshots and
+    /// the timer.
     pub(super) fn process_ready(&mut self, actions: &mut Vec<Action>) {
         while let Some(ready) = self.node.as_mut().and_then(|node| node.next_ready()) {
             if let Err(error) = self.process_one_ready(ready, actions) {
@@ -32,7 +33,7 @@
                 return report_invalid(InvalidData::State(error), actions);
             }
         }
-        self.follow_role(actions);
+        self.update_leadership(actions);
         self.respond_applied_reads(actions);
         self.take_snapshot_if_due(actions);
         self.set_timer(actions);
@@ -55,7 +56,7 @@
         Ok(())
     }
 
-    /// Stores a snapshot, the hard state and entries, and writes what must be durable.
+    /// Stores a snapshot, the hard state and entries, and emits the writes that must be durable.
     fn persist(&mut self, ready: &mut Ready, actions: &mut Vec<Action>) -> Result<(), LoadError> {
         let Some(node) = &mut self.node else {
             return Ok(());
@@ -73,7 +74,8 @@
             store.set_hard_state(hard_state.clone());
         }
         if needs_sync && !has_snapshot {
-            // A commit index alone is not worth a write: whoever reads the log finds it out again.
+            // A change of the commit index alone is not written, since a restarted voter learns the
+            // index again.
             let change = LogStore::encode_change(hard_state.as_ref(), &entries);
             actions.push(Action::AppendRecord(change));
         }
@@ -85,7 +87,7 @@
         appended
     }
 
-    /// Tells the consensus that all of it is done.
+    /// Reports to the consensus that `ready` is processed, and processes the rest that it returns.
     fn advance(&mut self, ready: Ready, actions: &mut Vec<Action>) {
         let Some(node) = &mut self.node else { return };
         let mut light = node.advance(ready);
@@ -112,7 +114,7 @@
         for entry in entries {
             self.applied_index = entry.index;
             match entry.get_entry_type() {
-                // A new leader commits an empty entry.
+                // A new leader appends an empty entry.
                 EntryType::EntryNormal if entry.data.is_empty() => {}
                 EntryType::EntryNormal => self.apply_proposals(&entry, actions),
                 EntryType::EntryConfChange => {
@@ -131,8 +133,7 @@
         }
     }
 
-    /// Applies a committed step of a membership change. What the consensus does not accept is not
-    /// applied here either.
+    /// Applies a committed step of a membership change, unless the consensus rejects it.
     fn apply_change(&mut self, change: &ConfChange) {
         let Some(node) = &mut self.node else { return };
         if !node.apply_change(change) {
@@ -180,8 +181,8 @@
         actions.extend(slot_notifications(&self.state.leases, &command));
     }
 
-    /// Begins or ends the expiry of leases.
-    fn follow_role(&mut self, actions: &mut Vec<Action>) {
+    /// Starts or stops the leader's expiry of leases when leadership changes.
+    fn update_leadership(&mut self, actions: &mut Vec<Action>) {
         let Some(node) = &self.node else { return };
         match self.leadership.update(node.role()) {
             Some(LeadershipChange::Began { term }) => {
@@ -212,8 +213,8 @@
         });
     }
 
-    /// Replaces the replicated state by the leader's. A voter that was outside votes where the
-    /// snapshot names it.
+    /// Replaces the replicated state with the leader's. A voter in the phase `Outside` changes to
+    /// `Voting` if the snapshot lists it as a voter or learner.
     fn restore_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), LoadError> {
         let state = ReplicatedState::decode(snapshot.get_data())?;
         self.applied_index = snapshot.get_metadata().index;
@@ -228,7 +229,7 @@
 
     fn take_snapshot_if_due(&mut self, actions: &mut Vec<Action>) {
         let Some(node) = &mut self.node else { return };
-        let is_needed = node.store_mut().take_snapshot_need();
+        let is_needed = node.store_mut().take_snapshot_request();
         if !is_needed && !self.snapshots.is_due(self.applied_index) {
             return;
         }
@@ -243,7 +244,7 @@
         actions.push(Action::WriteSnapshot(store.encode()));
     }
 
-    /// Asks for a timer where something is due before the one that was asked for.
+    /// Requests a timer if the next tick or expiry check is due before the requested one.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
         if self.phase == Phase::RolledBack {
             return;
--- a/crates/consensus/src/voter/tests.rs
+++ b/crates/consensus/src/voter/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the rules of a voter, each at its thresholds, and of the whole voter over messages and
+//! Tests of the components of a voter, each at its limits, and of complete voters over messages and
 //! logs in memory.
 
 mod golden_transcripts;
--- a/crates/consensus/src/voter/tests/golden_transcripts.rs
+++ b/crates/consensus/src/voter/tests/golden_transcripts.rs
@@ -1,11 +1,12 @@
-//! A change of the voter's shape must not change what it does: for the same events every voter
-//! returns the same actions in the same order, to the last byte of what it writes and sends.
+//! Guards against refactorings that change a voter's behaviour: for the same events a voter must
+//! return the same actions in the same order, including every byte that it writes and sends.
 //!
-//! Each transcript is a run of three to five voters and two that may replace one of them. Messages
-//! are lost, delayed, repeated and held up by partitions; voters restart from what they wrote, from
-//! an older copy of it or from an empty directory; clients send commands of every kind and reads;
-//! operators transfer leadership and replace voters. All of it is drawn from the seed. The checksum
-//! of all actions is compared with the one of the code as it was when the test was written.
+//! Each transcript is a run of three to five voters and two spare ones that may replace a voter.
+//! Messages are lost, delayed, duplicated and blocked by partitions; voters restart from their
+//! directory, from an older copy of it or from an empty one; clients send commands of every kind
+//! and reads; operators transfer leadership and replace voters. All of this is sampled from the
+//! seed. The test compares the checksum of all actions with the one recorded when the test was
+//! written.
 
 #[path = "../../../../../tests/golden_transcripts/recorded_words.rs"]
 mod recorded_words;
@@ -28,21 +29,22 @@
 use crate::peer_message::{PeerMessage, VoterId};
 use crate::voter::Voter;
 
-/// The checksum of all actions for each seed, beginning with seed 1. Those of the seeds that
-/// replace a voter have moved since, with each mended fault of a replacement.
+/// The checksum of all actions for each seed, beginning with seed 1. Each bug fix of the
+/// replacement of voters has changed the checksums of the seeds that replace a voter.
 const TRANSCRIPTS: [u32; 10] = [
     2584850951, 1270609559, 1894439245, 4149774525, 2928454027, 2803591511, 2477492090, 1620789987,
     255726360, 1150758592,
 ];
-/// Words of the library renamed since the checksums were recorded: each present word, and the
-/// recorded word that takes its place in a transcript.
+/// Words of the library that were renamed since the checksums were recorded: each present word, and
+/// the recorded word that replaces it in a transcript.
 const RENAMED_WORDS: &[(&str, &str)] = &[];
 const DURATION: Duration = Duration::from_secs(60);
-/// Stands among the kinds of actions where a voter panicked: no kind of them, so the test fails.
+/// Recorded as the kind of an action when a voter panics. [`ALL_KINDS`] does not contain it, so the
+/// test fails.
 const PANIC: &str = "panic";
 const SPARE_VOTERS: [&str; 2] = ["x", "y"];
 
-/// What a voter's directory holds.
+/// The content of a voter's directory.
 #[derive(Clone, Default)]
 struct Directory {
     identity: Option<Identity>,
@@ -55,7 +57,7 @@
     directory: Directory,
     backup: Directory,
     generation: u64,
-    /// Processes of another group are not reached.
+    /// The side of a partition. Messages between processes of different groups are lost.
     group: u32,
 }
 
@@ -73,7 +75,7 @@
     initial_voters: Vec<Name>,
     names: Vec<Name>,
     processes: BTreeMap<Name, Process>,
-    /// By time and number.
+    /// The scheduled inputs, by time and sequence number.
     inputs: BTreeMap<(Duration, u64), (Name, Input)>,
     last_input: u64,
     last_request: u64,
@@ -320,26 +322,27 @@
         };
         for _ in 0..copies {
             let slow = self.random.u32(0..50) == 0;
-            let most = if slow { 400_000 } else { 12_000 };
-            let delay = Duration::from_micros(self.random.u64(200..most));
+            let max_us = if slow { 400_000 } else { 12_000 };
+            let delay = Duration::from_micros(self.random.u64(200..max_us));
             let (from, message) = (from.clone(), message.clone());
             self.schedule(delay, to, Input::Message { from, message });
         }
     }
 
-    fn any_name(&mut self) -> Name {
+    fn sample_name(&mut self) -> Name {
         let at = self.random.usize(0..self.names.len());
         self.names[at].clone()
     }
 
-    /// Whoever leads, mostly, where somebody does.
+    /// The voter to send a client's request to: the leader in nine of ten cases, if there is one,
+    /// otherwise any voter.
     fn target(&mut self) -> Name {
         let leads = |process: &Process| process.voter.as_ref().is_some_and(Voter::is_leader);
         let leader = self.processes.iter().find(|(_, process)| leads(process));
         let leader = leader.map(|(name, _)| name.clone());
         match leader {
             Some(leader) if self.random.u32(0..10) > 0 => leader,
-            _ => self.any_name(),
+            _ => self.sample_name(),
         }
     }
 
@@ -365,11 +368,11 @@
             }
             900..915 => self.handle_events(&target, vec![Event::TransferLeadership]),
             915..935 => {
-                let (old, new) = (self.any_name(), self.any_name());
+                let (old, new) = (self.sample_name(), self.sample_name());
                 self.handle_events(&target, vec![Event::ReplaceVoter { old, new }]);
             }
             935..950 => {
-                let from = self.any_name();
+                let from = self.sample_name();
                 let bytes = (0..9).map(|_| self.random.u8(..)).collect();
                 let message = PeerMessage::Raft(bytes);
                 self.handle_events(&target, vec![Event::PeerMessage { from, message }]);
@@ -377,7 +380,7 @@
             950..970 => self.partition(),
             970..985 => self.restart(),
             _ => {
-                let name = self.any_name();
+                let name = self.sample_name();
                 let process = self.processes.get_mut(&name).unwrap();
                 process.backup = process.directory.clone();
             }
@@ -393,7 +396,7 @@
     }
 
     fn restart(&mut self) {
-        let name = self.any_name();
+        let name = self.sample_name();
         let directory = self.random.u32(0..20);
         let delay = Duration::from_millis(self.random.u64(10..3000));
         let process = self.processes.get_mut(&name).unwrap();
@@ -470,17 +473,17 @@
 }
 
 #[test]
-fn voters_return_the_same_actions_as_before() {
+fn voters_return_the_recorded_actions() {
     let (mut transcripts, mut kinds) = (Vec::new(), BTreeSet::new());
     for seed in 1..=TRANSCRIPTS.len() as u64 {
-        let (transcript, seen) = Run::new(seed).run();
+        let (transcript, run_kinds) = Run::new(seed).run();
         transcripts.push(transcript);
-        kinds.extend(seen);
+        kinds.extend(run_kinds);
     }
     assert_eq!(
         kinds,
         BTreeSet::from(ALL_KINDS),
-        "each kind of action occurs"
+        "not every kind of action occurred"
     );
     assert_eq!(transcripts, TRANSCRIPTS);
 }
--- a/crates/consensus/src/voter/tests/membership_change.rs
+++ b/crates/consensus/src/voter/tests/membership_change.rs
@@ -26,15 +26,15 @@
 fn only_a_voter_is_replaced_and_only_by_one_that_does_not_vote() {
     let state = three_voters();
     assert!(replace(&state, "b", "d", NEW));
-    // Its directory was emptied, so it has the same name and another id.
+    // A voter whose directory was emptied has the same name and another id.
     assert!(replace(&state, "b", "b", NEW));
     assert!(!replace(&state, "d", "b", NEW));
     assert!(!replace(&state, "b", "b", OLD));
     assert!(!replace(&state, "b", "c", VoterId(3)));
 }
 
-/// A voter with an empty log that voted at once would count for the majority, and a further failure
-/// would leave no quorum until it has caught up.
+/// If a voter with an empty log voted immediately, it would count for the majority, and one more
+/// failure would leave no quorum until it has caught up.
 #[test]
 fn a_learner_votes_once_its_log_is_near_the_committed_entries() {
     let learner = |matched_index| LearnerProgress {
@@ -44,14 +44,14 @@
     assert!(!learner(0).has_caught_up());
     assert!(!learner(949).has_caught_up());
     assert!(learner(950).has_caught_up());
-    // However few entries are committed, an empty log has not caught up: a newcomer that never gets
-    // one would count for the majority.
-    let in_a_young_cluster = |matched_index| LearnerProgress {
+    // A learner with an empty log has not caught up, even if few entries are committed: a learner
+    // that receives no entries would count for the majority.
+    let in_a_new_cluster = |matched_index| LearnerProgress {
         matched_index,
         committed_index: 50,
     };
-    assert!(!in_a_young_cluster(0).has_caught_up());
-    assert!(in_a_young_cluster(1).has_caught_up());
+    assert!(!in_a_new_cluster(0).has_caught_up());
+    assert!(in_a_new_cluster(1).has_caught_up());
 }
 
 #[test]
@@ -70,7 +70,7 @@
 
     let third = next_step(&state, |_| true).unwrap();
     assert_eq!((third.kind, third.id), (ConfChangeType::RemoveNode, OLD));
-    // A step that is committed twice changes nothing the second time.
+    // A step that is committed twice has no effect the second time.
     apply_step(&mut state, &second.encode());
     assert_eq!(state.leaving, [OLD]);
     apply_step(&mut state, &third.encode());
--- a/crates/consensus/src/voter/tests/reads_and_snapshots.rs
+++ b/crates/consensus/src/voter/tests/reads_and_snapshots.rs
@@ -1,4 +1,5 @@
-//! When reads are answered, who is notified of a free slot, and when a snapshot is taken.
+//! Tests of linearizable reads, of notifications about free slots, and of taking and resending
+//! snapshots.
 
 use std::time::Duration;
 
@@ -43,8 +44,8 @@
     }
 }
 
-/// The entry that ends a lease may be committed before the read comes and not be applied yet when
-/// the quorum confirms it; a read answered then would still show the former owner.
+/// An entry that ends a lease may be committed before the read arrives but not applied when the
+/// quorum confirms the read. An answer at that time would still show the former owner.
 #[test]
 fn a_confirmed_read_waits_until_its_entry_is_applied() {
     let mut reads = LinearizableReads::default();
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn a_voter_that_leads_no_more_answers_no_pending_read() {
+fn a_former_leader_answers_no_pending_read() {
     let mut reads = LinearizableReads::default();
     reads.add_confirmed(vec![confirmed(1, 10)]);
     reads.clear();
@@ -106,7 +107,7 @@
         })
         .collect();
     assert_eq!(notified, ["m2".into()]);
-    // Whoever requests it gets the answer itself.
+    // An owner that acquires a slot gets a response, so no owner is notified.
     let command = acquire("x", "m3");
     leases.apply(&command);
     assert_eq!(slot_notifications(&leases, &command).count(), 0);
@@ -122,14 +123,15 @@
     assert!(schedule.is_due(240));
 }
 
-/// Guards against a lost snapshot, which its sender would wait for without end.
+/// Guards against a leader that waits indefinitely for the confirmation of a lost snapshot.
 #[test]
 fn a_snapshot_is_sent_again_once_it_is_unconfirmed_for_the_timeout() {
     let mut transfers = SnapshotTransfers::default();
     assert_eq!(transfers.tick(vec![7], 3), []);
     assert_eq!(transfers.tick(vec![7, 8], 3), []);
     assert_eq!(transfers.tick(vec![7, 8], 3), [7]);
-    // It counts anew from there, and one that was confirmed meanwhile is forgotten.
+    // The resend restarts the count for 7. The snapshot to 8 was confirmed, so its count is
+    // dropped.
     assert_eq!(transfers.tick(vec![7], 3), []);
     assert_eq!(transfers.tick(vec![7, 8], 3), []);
     assert_eq!(transfers.tick(vec![7, 8], 3), [7]);
--- a/crates/consensus/src/voter/tests/restart.rs
+++ b/crates/consensus/src/voter/tests/restart.rs
@@ -1,4 +1,4 @@
-//! What a voter may do after it was started from a directory that may be an older copy.
+//! Tests of a voter after a restart, when its directory may be an older copy.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,11 +28,11 @@
     message
 }
 
-/// A voter grants its vote, its directory is restored from a backup of before, and it would grant
-/// the vote of the same term again: two leaders in one term. The log of the backup may end at the
-/// same entry, so the term alone must show it.
+/// Guards against two leaders in one term: a voter votes, its directory is restored from an earlier
+/// backup, and it votes again in the same term. The log of the backup may end at the same entry, so
+/// a higher observed term alone must reveal the rollback.
 #[test]
-fn a_log_that_others_saw_in_a_later_term_or_further_is_rolled_back() {
+fn a_log_with_a_later_observed_term_or_index_is_rolled_back() {
     let at = |term, index| LogPosition { term, index };
     assert!(!is_rolled_back(OWN, at(4, 20)));
     assert!(!is_rolled_back(OWN, at(3, 19)));
@@ -40,15 +40,16 @@
     assert!(is_rolled_back(OWN, at(4, 21)));
 }
 
-/// A leader counts an entry as committed that this voter confirmed. The copy of the directory has
-/// it no more, and the consensus panics on a commit index beyond its log.
+/// Guards against a panic: the consensus panics on a commit index beyond its log. The leader has
+/// committed an entry that this voter confirmed, and the older copy of the voter's directory does
+/// not contain the entry.
 #[test]
 fn a_message_that_names_an_entry_beyond_the_log_contradicts_it() {
     let heartbeat = |term, commit| message(MessageType::MsgHeartbeat, term, commit);
     assert_eq!(contradicting_position(&heartbeat(4, 20), OWN), None);
     let beyond = LogPosition { term: 4, index: 21 };
     assert_eq!(contradicting_position(&heartbeat(4, 21), OWN), Some(beyond));
-    // A former leader's knowledge is out of date: later leaders may have replaced entries.
+    // A message from an earlier term is out of date: later leaders may have replaced the entries.
     assert_eq!(contradicting_position(&heartbeat(3, 21), OWN), None);
     let mut rejected = message(MessageType::MsgAppendResponse, 4, 21);
     assert!(contradicting_position(&rejected, OWN).is_some());
@@ -58,8 +59,8 @@
     assert_eq!(contradicting_position(&append, OWN), None);
 }
 
-/// A pre-vote names the term that its sender would campaign in. Were it taken for one that the
-/// sender reached, a healthy voter would seem rolled back at its next restart.
+/// A pre-vote carries the term in which its sender would campaign. If other voters recorded it as
+/// reached by the sender, a healthy voter would be taken for rolled back at its next restart.
 #[test]
 fn a_pre_vote_is_not_observed_as_a_term() {
     let mut logs = ObservedLogs::default();
@@ -85,7 +86,11 @@
     assert_eq!(logs.position(VoterId(bound)).term, 4);
     observe(&mut logs, bound + 1);
     assert_eq!(logs.position(VoterId(bound)).term, 0);
-    assert_eq!(logs.position(VoterId(1)).term, 4, "it votes");
+    assert_eq!(
+        logs.position(VoterId(1)).term,
+        4,
+        "the log of a voter is kept"
+    );
 }
 
 #[test]
@@ -94,19 +99,19 @@
     let initial_voters = [Name::from("m1")];
     let bound = 4 * MAX_VOTERS as u64;
     for id in 1..=bound {
-        peers.remember(&format!("m{id}").into(), VoterId(id), &initial_voters);
+        peers.record_id(&format!("m{id}").into(), VoterId(id), &initial_voters);
     }
     assert_eq!(peers.id_of(&"m2".into()), Some(VoterId(2)));
-    peers.remember(&"late".into(), VoterId(99), &initial_voters);
+    peers.record_id(&"late".into(), VoterId(99), &initial_voters);
     assert_eq!(peers.id_of(&"m2".into()), None);
     assert_eq!(peers.id_of(&"m1".into()), Some(VoterId(1)));
     assert_eq!(peers.id_of(&"late".into()), Some(VoterId(99)));
 }
 
 #[test]
-fn what_was_agreed_on_names_a_voter_before_its_handshake_does() {
+fn a_voters_name_comes_from_the_state_then_the_promise_then_the_handshake() {
     let mut peers = Peers::default();
-    peers.remember(&"sent".into(), VoterId(3), &[]);
+    peers.record_id(&"sent".into(), VoterId(3), &[]);
     let mut identity = Identity::new("own".into(), VoterId(1));
     let mut state = ReplicatedState::default();
     let name = |state: &ReplicatedState, own: &Identity| peers.name_of(VoterId(3), state, own);
--- a/crates/consensus/src/voter/tests/timing.rs
+++ b/crates/consensus/src/voter/tests/timing.rs
@@ -1,4 +1,4 @@
-//! When a voter ticks, campaigns, acts as the leader and hands leadership over.
+//! Tests of ticks, election timeouts, the start and end of leadership, and leadership transfers.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 
 const TICK: Duration = Duration::from_millis(100);
 
-/// A voter that was stopped for five seconds must not count fifty ticks at once: it would campaign
-/// while the leader's heartbeats wait in its socket, and the leader would step down.
+/// A voter that was paused for five seconds must not count fifty ticks at once: it would campaign
+/// while the leader's heartbeats are queued in its socket, and the leader would step down.
 #[test]
 fn a_late_timer_causes_one_tick() {
     let mut timer = TickTimer::new(TICK);
@@ -33,35 +33,35 @@
         timer.request(Duration::ZERO, Some(TICK / 2)),
         Some(TICK / 2)
     );
-    // The earlier one has elapsed, so the tick's is asked for again.
+    // The earlier timer has elapsed, so the timer for the tick is requested again.
     assert!(!timer.elapsed(TICK / 2));
     assert_eq!(timer.request(TICK / 2, None), Some(TICK));
-    // What is overdue is asked for at once.
+    // An overdue tick is requested for the current time.
     let mut timer = TickTimer::new(TICK);
     assert_eq!(timer.request(5 * TICK, None), Some(5 * TICK));
 }
 
 #[test]
-fn an_election_timeout_is_drawn_anew_with_each_term_and_role() {
+fn an_election_timeout_is_sampled_for_each_term_and_role() {
     let mut timeout = ElectionTimeout::new(1);
-    let mut drawn: Vec<usize> = (1..200)
+    let mut sampled: Vec<usize> = (1..200)
         .map(|term| timeout.ticks(term, StateRole::Follower, 10))
         .collect();
     let last = timeout.ticks(199, StateRole::Follower, 10);
     assert_eq!(
         Some(&last),
-        drawn.last(),
-        "drawn once for one term and role"
+        sampled.last(),
+        "the timeout changed within one term and role"
     );
-    drawn.sort_unstable();
-    drawn.dedup();
-    assert_eq!(drawn, (10..20).collect::<Vec<_>>());
+    sampled.sort_unstable();
+    sampled.dedup();
+    assert_eq!(sampled, (10..20).collect::<Vec<_>>());
 }
 
-/// A new leader that expired leases from its election on would do so from a state in which
-/// committed renewals are not applied yet.
+/// If a new leader expired leases from its election on, it would use a state in which committed
+/// renewals are not applied yet.
 #[test]
-fn a_leader_acts_once_an_entry_of_its_own_term_is_applied() {
+fn leadership_begins_once_an_entry_of_the_current_term_is_applied() {
     let mut leadership = Leadership::default();
     let role = |term, is_leader, has_applied_own_term| Role {
         term,
@@ -72,7 +72,7 @@
     let began = Some(LeadershipChange::Began { term: 2 });
     assert_eq!(leadership.update(role(2, true, true)), began);
     assert_eq!(leadership.update(role(2, true, true)), None);
-    // It was deposed and elected again between two looks.
+    // The voter was deposed and elected again between two updates.
     let began = Some(LeadershipChange::Began { term: 5 });
     assert_eq!(leadership.update(role(5, true, true)), began);
     let ended = Some(LeadershipChange::Ended);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn leadership_goes_to_the_active_follower_whose_log_is_furthest() {
+fn leadership_is_transferred_to_the_active_follower_with_the_highest_matched_index() {
     let follower = |id, matched_index, is_active| FollowerProgress {
         id,
         matched_index,
--- a/crates/consensus/src/voter/tick_timer.rs
+++ b/crates/consensus/src/voter/tick_timer.rs
@@ -1,21 +1,21 @@
-//! When a voter ticks, and which timer it asks its host for.
+//! Schedules a voter's ticks and the timer that it requests from its host.
 //!
-//! A timer causes one tick at most, however late it elapses. A process that was paused would
-//! otherwise count all the ticks it missed at once and conclude that the leader sent no heartbeat,
-//! although heartbeats wait in its socket; it would campaign and depose a healthy leader.
+//! A timer causes at most one tick, however late it elapses. Otherwise a process that was paused
+//! would count all missed ticks at once and conclude that the leader sent no heartbeat, although
+//! heartbeats are queued in its socket; it would campaign and depose a healthy leader.
 
 use std::time::Duration;
 
-/// The times of ticks, and the timer that the host was asked for.
+/// The time of the next tick and the requested timer.
 pub(super) struct TickTimer {
     interval: Duration,
     next_tick_at: Duration,
-    /// The timer that the host was last asked for and that has not elapsed yet.
+    /// The timer that was last requested from the host, until it elapses.
     requested_at: Option<Duration>,
 }
 
 impl TickTimer {
-    /// The first tick is due at once.
+    /// Creates a timer whose first tick is due immediately.
     pub(super) fn new(interval: Duration) -> Self {
         TickTimer {
             interval,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A timer has elapsed. Returns whether a tick is due.
+    /// Handles an elapsed timer. Returns whether a tick is due.
     pub(super) fn elapsed(&mut self, now: Duration) -> bool {
         self.requested_at = self.requested_at.filter(|&at| at > now);
         let is_due = now >= self.next_tick_at;
@@ -34,8 +34,8 @@
         is_due
     }
 
-    /// The timer to ask for: the next tick or the next check of expiries, whichever is sooner.
-    /// `None` where the one asked for before is no later.
+    /// Returns the timer to request: the next tick or the next expiry check, whichever is earlier.
+    /// Returns `None` if the timer that was requested before is not later.
     pub(super) fn request(
         &mut self,
         now: Duration,
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A group of voters over disks in memory, for the tests of whole groups.
+//! A group of voters with disks in memory, for tests of complete groups.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -13,32 +13,32 @@
 pub(crate) type Files = BTreeMap<String, Vec<u8>>;
 
 const TICK: Duration = Duration::from_millis(100);
-/// Ticks within which what a test waits for has to come: a minute.
+/// The time limit for a condition that a test waits for, in ticks: one minute.
 pub(crate) const MAX_TICKS: usize = 600;
 /// The configured initial voters.
 pub(crate) const BOOTSTRAP_VOTERS: [&str; 3] = ["a", "b", "c"];
 
 fn config() -> Config {
-    // More than the 200 entries that stay behind a snapshot, so that older ones are removed from
-    // the log.
+    // More than the 200 entries that stay in the log after a snapshot, so that each snapshot
+    // removes entries from the log.
     Config {
         snapshot_interval_entries: 250,
         ..Config::default()
     }
 }
 
-/// What becomes of a message on its way.
+/// How the group delivers a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum MessageFate {
-    Delivered,
+pub(crate) enum Delivery {
+    Immediate,
     Lost,
-    /// Delivered at once, and once more after so many ticks.
-    Doubled(usize),
-    /// Delivered after so many ticks.
-    Late(usize),
+    /// Delivered immediately, and again after this number of ticks.
+    Duplicated(usize),
+    /// Delivered after this number of ticks.
+    Delayed(usize),
 }
 
-/// A message that is under way.
+/// A message that is delivered later.
 struct DelayedMessage {
     ticks_left: usize,
     to: Name,
@@ -54,17 +54,17 @@
     message.get_msg_type() == MessageType::MsgSnapshot
 }
 
-/// Voters over disks in memory, with messages that arrive at once and in order, unless their fate
-/// is another one.
+/// Voters with disks in memory. Messages arrive immediately and in order, unless `choose_delivery`
+/// chooses another delivery.
 pub(crate) struct Group {
-    /// The fate of each message that a voter sends.
-    pub(crate) fate: Box<dyn FnMut(&PeerMessage) -> MessageFate>,
+    /// Chooses the delivery of each message that a voter sends.
+    pub(crate) choose_delivery: Box<dyn FnMut(&PeerMessage) -> Delivery>,
     delayed: Vec<DelayedMessage>,
     pub(crate) voters_by_name: BTreeMap<Name, DurableVoter<FaultyDisk>>,
     pub(crate) disks: BTreeMap<Name, FaultyDisk>,
     now: Duration,
     next_request: RequestId,
-    /// Folders as they were on the way, by the name of their fixture.
+    /// Copies of folders, by the name of their fixture.
     pub(crate) captured: BTreeMap<&'static str, Files>,
 }
 
@@ -78,7 +78,7 @@
             disks.insert(name, disk);
         }
         Group {
-            fate: Box::new(|_| MessageFate::Delivered),
+            choose_delivery: Box::new(|_| Delivery::Immediate),
             delayed: Vec::new(),
             voters_by_name,
             disks,
@@ -99,19 +99,21 @@
             self.capture();
             for action in actions {
                 if let Action::Send { to: next, message } = action {
-                    let fate = (self.fate)(&message);
+                    let delivery = (self.choose_delivery)(&message);
                     let event = Event::PeerMessage {
                         from: to.clone(),
                         message,
                     };
-                    if let MessageFate::Late(ticks_left) | MessageFate::Doubled(ticks_left) = fate {
+                    if let Delivery::Delayed(ticks_left) | Delivery::Duplicated(ticks_left) =
+                        delivery
+                    {
                         self.delayed.push(DelayedMessage {
                             ticks_left,
                             to: next.clone(),
                             event: event.clone(),
                         });
                     }
-                    if let MessageFate::Delivered | MessageFate::Doubled(_) = fate {
+                    if let Delivery::Immediate | Delivery::Duplicated(_) = delivery {
                         queue.push_back((next, event));
                     }
                 }
@@ -151,14 +153,14 @@
         }
     }
 
-    pub(crate) fn tick_until(&mut self, what: &str, mut reached: impl FnMut(&Self) -> bool) {
+    pub(crate) fn tick_until(&mut self, condition: &str, mut reached: impl FnMut(&Self) -> bool) {
         for _ in 0..MAX_TICKS {
             if reached(self) {
                 return;
             }
             self.tick();
         }
-        panic!("not reached within a minute: {what}");
+        panic!("not reached within a minute: {condition}");
     }
 
     pub(crate) fn leader(&self) -> Option<Name> {
@@ -168,7 +170,7 @@
             .map(|(name, _)| name.clone())
     }
 
-    /// Proposes a command to one voter, whether it leads or not.
+    /// Proposes a command to a voter, which need not be the leader.
     pub(crate) fn propose_to(&mut self, voter: &Name, command: Command) {
         self.next_request.0 += 1;
         let (from, request) = ("client".into(), self.next_request);
@@ -182,19 +184,19 @@
         );
     }
 
-    /// Adds a voter with an empty folder that is not configured, and waits until it has met the
-    /// others.
-    pub(crate) fn add_newcomer(&mut self, name: &Name, seed: u64) {
+    /// Adds a voter with an empty folder that is not one of the configured voters, and waits until
+    /// it has learned of the bootstrapped group.
+    pub(crate) fn add_new_voter(&mut self, name: &Name, seed: u64) {
         self.disks.insert(name.clone(), FaultyDisk::default());
-        let newcomer = open_voter(name, &self.disks[name], seed);
-        self.voters_by_name.insert(name.clone(), newcomer);
+        let new_voter = open_voter(name, &self.disks[name], seed);
+        self.voters_by_name.insert(name.clone(), new_voter);
         let is_outside = |group: &Group| {
             group.voters_by_name[name].voter().status().phase == VoterPhase::Outside
         };
-        self.tick_until("the newcomer has met the voters", is_outside);
+        self.tick_until("the new voter has learned of the group", is_outside);
     }
 
-    /// The voters as one of them knows them.
+    /// The names of the voters in the replicated state of the voter `of`.
     pub(crate) fn voter_names(&self, of: &str) -> Vec<Name> {
         self.voters_by_name[of]
             .voter()
@@ -205,7 +207,7 @@
     }
 }
 
-/// Opens a voter on its disk.
+/// Opens a voter from its disk.
 pub(crate) fn open_voter(name: &Name, disk: &FaultyDisk, seed: u64) -> DurableVoter<FaultyDisk> {
     DurableVoter::open(
         config(),
@@ -224,11 +226,11 @@
     }
 }
 
-/// A request for a lease that waits for a slot.
-pub(crate) fn acquire(lease: &str, who: &str, ttl: Duration, capacity: u32) -> Command {
+/// A command to acquire a lease that queues the owner if no slot is free.
+pub(crate) fn acquire(lease: &str, owner_name: &str, ttl: Duration, capacity: u32) -> Command {
     Command::Acquire {
         lease: lease.into(),
-        owner: owner(who),
+        owner: owner(owner_name),
         ttl,
         capacity,
         wait: true,
--- a/crates/consensus/tests/senseless_messages.rs
+++ b/crates/consensus/tests/invalid_messages.rs
@@ -1,7 +1,7 @@
-//! Messages to a voter that are valid on the wire and make no sense: whoever has the cluster's key
-//! can send them. Whatever they say, a voter does not panic.
+//! Messages that are well-formed on the wire but have invalid or contradictory contents. Any holder
+//! of the cluster key can send them. A voter must not panic on any of them.
 
-// Other tests use what this one does not.
+// This test uses only a part of the module.
 #[allow(dead_code)]
 mod common;
 
@@ -15,15 +15,16 @@
 use tulipgap_consensus::{BootstrapStage, Event, LogPosition, PeerMessage, VoterId};
 use tulipgap_leases::Name;
 
-/// Long after the group has a leader.
+/// A time long after the group has elected a leader.
 const NOW: Duration = Duration::from_secs(3600);
 const NUMBERS: [u64; 6] = [0, 1, 2, 5, u64::MAX - 1, u64::MAX];
 
-struct Sender {
+/// Samples invalid messages.
+struct MessageGenerator {
     rng: fastrand::Rng,
 }
 
-impl Sender {
+impl MessageGenerator {
     fn number(&mut self) -> u64 {
         match self.rng.bool() {
             true => self.rng.u64(..12),
@@ -40,7 +41,7 @@
         self.rng.choice(["a", "b", "c", "d", ""]).unwrap().into()
     }
 
-    /// A voter's id, at times one that is in use.
+    /// The id of a voter in three of four cases, otherwise any number.
     fn id(&mut self, group: &Group) -> u64 {
         let voters = group.voters_by_name["a"].voter().status().voters;
         let known: Vec<u64> = voters.keys().map(|id| id.0).collect();
@@ -112,28 +113,28 @@
     }
 }
 
-/// What became of a voter that got such messages.
+/// The outcomes of the messages.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// It goes on.
-    unharmed: u32,
-    /// Its consensus algorithm stopped with an error that the host handles.
+    /// Messages that the voter handled without an error.
+    handled: u32,
+    /// Runs in which the voter stopped with an error that its host handles.
     stopped: u32,
-    /// It panicked, with the message that it got.
+    /// The messages on which a voter panicked.
     panicked: Vec<String>,
 }
 
-fn receive_senseless_messages(seeds: std::ops::Range<u64>, messages: u32) -> Outcome {
+fn receive_invalid_messages(seeds: std::ops::Range<u64>, messages: u32) -> Outcome {
     let mut outcome = Outcome::default();
     for seed in seeds {
         let folders = BOOTSTRAP_VOTERS.map(|name| (name.into(), BTreeMap::new()));
         let mut group = Group::new(BTreeMap::from(folders));
         group.tick_until("a leader", |group| group.leader().is_some());
         let rng = fastrand::Rng::with_seed(seed);
-        let mut sender = Sender { rng };
+        let mut generator = MessageGenerator { rng };
         for _ in 0..messages {
-            let message = sender.peer_message(&group);
-            let (from, to) = (sender.name(), sender.name());
+            let message = generator.peer_message(&group);
+            let (from, to) = (generator.name(), generator.name());
             let Some(voter) = group.voters_by_name.get_mut(&to) else {
                 continue;
             };
@@ -143,7 +144,7 @@
             };
             let handle = || voter.handle_events(NOW, vec![event]).1;
             match catch_unwind(AssertUnwindSafe(handle)) {
-                Ok(Ok(())) => outcome.unharmed += 1,
+                Ok(Ok(())) => outcome.handled += 1,
                 Ok(Err(_)) => {
                     outcome.stopped += 1;
                     break;
@@ -158,13 +159,13 @@
     outcome
 }
 
-/// Guards against a message of a peer that ends the process of a voter. The consensus algorithm of
-/// the crate `raft` panics where a message contradicts what it relies on; its voter stops with an
-/// error then, and the process goes on.
+/// Guards against a peer's message that ends the process of a voter. The crate `raft` panics if a
+/// message contradicts its invariants; the voter must then stop with an error, and the process must
+/// continue.
 #[test]
-fn a_message_that_makes_no_sense_does_not_panic_a_voter() {
-    let outcome = receive_senseless_messages(0..200, 500);
-    println!("{} unharmed, {} stopped", outcome.unharmed, outcome.stopped);
-    assert!(outcome.unharmed > 0, "some messages are ignored");
+fn invalid_messages_do_not_panic() {
+    let outcome = receive_invalid_messages(0..200, 500);
+    println!("{} handled, {} stopped", outcome.handled, outcome.stopped);
+    assert!(outcome.handled > 0, "no message was handled");
     assert!(outcome.panicked.is_empty(), "{:#?}", outcome.panicked);
 }
--- a/crates/consensus/tests/rollback_batch.rs
+++ b/crates/consensus/tests/rollback_batch.rs
@@ -1,6 +1,6 @@
-//! A rollback that is found in the middle of a batch of events.
+//! Detection of a rollback in the middle of a batch of events.
 
-// Other tests use what this one does not.
+// This test uses only a part of the module.
 #[allow(dead_code)]
 mod common;
 
@@ -21,8 +21,9 @@
     }
 }
 
-/// Guards against a voter that ends silently: events behind the one that shows the rollback dropped
-/// its notice, and the responses to those before it, so nothing was logged and clients waited.
+/// Guards against a voter that stops silently: events after the one that reveals the rollback
+/// discarded the notice and the responses to earlier events, so that no log line was written and
+/// clients got no response.
 #[test]
 fn a_rollback_in_the_middle_of_a_batch_is_reported() {
     let folders = BOOTSTRAP_VOTERS.map(|name| (name.into(), Files::new()));
@@ -35,7 +36,7 @@
         term: 1000,
         index: 1000,
     };
-    let shows_rollback = Event::PeerMessage {
+    let reveals_rollback = Event::PeerMessage {
         from: leader,
         message: PeerMessage::Handshake {
             wants_reply: false,
@@ -46,13 +47,14 @@
         },
     };
     let now = Duration::from_secs(60);
-    let batch = vec![propose(1), shows_rollback, propose(2)];
+    let batch = vec![propose(1), reveals_rollback, propose(2)];
     let (actions, written) = voter.handle_events(now, batch);
     written.unwrap();
     let rejects_first = |action: &Action| matches!(action, Action::RejectNotLeader { request, .. } if *request == RequestId(1));
     assert!(actions.iter().any(rejects_first), "{actions:?}");
-    let reports = |action: &Action| matches!(action, Action::Notice(Notice::RolledBack { .. }));
-    assert!(actions.iter().any(reports), "{actions:?}");
+    let reports_rollback =
+        |action: &Action| matches!(action, Action::Notice(Notice::RolledBack { .. }));
+    assert!(actions.iter().any(reports_rollback), "{actions:?}");
     assert_eq!(voter.voter().status().phase, VoterPhase::RolledBack);
     let (actions, _) = voter.handle_events(now, vec![propose(3)]);
     assert!(actions.is_empty(), "{actions:?}");
--- a/crates/consensus/tests/stored_format.rs
+++ b/crates/consensus/tests/stored_format.rs
@@ -1,13 +1,14 @@
-//! What a voter keeps on disk is readable by later versions: folders written by an earlier version
-//! are opened, and the same run writes the same bytes. `tests/golden/journal` holds one folder for
-//! each state a folder can be in, and in `*-final` every kind of record: identity, snapshot, hard
-//! state, commands of each kind, changes of voters.
+//! Guards against changes of the stored format that make a voter's directory unreadable for later
+//! versions: a voter must open folders that an earlier version wrote, and the same run must write
+//! the same bytes. `tests/golden/journal` has one folder for each state a folder can be in, and the
+//! `*-final` folders contain every kind of record: identity, snapshot, hard state, commands of each
+//! kind, changes of voters.
 //!
-//! Files are written with GOLDEN_WRITE=1. `journal` has those that were written when this test was;
-//! since then voters send a newcomer its snapshot earlier, so the same run writes what `journal-2`
-//! has. A change of the format needs files of its own beside these, which stay readable.
+//! GOLDEN_WRITE=1 writes the files. `journal` has the files of the first version. Since then voters
+//! send a new voter its snapshot earlier, so the same run writes the files in `journal-2`. A change
+//! of the format needs an additional set of files; the existing sets must stay readable.
 
-// Other tests use what this one does not.
+// This test uses only a part of the module.
 #[allow(dead_code)]
 mod common;
 
@@ -28,9 +29,10 @@
     }
 }
 
-/// Bootstrap, a command of each kind, more entries than a snapshot covers, and one voter replaced
-/// by a newcomer that begins with a snapshot.
-fn written_folders() -> BTreeMap<&'static str, Files> {
+/// Runs a group and returns its folders: bootstrap, a command of each kind, more entries than the
+/// interval between two snapshots, and the replacement of a voter by a new one that begins with a
+/// snapshot.
+fn write_folders() -> BTreeMap<&'static str, Files> {
     let hour = Duration::from_secs(3600);
     let mut group = Group::new(
         BOOTSTRAP_VOTERS
@@ -52,13 +54,14 @@
     fill_log(&mut group);
     let leader = group.leader().unwrap();
     let voters = group.voters_by_name[&leader].voter().status().voters;
-    // Leadership goes to the follower with the highest id: the other one is replaced.
+    // Leadership is transferred to the follower with the highest id; the other follower is
+    // replaced.
     let replaced = voters
         .values()
         .find(|name| **name != leader)
         .unwrap()
         .clone();
-    group.add_newcomer(&"d".into(), 9);
+    group.add_new_voter(&"d".into(), 9);
     group.deliver(
         &leader,
         Event::ReplaceVoter {
@@ -66,14 +69,14 @@
             new: "d".into(),
         },
     );
-    // The newcomer has its snapshot and votes; these entries follow it.
+    // The new voter has its snapshot and votes; these entries follow the snapshot.
     fill_log(&mut group);
     group.deliver(&leader, Event::TransferLeadership);
     group.tick_until("another leader", |group| {
         group.leader().is_some_and(|next| next != leader)
     });
     let leader = group.leader().unwrap();
-    group.tick_until("the newcomer votes", |group| {
+    group.tick_until("the new voter has replaced the old one", |group| {
         let voters = group.voter_names("d");
         voters.len() == 3 && voters.contains(&"d".into()) && !voters.contains(&replaced)
     });
@@ -91,7 +94,7 @@
     group.captured
 }
 
-/// Proposes one command of each kind on the leases that the log was filled with.
+/// Proposes one command of each kind on the leases of the filled log.
 fn change_leases(group: &mut Group, leader: &Name) {
     let second = Duration::from_secs(1);
     group.propose(acquire("short", "m1", second, 1));
@@ -154,16 +157,16 @@
     group.tick();
 }
 
-/// The folders of one version of the run.
+/// The directory with the recorded folders of one version, under `tests/golden`.
 #[derive(Clone, Copy)]
 struct Recording(&'static str);
 
-/// As the first version wrote them.
-const FIRST: Recording = Recording("journal");
-/// As this version writes them.
-const PRESENT: Recording = Recording("journal-2");
+/// The folders that the first version wrote.
+const FIRST_VERSION: Recording = Recording("journal");
+/// The folders that the current version writes.
+const CURRENT_VERSION: Recording = Recording("journal-2");
 
-fn golden(recording: Recording, fixture: &str) -> PathBuf {
+fn golden_path(recording: Recording, fixture: &str) -> PathBuf {
     [
         env!("CARGO_MANIFEST_DIR"),
         "tests/golden",
@@ -175,7 +178,7 @@
 }
 
 fn golden_files(recording: Recording, fixture: &str) -> Files {
-    let entries = std::fs::read_dir(golden(recording, fixture))
+    let entries = std::fs::read_dir(golden_path(recording, fixture))
         .unwrap()
         .map(Result::unwrap);
     entries
@@ -188,8 +191,8 @@
         .collect()
 }
 
-/// What a voter holds, in words of this test alone.
-fn described(voter: &DurableVoter<FaultyDisk>) -> String {
+/// Describes a voter's state in a format that only this test defines.
+fn describe(voter: &DurableVoter<FaultyDisk>) -> String {
     let status = voter.voter().status();
     let (leases, applied) = (voter.voter().leases(), voter.voter().applied_index());
     let mut text = String::new();
@@ -233,31 +236,31 @@
 }
 
 #[test]
-fn a_voter_writes_the_same_bytes_as_before() {
-    let folders = written_folders();
+fn a_voter_writes_the_recorded_bytes() {
+    let folders = write_folders();
     if std::env::var_os("GOLDEN_WRITE").is_some() {
         for (fixture, files) in &folders {
-            std::fs::create_dir_all(golden(PRESENT, fixture)).unwrap();
+            std::fs::create_dir_all(golden_path(CURRENT_VERSION, fixture)).unwrap();
             for (name, bytes) in files {
-                std::fs::write(golden(PRESENT, fixture).join(name), bytes).unwrap();
+                std::fs::write(golden_path(CURRENT_VERSION, fixture).join(name), bytes).unwrap();
             }
         }
     }
     assert_eq!(folders.len(), 6, "{:?}", folders.keys());
     for (fixture, files) in folders {
         assert!(
-            files == golden_files(PRESENT, fixture),
+            files == golden_files(CURRENT_VERSION, fixture),
             "the files of {fixture} have changed"
         );
     }
 }
 
-/// The folders of the last voters, opened again, agree on all that was agreed on when they were
-/// written.
+/// The state of each recorded folder, and of the group that is reopened from the final folders,
+/// must equal the recorded values.
 #[test]
 fn folders_written_by_an_earlier_version_are_read_with_the_same_values() {
-    check_values(FIRST);
-    check_values(PRESENT);
+    check_values(FIRST_VERSION);
+    check_values(CURRENT_VERSION);
 }
 
 fn check_values(recording: Recording) {
@@ -282,7 +285,7 @@
             "== {fixture}: {files:?}\nstate={state} records={records:?}"
         )
         .unwrap();
-        text += &described(&open_voter(&name, &disk, 1));
+        text += &describe(&open_voter(&name, &disk, 1));
     }
     let remaining =
         ["a-final", "b-final", "c-final", "d-final"].map(|fixture| (fixture[..1].into(), fixture));
@@ -292,9 +295,9 @@
     let leader = group.leader().unwrap();
     let term = group.voters_by_name[&leader].voter().status().term;
     writeln!(text, "== reopened: {leader} leads in term {term}").unwrap();
-    text += &described(&group.voters_by_name[&leader]);
-    let file = golden(recording, "values.txt");
-    if recording.0 == PRESENT.0 && std::env::var_os("GOLDEN_WRITE").is_some() {
+    text += &describe(&group.voters_by_name[&leader]);
+    let file = golden_path(recording, "values.txt");
+    if recording.0 == CURRENT_VERSION.0 && std::env::var_os("GOLDEN_WRITE").is_some() {
         std::fs::write(&file, &text).unwrap();
     }
     assert_eq!(text, std::fs::read_to_string(file).unwrap());
