--- a/crates/fault-injection/benches/leases.rs
+++ b/crates/fault-injection/benches/leases.rs
@@ -1,6 +1,6 @@
-//! Grants and renewals per second with real disks: each voter runs on a thread of its own with a
-//! directory, messages go through channels, and each client waits for its response before it
-//! requests again. `cargo bench -p tulipgap-fault-injection`.
+//! Measures grants and renewals per second with real disks. Each voter runs on a separate thread
+//! with its own directory, messages pass through channels, and each client waits for its response
+//! before it sends the next request. Run with `cargo bench -p tulipgap-fault-injection`.
 
 use std::collections::HashMap;
 use std::path::Path;
@@ -17,21 +17,21 @@
 
 const RUN: Duration = Duration::from_secs(4);
 const TTL: Duration = Duration::from_secs(60);
-/// The longest wait of a voter, and how often its timer is checked.
+/// The maximum time for which a voter waits for events, and the interval of its timer.
 const TIMER_INTERVAL: Duration = Duration::from_millis(50);
 const LEADER_POLL_INTERVAL: Duration = Duration::from_millis(10);
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Events that a voter handles at a time, beside the first.
+/// The maximum number of events that a voter handles in one batch, not counting the first.
 const MAX_BATCH: usize = 256;
 
-/// What all voters wrote.
+/// The number of syncs and written bytes of all voters.
 #[derive(Default)]
 struct Counters {
     syncs: AtomicU64,
     written_bytes: AtomicU64,
 }
 
-/// A directory that counts syncs and bytes.
+/// A directory that counts syncs and written bytes.
 struct CountingDisk {
     disk: Directory,
     counters: Arc<Counters>,
@@ -65,13 +65,13 @@
     }
 }
 
-/// What a client receives; clients are numbered.
+/// A message to a client, which is identified by its number.
 enum ClientMessage {
     Response { client: usize, response: Response },
     NotLeader { client: usize },
 }
 
-/// What all voters of a measurement share.
+/// The state that all voters of a measurement share.
 struct Cluster {
     voters: HashMap<Name, Sender<Event>>,
     clients: Sender<ClientMessage>,
@@ -200,7 +200,7 @@
     (cluster, messages)
 }
 
-/// Has each client acquire and renew a lease of its own, and prints the rate, latencies and costs.
+/// Makes each client acquire and renew a separate lease, and prints the rate, latencies and costs.
 fn measure(voters: usize, clients: usize) {
     let directory = tempfile::tempdir().unwrap();
     let (cluster, messages) = start_cluster(voters, directory.path());
--- a/crates/fault-injection/src/fault_schedule.rs
+++ b/crates/fault-injection/src/fault_schedule.rs
@@ -1,17 +1,18 @@
-//! Which actions a fault of a plan causes at which member, and when. Serves the simulations and the
-//! runs of real processes.
+//! Converts the faults of a plan into timed actions on members. The simulations and the runs of
+//! real processes use the same actions.
 
 use crate::plan::{
-    DirectoryAfterCrash, DiskFault, Fault, Member, MemberIndex, OperationStep, matching,
+    DirectoryAfterCrash, DiskFault, Fault, Member, MemberIndex, OperationStep, matching_members,
 };
 
-/// What is done to a process. Faults of links and clocks are no actions: the network looks them up,
-/// and a clock's rate is configured at the start.
+/// An action on a process. Link and clock faults cause no actions: the network reads link faults
+/// from the plan, and a clock's rate is set at the start.
 #[derive(Clone, Debug)]
 pub(crate) enum FaultAction {
     Kill,
     Restart(DirectoryAfterCrash),
-    /// At a step of an operation under a lease, or at once. The simulations pause at once.
+    /// Pauses the process at a step of an operation under a lease, or immediately if `None`. The
+    /// simulations always pause immediately.
     Pause(Option<OperationStep>),
     Resume,
     BackUpJournal,
@@ -23,7 +24,7 @@
     },
 }
 
-/// An action, its process, and its time in seconds since the start.
+/// An action, the member whose process it applies to, and its time in seconds since the start.
 pub(crate) struct ScheduledAction {
     pub(crate) at: f64,
     pub(crate) member: MemberIndex,
@@ -32,20 +33,20 @@
 
 /// An action and its time.
 struct TimedAction {
-    /// In seconds since the start.
+    /// The time in seconds since the start.
     at: f64,
     action: FaultAction,
 }
 
-/// What a fault does to each member that it is about.
+/// The effect of a fault on each member that it targets.
 struct FaultEffect<'a> {
     target: &'a str,
     begin: TimedAction,
-    /// `None` where it does not end.
+    /// `None` if the fault does not end.
     end: Option<TimedAction>,
 }
 
-/// How long a disk fault lasts where the plan does not say.
+/// The duration of a disk fault for which the plan has no end.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum DefaultDiskFault {
     UntilEndOfRun,
@@ -53,7 +54,7 @@
 }
 
 impl DefaultDiskFault {
-    /// When a disk is repaired whose fault begins at `at`, in seconds since the start.
+    /// The time of the repair of a disk fault that begins at `at`, in seconds since the start.
     fn repaired_at(self, at: f64) -> Option<f64> {
         match self {
             DefaultDiskFault::UntilEndOfRun => None,
@@ -62,7 +63,8 @@
     }
 }
 
-/// The actions of a fault, member by member; of each member both ends of the fault.
+/// Returns the actions of a fault, ordered by member: for each member the beginning of the fault
+/// and then its end.
 pub(crate) fn scheduled_actions(
     fault: &Fault,
     members: &[Member],
@@ -72,7 +74,7 @@
         return Vec::new();
     };
     let ends = [Some(begin), end];
-    matching(members, target)
+    matching_members(members, target)
         .into_iter()
         .flat_map(|member| {
             ends.iter().flatten().map(move |end| ScheduledAction {
@@ -84,7 +86,7 @@
         .collect()
 }
 
-/// `None` for faults of links and clocks.
+/// Returns `None` for link and clock faults.
 fn effect_of(fault: &Fault, default_disk_fault: DefaultDiskFault) -> Option<FaultEffect<'_>> {
     let (target, at, begin, end_at, end) = match fault {
         Fault::Crash {
--- a/crates/fault-injection/src/history_checker.rs
+++ b/crates/fault-injection/src/history_checker.rs
@@ -1,6 +1,6 @@
-//! Checks the history of operations under leases: it sees each begin and end with its fencing
-//! token, and rejects a token that is older than one it has seen. It is the same in simulated time
-//! and between real processes.
+//! Checks the history of operations under leases. The checker sees the beginning and the end of
+//! each operation with its fencing token; it rejects stale tokens and reports operations that
+//! overlap. Simulated runs and runs of real processes use the same checker.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,22 +8,25 @@
 
 use crate::plan::{Plan, PlannedLease};
 
-/// Why the beginning or the end of an operation is rejected.
+/// Why the beginning or the end of an operation was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OperationError {
-    /// A newer token was seen, or no operation with this token is under way.
+    /// A newer token was seen, or no operation with this token is in progress.
     #[error("its token is stale")]
     StaleToken,
-    /// More operations are under way than the lease has capacity for. This violates what leases
+    /// More operations are in progress than the lease has capacity for. This violates what leases
     /// guarantee.
-    #[error("operations with tokens {} are under way at a time", joined(tokens))]
+    #[error(
+        "operations with tokens {} are in progress at the same time",
+        join_tokens(tokens)
+    )]
     Overlap {
-        /// The tokens of the operations that are under way.
+        /// The tokens of the operations in progress.
         tokens: Vec<FencingToken>,
     },
 }
 
-fn joined(tokens: &[FencingToken]) -> String {
+fn join_tokens(tokens: &[FencingToken]) -> String {
     tokens
         .iter()
         .map(FencingToken::to_string)
@@ -34,7 +37,7 @@
 struct LeaseHistory {
     capacity: u32,
     newest_token: FencingToken,
-    /// The tokens of operations that have begun and not ended.
+    /// The tokens of the operations that have begun and not ended.
     under_way: BTreeSet<FencingToken>,
 }
 
@@ -48,13 +51,14 @@
     }
 }
 
-/// Checks operations under the leases of a plan. Owns which operations are under way, by lease.
+/// Checks operations under the leases of a plan. It owns the set of operations in progress for each
+/// lease.
 pub struct HistoryChecker {
     leases: BTreeMap<String, LeaseHistory>,
 }
 
 impl HistoryChecker {
-    /// A checker that has seen nothing yet.
+    /// Returns a checker without any operation.
     pub fn new(plan: &Plan) -> Self {
         let leases = plan
             .leases
@@ -64,15 +68,16 @@
         HistoryChecker { leases }
     }
 
-    /// An operation begins. The ones with `paused` tokens belong to processes that were paused
-    /// after they had checked the lease: a newer token fences them off.
+    /// Records the beginning of an operation. `paused` holds the tokens of operations whose
+    /// processes were paused after they had checked the lease: a newer token fences those
+    /// operations off.
     ///
     /// # Errors
-    /// [`OperationError::StaleToken`] where a newer token of a lease of capacity 1 was seen, where
-    /// the operation is itself one of the paused and as many others are under way as may be (with
-    /// newer tokens, where the capacity is 1), or where there is no such lease.
-    /// [`OperationError::Overlap`] where operations of more owners than may hold the lease are
-    /// under way.
+    /// [`OperationError::StaleToken`] if the plan has no such lease, if a newer token of a lease
+    /// with capacity 1 was seen, or if the operation is one of the paused ones and other operations
+    /// use up the lease's capacity (with capacity 1: operations with newer tokens).
+    /// [`OperationError::Overlap`] if more operations are in progress than the lease has capacity
+    /// for.
     pub fn begin(
         &mut self,
         lease: &str,
@@ -89,7 +94,8 @@
         history
             .under_way
             .retain(|other| !paused.contains(other) || *other == token);
-        // Only the owners of a lease of capacity 1 follow one another in the order of their tokens.
+        // Only a lease with capacity 1 is held by one owner after another in the order of their
+        // tokens.
         let may_be_stale =
             history.capacity > 1 || history.under_way.iter().all(|other| *other > token);
         history.under_way.insert(token);
@@ -105,10 +111,11 @@
         })
     }
 
-    /// An operation ends.
+    /// Records the end of an operation.
     ///
     /// # Errors
-    /// [`OperationError::StaleToken`] where it was fenced off meanwhile.
+    /// [`OperationError::StaleToken`] if the operation is not in progress, for example because it
+    /// was fenced off.
     pub fn end(&mut self, lease: &str, token: FencingToken) -> Result<(), OperationError> {
         match self.remove(lease, token) {
             true => Ok(()),
@@ -116,12 +123,12 @@
         }
     }
 
-    /// The process that carried out an operation has died.
+    /// Records that the process that carried out an operation has died.
     pub fn abandon(&mut self, lease: &str, token: FencingToken) {
         self.remove(lease, token);
     }
 
-    /// Whether an operation with this token was under way.
+    /// Returns whether an operation with this token was in progress.
     fn remove(&mut self, lease: &str, token: FencingToken) -> bool {
         self.leases
             .get_mut(lease)
--- a/crates/fault-injection/src/invariants.rs
+++ b/crates/fault-injection/src/invariants.rs
@@ -1,5 +1,5 @@
-//! The invariants of the membership: how long views may differ from the truth. Each bound is
-//! asserted during a run, and the worst duration that was seen is kept beside it.
+//! The invariants of the membership: limits on how long a member's view may differ from the truth.
+//! A run checks each bound and records the worst duration that was seen.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
@@ -12,16 +12,16 @@
 /// An invariant of the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipInvariant {
-    /// A live, reachable member is not considered dead for longer than a bound.
+    /// No member considers a live, reachable member dead for longer than a bound.
     FalseDeath,
-    /// A dead member is known to be dead within a bound.
+    /// Every live member detects a dead member within a bound.
     DeathDetection,
-    /// After the last fault all views are right within a bound.
+    /// All views are correct within a bound after the last fault.
     Convergence,
 }
 
 impl MembershipInvariant {
-    /// The key of its bound in a plan file.
+    /// The key of the invariant's bound in a plan file.
     pub fn key(self) -> &'static str {
         match self {
             MembershipInvariant::FalseDeath => "held_dead",
@@ -48,15 +48,15 @@
 /// How an invariant of the membership was violated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipViolation {
-    /// Which invariant.
+    /// The invariant that was violated.
     pub invariant: MembershipInvariant,
-    /// When, since the start of the run.
+    /// The time of the violation since the start of the run.
     pub at: Duration,
     /// The member whose view was wrong.
     pub observer: String,
-    /// The member that the view was of.
+    /// The member of which the view was wrong.
     pub subject: String,
-    /// For how long the view had been wrong by then.
+    /// How long the view had been wrong at that time.
     pub duration: Duration,
 }
 
@@ -71,24 +71,24 @@
         } = self;
         write!(
             formatter,
-            "{invariant}: {observer} of {subject}, for {duration:?}"
+            "{invariant}: {observer} had a wrong view of {subject} for {duration:?}"
         )
     }
 }
 
-/// The longest that each invariant of the membership was seen not to hold.
+/// The longest time for which each invariant of the membership did not hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorstDurations {
-    /// A live, reachable member was considered dead.
+    /// How long a member considered a live, reachable member dead.
     pub false_death: Duration,
-    /// A dead member was not known to be dead.
+    /// How long a live member did not detect a dead member.
     pub death_detection: Duration,
-    /// A view was wrong after the last fault.
+    /// How long a view was wrong after the last fault.
     pub convergence: Duration,
 }
 
 impl WorstDurations {
-    /// The longer of each.
+    /// Returns the maximum of each duration.
     pub fn max(self, other: WorstDurations) -> WorstDurations {
         WorstDurations {
             false_death: self.false_death.max(other.false_death),
@@ -106,22 +106,24 @@
     }
 }
 
-/// What one member considers another to be, and what is true of that one.
+/// One member's view of another, and the actual state of that other member.
 pub(crate) struct Observation<'a> {
-    /// Lives and is not paused.
+    /// The observer is alive and not paused.
     pub(crate) observer: MemberIndex,
     pub(crate) subject: MemberIndex,
     pub(crate) members: &'a [Member],
-    /// The subject's state in the observer's view, `None` where it is unknown there.
+    /// The subject's state in the observer's view; `None` if the observer does not know the
+    /// subject.
     pub(crate) state: Option<MemberState>,
-    /// Both live, neither is paused, and messages get through between them both ways.
+    /// Whether both members are alive, neither is paused, and messages pass between them in both
+    /// directions.
     pub(crate) is_reachable: bool,
-    /// The subject is dead.
+    /// Whether the subject is dead.
     pub(crate) is_dead: bool,
 }
 
-/// Checks observations against the bounds. Owns since when each view is wrong, the worst durations,
-/// and the first violation.
+/// Checks observations against the bounds. It owns the time since which each view has been wrong,
+/// the worst durations and the first violation.
 pub(crate) struct MembershipChecker {
     bounds: Bounds,
     faults_end: Duration,
@@ -143,7 +145,7 @@
         }
     }
 
-    /// The worst durations so far.
+    /// The worst durations up to now.
     pub(crate) fn worst(&self) -> WorstDurations {
         self.worst
     }
@@ -153,7 +155,7 @@
         self.violation.as_ref()
     }
 
-    /// Checks one observation of each invariant.
+    /// Checks one observation against each invariant.
     pub(crate) fn check(&mut self, now: Duration, observation: &Observation) {
         let Observation {
             state,
@@ -192,8 +194,8 @@
         }
     }
 
-    /// Forgets the observations of a member that was paused or is new: its view is as old as its
-    /// pause.
+    /// Resets the durations of an observer that was paused or has restarted, because its view is
+    /// out of date after the pause.
     pub(crate) fn reset_observer(&mut self, observer: MemberIndex) {
         self.false_death_since.retain(|pair, _| pair.0 != observer);
         self.undetected_since.retain(|pair, _| pair.0 != observer);
@@ -221,7 +223,7 @@
     }
 }
 
-/// For how long a condition has held of a pair of members.
+/// Returns how long a condition has held for a pair of members.
 fn duration_of(
     since: &mut BTreeMap<(MemberIndex, MemberIndex), Duration>,
     now: Duration,
--- a/crates/fault-injection/src/lease_simulation/clients.rs
+++ b/crates/fault-injection/src/lease_simulation/clients.rs
@@ -1,4 +1,4 @@
-//! The lease client of a process, and the operations that the process carries out under leases.
+//! The lease client of a process, and the process's operations under leases.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -11,32 +11,35 @@
 use super::startup::Startup;
 use crate::plan::PlannedLease;
 
-/// How long a process rests between two operations under a lease, in seconds.
-const REST_SECONDS: Range<f64> = 0.01..0.05;
-/// How long an operation takes, as a fraction of the longest that it may take.
+/// The range of idle times between two operations under a lease, in seconds.
+const IDLE_SECONDS: Range<f64> = 0.01..0.05;
+/// The range of durations of an operation, as a fraction of its maximum duration.
 const OPERATION_FRACTION: Range<f64> = 0.4..0.95;
-/// How long after a lease ended its process checks whether it holds the lease again.
+/// The delay after the end of a lease until its process checks whether it holds the lease again.
 pub(super) const REACQUIRE_DELAY: Duration = Duration::from_millis(10);
-/// How far clocks may be off in rate, as the clients are configured, in thousandths.
+/// The maximum deviation of a clock's rate that the clients assume, in thousandths.
 const MAX_CLOCK_DRIFT_PERMILLE: u32 = 50;
-/// The jitter of the clients' pauses, in thousandths of a pause.
+/// The jitter of the clients' pauses between attempts, in thousandths of a pause.
 const JITTER_PERMILLE: u32 = 250;
 
-fn draw(rng: &mut fastrand::Rng, range: Range<f64>) -> f64 {
+fn sample(rng: &mut fastrand::Rng, range: Range<f64>) -> f64 {
     range.start + (range.end - range.start) * rng.f64()
 }
 
-/// Draws how long a process rests after an operation.
-pub(super) fn draw_rest(rng: &mut fastrand::Rng) -> Duration {
-    Duration::from_secs_f64(draw(rng, REST_SECONDS))
+/// Samples the idle time after an operation.
+pub(super) fn sample_idle_time(rng: &mut fastrand::Rng) -> Duration {
+    Duration::from_secs_f64(sample(rng, IDLE_SECONDS))
 }
 
-/// Draws how long an operation takes that may take `max_operation_seconds`.
-pub(super) fn draw_operation(rng: &mut fastrand::Rng, max_operation_seconds: f64) -> Duration {
-    Duration::from_secs_f64(max_operation_seconds * draw(rng, OPERATION_FRACTION))
+/// Samples the duration of an operation with a maximum duration.
+pub(super) fn sample_operation_duration(
+    rng: &mut fastrand::Rng,
+    max_operation_seconds: f64,
+) -> Duration {
+    Duration::from_secs_f64(max_operation_seconds * sample(rng, OPERATION_FRACTION))
 }
 
-/// The request for a lease that the plan has a member want.
+/// Returns the event that makes a client acquire a lease.
 pub(super) fn acquire_event(lease: &PlannedLease) -> Event {
     Event::Acquire {
         lease: lease.name.as_str().into(),
@@ -49,25 +52,26 @@
     }
 }
 
-/// A lease under which a client has a guard; the lease itself may have ended meanwhile.
+/// A lease for which a client has a guard. The lease itself may have ended since the guard was
+/// acquired.
 struct ActiveLease {
     guard: LeaseGuard,
-    /// The token of the operation that is under way.
+    /// The token of the operation in progress.
     operation: Option<FencingToken>,
 }
 
-/// What became of the operations under a lease.
+/// The result of a step of the operations under a lease.
 pub(super) enum OperationStep {
-    /// The operation that was under way has ended.
+    /// The operation in progress has ended.
     Ended { token: FencingToken },
     /// An operation has begun.
     Began { token: FencingToken },
-    /// The lease has ended and its guard is released, which leads to these actions.
+    /// The lease has ended. The client's release of the guard returned these actions.
     Released { actions: Vec<Action> },
 }
 
-/// The lease client of a process, and its operations; no client while the process is dead or has
-/// not started yet.
+/// The lease client of a process, and its operations. There is no client while the process is dead
+/// or has not started yet.
 #[derive(Default)]
 pub(super) struct HostedClient {
     client: Option<LeaseClient>,
@@ -85,7 +89,7 @@
         self.client = Some(client);
     }
 
-    /// Returns the operations that were under way.
+    /// Stops the client. Returns the operations that were in progress.
     pub(super) fn stop(&mut self) -> Vec<(Name, FencingToken)> {
         self.client = None;
         std::mem::take(&mut self.active_leases)
@@ -98,12 +102,13 @@
         self.client.is_some()
     }
 
-    /// `now` is what the process's own clock shows, here and below.
+    /// Handles an event; returns `None` if the client is not running. Here and in the functions
+    /// below, `now` is the time of the process's own clock.
     pub(super) fn handle_event(&mut self, now: Duration, event: Event) -> Option<Vec<Action>> {
         Some(self.client.as_mut()?.handle_event(now, event))
     }
 
-    /// Whether the process may act under a lease, whatever it does.
+    /// Whether the process could acquire a guard for a lease now.
     pub(super) fn may_act(&self, now: Duration, lease: &str) -> bool {
         let client = self.client.clone();
         client.is_some_and(|mut client| client.acquire_guard(now, lease).is_ok())
@@ -113,13 +118,13 @@
         self.active_leases.contains_key(lease)
     }
 
-    /// The token of the operation that is under way.
+    /// The token of the operation in progress.
     pub(super) fn operation(&self, lease: &Name) -> Option<FencingToken> {
         self.active_leases.get(lease)?.operation
     }
 
-    /// Ends the operation under a lease if one is under way, and begins one otherwise. `None` where
-    /// the process does not hold the lease.
+    /// Ends the operation in progress under a lease, or begins one if there is none. Returns `None`
+    /// if the process does not hold the lease.
     pub(super) fn step_operation(&mut self, now: Duration, lease: &Name) -> Option<OperationStep> {
         let client = self.client.as_mut()?;
         let ActiveLease { guard, operation } = match self.active_leases.remove(lease) {
--- a/crates/fault-injection/src/lease_simulation/driver.rs
+++ b/crates/fault-injection/src/lease_simulation/driver.rs
@@ -1,5 +1,5 @@
-//! The driver of a run: hands events to the parts, turns what they return into messages, timers and
-//! counts, and has the invariants checked.
+//! The driver of a run: passes events to the parts, converts the actions that they return into
+//! messages, timers and counts, and checks the invariants.
 
 use std::time::Duration;
 
@@ -8,7 +8,9 @@
     Action as ClientAction, Event as ClientEvent, FencingToken, Name, RequestId,
 };
 
-use super::clients::{OperationStep, REACQUIRE_DELAY, acquire_event, draw_operation, draw_rest};
+use super::clients::{
+    OperationStep, REACQUIRE_DELAY, acquire_event, sample_idle_time, sample_operation_duration,
+};
 use super::events::{ProcessEvent, SimulationEvent};
 use super::invariants::{ObservedGrant, ObservedLeader};
 use super::message::Message;
@@ -22,7 +24,7 @@
 
 impl LeaseSimulation<'_> {
     pub(super) fn start(&mut self, member: MemberIndex, directory: DirectoryAfterCrash) {
-        // Where two crashes of one process overlap, it is running already.
+        // If two crashes of a process overlap, the process is already running.
         if self.processes[member].client.is_running() {
             return;
         }
@@ -40,7 +42,7 @@
         self.acquire_leases(member);
     }
 
-    /// Whether the plan has the member vote, from the start or later.
+    /// Whether the member is an initial voter, or the plan adds it as a voter.
     fn is_ever_voter(&self, member: MemberIndex) -> bool {
         let name = &self.processes[member].name;
         let adds = |fault: &Fault| matches!(fault, Fault::ReplaceVoter { new, .. } if new.as_str() == &**name);
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Has a client acquire each lease that the plan has its member want.
+    /// Makes the member's client acquire each lease that the plan makes the member want.
     fn acquire_leases(&mut self, member: MemberIndex) {
         let plan = self.plan;
         for lease in &plan.leases {
@@ -90,12 +92,12 @@
         }
     }
 
-    /// What a member's own clock shows now.
+    /// The current time of a member's own clock.
     fn local_time(&self, member: MemberIndex) -> Duration {
         self.processes[member].local_time(self.scheduler.now())
     }
 
-    /// Schedules a timer that a state machine set by its process's clock.
+    /// Schedules a timer that a state machine set to a time of its process's clock.
     fn schedule_timer(&mut self, member: MemberIndex, local_time: Duration, event: ProcessEvent) {
         let at = self.processes[member]
             .true_time(local_time)
@@ -110,7 +112,7 @@
         };
         self.network.count_message();
         let now = self.scheduler.now();
-        for transit in self.network.draw_transits(now, from, to, &mut self.rng) {
+        for transit in self.network.sample_transits(now, from, to, &mut self.rng) {
             let event = ProcessEvent::Deliver {
                 from,
                 message: message.clone(),
@@ -167,8 +169,8 @@
         }
     }
 
-    /// A random member asks every voter who holds the first lease of the plan, if its capacity is
-    /// 1. Only a voter that has confirmed that it leads may answer.
+    /// A random member asks every initial voter for the holder of the plan's first lease, if the
+    /// lease has capacity 1. Only a voter that has confirmed that it is the leader may respond.
     pub(super) fn read_leases(&mut self) {
         self.scheduler
             .schedule_in(READ_INTERVAL, 0, SimulationEvent::ReadLeases);
@@ -199,7 +201,7 @@
                 },
             );
         }
-        self.pending_reads.forget_oldest();
+        self.pending_reads.discard_oldest();
     }
 
     fn handle_voter_event(&mut self, member: MemberIndex, event: VoterEvent) {
@@ -264,7 +266,7 @@
                 self.schedule_timer(member, at, ProcessEvent::VoterTimer { generation });
             }
             VoterAction::Notice(notice) => self.handle_notice(member, &notice),
-            // The durable voter has done these itself.
+            // The durable voter performs these actions itself.
             VoterAction::AppendRecord(_)
             | VoterAction::WriteSnapshot(_)
             | VoterAction::WriteIdentity(_) => {}
@@ -284,7 +286,8 @@
         }
     }
 
-    /// Has whoever leads replace a voter, as an operator would.
+    /// Makes each voter that considers itself the leader replace a voter, as an operator would
+    /// request.
     pub(super) fn replace_voter(&mut self, old: &Name, new: &Name) {
         for member in 0..self.network.members().len() {
             if self.processes[member].voter.is_leader() {
@@ -357,7 +360,7 @@
         self.scheduler.schedule_in(delay, member, event);
     }
 
-    /// Ends the operation under a lease if one is under way, and begins one otherwise.
+    /// Ends the operation in progress under a lease, or begins one if there is none.
     fn step_operation(&mut self, member: MemberIndex, lease: Name) {
         let now = self.local_time(member);
         let step = self.processes[member].client.step_operation(now, &lease);
@@ -365,17 +368,17 @@
             Some(OperationStep::Ended { token }) => {
                 let is_rejected = self.invariants.history.end(&lease, token).is_err();
                 self.outcome.rejected_operations += u64::from(is_rejected);
-                draw_rest(&mut self.rng)
+                sample_idle_time(&mut self.rng)
             }
             Some(OperationStep::Began { token }) => {
                 self.record_operation(&lease, token);
                 let planned = self.plan.lease(&lease);
                 let max_operation = planned.map_or(0.0, |planned| planned.max_operation);
-                draw_operation(&mut self.rng, max_operation)
+                sample_operation_duration(&mut self.rng, max_operation)
             }
             Some(OperationStep::Released { actions }) => {
                 self.perform_client_actions(member, actions);
-                // The lease may have been lost and acquired again meanwhile.
+                // The lease may have been acquired again since it was lost.
                 REACQUIRE_DELAY
             }
             None => return,
@@ -395,7 +398,7 @@
         }
     }
 
-    /// Records what a check found.
+    /// Records the finding of a check.
     fn record(&mut self, checked: Result<(), Finding>) {
         self.outcome.record(self.scheduler.now(), checked);
     }
@@ -421,7 +424,7 @@
             let holders = self.processes.count_holders(now, &lease.name);
             if holders > lease.capacity as usize {
                 let details = format!(
-                    "{holders} hold {}, which has a capacity of {}",
+                    "{holders} owners hold {}, which has a capacity of {}",
                     lease.name, lease.capacity
                 );
                 let invariant = LeaseInvariant::CapacityRespected;
--- a/crates/fault-injection/src/lease_simulation/events.rs
+++ b/crates/fault-injection/src/lease_simulation/events.rs
@@ -1,4 +1,4 @@
-//! The events of a run, and which of them a fault's action is.
+//! The events of a run, and the conversion of fault actions into events.
 
 use tulipgap_leases::Name;
 use tulipgap_write_ahead_log::DiskFaults;
@@ -8,7 +8,7 @@
 use crate::plan::{DirectoryAfterCrash, DiskFault, MemberIndex};
 use crate::scheduler::ProcessGeneration;
 
-/// What happens to a member's machine, or on it.
+/// An event on a member's machine.
 pub(super) enum SimulationEvent {
     Start { directory: DirectoryAfterCrash },
     Crash,
@@ -21,7 +21,7 @@
     Process(ProcessEvent),
 }
 
-/// What a process handles itself, and what waits while it is paused.
+/// An event that a process handles itself. It is queued while the process is paused.
 pub(super) enum ProcessEvent {
     Deliver {
         from: MemberIndex,
@@ -33,7 +33,7 @@
     ClientTimer {
         generation: ProcessGeneration,
     },
-    /// The next operation under a lease begins, or the one that is under way ends.
+    /// The next operation under a lease begins, or the operation in progress ends.
     Operation {
         generation: ProcessGeneration,
         lease: Name,
--- a/crates/fault-injection/src/lease_simulation/injected_bugs.rs
+++ b/crates/fault-injection/src/lease_simulation/injected_bugs.rs
@@ -1,5 +1,5 @@
 //! Bugs that are injected to show that the checks can fail. Without the feature `injected-bugs`
-//! there are none.
+//! there are no bugs to inject.
 
 use tulipgap_consensus::DurableVoter;
 use tulipgap_leases::LeaseClient;
@@ -8,13 +8,13 @@
 /// The bugs of one run; none by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct InjectedBugs {
-    /// A bug of the leases.
+    /// A bug in the leases.
     #[cfg(feature = "injected-bugs")]
     pub lease: Option<tulipgap_leases::InjectedBug>,
-    /// A bug of the voters' write-ahead log.
+    /// A bug in the voters' write-ahead log.
     #[cfg(feature = "injected-bugs")]
     pub log: Option<tulipgap_write_ahead_log::InjectedBug>,
-    /// A leader answers reads without confirming that it still leads.
+    /// Whether a leader answers reads without confirming that it is still the leader.
     #[cfg(feature = "injected-bugs")]
     pub stale_read: bool,
 }
--- a/crates/fault-injection/src/lease_simulation/invariants.rs
+++ b/crates/fault-injection/src/lease_simulation/invariants.rs
@@ -1,5 +1,5 @@
-//! The invariants of a run. [`InvariantState`] remembers what was seen and compares each new
-//! observation with it; the simulation observes, and keeps the first violation.
+//! The invariants of a run. [`InvariantState`] compares each observation with the earlier ones; the
+//! simulation makes the observations and keeps the first violation.
 
 use std::collections::BTreeMap;
 
@@ -10,12 +10,12 @@
 use crate::history_checker::HistoryChecker;
 use crate::plan::{Member, MemberIndex, Plan};
 
-/// An owner is notified that it holds a lease.
+/// An owner was notified that it holds a lease.
 pub(super) struct ObservedGrant<'a> {
     pub(super) owner: MemberIndex,
     pub(super) lease: &'a Name,
     pub(super) token: FencingToken,
-    /// How many owners may hold the lease at a time.
+    /// The number of owners that may hold the lease at the same time.
     pub(super) capacity: u32,
 }
 
@@ -23,7 +23,7 @@
 pub(super) struct ObservedLeader {
     pub(super) member: MemberIndex,
     pub(super) term: u64,
-    /// The newest token in its copy of the leases.
+    /// The newest token in the leader's copy of the leases.
     pub(super) last_token: FencingToken,
 }
 
@@ -34,14 +34,14 @@
     owner: MemberIndex,
 }
 
-/// What is remembered to check invariants. Owned by the simulation.
+/// The past observations that are needed to check the invariants. The simulation owns it.
 pub(super) struct InvariantState {
     pub(super) history: HistoryChecker,
     /// The first leader of each term.
     leaders: BTreeMap<u64, MemberIndex>,
-    /// By applied index: a hash of the replicated leases.
+    /// The hash of the replicated leases for each applied index.
     state_hashes: BTreeMap<u64, u64>,
-    /// The highest token that any owner was notified of.
+    /// The highest token of any lease that an owner was notified of.
     last_notified_token: FencingToken,
     newest_grants: BTreeMap<Name, Grant>,
 }
@@ -64,7 +64,8 @@
             .map_or(FencingToken(0), |grant| grant.token)
     }
 
-    /// Of a lease with capacity 1 the tokens only increase, and each belongs to one owner.
+    /// Checks that the tokens of a lease with capacity 1 only increase, and that each token belongs
+    /// to one owner.
     pub(super) fn record_grant(&mut self, grant: &ObservedGrant) -> Result<(), Finding> {
         let ObservedGrant {
             owner,
@@ -89,11 +90,15 @@
         }
         Err(Finding {
             invariant: LeaseInvariant::TokensIncrease,
-            details: format!("{lease}: {token} after {}", newest.token),
+            details: format!(
+                "{lease}: token {token} was granted after token {}",
+                newest.token
+            ),
         })
     }
 
-    /// One voter leads in a term, and it knows every token that an owner was notified of.
+    /// Checks that a term has one leader, and that the leader knows every token that an owner was
+    /// notified of.
     pub(super) fn record_leader(
         &mut self,
         leader: &ObservedLeader,
@@ -109,13 +114,13 @@
             let (first, second) = (&members[first_leader].name, &members[member].name);
             return Err(Finding {
                 invariant: LeaseInvariant::OneLeaderPerTerm,
-                details: format!("{first} and {second} in term {term}"),
+                details: format!("{first} and {second} are both leaders in term {term}"),
             });
         }
         let notified = self.last_notified_token;
         if last_token < notified {
             let details = format!(
-                "an owner was notified of token {notified}, and the leader of term {term} has {last_token}"
+                "an owner was notified of token {notified}, but the newest token of the leader of term {term} is {last_token}"
             );
             return Err(Finding {
                 invariant: LeaseInvariant::GrantsSurvive,
@@ -125,7 +130,7 @@
         Ok(())
     }
 
-    /// All voters have the same leases after the same entry.
+    /// Checks that all voters have the same leases after the same log entry.
     pub(super) fn record_replica(
         &mut self,
         name: &str,
@@ -141,7 +146,7 @@
         }
         Err(Finding {
             invariant: LeaseInvariant::ReplicasAgree,
-            details: format!("{name} has other leases after entry {applied_index}"),
+            details: format!("{name} has different leases after log entry {applied_index}"),
         })
     }
 }
--- a/crates/fault-injection/src/lease_simulation/mod.rs
+++ b/crates/fault-injection/src/lease_simulation/mod.rs
@@ -1,6 +1,6 @@
-//! Leases in simulated time: voters, lease clients and their disks as they are in production, a
-//! network, clocks and processes that do what the plan says, and a history checker that sees each
-//! operation. The same plan and seed give the same run to the last message.
+//! Simulates leases: voters, lease clients and their disks as in production, and a network, clocks
+//! and processes that follow the plan. A history checker checks each operation. The same plan and
+//! seed give the same run down to the last message.
 
 mod clients;
 mod driver;
@@ -22,8 +22,8 @@
 
 use crate::fault_schedule::{DefaultDiskFault, ScheduledAction, scheduled_actions};
 use crate::plan::{BACKUP_AT, DirectoryAfterCrash, Fault, MemberIndex, Plan};
-use crate::scheduler::{Fingerprint, Scheduler, Simulation, play};
-use crate::simulated_network::{SimulatedNetwork, draw_start_time};
+use crate::scheduler::{Fingerprint, Scheduler, Simulation, run_simulation};
+use crate::simulated_network::{SimulatedNetwork, sample_start_time};
 use events::SimulationEvent;
 use invariants::InvariantState;
 use processes::Processes;
@@ -33,15 +33,15 @@
 pub use injected_bugs::InjectedBugs;
 pub use outcome::{LeaseInvariant, LeaseOutcome, LeaseViolation};
 
-/// How often the invariants are checked, in simulated time.
+/// The interval between checks of the invariants, in simulated time.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a disk fault lasts where the plan does not say.
+/// The duration of a disk fault for which the plan has no end.
 const DEFAULT_DISK_FAULT: DefaultDiskFault = DefaultDiskFault::Seconds(5.0);
-/// How often some member reads who holds a lease, in simulated time.
+/// The interval between reads of a lease's holder, in simulated time.
 const READ_INTERVAL: Duration = Duration::from_millis(700);
 
-/// A run. Drives its parts, each of which owns its state: it hands them events, and turns their
-/// actions into messages and timers.
+/// The state of a run. It passes events to its parts, each of which owns its state, and converts
+/// their actions into messages and timers.
 struct LeaseSimulation<'a> {
     plan: &'a Plan,
     bugs: InjectedBugs,
@@ -58,7 +58,7 @@
     outcome: LeaseOutcome,
 }
 
-/// Plays a plan once in simulated time. Bugs are injected to show that the checks can fail.
+/// Runs a plan once in simulated time. `bugs` are injected to show that the checks can fail.
 pub fn simulate_leases(plan: &Plan, seed: u64, bugs: InjectedBugs) -> LeaseOutcome {
     let mut simulation = LeaseSimulation::new(plan, seed, bugs);
     simulation.schedule_starts();
@@ -68,7 +68,7 @@
     for fault in &plan.faults {
         simulation.schedule_fault(fault);
     }
-    play(&mut simulation, Duration::from_secs_f64(plan.length));
+    run_simulation(&mut simulation, Duration::from_secs_f64(plan.length));
     simulation.into_outcome()
 }
 
@@ -131,7 +131,7 @@
 
     fn schedule_starts(&mut self) {
         for member in 0..self.network.members().len() {
-            let at = draw_start_time(&mut self.rng);
+            let at = sample_start_time(&mut self.rng);
             let start = SimulationEvent::Start {
                 directory: DirectoryAfterCrash::Kept,
             };
--- a/crates/fault-injection/src/lease_simulation/outcome.rs
+++ b/crates/fault-injection/src/lease_simulation/outcome.rs
@@ -1,32 +1,33 @@
-//! The outcome of a run, and which invariants are checked in it.
+//! The outcome of a run, and the invariants that a run checks.
 
 use std::fmt::{self, Display};
 use std::time::Duration;
 
-/// An invariant of the leases and of the voters that grant them.
+/// An invariant of the leases or of the voters that grant them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseInvariant {
     /// All voters have the same leases after the same log entry.
     ReplicasAgree,
-    /// No two voters lead in one term.
+    /// A term has at most one leader.
     OneLeaderPerTerm,
-    /// A new leader knows every token that an owner was notified of.
+    /// Each new leader knows every token that an owner was notified of.
     GrantsSurvive,
     /// The tokens of a lease only increase.
     TokensIncrease,
-    /// By true time no more owners may act than the lease has capacity for.
+    /// By true time, no more owners may act than the lease has capacity for.
     CapacityRespected,
-    /// Operations of more owners than the lease has capacity for are never under way at a time.
+    /// No more operations are in progress at the same time than the lease has capacity for.
     OperationsDoNotOverlap,
-    /// A read shows every grant that an owner was notified of before the read began.
+    /// A read returns every grant that an owner was notified of before the read began.
     ReadsAreLinearizable,
-    /// After the last fault, a lease that is wanted has a holder within a bound, while a majority
-    /// of voters votes.
+    /// After the last fault, a wanted lease has a holder within a bound while a majority of voters
+    /// votes.
     VacancyBounded,
 }
 
 impl LeaseInvariant {
-    /// Its name in reports; where a plan file has a bound for it, that key.
+    /// The name of the invariant in reports. If a plan file has a bound for the invariant, this is
+    /// the bound's key.
     fn name(self) -> &'static str {
         match self {
             LeaseInvariant::ReplicasAgree => "replicas agree",
@@ -47,21 +48,21 @@
     }
 }
 
-/// A violation as it is found; the simulation adds the time.
+/// A violation without its time, which the simulation adds.
 #[derive(Debug)]
 pub(super) struct Finding {
     pub(super) invariant: LeaseInvariant,
     pub(super) details: String,
 }
 
-/// How an invariant of the leases was violated.
+/// A violation of an invariant of the leases.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseViolation {
-    /// Which invariant.
+    /// The invariant that was violated.
     pub invariant: LeaseInvariant,
-    /// When, since the start of the run.
+    /// The time of the violation since the start of the run.
     pub at: Duration,
-    /// What was seen, for people.
+    /// A description for people.
     pub details: String,
 }
 
@@ -70,32 +71,33 @@
 pub struct LeaseOutcome {
     /// The first violation of an invariant, which ends a run.
     pub violation: Option<LeaseViolation>,
-    /// The longest after the last fault that a wanted lease had no holder.
+    /// The longest time after the last fault for which a wanted lease had no holder.
     pub longest_vacancy_after_faults: Duration,
-    /// The longest in the whole run that a wanted lease had no holder.
+    /// The longest time in the whole run for which a wanted lease had no holder.
     pub longest_vacancy: Duration,
-    /// Grants that owners were notified of.
+    /// The number of grants that owners were notified of.
     pub grants: u64,
-    /// Operations that began under a lease.
+    /// The number of operations that began under a lease.
     pub operations: u64,
-    /// Beginnings and ends of operations that were rejected for a stale token.
+    /// The number of beginnings and ends of operations that were rejected because of a stale token.
     pub rejected_operations: u64,
-    /// Messages sent.
+    /// The number of messages sent.
     pub messages: u64,
-    /// Syncs of all disks.
+    /// The number of syncs of all disks.
     pub syncs: u64,
-    /// Bytes written to all disks.
+    /// The number of bytes written to all disks.
     pub written_bytes: u64,
-    /// How often a voter became the leader.
+    /// The number of times that a voter became the leader.
     pub elections: u64,
-    /// How often a voter stopped voting: its disk failed, or its directory was rolled back.
+    /// The number of times that a voter stopped voting because its disk failed or its directory was
+    /// rolled back.
     pub stopped_voters: u64,
-    /// Identifies the run: equal where all was equal.
+    /// A hash of the run. Equal runs have equal fingerprints.
     pub fingerprint: u64,
 }
 
 impl LeaseOutcome {
-    /// Records what a check found, if it is the first violation.
+    /// Records the finding of a check if it is the first violation.
     pub(super) fn record(&mut self, at: Duration, checked: Result<(), Finding>) {
         if let Err(Finding { invariant, details }) = checked {
             self.violation.get_or_insert(LeaseViolation {
--- a/crates/fault-injection/src/lease_simulation/processes.rs
+++ b/crates/fault-injection/src/lease_simulation/processes.rs
@@ -1,4 +1,5 @@
-//! The processes of a run: what each owns, and how it starts, crashes, is paused and resumes.
+//! The processes of a run: their state, and how each process starts, crashes, is paused and
+//! resumes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
@@ -14,22 +15,23 @@
 use crate::plan::{DirectoryAfterCrash, Member, MemberIndex, Plan, PlannedLease};
 use crate::scheduler::ProcessGeneration;
 
-/// Events that wait for a paused process, at most, as in a socket's buffer.
+/// The maximum number of events that are queued for a paused process, as in a socket's buffer.
+/// Further events are dropped.
 const MAX_PENDING_EVENTS: usize = 2000;
-/// How much later a timer elapses by true time. Timers are set by clocks of another rate; this
-/// covers the rounding, so that none elapses before its time.
+/// The delay that is added to each timer in true time. A timer is set by a clock with another rate;
+/// the delay covers the rounding, so that no timer elapses too early.
 const TIMER_ROUNDING: Duration = Duration::from_nanos(10);
 
-/// One process and its machine. Owns its state machines, its disk, and what waits while it is
-/// paused.
+/// One process and its machine. It owns its state machines, its disk, and the events that are
+/// queued while it is paused.
 pub(super) struct Process {
     member: Member,
     pub(super) name: Name,
     clock_rate: f64,
-    /// When the process started, by true time; its own clock starts at zero then.
+    /// The true time at which the process started. Its own clock was zero at that time.
     started_at: Duration,
     pub(super) disk: FaultyDisk,
-    /// What was on the disk when it was backed up.
+    /// The files of the disk at the time of its backup.
     backup: BTreeMap<String, Vec<u8>>,
     pub(super) voter: HostedVoter,
     pub(super) client: HostedClient,
@@ -55,12 +57,12 @@
         }
     }
 
-    /// What the process's own clock shows at a true time.
+    /// Converts a true time to the time of the process's own clock.
     pub(super) fn local_time(&self, true_time: Duration) -> Duration {
         (true_time - self.started_at).mul_f64(self.clock_rate)
     }
 
-    /// The true time at which the process's own clock has passed a time.
+    /// Returns the true time at which the process's own clock has passed a time.
     pub(super) fn true_time(&self, local_time: Duration) -> Duration {
         self.started_at + local_time.div_f64(self.clock_rate) + TIMER_ROUNDING
     }
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Starts the process and its client. Its voter starts apart, where it has one.
+    /// Starts the process and its client. Its voter, if it has one, is started separately.
     pub(super) fn start(
         &mut self,
         now: Duration,
@@ -98,13 +100,13 @@
         self.client.start(owner, startup);
     }
 
-    /// Returns whether the voter could start from what is on the disk.
+    /// Starts the voter. Returns whether it could start with the contents of the disk.
     pub(super) fn start_voter(&mut self, startup: &Startup) -> bool {
         self.voter.start(&self.name, &self.disk, startup)
     }
 
-    /// The process ends, or its machine: of what was not synced, some survives. Returns the
-    /// operations that were under way.
+    /// Crashes the process and its machine: a random part of the data that was not synced survives.
+    /// Returns the operations that were in progress.
     pub(super) fn crash(&mut self, rng: &mut fastrand::Rng) -> Vec<(Name, FencingToken)> {
         self.voter.stop();
         let operations = self.client.stop();
@@ -115,7 +117,7 @@
         operations
     }
 
-    /// Returns what waited while the process was paused.
+    /// Resumes the process. Returns the events that were queued while it was paused.
     pub(super) fn resume(&mut self) -> Vec<ProcessEvent> {
         match std::mem::replace(&mut self.is_paused, false) {
             true => std::mem::take(&mut self.pending_events),
@@ -123,8 +125,8 @@
         }
     }
 
-    /// Returns the event if the process is to handle it now: it waits while the process is paused,
-    /// and a timer of an earlier run of the process is void.
+    /// Returns the event if the process handles it now. While the process is paused, the event is
+    /// queued. A timer of an earlier start of the process has no effect.
     pub(super) fn accept_event(&mut self, event: ProcessEvent) -> Option<ProcessEvent> {
         if self.is_paused {
             if self.pending_events.len() < MAX_PENDING_EVENTS {
@@ -163,30 +165,30 @@
         self.0.iter()
     }
 
-    /// How many owners may act now, by true time and whatever each of them believes; paused ones
-    /// count too.
+    /// The number of processes that may act under a lease, each by its own clock at this true time.
+    /// Paused processes count too.
     pub(super) fn count_holders(&self, now: Duration, lease: &str) -> usize {
         self.iter()
             .filter(|process| process.client.may_act(process.local_time(now), lease))
             .count()
     }
 
-    /// How many voters vote.
+    /// The number of voters that vote and are not paused.
     pub(super) fn count_voting(&self) -> usize {
         self.iter()
             .filter(|process| !process.is_paused && process.voter.is_voting())
             .count()
     }
 
-    /// Whether some running process wants a lease.
+    /// Whether any running process wants a lease.
     pub(super) fn is_wanted(&self, lease: &PlannedLease) -> bool {
         let is_running = |process: &Process| process.client.is_running() && !process.is_paused;
         self.iter()
             .any(|process| process.wants(lease) && is_running(process))
     }
 
-    /// The tokens of operations of paused processes: nothing but the token keeps those from doing
-    /// harm when they resume.
+    /// The tokens of the operations of paused processes. Only the token can stop these operations
+    /// when the processes resume.
     pub(super) fn paused_operations(&self, lease: &Name) -> BTreeSet<FencingToken> {
         let paused = self.iter().filter(|process| process.is_paused);
         paused
--- a/crates/fault-injection/src/lease_simulation/reads.rs
+++ b/crates/fault-injection/src/lease_simulation/reads.rs
@@ -1,4 +1,5 @@
-//! Reads of who holds a lease: each has to show what had been granted before it began.
+//! Reads of a lease's holder. Each read must reflect every grant that an owner was notified of
+//! before the read began.
 
 use std::collections::BTreeMap;
 
@@ -6,17 +7,17 @@
 
 use super::outcome::{Finding, LeaseInvariant};
 
-/// Reads that wait for a response, at most; older ones are forgotten.
+/// The maximum number of reads without a response. The oldest reads beyond it are discarded.
 const MAX_PENDING_READS: usize = 1000;
 
-/// A read that waits for its response.
+/// A read without a response yet.
 pub(super) struct PendingRead {
     pub(super) lease: Name,
-    /// The newest token that an owner was notified of before the read.
+    /// The newest token of the lease that an owner was notified of before the read.
     pub(super) newest_token: FencingToken,
 }
 
-/// The reads that wait for a response.
+/// The reads without a response yet.
 #[derive(Default)]
 pub(super) struct PendingReads {
     reads: BTreeMap<RequestId, PendingRead>,
@@ -27,14 +28,14 @@
         self.reads.insert(request, read);
     }
 
-    /// Forgets the oldest reads, so that no more than [`MAX_PENDING_READS`] are left.
-    pub(super) fn forget_oldest(&mut self) {
+    /// Discards the oldest reads beyond [`MAX_PENDING_READS`].
+    pub(super) fn discard_oldest(&mut self) {
         while self.reads.len() > MAX_PENDING_READS {
             self.reads.pop_first();
         }
     }
 
-    /// Compares a response with what had been granted before the read.
+    /// Checks that a response is not older than the grants before the read.
     pub(super) fn check_response(
         &mut self,
         request: RequestId,
@@ -57,7 +58,9 @@
         }
         Err(Finding {
             invariant: LeaseInvariant::ReadsAreLinearizable,
-            details: format!("{lease}: {token} is read, {newest_token} had been granted before"),
+            details: format!(
+                "{lease}: a read returned token {token} although token {newest_token} had been granted before"
+            ),
         })
     }
 }
--- a/crates/fault-injection/src/lease_simulation/startup.rs
+++ b/crates/fault-injection/src/lease_simulation/startup.rs
@@ -1,14 +1,14 @@
-//! What a process starts its state machines with.
+//! The parameters with which a process starts its state machines.
 
 use tulipgap_leases::Name;
 
 use super::injected_bugs::InjectedBugs;
 
-/// What the state machines of a process are started with.
+/// The parameters with which a process starts its state machines.
 pub(super) struct Startup<'a> {
     /// The initial voters.
     pub(super) voters: &'a [Name],
     pub(super) bugs: InjectedBugs,
-    /// Of the state machines' own random draws.
+    /// The seed of the state machines' random numbers.
     pub(super) seed: u64,
 }
--- a/crates/fault-injection/src/lease_simulation/vacancy.rs
+++ b/crates/fault-injection/src/lease_simulation/vacancy.rs
@@ -1,17 +1,18 @@
-//! The invariant that a wanted lease is vacant only for a bounded time after the last fault.
+//! The invariant that a wanted lease is vacant only for a limited time after the last fault.
 
 use std::time::Duration;
 
 use super::outcome::{Finding, LeaseInvariant};
 use crate::plan::{Plan, PlannedLease};
 
-/// How long the leases of a plan have been vacant.
+/// Tracks how long the leases of a plan have been vacant.
 pub(super) struct VacancyTracker {
-    /// By lease of the plan: since when it has had no holder though it is wanted.
+    /// For each lease of the plan, the time since which the lease has been wanted and has had no
+    /// holder.
     vacant_since: Vec<Option<Duration>>,
-    /// The time of the last fault's end.
+    /// The end of the last fault.
     faults_end: Duration,
-    /// The longest allowed vacancy after the faults, in seconds.
+    /// The bound on a vacancy after the last fault, in seconds.
     bound_seconds: f64,
     longest: Duration,
     longest_after_faults: Duration,
--- a/crates/fault-injection/src/lease_simulation/voters.rs
+++ b/crates/fault-injection/src/lease_simulation/voters.rs
@@ -1,4 +1,4 @@
-//! The voter of a process: started from its disk, and stopped when the disk fails.
+//! The voter of a process. It starts from its disk, and stops when the disk fails.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
@@ -9,29 +9,30 @@
 
 use super::startup::Startup;
 
-/// A voter's copy of the leases after it applied an entry.
+/// The state of a voter's copy of the leases after the voter applied an entry.
 pub(super) struct ReplicaState {
     pub(super) applied_index: u64,
     pub(super) state_hash: u64,
 }
 
-/// What an event led to.
+/// The result of an event.
 pub(super) struct VoterProgress {
-    /// Where the voter applied entries: its copy of the leases.
+    /// The voter's copy of the leases, if the voter applied entries.
     pub(super) replica: Option<ReplicaState>,
-    /// Whether its disk failed, so that it stopped.
+    /// Whether the voter stopped because its disk failed.
     pub(super) has_stopped: bool,
     pub(super) actions: Vec<Action>,
 }
 
-/// The voter of a process; none where the process is dead, does not vote, or the disk failed.
+/// The voter of a process. There is no voter if the process is dead, does not vote, or has a failed
+/// disk.
 #[derive(Default)]
 pub(super) struct HostedVoter {
     voter: Option<DurableVoter<FaultyDisk>>,
 }
 
 impl HostedVoter {
-    /// Returns whether the voter could start from what is on the disk.
+    /// Starts the voter. Returns whether it could start with the contents of the disk.
     pub(super) fn start(&mut self, name: &Name, disk: &FaultyDisk, startup: &Startup) -> bool {
         let opened = DurableVoter::open(
             Config::default(),
@@ -52,7 +53,8 @@
         self.voter = None;
     }
 
-    /// `now` is what the process's own clock shows. `None` where no voter runs.
+    /// Handles an event; returns `None` if no voter runs. `now` is the time of the process's own
+    /// clock.
     pub(super) fn handle_event(&mut self, now: Duration, event: Event) -> Option<VoterProgress> {
         let voter = self.voter.as_mut()?;
         let applied_before = voter.voter().applied_index();
@@ -73,7 +75,7 @@
         })
     }
 
-    /// The newest token in the voter's copy of the leases; `None` where no voter runs.
+    /// The newest token in the voter's copy of the leases; `None` if no voter runs.
     pub(super) fn last_token(&self) -> Option<FencingToken> {
         let voter = self.voter.as_ref()?;
         Some(voter.voter().leases().last_token())
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,19 +1,20 @@
-//! Injects faults between the members of a cluster, in simulated time and between real processes,
-//! and checks invariants.
+//! Injects faults into a cluster, in simulated time or between real processes, and checks
+//! invariants.
 //!
-//! Input is a [`Plan`]: members by zone, leases that they want, faults with their times, and
-//! bounds. What is played are the state machines and the program as they are in production:
+//! The input is a [`Plan`]: members by zone, the leases that they want, faults with their times,
+//! and bounds. The state machines and the program run as they do in production:
 //!
-//! - [`simulate_membership`] plays the membership (`tulipgap-membership`: SWIM with Lifeguard's
-//!   extensions), and [`simulate_leases`] voters, lease clients and their disks
-//!   (`tulipgap-consensus`: Raft; `tulipgap-leases`; `tulipgap-write-ahead-log`), both in simulated
-//!   time. A plan and a seed decide a run to the last message.
-//! - [`run`] starts real processes of `tulipgapd` on loopback addresses, with a proxy for each link
+//! - [`simulate_membership`] simulates the membership (`tulipgap-membership`: SWIM with Lifeguard's
+//!   extensions). [`simulate_leases`] simulates voters, lease clients and their disks
+//!   (`tulipgap-consensus`: Raft; `tulipgap-leases`; `tulipgap-write-ahead-log`). A plan and a seed
+//!   determine a simulated run down to the last message.
+//! - [`run`] starts real `tulipgapd` processes on loopback addresses, with a proxy for each link
 //!   between them.
 //!
-//! Output is an outcome: the first violation of an invariant, the worst durations that were seen
-//! beside the bounds, and counts. A run ends with its first violation. [`with_random_faults`] draws
-//! faults from a seed, and [`minimize_faults`] leaves out those that a failure does not need.
+//! The output is an outcome: the first violation of an invariant, the worst duration for each
+//! bound, and counts. A run ends with its first violation. [`with_random_faults`] samples faults
+//! from a seed, and [`minimize_faults`] removes the faults that are not needed to reproduce a
+//! failure.
 //!
 //! `docs/chaos.md` lists the keys of a plan file and the invariants.
 //!
--- a/crates/fault-injection/src/membership_simulation/driver.rs
+++ b/crates/fault-injection/src/membership_simulation/driver.rs
@@ -1,4 +1,4 @@
-//! The driver of a run: hands events to the processes, and turns their actions into messages,
+//! The driver of a run: passes events to the processes, and converts their actions into messages,
 //! timers and views.
 
 use std::net::SocketAddr;
@@ -104,7 +104,7 @@
             }
             bug.strip_updates(&mut message);
         }
-        for transit in self.network.draw_transits(now, from, to, &mut self.rng) {
+        for transit in self.network.sample_transits(now, from, to, &mut self.rng) {
             let event = SimulationEvent::Deliver {
                 from,
                 message: message.clone(),
--- a/crates/fault-injection/src/membership_simulation/injected_bugs.rs
+++ b/crates/fault-injection/src/membership_simulation/injected_bugs.rs
@@ -6,29 +6,29 @@
 
 use crate::plan::MemberIndex;
 
-/// From then on the member that [`MembershipBug::MuteMember`] is about sends nothing.
+/// The time from which [`MembershipBug::MuteMember`] drops all messages of its member.
 const MUTE_FROM: Duration = Duration::from_secs(10);
-/// The member that [`MembershipBug::MuteMember`] is about.
+/// The member whose messages [`MembershipBug::MuteMember`] drops.
 const MUTE_MEMBER: MemberIndex = 0;
 
 /// A bug that is injected to show that a check can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipBug {
-    /// The first member sends nothing, though its links work.
+    /// The network drops all messages of the first member, though its links work.
     MuteMember,
-    /// A dead member's pings are answered in its place.
+    /// The simulation answers pings to a dead member in the member's name.
     DeadMemberAnswers,
-    /// No member forwards what it knows of others.
+    /// No member forwards updates about other members.
     NoDissemination,
 }
 
 impl MembershipBug {
-    /// Whether the network drops what a member sends.
+    /// Whether this bug drops the messages of a member.
     pub(super) fn is_mute(self, now: Duration, from: MemberIndex) -> bool {
         self == MembershipBug::MuteMember && from == MUTE_MEMBER && now >= MUTE_FROM
     }
 
-    /// Removes what a message forwards, where that bug is injected.
+    /// Removes the forwarded updates of a message, if this bug does.
     pub(super) fn strip_updates(self, message: &mut Message) {
         if self == MembershipBug::NoDissemination {
             message
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The answer to a ping in the place of a dead member, where that bug is injected.
+    /// Returns the answer to a ping in the name of a dead member, if this bug sends one.
     pub(super) fn answer_for_dead_member(self, dead: &str, message: &Message) -> Option<Message> {
         let MessageBody::Ping { sequence_number } = message.body else {
             return None;
--- a/crates/fault-injection/src/membership_simulation/mod.rs
+++ b/crates/fault-injection/src/membership_simulation/mod.rs
@@ -1,6 +1,6 @@
-//! The membership in simulated time: the members' own state machines, a network that does what the
-//! plan says, and a checker of the invariants. The same plan and seed give the same run to the last
-//! message.
+//! Simulates the membership: the members' state machines as in production, a network that follows
+//! the plan, and a checker of the invariants. The same plan and seed give the same run down to the
+//! last message.
 
 mod driver;
 mod injected_bugs;
@@ -17,15 +17,15 @@
 use crate::fault_schedule::{DefaultDiskFault, FaultAction, ScheduledAction, scheduled_actions};
 use crate::invariants::{MembershipChecker, Observation};
 use crate::plan::{MemberIndex, Plan};
-use crate::scheduler::{Fingerprint, ProcessGeneration, Scheduler, Simulation, play};
-use crate::simulated_network::{SimulatedNetwork, draw_start_time};
+use crate::scheduler::{Fingerprint, ProcessGeneration, Scheduler, Simulation, run_simulation};
+use crate::simulated_network::{SimulatedNetwork, sample_start_time};
 use processes::Process;
 use views::Views;
 
 pub use injected_bugs::MembershipBug;
 pub use outcome::{DetectionTimes, MembershipOutcome};
 
-/// How often the invariants are checked, in simulated time.
+/// The interval between checks of the invariants, in simulated time.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 enum SimulationEvent {
@@ -37,8 +37,8 @@
     Deliver { from: MemberIndex, message: Message },
 }
 
-/// A run. Drives its parts, each of which owns its state: the network, the processes, the views and
-/// the checker.
+/// The state of a run. It drives its parts, each of which owns its state: the network, the
+/// processes, the views and the checker.
 struct MembershipSimulation<'a> {
     plan: &'a Plan,
     bug: Option<MembershipBug>,
@@ -54,7 +54,7 @@
     fingerprint: Fingerprint,
 }
 
-/// Plays a plan once in simulated time. A bug is injected to show that the checks can fail.
+/// Runs a plan once in simulated time. `bug` is injected to show that the checks can fail.
 pub fn simulate_membership(
     plan: &Plan,
     seed: u64,
@@ -63,7 +63,7 @@
     let mut simulation = MembershipSimulation::new(plan, seed, bug);
     simulation.schedule_starts();
     simulation.schedule_faults();
-    play(&mut simulation, Duration::from_secs_f64(plan.length));
+    run_simulation(&mut simulation, Duration::from_secs_f64(plan.length));
     MembershipOutcome {
         violation: simulation.checker.violation().cloned(),
         worst: simulation.checker.worst(),
@@ -151,7 +151,7 @@
 
     fn schedule_starts(&mut self) {
         for member in 0..self.processes.len() {
-            let at = draw_start_time(&mut self.rng);
+            let at = sample_start_time(&mut self.rng);
             self.scheduler.schedule(at, member, SimulationEvent::Start);
         }
     }
@@ -165,7 +165,8 @@
                 FaultAction::Restart(_) => SimulationEvent::Start,
                 FaultAction::Pause(_) => SimulationEvent::Pause,
                 FaultAction::Resume => SimulationEvent::Resume,
-                // Of voters and their disks, which this simulation does not have.
+                // These actions apply to voters and their disks, which this simulation does not
+                // have.
                 FaultAction::BackUpJournal
                 | FaultAction::InjectDiskFault(_)
                 | FaultAction::RepairDisk
--- a/crates/fault-injection/src/membership_simulation/outcome.rs
+++ b/crates/fault-injection/src/membership_simulation/outcome.rs
@@ -4,12 +4,13 @@
 
 use crate::invariants::{MembershipViolation, WorstDurations};
 
-/// How long it took until a crash was detected.
+/// The times from a crash to its detection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DetectionTimes {
-    /// Until the first member considered the crashed one dead.
+    /// The time until the first member considered the crashed member dead.
     pub first: Duration,
-    /// Until the last member that ever did.
+    /// The time until the last of the members that detected the crash considered the crashed member
+    /// dead.
     pub last: Duration,
 }
 
@@ -18,14 +19,14 @@
 pub struct MembershipOutcome {
     /// The first violation of an invariant, which ends a run.
     pub violation: Option<MembershipViolation>,
-    /// The worst durations seen.
+    /// The worst durations of the invariants.
     pub worst: WorstDurations,
-    /// Messages sent.
+    /// The number of messages sent.
     pub messages: u64,
-    /// How often a member considered a live, reachable one dead.
+    /// The number of times that a member started to consider a live, reachable member dead.
     pub false_deaths: u64,
-    /// Of each crash whose process restarted after somebody had detected it.
+    /// The detection times of each crash that was detected and whose process restarted.
     pub detections: Vec<DetectionTimes>,
-    /// Identifies the run: equal where all was equal.
+    /// A hash of the run. Equal runs have equal fingerprints.
     pub fingerprint: u64,
 }
--- a/crates/fault-injection/src/membership_simulation/processes.rs
+++ b/crates/fault-injection/src/membership_simulation/processes.rs
@@ -1,5 +1,5 @@
-//! The processes of a run: how each starts, crashes, is paused and resumes, and what its state
-//! machine is given.
+//! The processes of a run: how each process starts, crashes, is paused and resumes, and the inputs
+//! of its state machine.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -13,21 +13,22 @@
 use crate::plan::{Member, MemberIndex};
 use crate::scheduler::ProcessGeneration;
 
-/// Messages that wait for a paused process, at most, as in a socket's buffer.
+/// The maximum number of messages that are queued for a paused process, as in a socket's buffer.
+/// Further messages are dropped.
 const MAX_PENDING_MESSAGES: usize = 1000;
 /// The port of each member.
 const PORT: u16 = 7100;
-/// Members whose addresses differ in the last byte alone.
+/// The number of members whose addresses differ only in the last byte.
 const MEMBERS_PER_SUBNET: usize = 250;
 
-/// When a process died, and after how long each observer had detected it.
+/// The time of a process's death, and the time from then until each observer detected it.
 pub(super) struct Death {
     at: Duration,
     detected_after: BTreeMap<MemberIndex, Duration>,
 }
 
 impl Death {
-    /// `None` where nobody has detected it.
+    /// Returns `None` if no observer has detected the death.
     fn detection_times(&self) -> Option<DetectionTimes> {
         let times = self.detected_after.values();
         let (&first, &last) = (times.clone().min()?, times.max()?);
@@ -35,31 +36,32 @@
     }
 }
 
-/// What a process is started with.
+/// The parameters with which a process starts.
 pub(super) struct Startup<'a> {
     pub(super) member: &'a Member,
     pub(super) config: Config,
-    /// Of the state machine's own random draws.
+    /// The seed of the state machine's random numbers.
     pub(super) seed: u64,
 }
 
-/// What waited while a process was paused.
+/// The events that were queued while a process was paused.
 pub(super) struct PendingEvents {
     pub(super) has_timer: bool,
     pub(super) messages: Vec<(MemberIndex, Message)>,
 }
 
-/// What becomes of a message that arrives.
+/// How a process handles an arriving message.
 pub(super) enum Arrival {
-    /// The process handles it now.
+    /// The process handles the message now.
     Accepted(Message),
-    /// The process is paused; the message waits, or is dropped where too many do.
+    /// The process is paused. The message is queued, or dropped if the queue is full.
     Queued,
-    /// The process is dead.
+    /// The process is dead or has not started yet.
     AtDeadProcess(Message),
 }
 
-/// One process of a run. Owns its state machine and what waits while it is paused.
+/// One process of a run. It owns its state machine and the events that are queued while it is
+/// paused.
 pub(super) struct Process {
     pub(super) address: SocketAddr,
     /// `None` while the process is dead or has not started yet.
@@ -67,10 +69,10 @@
     pub(super) started_at: Duration,
     pub(super) generation: ProcessGeneration,
     is_paused: bool,
-    /// What arrived while the process was paused.
+    /// The messages that arrived while the process was paused.
     pending_messages: Vec<(MemberIndex, Message)>,
     has_pending_timer: bool,
-    /// Since the last crash, until the process restarts.
+    /// Set from a crash until the process restarts.
     death: Option<Death>,
 }
 
@@ -90,8 +92,8 @@
         }
     }
 
-    /// Starts the process as a member of the run. Returns how long its last death took to be
-    /// detected, where anybody detected it.
+    /// Starts the process as a member of the run. Returns the detection times of its last death, if
+    /// any observer detected it.
     pub(super) fn start(&mut self, now: Duration, startup: Startup) -> Option<DetectionTimes> {
         let Member { name, zone, region } = startup.member;
         let node = Node {
@@ -124,7 +126,8 @@
         self.is_paused = self.membership.is_some();
     }
 
-    /// Returns what waited while the process was paused; `None` where it was not.
+    /// Resumes the process. Returns the events that were queued while it was paused; `None` if it
+    /// was not paused.
     pub(super) fn resume(&mut self) -> Option<PendingEvents> {
         std::mem::replace(&mut self.is_paused, false).then(|| PendingEvents {
             has_timer: std::mem::replace(&mut self.has_pending_timer, false),
@@ -140,7 +143,7 @@
         self.death.is_some()
     }
 
-    /// Records that an observer considers the process dead. Returns whether it is.
+    /// Records that an observer considers the process dead. Returns whether the process is dead.
     pub(super) fn record_detection(&mut self, now: Duration, observer: MemberIndex) -> bool {
         let Some(death) = &mut self.death else {
             return false;
@@ -152,8 +155,8 @@
         true
     }
 
-    /// Returns whether a timer is to be handled now: it waits while the process is paused, and one
-    /// of an earlier run of the process is void.
+    /// Returns whether the process handles a timer now. While the process is paused, the timer is
+    /// queued. A timer of an earlier start of the process has no effect.
     pub(super) fn accept_timer(&mut self, generation: ProcessGeneration) -> bool {
         if self.generation != generation || self.membership.is_none() {
             return false;
@@ -162,7 +165,8 @@
         !self.is_paused
     }
 
-    /// What becomes of a message that arrives; it waits while the process is paused.
+    /// Returns how the process handles an arriving message. While the process is paused, the
+    /// message is queued.
     pub(super) fn accept_message(&mut self, from: MemberIndex, message: Message) -> Arrival {
         if self.membership.is_none() {
             return Arrival::AtDeadProcess(message);
--- a/crates/fault-injection/src/membership_simulation/views.rs
+++ b/crates/fault-injection/src/membership_simulation/views.rs
@@ -1,4 +1,4 @@
-//! What each member considers each other to be.
+//! The view that each member has of each other member.
 
 use std::collections::HashMap;
 
@@ -6,10 +6,10 @@
 
 use crate::plan::{Member, MemberIndex};
 
-/// The views of a run, as their observers reported them.
+/// The views of a run, as the observers reported them.
 pub(super) struct Views {
     index_by_name: HashMap<String, MemberIndex>,
-    /// By observer and subject.
+    /// The states by observer and subject.
     states: Vec<Vec<Option<MemberState>>>,
 }
 
@@ -26,17 +26,18 @@
         }
     }
 
-    /// What an observer considers a subject to be; `None` where it does not know it.
+    /// The state of a subject in an observer's view; `None` if the observer does not know the
+    /// subject.
     pub(super) fn state(&self, observer: MemberIndex, subject: MemberIndex) -> Option<MemberState> {
         self.states[observer][subject]
     }
 
-    /// Forgets what an observer knew, as it restarts.
+    /// Clears the view of an observer that restarts.
     pub(super) fn clear(&mut self, observer: MemberIndex) {
         self.states[observer].fill(None);
     }
 
-    /// Records a view. Returns the subject, where it is a member of the run.
+    /// Records a state in a view. Returns the subject if it is a member of the run.
     pub(super) fn record(
         &mut self,
         observer: MemberIndex,
--- a/crates/fault-injection/src/plan/fault.rs
+++ b/crates/fault-injection/src/plan/fault.rs
@@ -4,36 +4,36 @@
 
 use serde::Deserialize;
 
-/// When each directory is backed up, since the start of the run: what
-/// [`DirectoryAfterCrash::RolledBack`] restores.
+/// When each process's directory is backed up, since the start of the run.
+/// [`DirectoryAfterCrash::RolledBack`] restores this backup.
 pub(crate) const BACKUP_AT: Duration = Duration::from_millis(500);
 
-/// A span of time, in seconds since the start of the run; its end is not part of it.
+/// A half-open span of time from `from` to `to`, in seconds since the start of the run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimeWindow {
-    /// When it begins.
+    /// The beginning of the span.
     pub from: f64,
-    /// When it is over.
+    /// The end of the span, which is not part of it.
     pub to: f64,
 }
 
 impl TimeWindow {
-    /// Whether a time lies in the window.
+    /// Whether the window contains a time.
     pub(crate) fn contains(&self, now: f64) -> bool {
         now >= self.from && now < self.to
     }
 }
 
-/// What a killed process finds in its directory when it restarts.
+/// The contents of a killed process's directory when it restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DirectoryAfterCrash {
-    /// All that was durable.
+    /// All durable data.
     #[default]
     Kept,
-    /// Nothing.
+    /// No data.
     Emptied,
-    /// What was durable half a second after the start of the run.
+    /// The data that was durable half a second after the start of the run.
     #[serde(rename = "older")]
     RolledBack,
 }
@@ -49,13 +49,13 @@
     }
 }
 
-/// What is wrong with a disk.
+/// The kind of a disk fault.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DiskFault {
-    /// No write finds space.
+    /// The disk is full: every write fails.
     Full,
-    /// The next sync fails, and no other.
+    /// Only the next sync fails.
     #[serde(rename = "fails")]
     SyncFails,
 }
@@ -76,18 +76,18 @@
 pub enum OperationStep {
     /// The lease is about to be checked.
     BeforeCheck,
-    /// The lease was checked, and the begin of the operation is not reported.
+    /// The lease was checked, and the beginning of the operation is not reported yet.
     Checked,
-    /// The begin of the operation was sent, and its response is not read.
+    /// The beginning of the operation was reported, and the response is not read yet.
     BeginSent,
-    /// The operation is under way.
+    /// The operation is in progress.
     UnderWay,
-    /// The operation is done, and its end is not reported.
+    /// The operation is done, and its end is not reported yet.
     BeforeEnd,
 }
 
 impl OperationStep {
-    /// All steps, in their order.
+    /// All steps, in the order in which an operation reaches them.
     pub const ALL: [OperationStep; 5] = [
         OperationStep::BeforeCheck,
         OperationStep::Checked,
@@ -96,7 +96,7 @@
         OperationStep::BeforeEnd,
     ];
 
-    /// The value in a plan file and in the file that arms a process.
+    /// The value in a plan file, and in the file that tells a process the step at which to pause.
     pub fn keyword(self) -> &'static str {
         match self {
             OperationStep::BeforeCheck => "before_check",
@@ -108,80 +108,86 @@
     }
 }
 
-/// A fault. A target is the name of a member or of a zone, or empty for all members; times are
-/// seconds since the start.
+/// A fault. A target is the name of a member or of a zone, or the empty string for all members.
+/// Times are in seconds since the start of the run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Nothing gets through between two targets.
+    /// No message passes between two targets.
     Partition {
-        /// When links are cut.
+        /// When the links are cut.
         window: TimeWindow,
-        /// The one side.
+        /// The first target.
         a: String,
-        /// The other side.
+        /// The second target.
         b: String,
-        /// Only what `a` sends to `b` is lost.
+        /// Whether only the messages from `a` to `b` are blocked.
         one_way: bool,
-        /// The links are cut for this many seconds, open for as many, and so on, in the window.
+        /// If set, the links are cut for this many seconds, then open for as long, in turn within
+        /// the window.
         flap: Option<f64>,
     },
-    /// The links of a target, both ways, are slow or unreliable.
+    /// The links of a target are slow or unreliable in both directions.
     DegradedLinks {
-        /// When links are degraded.
+        /// When the links are degraded.
         window: TimeWindow,
-        /// The members whose links are.
+        /// The members whose links are degraded.
         target: String,
-        /// The fraction of messages that is lost.
+        /// The fraction of messages that are lost.
         loss: f64,
-        /// The mean delay, in milliseconds; a message takes 0.5 to 1.5 times as long.
+        /// The mean delay that is added to the usual latency, in milliseconds. Each message is
+        /// delayed by 0.5 to 1.5 times the mean.
         delay_ms: f64,
-        /// The fraction of messages that is delivered twice.
+        /// The fraction of messages that are delivered twice.
         duplication: f64,
     },
     /// A process is killed.
     Crash {
-        /// When it is killed.
+        /// When the process is killed.
         at: f64,
-        /// The members that are.
+        /// The members whose process is killed.
         target: String,
-        /// When it restarts, if ever, with nothing but its name, the seeds and its directory.
+        /// When the process restarts, if ever. It then has only its name, the seeds and its
+        /// directory.
         restart_at: Option<f64>,
-        /// What its directory then holds.
+        /// The contents of its directory when it restarts.
         directory: DirectoryAfterCrash,
     },
-    /// A process is paused: it keeps its state, and what arrives meanwhile waits.
+    /// A process is paused: it keeps its state, and its incoming messages are queued.
     Pause {
-        /// When it is paused.
+        /// When the process is paused.
         at: f64,
-        /// The members that are.
+        /// The members whose process is paused.
         target: String,
-        /// When it resumes, if ever.
+        /// When the process resumes, if ever.
         resume_at: Option<f64>,
-        /// Between real processes: at which step of an operation under a lease it is paused, once
-        /// it reaches that step. `None`: at `at`, wherever it is.
+        /// The step of an operation under a lease at which a real process is paused, when it first
+        /// reaches the step after `at`. If `None`, the process is paused at `at`. Simulations
+        /// ignore the step.
         step: Option<OperationStep>,
     },
     /// A clock runs at another rate for the whole run.
     ClockRate {
-        /// The members whose clock does.
+        /// The members whose clock runs at this rate.
         target: String,
-        /// Seconds that the clock shows for each true second.
+        /// The seconds that the clock shows for each true second.
         rate: f64,
     },
     /// A disk fails.
     Disk {
-        /// When it begins.
+        /// When the fault begins.
         at: f64,
         /// The members whose disk fails.
         target: String,
-        /// When the disk works again.
+        /// When the disk works again. If `None`, the lease simulation repairs the disk after a
+        /// default time, and real processes keep the fault to the end of the run.
         repaired_at: Option<f64>,
-        /// What is wrong with it.
+        /// The kind of the fault.
         fault: DiskFault,
     },
-    /// An operator replaces one voter by another.
+    /// An operator replaces one voter with another. Both may be the same member, if it lost its
+    /// directory.
     ReplaceVoter {
-        /// When the operator does.
+        /// When the operator requests the replacement.
         at: f64,
         /// The voter that is removed.
         old: String,
@@ -194,13 +200,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct FaultTimes {
     pub(crate) begin: f64,
-    /// `None` where it lasts to the end of the run.
+    /// `None` if the fault lasts to the end of the run.
     pub(crate) end: Option<f64>,
 }
 
 impl Fault {
-    /// The place of this kind in [`super::Plan::faults`]: plan files are read kind by kind, in this
-    /// order, whatever the order of their blocks.
+    /// The position of this kind in [`super::Plan::faults`]. A plan file is parsed kind by kind in
+    /// this order, whatever the order of its blocks.
     pub(crate) fn kind_order(&self) -> u32 {
         match self {
             Fault::Partition { .. } => 0,
@@ -238,7 +244,8 @@
         FaultTimes { begin, end }
     }
 
-    /// When the fault is over, in seconds; for one that never ends, when it began.
+    /// The end of the fault, in seconds since the start of the run. If the fault never ends, its
+    /// beginning.
     pub(crate) fn end(&self) -> f64 {
         let FaultTimes { begin, end } = self.times();
         end.unwrap_or(begin)
--- a/crates/fault-injection/src/plan/file.rs
+++ b/crates/fault-injection/src/plan/file.rs
@@ -1,5 +1,5 @@
-//! The plan file: its HCL blocks and keys, as docs/chaos.md lists them. The words of the file are
-//! spelled here (and, to write faults, in `hcl_output`) and nowhere else.
+//! The plan file: its HCL blocks and keys, which docs/chaos.md lists. Apart from `hcl_output`,
+//! which writes faults, only this file spells the words of the format.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     TimeWindow, ZoneMembers,
 };
 
-/// No block of a kind, one, or several.
+/// The blocks of one kind: none, one or several.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 enum Blocks<T> {
@@ -142,7 +142,7 @@
     target: String,
     back: Option<f64>,
     step: Option<OperationStep>,
-    /// The key has no effect; it is accepted because earlier versions accepted it.
+    /// The key has no effect. It is accepted because earlier versions accepted it.
     #[serde(rename = "folder", default)]
     _directory: DirectoryAfterCrash,
 }
@@ -221,7 +221,7 @@
     }
 }
 
-/// Parts of the membership's configuration that differ from the defaults; times are in seconds.
+/// Values that replace the defaults of the membership's configuration. Times are in seconds.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct MembershipOverrides {
@@ -266,7 +266,7 @@
     }
 }
 
-/// A whole file.
+/// A complete plan file.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct PlanFile {
@@ -296,7 +296,7 @@
 }
 
 impl PlanFile {
-    /// Reads the blocks; their values are not validated.
+    /// Parses the blocks without validating their values.
     pub(super) fn parse(text: &str) -> Result<Self, PlanError> {
         Ok(hcl::from_str(text)?)
     }
--- a/crates/fault-injection/src/plan/hcl_output.rs
+++ b/crates/fault-injection/src/plan/hcl_output.rs
@@ -1,11 +1,10 @@
-//! Writes the faults of a plan as blocks of a plan file, so that a run that failed can be played
-//! again.
+//! Writes the faults of a plan as blocks of a plan file, so that a failed run can be reproduced.
 
 use std::fmt::Write;
 
 use super::{Fault, Plan, TimeWindow};
 
-/// One block, key by key.
+/// A block, built key by key.
 struct Block(String);
 
 impl Block {
@@ -13,7 +12,7 @@
         Block(format!("{kind} {{\n"))
     }
 
-    /// A number or a boolean.
+    /// Adds a number or a boolean.
     fn value(mut self, key: &str, value: impl std::fmt::Display) -> Self {
         let _ = writeln!(self.0, "  {key} = {value}");
         self
@@ -36,7 +35,7 @@
 }
 
 impl Fault {
-    /// The fault as a block of a plan file.
+    /// Returns the fault as a block of a plan file.
     fn to_hcl(&self) -> String {
         let block = match self {
             Fault::Partition {
@@ -112,7 +111,7 @@
 }
 
 impl Plan {
-    /// The faults as blocks of a plan file. A plan with these blocks plays the very same run.
+    /// Returns the faults as blocks of a plan file. A plan with these blocks gives the same run.
     pub fn faults_to_hcl(&self) -> String {
         self.faults.iter().map(Fault::to_hcl).collect()
     }
--- a/crates/fault-injection/src/plan/mod.rs
+++ b/crates/fault-injection/src/plan/mod.rs
@@ -1,5 +1,4 @@
-//! A plan: the members of a cluster, the faults that are injected into it, and the bounds that are
-//! checked.
+//! A plan: the members of a cluster, the faults that a run injects, and the bounds that it checks.
 
 mod fault;
 mod file;
@@ -16,21 +15,21 @@
 pub use fault::{DirectoryAfterCrash, DiskFault, Fault, OperationStep, TimeWindow};
 pub(crate) use network::LinkQuality;
 
-/// A member's address in a run: its place in [`Plan::members`].
+/// A member's index in [`Plan::members`], which identifies it in a run.
 pub(crate) type MemberIndex = usize;
 
-/// Why a plan file cannot be played.
+/// Why a plan file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
-    /// The text is not HCL, or has a block or key that plans do not have, or lacks one.
+    /// The text is not HCL, has an unknown block or key, or lacks a required one.
     #[error(transparent)]
     Syntax(#[from] hcl::Error),
-    /// A value lies outside what can be played.
+    /// A value is out of range.
     #[error("{location}: {expected}")]
     InvalidValue {
         /// The key or block that holds the value.
         location: String,
-        /// What the value has to be.
+        /// The requirement that the value does not meet.
         expected: String,
     },
 }
@@ -41,48 +40,48 @@
 pub struct ZoneMembers {
     /// The zone's name.
     pub zone: String,
-    /// The region that the zone lies in; empty for a region of the zone's own name.
+    /// The region of the zone. If empty, the region has the name of the zone.
     #[serde(default)]
     pub region: String,
-    /// How many members the zone has.
+    /// The number of members in the zone.
     pub count: usize,
 }
 
-/// One member, named ZONE-1 and on.
+/// One member. The members of a zone are named `ZONE-1`, `ZONE-2` and so on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// The member's name.
     pub name: String,
-    /// The zone that it lies in.
+    /// The member's zone.
     pub zone: String,
     /// The region of that zone.
     pub region: String,
 }
 
 impl Member {
-    /// Whether a target means this member: its name, its zone, or the empty string, which means
-    /// all.
+    /// Whether a target selects this member: the target is the member's name, its zone, or the
+    /// empty string, which selects all members.
     pub(crate) fn matches(&self, target: &str) -> bool {
         target.is_empty() || self.name == target || self.zone == target
     }
 }
 
-/// A lease that members want for as long as they live.
+/// A lease that members want for as long as they run.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlannedLease {
     /// The lease's name.
     pub name: String,
-    /// How long a grant is valid without a renewal, in seconds.
+    /// The time for which a grant is valid without a renewal, in seconds.
     #[serde(rename = "term", default = "default_ttl")]
     pub ttl: f64,
-    /// How many owners may hold the lease at a time.
+    /// The number of owners that may hold the lease at the same time.
     #[serde(rename = "places", default = "default_capacity")]
     pub capacity: u32,
-    /// The zone or member that wants it; empty for all.
+    /// The zone or member that wants the lease; empty for all members.
     #[serde(rename = "of", default)]
     pub target: String,
-    /// The longest that one operation under the lease takes, in seconds.
+    /// The maximum duration of an operation under the lease, in seconds.
     #[serde(rename = "step", default = "default_max_operation")]
     pub max_operation: f64,
 }
@@ -99,21 +98,21 @@
     0.05
 }
 
-/// The bounds of the invariants, in seconds; a run that exceeds one has failed.
+/// The bounds of the invariants, in seconds. A run that exceeds a bound has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// The longest that a live, reachable member may be considered dead.
+    /// The maximum time for which a member may consider a live, reachable member dead.
     #[serde(rename = "held_dead")]
     pub false_death: f64,
-    /// The longest that a live member may not know of another's death.
+    /// The maximum time until a live member detects that another member is dead.
     #[serde(rename = "known")]
     pub death_detection: f64,
-    /// The longest after the last fault that a view may differ from the truth.
+    /// The maximum time after the last fault for which a view may differ from the truth.
     #[serde(rename = "agree")]
     pub convergence: f64,
-    /// The longest after the last fault that a wanted lease may have no holder, while a majority of
-    /// voters votes.
+    /// The maximum time after the last fault for which a wanted lease may have no holder while a
+    /// majority of voters votes.
     #[serde(rename = "free", default = "default_vacancy")]
     pub vacancy: f64,
 }
@@ -133,10 +132,10 @@
     }
 }
 
-/// What is played: a cluster, its faults with their times, and the bounds of the invariants.
+/// A cluster, its faults with their times, and the bounds of the invariants.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// How long a run lasts, in seconds.
+    /// The duration of a run, in seconds.
     pub length: f64,
     /// The members, by zone.
     pub zones: Vec<ZoneMembers>,
@@ -156,8 +155,8 @@
     /// Parses and validates a plan file.
     ///
     /// # Errors
-    /// [`PlanError::Syntax`] where the text is no plan file, and [`PlanError::InvalidValue`] where
-    /// it cannot be played.
+    /// [`PlanError::Syntax`] if the text is not a plan file, and [`PlanError::InvalidValue`] if a
+    /// value is out of range.
     pub fn parse(text: &str) -> Result<Self, PlanError> {
         let plan = Plan::try_from(file::PlanFile::parse(text)?)?;
         plan.validate()?;
@@ -177,12 +176,12 @@
         self.zones.iter().flat_map(members_of_zone).collect()
     }
 
-    /// The lease of a name; where several blocks name it, the last.
+    /// The lease with a name. If several blocks have the name, the last one counts.
     pub(crate) fn lease(&self, name: &str) -> Option<&PlannedLease> {
         self.leases.iter().rfind(|lease| lease.name == name)
     }
 
-    /// The region of a zone, as its first block has it.
+    /// The region of a zone, from the zone's first block.
     fn region_of<'a>(&'a self, zone: &'a str) -> &'a str {
         let block = self.zones.iter().find(|block| block.zone == zone);
         block
@@ -191,13 +190,14 @@
             .unwrap_or(zone)
     }
 
-    /// When the last fault is over, since the start. Clocks of another rate do not count: they
-    /// never end.
+    /// The end of the last fault since the start of the run. A fault that never ends, such as a
+    /// changed clock rate, counts with its beginning.
     pub fn faults_end(&self) -> Duration {
         Duration::from_secs_f64(self.faults.iter().map(Fault::end).fold(0.0, f64::max))
     }
 
-    /// The rate of a member's clock: that of the first fault that targets it, otherwise 1.
+    /// The rate of a member's clock: that of the first clock fault that selects the member,
+    /// otherwise 1.
     pub(crate) fn clock_rate(&self, member: &Member) -> f64 {
         let rate_of = |fault: &Fault| match fault {
             Fault::ClockRate { target, rate } if member.matches(target) => Some(*rate),
@@ -207,15 +207,15 @@
     }
 }
 
-/// The places of the members that a target means.
-pub(crate) fn matching(members: &[Member], target: &str) -> Vec<MemberIndex> {
+/// The indices of the members that a target selects.
+pub(crate) fn matching_members(members: &[Member], target: &str) -> Vec<MemberIndex> {
     (0..members.len())
         .filter(|&index| members[index].matches(target))
         .collect()
 }
 
-/// The first member of each zone, by which new members join: a zone that is cut off still finds its
-/// own.
+/// The first member of each zone. New members join through these members; a zone that is cut off
+/// still reaches its own.
 pub(crate) fn seed_members(members: &[Member]) -> impl Iterator<Item = MemberIndex> {
     (0..members.len()).filter(|&index| index == 0 || members[index].zone != members[index - 1].zone)
 }
--- a/crates/fault-injection/src/plan/network.rs
+++ b/crates/fault-injection/src/plan/network.rs
@@ -1,58 +1,58 @@
-//! What the faults of a plan do to messages between two members: whether a link is cut, and how
-//! many copies of a message arrive when. Where several faults degrade one link, the worst of each
+//! The effect of a plan's faults on messages between two members: whether a link is cut, how many
+//! copies of a message arrive, and when. If several faults degrade a link, the worst value of each
 //! quality counts.
 
 use std::time::Duration;
 
 use super::{Fault, Member, Plan};
 
-/// The shortest time that a message takes, in seconds, where links are not degraded.
+/// The minimum latency of a message on links that are not degraded, in seconds.
 const MIN_LATENCY_SECONDS: f64 = 0.0002;
-/// The longest time that a message takes, in seconds, where links are not degraded.
+/// The maximum latency of a message on links that are not degraded, in seconds.
 const MAX_LATENCY_SECONDS: f64 = 0.002;
 
-/// The shortest delay that is drawn, as a fraction of the mean; the longest is one more.
+/// The minimum sampled delay as a fraction of the mean delay; the maximum is this fraction plus 1.
 const MIN_DELAY_FRACTION: f64 = 0.5;
 
-/// How links from one member to another are degraded at some time.
+/// The quality of the link from one member to another at some time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct LinkQuality {
-    /// The mean delay beside the usual latency, in seconds.
+    /// The mean delay that is added to the usual latency, in seconds.
     pub(crate) delay: f64,
-    /// The fraction of messages that is lost.
+    /// The fraction of messages that are lost.
     pub(crate) loss: f64,
-    /// The fraction of messages that is delivered twice.
+    /// The fraction of messages that are delivered twice.
     pub(crate) duplication: f64,
 }
 
 impl LinkQuality {
-    /// Draws how many copies of a message are sent.
-    pub(crate) fn draw_copies(&self, rng: &mut fastrand::Rng) -> usize {
+    /// Samples the number of copies of a message.
+    pub(crate) fn sample_copies(&self, rng: &mut fastrand::Rng) -> usize {
         1 + usize::from(rng.f64() < self.duplication)
     }
 
-    /// Draws the delay beside the usual latency, in seconds.
-    pub(crate) fn draw_delay(&self, rng: &mut fastrand::Rng) -> f64 {
+    /// Samples the delay that is added to the usual latency, in seconds.
+    pub(crate) fn sample_delay(&self, rng: &mut fastrand::Rng) -> f64 {
         self.delay * (MIN_DELAY_FRACTION + rng.f64())
     }
 
-    /// Draws whether a message is lost.
-    pub(crate) fn draw_loss(&self, rng: &mut fastrand::Rng) -> bool {
+    /// Samples whether a message is lost.
+    pub(crate) fn sample_loss(&self, rng: &mut fastrand::Rng) -> bool {
         rng.f64() < self.loss
     }
 
-    /// Draws for one copy in simulated time how long it takes, or `None` where it is lost. Each
-    /// copy takes its own time, so messages overtake each other.
-    fn draw_transit(&self, rng: &mut fastrand::Rng) -> Option<Duration> {
+    /// Samples the transit time of one copy in simulated time; `None` if the copy is lost. Each
+    /// copy has its own transit time, so messages can overtake each other.
+    fn sample_transit(&self, rng: &mut fastrand::Rng) -> Option<Duration> {
         let latency = MIN_LATENCY_SECONDS + (MAX_LATENCY_SECONDS - MIN_LATENCY_SECONDS) * rng.f64();
-        let transit = latency + self.draw_delay(rng);
-        let is_dropped = self.draw_loss(rng);
+        let transit = latency + self.sample_delay(rng);
+        let is_dropped = self.sample_loss(rng);
         (!is_dropped).then(|| Duration::from_secs_f64(transit))
     }
 }
 
 impl Plan {
-    /// Whether partitions let through at that time what one member sends to another. `now` is in
+    /// Whether no partition blocks messages from one member to another at that time. `now` is in
     /// seconds.
     pub(crate) fn is_link_open(&self, now: f64, from: &Member, to: &Member) -> bool {
         !self.faults.iter().any(|fault| match fault {
@@ -74,15 +74,15 @@
         })
     }
 
-    /// Whether some partition is under way, flapping or not. `now` is in seconds.
+    /// Whether any partition is active at that time, including flapping ones. `now` is in seconds.
     pub(crate) fn has_partition(&self, now: f64) -> bool {
         self.faults
             .iter()
             .any(|fault| matches!(fault, Fault::Partition { window, .. } if window.contains(now)))
     }
 
-    /// The quality of the links from one member to another: the worst of each that a fault asks for
-    /// at that time. `now` is in seconds.
+    /// The quality of the link from one member to another at that time: the worst value of each
+    /// quality over all faults. `now` is in seconds.
     pub(crate) fn link_quality(&self, now: f64, from: &Member, to: &Member) -> LinkQuality {
         let mut quality = LinkQuality::default();
         for fault in &self.faults {
@@ -104,9 +104,9 @@
         quality
     }
 
-    /// Draws for each copy of a message in simulated time that arrives how long it takes. Nothing
+    /// Samples the transit time of each copy of a message that arrives, in simulated time. No copy
     /// arrives over a link that is cut at that time. `now` is in seconds.
-    pub(crate) fn draw_transits(
+    pub(crate) fn sample_transits(
         &self,
         now: f64,
         from: &Member,
@@ -115,7 +115,7 @@
     ) -> impl Iterator<Item = Duration> {
         let quality = self.link_quality(now, from, to);
         let is_open = self.is_link_open(now, from, to);
-        let copies = quality.draw_copies(rng);
-        (0..copies).filter_map(move |_| quality.draw_transit(rng).filter(|_| is_open))
+        let copies = quality.sample_copies(rng);
+        (0..copies).filter_map(move |_| quality.sample_transit(rng).filter(|_| is_open))
     }
 }
--- a/crates/fault-injection/src/plan/validation.rs
+++ b/crates/fault-injection/src/plan/validation.rs
@@ -1,5 +1,5 @@
-//! Which plans can be played: the limits of each value, checked before a run begins. A value beyond
-//! them would make a run that never ends, or one whose outcome says nothing.
+//! Checks each value of a plan against its limits before a run begins. A value out of range could
+//! cause a run that never ends, or an outcome without meaning.
 
 use std::ops::RangeInclusive;
 
@@ -10,25 +10,25 @@
 use super::fault::FaultTimes;
 use super::{Bounds, Fault, Member, Plan, PlanError, PlannedLease, TimeWindow};
 
-/// Members of one run, at most.
+/// The maximum number of members in a run.
 const MAX_MEMBERS: usize = 2000;
-/// The longest run, in seconds.
+/// The maximum duration of a run, in seconds.
 const MAX_LENGTH_SECONDS: f64 = 3600.0;
-/// The longest name of a zone, in bytes.
+/// The maximum length of a zone's name, in bytes.
 const MAX_ZONE_NAME_BYTES: usize = 40;
-/// Fractions of messages.
+/// The range of fractions of messages.
 const FRACTION: RangeInclusive<f64> = 0.0..=1.0;
-/// Delays beside the usual latency, in milliseconds.
+/// The range of delays that are added to the usual latency, in milliseconds.
 const DELAY_MS: RangeInclusive<f64> = 0.0..=60_000.0;
-/// Seconds that a clock shows for each true second.
+/// The range of clock rates, in seconds that a clock shows for each true second.
 const CLOCK_RATE: RangeInclusive<f64> = 0.5..=2.0;
-/// How long a flapping link stays cut or open, in seconds.
+/// The range of times for which a flapping link stays cut or open, in seconds.
 const FLAP_SECONDS: RangeInclusive<f64> = 0.01..=3600.0;
-/// TTLs of leases, in seconds.
+/// The range of lease TTLs, in seconds.
 const TTL_SECONDS: RangeInclusive<f64> = MIN_LEASE_TTL.as_secs_f64()..=MAX_LEASE_TTL.as_secs_f64();
-/// Capacities of leases.
+/// The range of lease capacities.
 const CAPACITY: RangeInclusive<u32> = 1..=MAX_CAPACITY;
-/// The largest fraction of a TTL that one operation may take.
+/// The maximum duration of an operation, as a fraction of the lease's TTL.
 const MAX_OPERATION_FRACTION: f64 = 0.25;
 
 fn ensure(is_valid: bool, location: impl Into<String>, expected: &str) -> Result<(), PlanError> {
@@ -49,12 +49,12 @@
     /// Checks every value of the plan.
     ///
     /// # Errors
-    /// [`PlanError::InvalidValue`] for the first value that cannot be played.
+    /// [`PlanError::InvalidValue`] for the first value that is out of range.
     pub(super) fn validate(&self) -> Result<(), PlanError> {
         ensure(
             self.length > 0.0 && self.length <= MAX_LENGTH_SECONDS,
             "length",
-            "has to be above 0 and up to 3600 seconds",
+            "must be above 0 and at most 3600 seconds",
         )?;
         self.validate_zones()?;
         let members = self.members();
@@ -68,8 +68,8 @@
             ensure(
                 lease.is_valid(&members),
                 format!("lease[{index}]"),
-                "needs a name of 1 to 64 bytes, a TTL (`term`) from 0.2 s, a capacity (`places`) from 1, \
-                 operations (`step`) of up to a quarter of the TTL",
+                "needs a name of 1 to 64 bytes, a TTL (`term`) of at least 0.2 s, a capacity (`places`) of at \
+                 least 1, operations (`step`) of at most a quarter of the TTL",
             )?;
         }
         self.bounds.validate()
@@ -80,13 +80,13 @@
         ensure(
             (2..=MAX_MEMBERS).contains(&count),
             "members",
-            "there have to be 2 to 2000 in all",
+            "the total count must be 2 to 2000",
         )?;
         for (index, zone) in self.zones.iter().enumerate() {
             ensure(
                 (1..=MAX_ZONE_NAME_BYTES).contains(&zone.zone.len()) && zone.count > 0,
                 format!("members[{index}]"),
-                "needs a zone of 1 to 40 bytes and a count from 1 up",
+                "needs a zone name of 1 to 40 bytes and a count of at least 1",
             )?;
         }
         Ok(())
@@ -119,7 +119,7 @@
                 && voters.len() <= MAX_VOTERS
                 && voters.iter().all(is_member),
             "voters",
-            "have to be members, each named once, 7 at most",
+            "must be at most 7 members, each named once",
         )?;
         ensure(
             self.leases.is_empty() || !voters.is_empty(),
@@ -135,23 +135,23 @@
         ensure(
             window.from >= 0.0 && window.from < window.to && window.to <= length,
             location,
-            "its times have to lie in the run, and it has to end after it begins",
+            "its times must lie within the run, and its end must be after its beginning",
         )?;
         ensure(
             self.targets()
                 .iter()
                 .all(|target| is_known_target(members, target)),
             location,
-            "it names no zone and no member",
+            "a target names no zone and no member",
         )?;
         ensure(
             self.has_valid_amounts(),
             location,
-            "needs fractions from 0 to 1, a delay up to a minute, a flap from 0.01 s, a rate from 0.5 to 2",
+            "needs fractions from 0 to 1, a delay of at most 60 s, a flap of 0.01 s to 3600 s, a rate from 0.5 to 2",
         )
     }
 
-    /// From the beginning to the end of the fault, or to the end of the run.
+    /// The time from the beginning of the fault to its end, or to the end of the run.
     fn window(&self, length: f64) -> TimeWindow {
         let FaultTimes { begin, end } = self.times();
         TimeWindow {
@@ -219,7 +219,7 @@
                 .into_iter()
                 .all(is_valid),
             "check",
-            "bounds have to be seconds above 0",
+            "bounds must be finite and above 0 seconds",
         )
     }
 }
--- a/crates/fault-injection/src/processes/configuration.rs
+++ b/crates/fault-injection/src/processes/configuration.rs
@@ -1,4 +1,4 @@
-//! What a process is configured with: its `config.json` and its `settings.hcl`.
+//! The configuration of a process: its `config.json` and its `settings.hcl`.
 
 use std::fs;
 use std::io;
@@ -9,9 +9,9 @@
 use super::process::MemberProcess;
 use crate::plan::{MemberIndex, Plan, PlannedLease, seed_members};
 
-/// The file in a run's directory that holds the key.
+/// The file with the shared key, in a run's directory.
 const KEY_FILE: &str = "key";
-/// The key that the processes of each run share.
+/// The key that the processes of each run share. It is not secret.
 const KEY: &[u8] = b"of this run alone, and no secret";
 
 /// Writes the key that the processes of a run share.
@@ -45,7 +45,8 @@
     fs::write(process.settings_file(), settings.to_hcl())
 }
 
-/// The configuration that a platform gives a process, as its pages define it.
+/// The JSON configuration that a platform passes to a process, in the format of the platform's
+/// pages.
 fn config_json(name: &str, listen: SocketAddr, executor: SocketAddr) -> String {
     format!(
         r#"{{"name":{name:?},"listen":"{listen}","kernel":"{executor}","seed":"1","stop_ms":1000,
@@ -59,14 +60,14 @@
     )
 }
 
-/// The settings of a process: its cluster, and what the run observes and injects.
+/// The settings of a process: its cluster, the recorder of its operations, and its injected faults.
 struct ProcessSettings<'a> {
     plan: &'a Plan,
     processes: &'a [MemberProcess],
-    /// Of the process among all.
+    /// The index of the process.
     index: MemberIndex,
     addresses: &'a AddressBlock,
-    /// The file that holds the key.
+    /// The file with the shared key.
     key: &'a Path,
 }
 
@@ -103,7 +104,7 @@
         )
     }
 
-    /// What the run observes and injects.
+    /// Returns the block that configures the recorder of operations and the injected faults.
     fn fault_injection_block(&self) -> String {
         let MemberProcess {
             directory,
@@ -135,7 +136,7 @@
         quoted_list(seed_members(&members).map(|seed| self.addresses.peer(seed).to_string()))
     }
 
-    /// The leases that the plan has the process want.
+    /// The leases that the plan makes the process want.
     fn leases(&self) -> String {
         let member = &self.processes[self.index].member;
         let leases = self.plan.leases.iter();
@@ -143,7 +144,7 @@
         quoted_list(wanted.map(lease_setting))
     }
 
-    /// The proxy by which the process reaches each other one.
+    /// The address of each other process with the address of the proxy for the link to it.
     fn routes(&self) -> String {
         let others = (0..self.processes.len()).filter(|&other| other != self.index);
         quoted_list(others.map(|other| {
@@ -153,7 +154,7 @@
     }
 }
 
-/// A lease in the settings: `NAME TTL_MS CAPACITY MAX_OPERATION_MS`.
+/// Returns a lease as the settings write it: `NAME TTL_MS CAPACITY MAX_OPERATION_MS`.
 fn lease_setting(lease: &PlannedLease) -> String {
     let milliseconds = |seconds: f64| (seconds * 1000.0).round() as u64;
     let PlannedLease {
--- a/crates/fault-injection/src/processes/history/mod.rs
+++ b/crates/fault-injection/src/processes/history/mod.rs
@@ -1,11 +1,11 @@
-//! The history of operations under leases: each process reports over a stream when an operation
-//! begins and ends, and learns whether its token was accepted.
+//! Records the history of operations under leases. Each process reports the beginning and the end
+//! of each operation over a stream, and receives whether its token was accepted.
 //!
-//! A process that is paused after it has checked its lease goes on with the operation when it
-//! resumes, however long that took: no lease can prevent it, and a store fences it off by its
-//! token. So an operation is excused from overlapping a later one where its lease was checked
-//! before a pause, and nowhere else. Reports carry the time of that check, since a report that was
-//! sent before the pause can be read during it or after it.
+//! A process that is paused after it has checked its lease continues the operation when it resumes,
+//! however long the pause was. A lease cannot prevent this; a store fences the process off by its
+//! token. Therefore an operation may overlap a later one only if its lease was checked before a
+//! pause. Reports contain the time of that check, because a report that was sent before the pause
+//! may be read during the pause or after it.
 
 mod report;
 #[cfg(test)]
@@ -28,49 +28,50 @@
 use crate::plan::Plan;
 use report::OperationReport;
 
-/// How often the listener looks for a new stream.
+/// The interval at which the listener checks for a new stream.
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(1);
-/// The response to a report that is accepted. The word is that of the protocol.
+/// The response to an accepted report. The protocol defines the word.
 const ACCEPTED: &[u8] = b"taken\n";
-/// The response to a report whose token is stale. The word is that of the protocol.
+/// The response to a report whose token is stale. The protocol defines the word.
 const REJECTED: &[u8] = b"old\n";
 
-/// The machine's monotonic clock, which all processes of a run read alike.
+/// Returns the time of the machine's monotonic clock, which is the same for all processes of a run.
 fn monotonic_time() -> Duration {
     let now = clock_gettime(ClockId::Monotonic);
     Duration::try_from(now).unwrap_or_default()
 }
 
-/// Names an operation.
+/// Identifies an operation.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct OperationKey {
     lease: String,
     token: FencingToken,
 }
 
-/// Names a stream of reports within a run.
+/// Identifies a stream of reports within a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct StreamId(u64);
 
 /// An operation that has begun and not ended.
 struct OperationUnderWay {
     member: String,
-    /// The stream that its begin came on.
+    /// The stream that delivered the report of its beginning.
     stream: StreamId,
-    /// When its begin was received, since the start of the run.
+    /// When the report of its beginning was received, since the start of the run.
     begun_at: Duration,
     /// When its lease was checked, since the start of the run.
     checked_at: Duration,
-    /// Its member was paused after the check: a newer token fences it off.
+    /// Whether its member was paused after the check, so that a newer token fences the operation
+    /// off.
     is_fenceable: bool,
 }
 
-/// Records the history of a run. Owns the history checker, the outcome as it grows, and which
-/// member has which operations under way.
+/// Records the history of a run. It owns the history checker, the outcome of the run, and the
+/// operations in progress.
 pub(super) struct HistoryRecorder {
     checker: HistoryChecker,
     start: Instant,
-    /// The start by the monotonic clock.
+    /// The start of the run by the machine's monotonic clock.
     start_monotonic: Duration,
     under_way: BTreeMap<OperationKey, OperationUnderWay>,
     last_end: BTreeMap<String, Duration>,
@@ -78,7 +79,7 @@
     pub(super) outcome: RunOutcome,
 }
 
-/// The recorder, as the threads of a run share it.
+/// The recorder, shared by the threads of a run.
 #[derive(Clone)]
 pub(super) struct SharedRecorder(Arc<Mutex<HistoryRecorder>>);
 
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Records a report that came on a stream. Returns whether it is accepted.
+    /// Records a report from a stream. Returns whether the report is accepted.
     fn record(&mut self, stream: StreamId, report: OperationReport) -> bool {
         let at = self.start.elapsed();
         let checked_at = report.checked_at.saturating_sub(self.start_monotonic);
@@ -183,7 +184,7 @@
         self.checker.end(&key.lease, key.token)
     }
 
-    /// The tokens of operations under way whose members were paused after the check.
+    /// Returns the tokens of operations in progress whose members were paused after the check.
     fn fenceable_operations(&self, lease: &str) -> BTreeSet<FencingToken> {
         let of_lease = self
             .under_way
@@ -192,13 +193,13 @@
         of_lease.map(|(key, _)| key.token).collect()
     }
 
-    /// Whether a pause of the member began after that time.
+    /// Whether a pause of the member began at or after that time.
     fn was_paused_since(&self, member: &str, time: Duration) -> bool {
         let mut pauses = self.outcome.pauses.iter();
         pauses.any(|pause| pause.member == member && pause.paused_at >= time)
     }
 
-    /// All that is known of the operations that overlap.
+    /// Describes the overlapping operations and all pauses of the run.
     fn describe_overlap(
         &self,
         key: &OperationKey,
@@ -206,7 +207,7 @@
         error: &OperationError,
     ) -> String {
         let mut description = format!(
-            "under {} with token {} begins {operation}: {error}",
+            "lease {} token {}: {operation} begins: {error}",
             key.lease, key.token
         );
         for (other, operation) in &self.under_way {
@@ -225,14 +226,14 @@
         description
     }
 
-    /// Records a violation, if it is the first.
+    /// Records a violation if it is the first one.
     pub(super) fn violate(&mut self, at: Duration, description: String) {
         self.outcome
             .violation
             .get_or_insert(RunViolation { at, description });
     }
 
-    /// A member was paused: none of its threads runs any longer.
+    /// Records that a member was paused: none of its threads runs.
     pub(super) fn member_paused(&mut self, member: &str) {
         self.outcome.pauses.push(MemberPause {
             member: member.to_owned(),
@@ -244,7 +245,7 @@
         }
     }
 
-    /// A member is about to be resumed.
+    /// Records that a member is about to be resumed.
     pub(super) fn member_resumes(&mut self, member: &str) {
         let now = self.start.elapsed();
         let mut pauses = self.outcome.pauses.iter_mut().rev();
@@ -253,13 +254,13 @@
         }
     }
 
-    /// A member was killed: its operations have ended.
+    /// Records that a member was killed, which ends its operations.
     pub(super) fn member_died(&mut self, member: &str) {
         self.abandon(|operation| operation.member == member);
     }
 
-    /// A stream is closed: operations that began on it have ended, also where a begin was read only
-    /// after its member had been killed.
+    /// Records that a stream is closed, which ends the operations that began on it. This also
+    /// covers a beginning that is read only after its member was killed.
     fn stream_closed(&mut self, stream: StreamId) {
         self.abandon(|operation| operation.stream == stream);
     }
@@ -292,7 +293,7 @@
     }
 }
 
-/// Listens for reports.
+/// Starts the thread that accepts streams of reports.
 pub(super) fn spawn_listener(
     listen: SocketAddr,
     recorder: &SharedRecorder,
@@ -310,7 +311,7 @@
             };
             let (recorder, id) = (recorder.clone(), StreamId(next_stream));
             next_stream += 1;
-            // A process that was killed closes its stream.
+            // When a process is killed, its stream is closed and the thread ends.
             thread::spawn(move || serve_stream(stream, id, &recorder));
         }
     });
--- a/crates/fault-injection/src/processes/history/report.rs
+++ b/crates/fault-injection/src/processes/history/report.rs
@@ -1,4 +1,4 @@
-//! The line in which a process reports that an operation begins or ends.
+//! The line format in which a process reports that an operation begins or ends.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -7,12 +7,12 @@
 
 use super::OperationPhase;
 
-/// The phase of an operation that begins.
+/// The word for the beginning of an operation.
 const BEGIN: &str = "begin";
-/// The phase of an operation that ends.
+/// The word for the end of an operation.
 const END: &str = "end";
 
-/// A line that a process reports: `PHASE LEASE TOKEN MEMBER CHECKED_AT_NS`.
+/// A report from a process: `PHASE LEASE TOKEN MEMBER CHECKED_AT_NS`.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct OperationReport {
     pub(super) phase: OperationPhase,
@@ -23,9 +23,9 @@
     pub(super) checked_at: Duration,
 }
 
-/// A line that is no report.
+/// The line is not a valid report.
 #[derive(Debug, thiserror::Error)]
-#[error("expected: begin|end LEASE TOKEN MEMBER CHECKED_AT_NS")]
+#[error("malformed report: expected begin|end LEASE TOKEN MEMBER CHECKED_AT_NS")]
 pub(super) struct MalformedReportError;
 
 impl FromStr for OperationReport {
--- a/crates/fault-injection/src/processes/history/tests.rs
+++ b/crates/fault-injection/src/processes/history/tests.rs
@@ -1,17 +1,18 @@
-//! Written histories: each report and pause in the order in which the run saw them. Legal ones
-//! violate nothing, and one that overlaps is found.
+//! Replays scripted histories, that is, reports and pauses in the order in which a run receives
+//! them. Guards against false violations for operations that a pause interrupted, and against
+//! overlapping operations that are not detected.
 
 use super::*;
 
 const ONE: &str = "one";
 const TWO: &str = "two";
 
-/// A history of two leases, the first of capacity 1 and the second of capacity 2.
-struct WrittenHistory {
+/// A scripted history of two leases, the first with capacity 1 and the second with capacity 2.
+struct ScriptedHistory {
     recorder: HistoryRecorder,
 }
 
-impl WrittenHistory {
+impl ScriptedHistory {
     fn new() -> Self {
         let text = r#"length = 45
             voters = ["north-1"]
@@ -29,7 +30,7 @@
               places = 2
             }"#;
         let plan = Plan::parse(text).unwrap_or_else(|error| panic!("{error}"));
-        WrittenHistory {
+        ScriptedHistory {
             recorder: HistoryRecorder::new(&plan, Instant::now()),
         }
     }
@@ -45,19 +46,20 @@
         self.recorder.record(StreamId(member), report)
     }
 
-    /// The member, whose token is its number, begins an operation that was checked then.
+    /// The member, whose token is its number, begins an operation whose lease was checked at that
+    /// time.
     fn begin(&mut self, lease: &str, member: u64, at: CheckTime) -> bool {
         self.report(OperationPhase::Begin, lease, member, at)
     }
 
-    /// The member ends the operation that was checked then.
+    /// The member ends the operation whose lease was checked at that time.
     fn end(&mut self, lease: &str, member: u64, at: CheckTime) -> bool {
         self.report(OperationPhase::End, lease, member, at)
     }
 
     fn pause(&mut self, member: u64) {
         self.recorder.member_paused(&format!("north-{member}"));
-        // No two moments of a history are the same.
+        // All times of a history are different.
         thread::sleep(Duration::from_micros(10));
     }
 
@@ -82,31 +84,28 @@
     now
 }
 
-/// Guards against the false alarm of a run whose process was paused just after it had sent its
-/// report: the report was read during the pause, and its operation counted as one of a running
-/// process.
+/// Guards against a false violation: a process is paused just after it has sent its report, the
+/// report is read during the pause, and its operation counts as one of a running process.
 #[test]
-fn a_begin_that_is_read_during_the_pause_is_fenced_off() {
-    let mut history = WrittenHistory::new();
+fn begin_report_read_during_the_pause_is_fenced_off() {
+    let mut history = ScriptedHistory::new();
     let checked = check_time();
     history.pause(1);
     assert!(history.begin(ONE, 1, checked));
     let next = check_time();
     assert!(history.begin(ONE, 2, next));
     history.resume(1);
-    assert!(
-        !history.end(ONE, 1, checked),
-        "a store turns its effect away"
-    );
+    assert!(!history.end(ONE, 1, checked), "a store rejects its effect");
     assert!(history.end(ONE, 2, next));
     assert_eq!(history.violation(), None);
     assert_eq!(history.recorder.outcome.rejected_while_running, 0);
 }
 
-/// The same where the report is read only after the process was resumed.
+/// Guards against the same false violation if the report is read only after the process was
+/// resumed.
 #[test]
-fn a_begin_of_before_the_pause_that_is_read_after_it_is_fenced_off() {
-    let mut history = WrittenHistory::new();
+fn begin_report_sent_before_a_pause_and_read_after_it_is_fenced_off() {
+    let mut history = ScriptedHistory::new();
     let checked = check_time();
     history.pause(1);
     history.resume(1);
@@ -114,7 +113,7 @@
     assert!(history.begin(ONE, 2, check_time()));
     assert_eq!(history.violation(), None);
 
-    let mut history = WrittenHistory::new();
+    let mut history = ScriptedHistory::new();
     let checked = check_time();
     history.pause(1);
     assert!(history.begin(ONE, 2, check_time()));
@@ -125,7 +124,7 @@
 
 #[test]
 fn an_operation_that_a_pause_interrupts_is_fenced_off() {
-    let mut history = WrittenHistory::new();
+    let mut history = ScriptedHistory::new();
     let [checked, next] = [check_time(), check_time()];
     assert!(history.begin(ONE, 1, checked));
     history.pause(1);
@@ -136,10 +135,10 @@
     assert_eq!(history.violation(), None);
 }
 
-/// A pause excuses no operation whose lease was checked after it.
+/// A pause does not excuse operations whose lease was checked after it.
 #[test]
 fn operations_that_overlap_after_a_pause_are_a_violation() {
-    let mut history = WrittenHistory::new();
+    let mut history = ScriptedHistory::new();
     let checked = check_time();
     assert!(history.begin(ONE, 1, checked));
     history.pause(1);
@@ -147,25 +146,25 @@
     assert!(history.end(ONE, 1, checked));
     assert!(history.begin(ONE, 1, check_time()));
     assert!(!history.begin(ONE, 2, check_time()));
-    let violation = history.violation().expect("the overlap is found");
+    let violation = history.violation().expect("the overlap is detected");
     assert!(violation.contains("tokens 1, 2"), "{violation}");
 }
 
-/// A pause of another member excuses nothing.
+/// A pause of another member does not excuse an overlap.
 #[test]
 fn operations_of_running_members_that_overlap_are_a_violation() {
-    let mut history = WrittenHistory::new();
+    let mut history = ScriptedHistory::new();
     assert!(history.begin(ONE, 1, check_time()));
     history.pause(3);
     assert!(!history.begin(ONE, 2, check_time()));
     assert!(history.violation().is_some());
 }
 
-/// A lease of capacity 2 has no newest token that fences off all others: an operation of before a
-/// pause is turned away where both slots are in use, whatever their tokens, and only then.
+/// A lease with capacity 2 has no newest token that fences off all others. An operation that was
+/// checked before a pause is rejected if and only if both slots are in use, whatever their tokens.
 #[test]
-fn two_slots_in_use_turn_away_an_operation_of_before_a_pause() {
-    let mut history = WrittenHistory::new();
+fn full_lease_rejects_an_operation_checked_before_a_pause() {
+    let mut history = ScriptedHistory::new();
     let checked = check_time();
     history.pause(2);
     assert!(history.begin(TWO, 1, check_time()));
@@ -174,14 +173,18 @@
     assert!(!history.begin(TWO, 2, checked));
     assert_eq!(history.violation(), None);
     assert!(!history.begin(TWO, 4, check_time()));
-    assert!(history.violation().is_some(), "three run at a time");
+    assert!(
+        history.violation().is_some(),
+        "three operations run at the same time"
+    );
 }
 
-/// With capacity 1 a newer token is granted only once the older one is lost: an operation under the
-/// older one that runs then is a violation, although the newer one's owner was paused.
+/// With capacity 1 a newer token is granted only after the older one is lost. An operation with the
+/// older token that runs after that is a violation, although the owner of the newer token was
+/// paused.
 #[test]
-fn a_pause_of_the_newer_owner_excuses_no_overlap() {
-    let mut history = WrittenHistory::new();
+fn pause_of_the_newer_owner_does_not_excuse_an_overlap() {
+    let mut history = ScriptedHistory::new();
     let checked = check_time();
     history.pause(2);
     assert!(history.begin(ONE, 1, check_time()));
@@ -190,11 +193,11 @@
     assert!(history.violation().is_some());
 }
 
-/// Guards against an operation that stays under way for ever: its begin is read only after its
-/// process was killed.
+/// Guards against an operation that stays in progress indefinitely because the report of its
+/// beginning is read only after its process was killed.
 #[test]
-fn a_begin_that_is_read_after_the_kill_ends_with_its_stream() {
-    let mut history = WrittenHistory::new();
+fn operation_reported_after_the_kill_ends_with_its_stream() {
+    let mut history = ScriptedHistory::new();
     let checked = check_time();
     history.recorder.member_died("north-1");
     assert!(history.begin(ONE, 1, checked));
--- a/crates/fault-injection/src/processes/mod.rs
+++ b/crates/fault-injection/src/processes/mod.rs
@@ -1,6 +1,5 @@
-//! Plays a plan with real processes of the program, on loopback addresses: each link between them
-//! leads through a proxy, faults are injected into proxies and processes, and a history checker
-//! sees each operation under a lease.
+//! Runs a plan with real processes on loopback addresses. The run injects faults into the proxy of
+//! each link and into the processes, and a history checker checks each operation under a lease.
 
 mod addresses;
 mod configuration;
@@ -31,30 +30,30 @@
 use schedule::Schedule;
 use views::ViewPoller;
 
-/// How often the schedule and the processes are checked.
+/// The interval at which the schedule and the processes are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why a run could not be played to its end.
+/// Why a run was aborted.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The machine refused something.
+    /// An operation of the operating system failed.
     #[error("{task}: {source}")]
     Io {
-        /// What was being done.
+        /// The task that failed.
         task: &'static str,
-        /// Why it failed.
+        /// The error.
         source: io::Error,
     },
-    /// A process ended though the plan did not kill it.
-    #[error("{member} ended by itself at {seconds:.2} s ({status}); its log is {}", log.display())]
+    /// A process exited although the plan did not kill it.
+    #[error("{member} exited by itself at {seconds:.2} s ({status}); its log is {}", log.display())]
     ProcessEnded {
         /// The member.
         member: String,
-        /// When it was found, in seconds since the start.
+        /// When the exit was detected, in seconds since the start of the run.
         seconds: f64,
-        /// How it ended.
+        /// The exit status.
         status: ExitStatus,
-        /// Its log.
+        /// The log of the process.
         log: PathBuf,
     },
 }
@@ -68,48 +67,48 @@
 /// Whether an operation begins or ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperationPhase {
-    /// It begins.
+    /// The operation begins.
     Begin,
-    /// It ends.
+    /// The operation ends.
     End,
 }
 
-/// One report of a process about an operation under a lease.
+/// One report from a process about an operation under a lease.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OperationRecord {
-    /// When it was received, since the start of the run.
+    /// When the report was received, since the start of the run.
     pub at: Duration,
     /// When the member checked that it holds the lease, since the start of the run.
     pub checked_at: Duration,
-    /// The member that carries the operation out.
+    /// The member that carries out the operation.
     pub member: String,
-    /// The lease that it holds.
+    /// The lease under which the member carries out the operation.
     pub lease: String,
     /// The fencing token of the operation.
     pub token: FencingToken,
     /// Whether the operation begins or ends.
     pub phase: OperationPhase,
-    /// Why the report was rejected, if it was.
+    /// Why the report was rejected; `None` if it was accepted.
     pub rejection: Option<OperationError>,
 }
 
-/// A member was paused: between the two times none of its threads ran.
+/// A pause of a member. None of its threads ran between the two times.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberPause {
     /// The member.
     pub member: String,
-    /// When it was seen to be paused, since the start of the run.
+    /// When the run detected the pause, since the start of the run.
     pub paused_at: Duration,
-    /// When it was about to be resumed; `None` while it is paused.
+    /// The time just before the member was resumed; `None` while it is paused.
     pub resumed_at: Option<Duration>,
 }
 
-/// How an invariant was violated.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunViolation {
-    /// When, since the start of the run.
+    /// When the violation was found, since the start of the run.
     pub at: Duration,
-    /// What was seen, for people.
+    /// A description for people.
     pub description: String,
 }
 
@@ -118,41 +117,42 @@
 pub struct RunOutcome {
     /// The first violation of an invariant, which ends a run.
     pub violation: Option<RunViolation>,
-    /// Operations that began under a lease.
+    /// The number of operations that began under a lease.
     pub operations: u64,
-    /// Reports rejected for their token.
+    /// The number of reports rejected because of their token.
     pub rejected: u64,
-    /// Those of them whose process had not been paused since it checked the lease.
+    /// The number of rejected reports whose process had not been paused since it checked the lease.
     pub rejected_while_running: u64,
-    /// By lease: how many tokens were seen.
+    /// The number of tokens seen for each lease.
     pub tokens: BTreeMap<String, usize>,
-    /// By lease: the longest without an operation, between the first and the last.
+    /// For each lease, the longest time without an operation between the first operation and the
+    /// last.
     pub longest_idle: BTreeMap<String, Duration>,
     /// The worst durations of the membership's invariants.
     pub worst: WorstDurations,
-    /// Whether all views were right when they were last polled.
+    /// Whether all views were correct at the last poll.
     pub is_converged: bool,
-    /// How often a member came to consider a live, reachable one dead.
+    /// How often a member started to consider a live, reachable member dead.
     pub false_deaths: u64,
     /// All reports in the order in which they were received.
     pub history: Vec<OperationRecord>,
-    /// All pauses of members, in the order in which they began.
+    /// All pauses of members in the order in which they began.
     pub pauses: Vec<MemberPause>,
 }
 
-/// Where a member serves requests, and where it looks for its executor.
+/// The addresses of a member for requests and for its executor.
 #[derive(Clone, Debug)]
 pub struct MemberEndpoints {
     /// The member's name.
     pub name: String,
-    /// Where it serves requests.
+    /// The address on which the member serves requests.
     pub listen: SocketAddr,
-    /// Where it looks for its executor.
+    /// The address on which the member expects its executor.
     pub executor: SocketAddr,
 }
 
-/// What runs on this machine for one run. Owns the processes; dropping it ends proxies and
-/// processes.
+/// The proxies and processes of one run. It owns the processes; dropping it stops the proxies and
+/// kills the processes.
 struct RunningCluster {
     network: Arc<Network>,
     addresses: AddressBlock,
@@ -166,15 +166,17 @@
     }
 }
 
-/// Plays a plan once with processes of `program`, whose directories, journals and logs are kept in
-/// `run_directory`.
+/// Runs a plan once with processes of `program`. The directories, journals and logs of the
+/// processes are kept in `run_directory`.
 ///
-/// Before the first process is started, `on_start` learns where each will serve. After the last
-/// fault, `is_done` is asked with the outcome so far; it may end the run before its length.
+/// `on_start` is called before the first process starts, with the addresses of each member.
+/// `is_done` is called repeatedly after the last fault, with the outcome so far; if it returns
+/// true, the run ends early.
 ///
 /// # Errors
-/// [`RunError::ProcessEnded`] where a process ends by itself, and [`RunError::Io`] where the
-/// machine refuses something. A violation of an invariant is no error; it stands in the outcome.
+/// [`RunError::ProcessEnded`] if a process exits by itself, and [`RunError::Io`] if an operation of
+/// the operating system fails. A violation of an invariant is not an error; the outcome contains
+/// it.
 pub fn run(
     plan: &Plan,
     program: &Path,
@@ -187,14 +189,14 @@
     let mut cluster = RunningCluster::set_up(plan, run_directory, start, &recorder)?;
     on_start(&cluster.endpoints());
     cluster.start(plan, program, run_directory)?;
-    cluster.play(plan, program, &recorder, is_done)?;
+    cluster.run(plan, program, &recorder, is_done)?;
     drop(cluster);
     let outcome = std::mem::take(&mut recorder.lock().outcome);
     Ok(outcome)
 }
 
 impl RunningCluster {
-    /// Starts the proxies and the listener of the history; no process is started yet.
+    /// Starts the proxies and the listener of the history recorder, but no process.
     fn set_up(
         plan: &Plan,
         run_directory: &Path,
@@ -205,7 +207,7 @@
         let addresses = AddressBlock::claim().map_err(RunError::io("addresses"))?;
         let process = |member| MemberProcess::new(member, run_directory, plan.clock_rate(member));
         let processes = network.members.iter().map(process).collect();
-        // From here on the proxies end with the cluster, also where setting it up fails.
+        // Dropping the cluster stops the proxies, also if a later step of the setup fails.
         let cluster = RunningCluster {
             network,
             addresses,
@@ -258,7 +260,7 @@
         Ok(())
     }
 
-    fn play(
+    fn run(
         &mut self,
         plan: &Plan,
         program: &Path,
@@ -292,7 +294,7 @@
         Ok(())
     }
 
-    /// Fails where a process ended by itself.
+    /// Fails if a process exited by itself.
     fn check_processes(&mut self) -> Result<(), RunError> {
         for process in &mut self.processes {
             if let Some(status) = process.exit_status().map_err(RunError::io("processes"))? {
--- a/crates/fault-injection/src/processes/process.rs
+++ b/crates/fault-injection/src/processes/process.rs
@@ -1,4 +1,4 @@
-//! One process of the program: its directory, and how it is started, killed, paused and resumed.
+//! One process of the program: its directory, and functions that start, kill, pause and resume it.
 
 use std::fs;
 use std::io::{self, Read, Write};
@@ -14,36 +14,36 @@
 use crate::fault_schedule::FaultAction;
 use crate::plan::{DirectoryAfterCrash, DiskFault, Member, OperationStep};
 
-/// The directory of the voter's log, in a process's directory.
+/// The directory of the voter's log, inside the process's directory.
 const JOURNAL: &str = "journal";
-/// The older copy of that directory, from which a crash may roll it back.
+/// The backup of that directory, which a crash can restore.
 const JOURNAL_BACKUP: &str = "older";
 /// The control socket of a process.
 const CONTROL_SOCKET: &str = "control";
-/// What a process is configured with by its platform.
+/// The configuration that the platform passes to a process.
 const CONFIG_FILE: &str = "config.json";
 /// The settings of a process.
 const SETTINGS_FILE: &str = "settings.hcl";
-/// While this file is there, the process's disk is full.
+/// While this file exists, the process's disk is full.
 const DISK_FULL_FILE: &str = "full";
-/// While this file is there, the next sync of the process's disk fails.
+/// While this file exists, the next sync of the process's disk fails.
 const SYNC_FAILS_FILE: &str = "fails";
-/// Where this file is there, the process pauses itself at the step that it names, and removes it.
+/// The process pauses itself at the step that this file names, and removes the file.
 const PAUSE_STEP_FILE: &str = "pause_at";
-/// How long a process may take to pause after it was sent the signal.
+/// The time limit for a process to pause after it was sent the signal.
 const PAUSE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a process is checked that is about to pause.
+/// The interval at which a process that is about to pause is checked.
 const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// How much of a response on the control socket is read, in bytes.
+/// The maximum length of a control response that is read, in bytes.
 const MAX_CONTROL_RESPONSE_BYTES: usize = 256;
 
-/// A member's process. Owns the child; dropping it kills the child.
+/// A member's process. It owns the child process, and kills it when dropped.
 pub(super) struct MemberProcess {
     pub(super) member: Member,
     pub(super) directory: PathBuf,
-    /// Standard error of all runs of the process.
+    /// The standard error output of all runs of the process.
     pub(super) log_file: PathBuf,
-    /// Seconds that the process's clock shows for each true second.
+    /// The seconds that the process's clock shows for each true second.
     pub(super) clock_rate: f64,
     child: Option<Child>,
     pause: PauseState,
@@ -53,13 +53,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PauseState {
     Running,
-    /// It pauses itself once it reaches a step.
+    /// The process pauses itself when it reaches a step.
     AwaitingStep,
     Paused,
 }
 
 impl MemberProcess {
-    /// A process that is not started yet.
+    /// Returns a process that is not started yet.
     pub(super) fn new(member: &Member, run_directory: &Path, clock_rate: f64) -> Self {
         MemberProcess {
             member: member.clone(),
@@ -96,7 +96,7 @@
         self.is_alive() && self.pause != PauseState::Paused
     }
 
-    /// The status of a process that has ended by itself.
+    /// Returns the status of a process that exited by itself.
     pub(super) fn exit_status(&mut self) -> io::Result<Option<ExitStatus>> {
         self.child.as_mut().map_or(Ok(None), Child::try_wait)
     }
@@ -118,7 +118,7 @@
         Ok(())
     }
 
-    /// Carries out what the schedule has due.
+    /// Performs a scheduled action.
     pub(super) fn perform(
         &mut self,
         action: &FaultAction,
@@ -165,7 +165,7 @@
     }
 
     fn restart(&mut self, directory: DirectoryAfterCrash, program: &Path) -> io::Result<()> {
-        // Where two crashes of one process overlap, it is running already.
+        // If two crashes of a process overlap, the process is already running.
         if self.is_alive() {
             return Ok(());
         }
@@ -187,7 +187,7 @@
         self.await_pause(recorder)
     }
 
-    /// The process pauses itself once it reaches the step, if it does before it is resumed.
+    /// Makes the process pause itself if it reaches the step before it is resumed.
     fn pause_at_step(&mut self, step: OperationStep) -> io::Result<()> {
         if self.is_alive() {
             fs::write(self.directory.join(PAUSE_STEP_FILE), step.keyword())?;
@@ -204,7 +204,7 @@
         Ok(())
     }
 
-    /// Waits until no thread of the process runs any longer, and records it.
+    /// Waits until no thread of the process runs, and records the pause.
     fn await_pause(&mut self, recorder: &SharedRecorder) -> io::Result<()> {
         let deadline = Instant::now() + PAUSE_TIMEOUT;
         while !self.has_paused()? {
@@ -222,7 +222,7 @@
         self.pause = PauseState::Paused;
     }
 
-    /// Whether the process has paused since this was last asked.
+    /// Whether the process has paused since the last call.
     fn has_paused(&self) -> io::Result<bool> {
         let Some(child) = &self.child else {
             return Ok(false);
@@ -237,7 +237,7 @@
         }
         let is_awaiting_step = self.pause == PauseState::AwaitingStep;
         if is_awaiting_step && fs::remove_file(self.directory.join(PAUSE_STEP_FILE)).is_err() {
-            // It has reached the step, and pauses now.
+            // The process has removed the file at its step, and is about to pause.
             self.await_pause(recorder)?;
         }
         if self.pause == PauseState::Paused {
@@ -250,7 +250,8 @@
         }
     }
 
-    /// Asks for the replacement as an operator would; it is not waited for.
+    /// Requests the replacement of a voter over the control socket, as an operator does. Does not
+    /// wait for its completion.
     fn request_replacement(&self, old: &str, new: &str) -> io::Result<()> {
         let mut control = UnixStream::connect(self.control_socket())?;
         let command = format!("{{\"do\":\"replace\",\"old\":{old:?},\"new\":{new:?}}}\n");
@@ -273,7 +274,7 @@
     Ok(kill_process(Pid::from_child(child), signal)?)
 }
 
-/// Copies the files of a directory that is in use.
+/// Copies the files of a directory while a process may be using it.
 fn copy_directory(from: &Path, to: &Path) -> io::Result<()> {
     fs::create_dir_all(to)?;
     let Ok(entries) = fs::read_dir(from) else {
--- a/crates/fault-injection/src/processes/proxy.rs
+++ b/crates/fault-injection/src/processes/proxy.rs
@@ -1,5 +1,5 @@
-//! Proxies of the links between processes: each delays, loses, duplicates and holds back what the
-//! plan says.
+//! Proxies of the links between processes. Each proxy delays, drops, duplicates and blocks data
+//! according to the plan.
 
 use std::cmp::{Ordering as CmpOrdering, Reverse};
 use std::collections::BinaryHeap;
@@ -13,19 +13,19 @@
 
 use crate::plan::{LinkQuality, Member, MemberIndex, Plan};
 
-/// How often a proxy looks for a new stream, and whether a partition is over.
+/// The interval at which a proxy checks for a new stream, and for the end of a partition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The longest wait of a proxy before it looks whether the run is over.
+/// The maximum wait of a proxy before it checks whether the run is over.
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// How much later a part of a stream arrives that is lost, as after a retransmission.
+/// The extra delay for a lost chunk of a stream, as after a retransmission.
 const RETRANSMISSION_DELAY: Duration = Duration::from_millis(200);
-/// The longest datagram that a proxy passes on, in bytes.
+/// The maximum length of a datagram that a proxy forwards, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
-/// How much of a stream a proxy reads at a time, in bytes.
+/// The size of the read buffer for a stream, in bytes.
 const STREAM_BUFFER_BYTES: usize = 16_384;
 
-/// The network between the processes of a run, which all proxies share: the plan, and whether the
-/// run is over.
+/// The network between the processes of a run, which all proxies share. It holds the plan, and
+/// whether the run is over.
 pub(super) struct Network {
     pub(super) plan: Plan,
     pub(super) members: Vec<Member>,
@@ -47,7 +47,7 @@
         self.is_over.load(Ordering::Relaxed)
     }
 
-    /// Ends all proxies, within [`SHUTDOWN_CHECK_INTERVAL`].
+    /// Stops all proxies within [`SHUTDOWN_CHECK_INTERVAL`].
     pub(super) fn shut_down(&self) {
         self.is_over.store(true, Ordering::Relaxed);
     }
@@ -72,7 +72,7 @@
     pub(super) network: Arc<Network>,
     pub(super) from: MemberIndex,
     pub(super) to: MemberIndex,
-    /// Where the receiver listens.
+    /// The address on which the receiver listens.
     pub(super) target: SocketAddr,
 }
 
@@ -90,7 +90,7 @@
     }
 }
 
-/// A datagram that is sent later.
+/// A datagram and the time at which it is sent.
 pub(super) struct DelayedDatagram {
     at: Instant,
     to: SocketAddr,
@@ -117,7 +117,7 @@
     }
 }
 
-/// Starts a thread that sends delayed datagrams for all proxies when they are due.
+/// Starts a thread that sends the delayed datagrams of all proxies when they are due.
 pub(super) fn spawn_delayed_sender(
     network: &Arc<Network>,
     socket: UdpSocket,
@@ -149,7 +149,7 @@
     sender
 }
 
-/// Starts the proxy of one link, for datagrams and streams, on `listen`.
+/// Starts the proxy of one link on `listen`, for datagrams and streams.
 pub(super) fn spawn_proxy(
     link: &Link,
     listen: SocketAddr,
@@ -174,11 +174,11 @@
             continue;
         };
         let quality = link.quality();
-        if !link.is_open() || quality.draw_loss(&mut rng) {
+        if !link.is_open() || quality.sample_loss(&mut rng) {
             continue;
         }
-        for _ in 0..quality.draw_copies(&mut rng) {
-            let delay = quality.draw_delay(&mut rng);
+        for _ in 0..quality.sample_copies(&mut rng) {
+            let delay = quality.sample_delay(&mut rng);
             if quality.delay > 0.0 {
                 let at = Instant::now() + Duration::from_secs_f64(delay);
                 let bytes = buffer[..length].to_vec();
@@ -202,12 +202,13 @@
         };
         let _ = stream.set_nonblocking(false);
         let link = link.clone();
-        // A stream that fails is closed; the process that opened it opens another.
+        // After an error the proxy closes the stream; the process that opened it opens another one.
         thread::spawn(move || _ = forward_stream(&link, stream));
     }
 }
 
-/// Forwards one stream, one way. A partition holds its bytes back until it is over.
+/// Forwards one stream in one direction. During a partition, the proxy holds the stream's bytes
+/// back.
 fn forward_stream(link: &Link, mut source: TcpStream) -> io::Result<()> {
     let mut rng = fastrand::Rng::new();
     let mut sink = TcpStream::connect(link.target)?;
@@ -229,12 +230,12 @@
             Err(error) => return Err(error),
         };
         let quality = link.quality();
-        let retransmission = if quality.draw_loss(&mut rng) {
+        let retransmission = if quality.sample_loss(&mut rng) {
             RETRANSMISSION_DELAY
         } else {
             Duration::ZERO
         };
-        thread::sleep(Duration::from_secs_f64(quality.draw_delay(&mut rng)) + retransmission);
+        thread::sleep(Duration::from_secs_f64(quality.sample_delay(&mut rng)) + retransmission);
         while !link.is_open() && !link.network.is_over() {
             thread::sleep(POLL_INTERVAL);
         }
--- a/crates/fault-injection/src/processes/schedule.rs
+++ b/crates/fault-injection/src/processes/schedule.rs
@@ -1,9 +1,9 @@
-//! The schedule of a run: which fault begins and ends at which process, and when.
+//! The schedule of a run: the time at which each fault begins and ends, and its process.
 
 use crate::fault_schedule::{DefaultDiskFault, FaultAction, ScheduledAction, scheduled_actions};
 use crate::plan::{BACKUP_AT, Member, Plan};
 
-/// The actions of a run that are still to come, the next one first.
+/// The pending actions of a run, ordered by time.
 pub(super) struct Schedule {
     actions: std::iter::Peekable<std::vec::IntoIter<ScheduledAction>>,
 }
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Takes the next action, if it is due.
+    /// Removes and returns the next action if it is due.
     pub(super) fn pop_due(&mut self, now: f64) -> Option<ScheduledAction> {
         self.actions.next_if(|next| next.at <= now)
     }
--- a/crates/fault-injection/src/processes/views.rs
+++ b/crates/fault-injection/src/processes/views.rs
@@ -1,5 +1,5 @@
-//! Asks each process at intervals what it considers the others to be, and checks the membership's
-//! invariants on that.
+//! Polls the membership view of each process at intervals, and checks the invariants of the
+//! membership.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Write};
@@ -16,22 +16,23 @@
 use crate::invariants::{MembershipChecker, Observation};
 use crate::plan::{MemberIndex, Plan};
 
-/// How often all processes are asked for their views.
+/// The interval between two polls of all processes.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// How long the response of one process is waited for.
+/// The time limit for the response of one process.
 const POLL_TIMEOUT: Duration = Duration::from_millis(400);
-/// The command on the control socket that asks for a process's view.
+/// The control command that requests a process's view.
 const MEMBERS_COMMAND: &[u8] = b"{\"do\":\"members\"}\n";
 
-/// What each member considers the others to be. Owns the checker of the membership's invariants.
+/// Polls the view that each member has of the others. It owns the checker of the membership's
+/// invariants.
 pub(super) struct ViewPoller {
     checker: MembershipChecker,
     next_poll: Instant,
-    /// By observer and subject.
+    /// The last polled states, by observer and subject.
     views: Vec<Vec<Option<MemberState>>>,
 }
 
-/// What one poll found, over all observers.
+/// The result of one poll over all observers.
 struct PollResult {
     is_converged: bool,
     false_deaths: u64,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Polls all processes, if it is time to, and adds the result to the outcome.
+    /// Polls all processes if a poll is due, and adds the result to the outcome.
     pub(super) fn poll_if_due(
         &mut self,
         network: &Network,
@@ -156,7 +157,7 @@
     }
 }
 
-/// Asks a process by its control socket for the state of the others, by name.
+/// Requests the states of the other members by name from a process's control socket.
 fn request_view(control_socket: &Path) -> io::Result<BTreeMap<String, MemberState>> {
     let mut stream = UnixStream::connect(control_socket)?;
     stream.set_read_timeout(Some(POLL_TIMEOUT))?;
--- a/crates/fault-injection/src/random_faults.rs
+++ b/crates/fault-injection/src/random_faults.rs
@@ -1,56 +1,62 @@
-//! Faults drawn from a seed, and the smallest set of them that still shows a failure.
+//! Samples random faults from a seed, and minimizes the faults that reproduce a failure.
 //!
-//! The faults are drawn so that a majority of voters keeps what was committed, and so that all is
-//! repaired well before the end: an invariant that is violated then shows a bug and not that too
-//! much was broken. A draw must not move: kept seeds name the runs that showed a bug.
+//! The sampled faults never destroy committed data on a majority of voters, and they end well
+//! before the run does. An invariant violation is therefore a bug, and not the effect of too many
+//! faults. The order and the ranges of the samples must not change: recorded seeds identify runs
+//! that showed a bug.
 
 use crate::plan::{DirectoryAfterCrash, DiskFault, Fault, Member, Plan, TimeWindow};
 
-/// Keeps the draws apart from those of a run with the same seed.
+/// Makes the sampled faults independent of the random numbers of a run with the same seed.
 const SEED_MASK: u64 = 0x0063_6861_6f73;
-/// Faults that are drawn beside those of the plan, at most.
+/// The maximum number of random faults that are added to a plan. The restart after a disk fault is
+/// not counted.
 const MAX_RANDOM_FAULTS: usize = 6;
-/// The fraction of the length of a run by which faults are over.
+/// The fraction of a run's length after which faults end.
 const FAULTS_END_FRACTION: f64 = 2.0 / 3.0;
-/// How long a process stays dead when it is restarted after a disk fault, in seconds.
+/// How long a process stays dead when it restarts after a disk fault, in seconds.
 const RESTART_SECONDS: f64 = 0.1;
-/// When faults begin at the earliest, in seconds since the start.
+/// The earliest beginning of a fault, in seconds since the start of the run.
 const FIRST_FAULT_SECONDS: f64 = 1.0;
-/// How long before the end of faults the last one begins, counted from the earliest, in seconds.
+/// How much shorter the span in which faults may begin is than the time until faults end, in
+/// seconds. The span starts at [`FIRST_FAULT_SECONDS`], so each fault begins at least 1 s before
+/// faults end, unless [`MIN_BEGIN_SPAN_SECONDS`] applies.
 const LAST_FAULT_MARGIN_SECONDS: f64 = 2.0;
-/// The shortest span of time in which faults may begin, in seconds, however short the run.
+/// The minimum length of the span in which faults may begin, in seconds, for short runs.
 const MIN_BEGIN_SPAN_SECONDS: f64 = 0.1;
-/// The shortest fault, in seconds.
+/// The minimum duration of a fault, in seconds.
 const MIN_FAULT_SECONDS: f64 = 0.2;
-/// How much longer than the shortest a fault is at most, in seconds. Short ones are more likely.
+/// The maximum random addition to the minimum duration of a fault, in seconds. It is multiplied by
+/// two random fractions, so short faults are more likely.
 const FAULT_SPREAD_SECONDS: f64 = 8.0;
-/// How long after the end of faults one may still last, in seconds.
+/// How far the end of one fault may exceed the time after which faults end, in seconds.
 const FAULTS_END_TOLERANCE_SECONDS: f64 = 0.1;
-/// One crash in so many empties the process's directory.
+/// One in this number of crashes empties the process's directory.
 const CRASHES_PER_EMPTIED_DIRECTORY: usize = 6;
-/// One isolated member in so many is cut off one way only.
+/// One in this number of isolated members is cut off in one direction only.
 const ISOLATIONS_PER_ONE_WAY: usize = 3;
-/// The rate of a fast clock, in its seconds for each true second.
+/// The rate of a fast clock, in seconds that it shows for each true second.
 const FAST_CLOCK_RATE: f64 = 1.05;
-/// The rate of a slow clock, in its seconds for each true second.
+/// The rate of a slow clock, in seconds that it shows for each true second.
 const SLOW_CLOCK_RATE: f64 = 0.95;
-/// How long a flapping link stays cut or open at least, in seconds.
+/// The minimum time for which a flapping link stays cut or open, in seconds.
 const MIN_FLAP_SECONDS: f64 = 0.05;
-/// The largest fraction of messages that is lost on degraded links.
+/// The maximum fraction of messages that degraded links lose.
 const MAX_LOSS: f64 = 0.4;
-/// The largest fraction of messages that is delivered twice on degraded links.
+/// The maximum fraction of messages that degraded links deliver twice.
 const MAX_DUPLICATION: f64 = 0.4;
-/// The longest mean delay on degraded links, in milliseconds.
+/// The maximum mean delay on degraded links, in milliseconds.
 const MAX_DELAY_MS: f64 = 200.0;
-/// The longest mean delay on the links of a slow member, in milliseconds.
+/// The maximum mean delay on the links of a slow member, in milliseconds.
 const MAX_SLOW_MEMBER_DELAY_MS: f64 = 1500.0;
-/// The fraction of messages that is lost on the links of a slow member.
+/// The fraction of messages that the links of a slow member lose.
 const SLOW_MEMBER_LOSS: f64 = 0.1;
-/// The fraction of messages that is delivered twice on the links of a slow member.
+/// The fraction of messages that the links of a slow member deliver twice.
 const SLOW_MEMBER_DUPLICATION: f64 = 0.1;
 
-/// The same plan with up to six random faults beside its own, over by two thirds of its length. The
-/// same seed draws the same faults.
+/// Returns the plan with one to six random faults added. They end after about two thirds of the
+/// run, except for changed clock rates, which last for the whole run. The same seed gives the same
+/// faults.
 pub fn with_random_faults(plan: &Plan, seed: u64) -> Plan {
     let mut rng = fastrand::Rng::with_seed(seed ^ SEED_MASK);
     let members = plan.members();
@@ -58,7 +64,7 @@
     let end = plan.length * FAULTS_END_FRACTION;
     let mut has_emptied_directory = false;
     for _ in 0..rng.usize(1..=MAX_RANDOM_FAULTS) {
-        let fault = draw_fault(&mut rng, &members, end, &mut has_emptied_directory);
+        let fault = sample_fault(&mut rng, &members, end, &mut has_emptied_directory);
         if let Fault::Disk {
             target,
             repaired_at,
@@ -76,17 +82,17 @@
         }
         plan.faults.push(fault);
     }
-    // In the order of a plan file, so that a file that is written of this plan plays the very same
-    // run.
+    // This is the order of a plan file, so a plan that is written to a file and parsed again gives
+    // the same run.
     plan.faults.sort_by_key(Fault::kind_order);
     plan
 }
 
-fn draw_member(rng: &mut fastrand::Rng, members: &[Member]) -> String {
+fn sample_member(rng: &mut fastrand::Rng, members: &[Member]) -> String {
     members[rng.usize(0..members.len())].name.clone()
 }
 
-fn draw_window(rng: &mut fastrand::Rng, end: f64) -> TimeWindow {
+fn sample_window(rng: &mut fastrand::Rng, end: f64) -> TimeWindow {
     let begin_span = (end - LAST_FAULT_MARGIN_SECONDS).max(MIN_BEGIN_SPAN_SECONDS);
     let from = FIRST_FAULT_SECONDS + begin_span * rng.f64();
     let to = (from + MIN_FAULT_SECONDS + FAULT_SPREAD_SECONDS * rng.f64() * rng.f64())
@@ -94,28 +100,28 @@
     TimeWindow { from, to }
 }
 
-/// Draws one fault. At most one directory is emptied in a run: a second one would leave no majority
-/// that knows all that was committed.
-fn draw_fault(
+/// Samples one fault. At most one directory is emptied in a run: a second one could leave no
+/// majority that has all committed data.
+fn sample_fault(
     rng: &mut fastrand::Rng,
     members: &[Member],
     end: f64,
     has_emptied_directory: &mut bool,
 ) -> Fault {
-    let target = draw_member(rng, members);
-    let other = draw_member(rng, members);
-    let window = draw_window(rng, end);
+    let target = sample_member(rng, members);
+    let other = sample_member(rng, members);
+    let window = sample_window(rng, end);
     let TimeWindow { from: at, to } = window;
     match rng.usize(0..9) {
-        0 => draw_partition(rng, window, target, other),
-        1 => draw_isolation(rng, window, target),
-        2 => draw_degraded_network(rng, window),
-        3 => draw_slow_member(rng, window, target),
+        0 => sample_partition(rng, window, target, other),
+        1 => sample_isolation(rng, window, target),
+        2 => sample_degraded_network(rng, window),
+        3 => sample_slow_member(rng, window, target),
         4 | 5 => Fault::Crash {
             at,
             target,
             restart_at: Some(to),
-            directory: draw_directory(rng, has_emptied_directory),
+            directory: sample_directory(rng, has_emptied_directory),
         },
         6 => Fault::Pause {
             at,
@@ -142,7 +148,7 @@
     }
 }
 
-fn draw_directory(
+fn sample_directory(
     rng: &mut fastrand::Rng,
     has_emptied_directory: &mut bool,
 ) -> DirectoryAfterCrash {
@@ -154,7 +160,7 @@
     }
 }
 
-fn draw_partition(rng: &mut fastrand::Rng, window: TimeWindow, a: String, b: String) -> Fault {
+fn sample_partition(rng: &mut fastrand::Rng, window: TimeWindow, a: String, b: String) -> Fault {
     let flap = rng.bool().then(|| MIN_FLAP_SECONDS + rng.f64());
     Fault::Partition {
         window,
@@ -165,8 +171,8 @@
     }
 }
 
-/// One member against all others.
-fn draw_isolation(rng: &mut fastrand::Rng, window: TimeWindow, member: String) -> Fault {
+/// Samples a partition between one member and all others.
+fn sample_isolation(rng: &mut fastrand::Rng, window: TimeWindow, member: String) -> Fault {
     let one_way = rng.usize(0..ISOLATIONS_PER_ONE_WAY) == 0;
     Fault::Partition {
         window,
@@ -177,8 +183,8 @@
     }
 }
 
-/// Loss, delay and duplication on all links.
-fn draw_degraded_network(rng: &mut fastrand::Rng, window: TimeWindow) -> Fault {
+/// Samples loss, delay and duplication on all links.
+fn sample_degraded_network(rng: &mut fastrand::Rng, window: TimeWindow) -> Fault {
     let (loss, duplication) = (MAX_LOSS * rng.f64(), MAX_DUPLICATION * rng.f64());
     let delay_ms = MAX_DELAY_MS * rng.f64();
     Fault::DegradedLinks {
@@ -190,8 +196,8 @@
     }
 }
 
-/// Long delays on the links of one member.
-fn draw_slow_member(rng: &mut fastrand::Rng, window: TimeWindow, target: String) -> Fault {
+/// Samples long delays on the links of one member.
+fn sample_slow_member(rng: &mut fastrand::Rng, window: TimeWindow, target: String) -> Fault {
     let delay_ms = MAX_SLOW_MEMBER_DELAY_MS * rng.f64();
     Fault::DegradedLinks {
         window,
@@ -202,7 +208,7 @@
     }
 }
 
-/// Leaves out one fault after the other for as long as the plan still fails.
+/// Removes one fault after another, and keeps each removal after which the plan still fails.
 pub fn minimize_faults(plan: &Plan, fails: impl Fn(&Plan) -> bool) -> Plan {
     let mut plan = plan.clone();
     let mut index = 0;
--- a/crates/fault-injection/src/scheduler.rs
+++ b/crates/fault-injection/src/scheduler.rs
@@ -1,12 +1,13 @@
-//! Simulated time: a queue of events that moves the time on, and a fingerprint by which two runs
-//! are compared.
+//! Simulated time: an event queue that advances the time, and a fingerprint for the comparison of
+//! runs.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::plan::MemberIndex;
 
-/// Counts the starts of a process, so that timers of an earlier one are void.
+/// The number of starts of a process. It identifies timers of an earlier start, which have no
+/// effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ProcessGeneration(pub(crate) u64);
 
@@ -16,8 +17,9 @@
     }
 }
 
-/// The time of a run and the events that are to happen, each to one member. Events of the same time
-/// happen in the order in which they were scheduled. The scheduler alone moves the time.
+/// The simulated time and the queued events, each of which has one member. Events with the same
+/// time are handled in the order in which they were scheduled. Only the scheduler advances the
+/// time.
 pub(crate) struct Scheduler<E> {
     now: Duration,
     sequence: u64,
@@ -38,25 +40,25 @@
         self.now
     }
 
-    /// A number that no event and no other caller gets.
+    /// Returns a number that no event and no other caller gets.
     pub(crate) fn next_sequence(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
     }
 
-    /// Has an event happen to a member at a time since the start of the run.
+    /// Schedules an event for a member at a time since the start of the run.
     pub(crate) fn schedule(&mut self, at: Duration, member: MemberIndex, event: E) {
         let sequence = self.next_sequence();
         self.events.insert((at, sequence), (member, event));
     }
 
-    /// Has an event happen after a delay.
+    /// Schedules an event for a member after a delay.
     pub(crate) fn schedule_in(&mut self, delay: Duration, member: MemberIndex, event: E) {
         self.schedule(self.now + delay, member, event);
     }
 }
 
-/// What is simulated: members that handle events, and invariants that are checked at intervals.
+/// A simulation: members that handle events, and invariants that are checked at intervals.
 pub(crate) trait Simulation {
     type Event;
 
@@ -69,12 +71,12 @@
 
     fn check_invariants(&mut self);
 
-    /// Whether an invariant was violated, which ends the run.
+    /// Whether an invariant was violated. The run then ends.
     fn has_failed(&self) -> bool;
 }
 
-/// Plays events until the time is over, none is left, or an invariant was violated.
-pub(crate) fn play<S: Simulation>(simulation: &mut S, length: Duration) {
+/// Runs a simulation until its length is over, no event is left, or an invariant is violated.
+pub(crate) fn run_simulation<S: Simulation>(simulation: &mut S, length: Duration) {
     let mut next_check = S::CHECK_INTERVAL;
     while let Some(((at, _), (member, event))) = simulation.scheduler().events.pop_first() {
         while next_check <= at.min(length) {
@@ -90,12 +92,12 @@
     }
 }
 
-/// A hash of what happened in a run (FNV-1a over 64-bit values): equal where all was equal.
+/// A hash of the events of a run (FNV-1a over 64-bit values). Equal runs have equal fingerprints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Fingerprint(u64);
 
 impl Fingerprint {
-    /// The hash of nothing, as FNV-1a defines it for 64 bits.
+    /// The hash of empty input, as FNV-1a defines it for 64 bits.
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     /// The multiplier, as FNV-1a defines it for 64 bits.
     const PRIME: u64 = 0x0100_0000_01b3;
--- a/crates/fault-injection/tests/history_checker.rs
+++ b/crates/fault-injection/tests/history_checker.rs
@@ -1,5 +1,5 @@
-//! The history checker sees operations that overlap and tokens that are stale, and excuses paused
-//! processes alone.
+//! Guards against a history checker that misses overlapping operations or stale tokens, or that
+//! excuses operations of processes that were not paused.
 
 use std::collections::BTreeSet;
 
--- a/crates/fault-injection/tests/lease_simulation.rs
+++ b/crates/fault-injection/tests/lease_simulation.rs
@@ -1,5 +1,6 @@
-//! Leases in simulated time over many seeds: each hard case, random faults, and injected bugs that
-//! the checks have to catch.
+//! Simulates leases over many seeds: each scenario with faults, random faults, and injected bugs.
+//! Guards against violations of the leases' invariants under faults, and against checks that miss
+//! an injected bug.
 
 use tulipgap_fault_injection::{
     InjectedBugs, LeaseOutcome, Plan, simulate_leases, with_random_faults,
@@ -7,7 +8,7 @@
 use tulipgap_leases::InjectedBug;
 use tulipgap_write_ahead_log::InjectedBug as DiskBug;
 
-/// Seeds of each hard case; `tulipgap rig simulate` plays many more.
+/// The number of seeds for each scenario; `tulipgap chaos simulate` runs many more.
 const SEEDS: u64 = 6;
 
 fn plan(faults: &str) -> Plan {
@@ -47,17 +48,20 @@
     Plan::parse(&text).unwrap_or_else(|error| panic!("{error}"))
 }
 
-fn assert_invariants_hold(what: &str, faults: &str) -> Vec<LeaseOutcome> {
+fn assert_invariants_hold(scenario: &str, faults: &str) -> Vec<LeaseOutcome> {
     let plan = plan(faults);
     let outcomes: Vec<LeaseOutcome> = (0..SEEDS)
         .map(|seed| simulate_leases(&plan, seed, InjectedBugs::default()))
         .collect();
     for (seed, outcome) in outcomes.iter().enumerate() {
-        assert_eq!(outcome.violation, None, "{what}, seed {seed}");
-        assert!(outcome.operations > 100, "{what}, seed {seed}: {outcome:?}");
+        assert_eq!(outcome.violation, None, "{scenario}, seed {seed}");
+        assert!(
+            outcome.operations > 100,
+            "{scenario}, seed {seed}: {outcome:?}"
+        );
     }
     let vacancy = outcomes.iter().map(|outcome| outcome.longest_vacancy).max();
-    println!("{what}: no holder for {vacancy:?} at the longest in {SEEDS} runs");
+    println!("{scenario}: no holder for at most {vacancy:?} in {SEEDS} runs");
     outcomes
 }
 
@@ -150,7 +154,8 @@
     let replace = |at: u32, old: &str, new: &str| {
         format!("replace {{\n at = {at}\n old = \"{old}\"\n new = \"{new}\"\n}}\n")
     };
-    // One leaves the voters for good, and one lost its folder.
+    // north-1 leaves the voters permanently. west-1 loses its directory and is then replaced by
+    // itself.
     let lost = "crash {\n at = 12\n of = \"west-1\"\n back = 13\n folder = \"emptied\"\n}\n";
     let outcomes = assert_invariants_hold(
         "replaced",
@@ -182,10 +187,9 @@
     );
 }
 
-/// A voter whose directory is rolled back notices it by what the others know of it, and stops
-/// voting.
+/// A voter whose directory is rolled back learns this from the other voters and stops voting.
 #[test]
-fn rolled_back_directory_is_noticed() {
+fn rolled_back_directory_stops_the_voter() {
     let outcomes = assert_invariants_hold(
         "rolled back",
         "crash {\n at = 10\n of = \"north-1\"\n back = 11\n folder = \"older\"\n}",
@@ -201,13 +205,17 @@
     let plan = plan("");
     let mut vacancy = std::time::Duration::ZERO;
     for seed in 0..100 {
-        let drawn = with_random_faults(&plan, seed);
-        let outcome = simulate_leases(&drawn, seed, InjectedBugs::default());
-        assert_eq!(outcome.violation, None, "seed {seed}: {:#?}", drawn.faults);
+        let plan_with_faults = with_random_faults(&plan, seed);
+        let outcome = simulate_leases(&plan_with_faults, seed, InjectedBugs::default());
+        assert_eq!(
+            outcome.violation, None,
+            "seed {seed}: {:#?}",
+            plan_with_faults.faults
+        );
         vacancy = vacancy.max(outcome.longest_vacancy_after_faults);
     }
     println!(
-        "random: no holder for {vacancy:?} after the last fault, of {} s",
+        "random: no holder for {vacancy:?} after the last fault, bound {} s",
         plan.bounds.vacancy
     );
 }
@@ -220,8 +228,8 @@
     assert_ne!(run(7).fingerprint, run(8).fingerprint);
 }
 
-/// The injected bugs that show in whole runs, each with the seeds that are played for it; the
-/// others are found by the tests of the write-ahead log and among all states at small sizes
+/// Runs each injected bug that whole runs can detect, over a range of seeds. The tests of the
+/// write-ahead log and the exhaustive checks at small sizes detect the other bugs
 /// (docs/design-leases.md).
 #[test]
 fn injected_bugs_are_found() {
@@ -235,8 +243,9 @@
             )
         })
         .collect();
-    // A leader that was paused, has heard of no other voter since, and is asked by members that
-    // reach it.
+    // Each voter in turn is paused, and is cut off from the other voters until 1 s after it
+    // resumes, while the other members can reach it. If it was the leader, it receives reads before
+    // it learns that another leader was elected.
     let (mut paused_leader, voters) = (String::new(), ["north-1", "west-1", "south-1"]);
     for (of, at) in voters.iter().zip([5, 15, 25]) {
         paused_leader += &format!(
@@ -282,7 +291,7 @@
             .clone()
             .find_map(|seed| Some((seed, simulate_leases(&plan_of(seed), seed, bugs).violation?)));
         println!("{bugs:?}: {found:?}");
-        assert!(found.is_some(), "{bugs:?} is not found");
+        assert!(found.is_some(), "{bugs:?} is not detected");
         // Without the bug, the invariants hold in the same run.
         let seed = found.map_or(0, |(seed, _)| seed);
         assert_eq!(
@@ -292,12 +301,12 @@
     }
 }
 
-/// The faults that are printed of a failure play the very same run.
+/// Guards against printed faults of a failure that do not reproduce the run.
 #[test]
-fn faults_written_to_hcl_play_the_same_run() {
-    let drawn = with_random_faults(&plan(""), 11);
-    let parsed = plan(&drawn.faults_to_hcl());
-    assert_eq!(parsed.faults, drawn.faults);
+fn faults_written_to_hcl_reproduce_the_run() {
+    let plan_with_faults = with_random_faults(&plan(""), 11);
+    let parsed = plan(&plan_with_faults.faults_to_hcl());
+    assert_eq!(parsed.faults, plan_with_faults.faults);
     let run = |plan: &Plan| simulate_leases(plan, 11, InjectedBugs::default());
-    assert_eq!(run(&parsed), run(&drawn));
+    assert_eq!(run(&parsed), run(&plan_with_faults));
 }
--- a/crates/fault-injection/tests/membership_simulation.rs
+++ b/crates/fault-injection/tests/membership_simulation.rs
@@ -1,11 +1,12 @@
-//! The membership in simulated time over many seeds: each hard case, and an injected bug for each
-//! invariant.
+//! Simulates the membership over many seeds: each scenario with faults, and an injected bug for
+//! each invariant. Guards against violations of the membership's invariants under faults, and
+//! against checks that miss an injected bug.
 
 use tulipgap_fault_injection::{
     MembershipBug, MembershipInvariant, Plan, WorstDurations, simulate_membership,
 };
 
-/// Seeds of each hard case; `tulipgap rig simulate` plays many more.
+/// The number of seeds for each scenario; `tulipgap chaos simulate` runs many more.
 const SEEDS: u64 = 8;
 
 fn plan(faults: &str) -> Plan {
@@ -33,18 +34,18 @@
     Plan::parse(&text).unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// Plays a plan over seeds; the worst durations are printed beside the bounds.
-fn assert_invariants_hold(what: &str, faults: &str, seeds: u64) {
+/// Runs a plan over seeds, and prints the worst durations with their bounds.
+fn assert_invariants_hold(scenario: &str, faults: &str, seeds: u64) {
     let plan = plan(faults);
     let (mut worst, mut false_deaths) = (WorstDurations::default(), 0);
     for seed in 0..seeds {
         let outcome = simulate_membership(&plan, seed, None);
-        assert_eq!(outcome.violation, None, "{what}, seed {seed}");
+        assert_eq!(outcome.violation, None, "{scenario}, seed {seed}");
         worst = worst.max(outcome.worst);
         false_deaths += outcome.false_deaths;
     }
     println!(
-        "{what}: {worst:?} of {:?}, {false_deaths} false deaths in {seeds} runs",
+        "{scenario}: {worst:?}, bounds {:?}, {false_deaths} false deaths in {seeds} runs",
         plan.bounds
     );
 }
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn member_with_slow_links_is_not_considered_dead_and_considers_nobody_dead() {
+fn member_with_slow_links_causes_no_lasting_false_death() {
     assert_invariants_hold(
         "slow links",
         "links {\n from = 20\n to = 70\n of = \"south-2\"\n delay_ms = 300\n}",
@@ -162,11 +163,12 @@
     );
 }
 
-/// Guards against a live member that is considered dead for 15 s after a cut has healed: the others
-/// tried its address as a seed, and it did not learn that it was declared dead. The plan is that of
-/// the leases' run between real processes, whose bound of 10 s it passes on each of these seeds.
+/// Guards against a live member that is considered dead for 15 s after a partition has ended: other
+/// members contacted its address as a seed, and it did not learn that it had been declared dead.
+/// The plan is that of the lease test with real processes, and its bound of 10 s holds on each of
+/// these seeds.
 #[test]
-fn members_that_were_cut_off_are_taken_back_over_lossy_links() {
+fn partitioned_members_rejoin_over_lossy_links() {
     let text = r#"length = 60
         members {
           zone = "a"
@@ -220,5 +222,5 @@
         assert_eq!(outcome.violation, None, "seed {seed}");
         worst = worst.max(outcome.worst);
     }
-    println!("cut off over lossy links: {worst:?}");
+    println!("partitioned, lossy links: {worst:?}");
 }
--- a/crates/fault-injection/tests/plan_file.rs
+++ b/crates/fault-injection/tests/plan_file.rs
@@ -1,5 +1,5 @@
-//! Plan files: those that cannot be played are rejected with the place, and faults are written as
-//! they are read.
+//! Guards against invalid plan files that are accepted or rejected without the location of the
+//! error, and against faults that change when they are written to a plan file and parsed again.
 
 use tulipgap_fault_injection::{
     DirectoryAfterCrash, DiskFault, Fault, OperationStep, Plan, PlanError, TimeWindow,
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn faults_of_every_kind_are_written_as_they_are_read() {
+fn faults_of_every_kind_survive_writing_and_parsing() {
     let window = TimeWindow { from: 1.0, to: 2.5 };
     let (a, b) = ("a-1".to_owned(), "a-2".to_owned());
     let crash = |directory| Fault::Crash {
