--- a/crates/leases/src/client.rs
+++ b/crates/leases/src/client.rs
@@ -1,12 +1,14 @@
 //! The client of one process: it requests leases from the voters, renews them in time, and issues
 //! guards.
 //!
-//! A TTL is counted from before its request was sent, by this process's own clock, and shorter by
-//! as much as that clock may be slow. So a lease ends here before anybody else is granted its slot.
+//! The client counts a TTL from before its request was sent, by this process's own clock, and
+//! shortens it by the maximum clock drift. A lease therefore ends at its client before the voters
+//! grant the slot to another owner.
 //!
-//! [`LeaseClient`] routes events to its parts and turns what they decide into actions. The parts
-//! are the status of each lease and which grants it accepts, the times of requests, the voter that
-//! is asked, and the tokens that were released. Guards are in a file of their own.
+//! [`LeaseClient`] routes events to its components and turns their decisions into actions.
+//! [`WantedLease`] stores the status of a lease and decides which grants it accepts,
+//! [`RenewalSchedule`] computes request times, [`LeaderHint`] selects the voter, and
+//! [`ReleasedTokens`] records the released tokens. The module `guard` contains the guards.
 
 mod event;
 mod guard;
@@ -36,16 +38,17 @@
 
 /// Delay before a request is sent to the voter that a hint named as leader.
 const FOLLOW_HINT_DELAY: Duration = Duration::from_millis(10);
-/// `NotLeader` responses in a row, up to which a hint is followed at once. More would let two
-/// voters that name each other be asked in turn without a pause.
+/// Maximum number of consecutive `NotLeader` responses whose hint is followed after
+/// [`FOLLOW_HINT_DELAY`]. Without the limit, the client would ask two voters that name each other
+/// in turn without a longer pause.
 const MAX_FOLLOWED_HINTS: u32 = 2;
 
-/// The leases that one process requests or holds. It owns their state: hosts learn of changes by
-/// its actions.
+/// The leases that one process requests or holds. The client owns their state and reports changes
+/// to its host as actions.
 ///
 /// Invariants: a guard is valid only between the request that was granted and the end of its TTL,
-/// both by this process's clock; a token that was released is never accepted again; a lease is
-/// released only once no guard is out.
+/// both by this process's clock; a released token is never accepted again; a lease is released only
+/// when it has no outstanding guard.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseClient {
     owner: Owner,
@@ -56,14 +59,14 @@
     last_request: RequestId,
     leases: BTreeMap<Name, WantedLease>,
     released: ReleasedTokens,
-    /// The timer that the host was last asked for and that has not elapsed yet.
+    /// The time of the timer that the host was last asked to set, until it elapses.
     timer_at: Option<Duration>,
     bug: BugSwitch,
 }
 
 impl LeaseClient {
-    /// The client of `owner`, which asks `voters` in turn until one knows the leader. Pauses are
-    /// drawn from `seed`.
+    /// Creates the client of `owner`. It asks `voters` in turn until one names the leader. `seed`
+    /// determines the jitter.
     pub fn new(owner: Owner, voters: Vec<Name>, config: Config, seed: u64) -> Self {
         LeaseClient {
             owner,
@@ -78,22 +81,22 @@
         }
     }
 
-    /// Makes the client behave as though it had that bug.
+    /// Injects a bug; `None` removes it.
     #[cfg(feature = "injected-bugs")]
     pub fn inject_bug(&mut self, bug: Option<InjectedBug>) {
         self.bug = BugSwitch::new(bug);
         self.schedule.inject_bug(bug);
     }
 
-    /// Each lease that is wanted, and its status.
+    /// The wanted leases and their status.
     pub fn leases(&self) -> impl Iterator<Item = (&Name, LeaseStatus)> {
         self.leases
             .iter()
             .map(|(name, wanted)| (name, wanted.status))
     }
 
-    /// Handles an event. `now` is this process's clock; where it goes backwards, every lease is
-    /// lost.
+    /// Handles an event. `now` is the reading of this process's clock; if the clock goes backwards,
+    /// every lease is lost.
     pub fn handle_event(&mut self, now: Duration, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.read_clock(now, &mut actions);
@@ -104,11 +107,11 @@
                 max_step,
                 wait,
             } => {
-                self.want(lease, spec, max_step, wait, &mut actions);
+                self.add_wanted_lease(lease, spec, max_step, wait, &mut actions);
             }
             Event::Release { lease } => self.handle_release(&lease, &mut actions),
-            // A later leader may apply what an earlier run of this process requested, under an id
-            // of this run.
+            // A later leader may apply a request of an earlier run of this process, whose id may
+            // equal one of this run.
             Event::Response { incarnation, .. } if incarnation != self.owner.incarnation => {}
             Event::Response {
                 request, response, ..
@@ -121,18 +124,19 @@
             Event::SlotAvailable { lease } => self.handle_slot_available(&lease),
             Event::TimerElapsed => self.timer_at = self.timer_at.filter(|&at| at > self.now),
         }
-        self.run_due(&mut actions);
+        self.process_due_leases(&mut actions);
         actions
     }
 
-    /// A clock that went backwards can't measure a TTL: whatever was counted by it ends.
+    /// Records the reading of the clock. A clock that went backwards can't measure a TTL, so every
+    /// grant ends.
     fn read_clock(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if now < self.now {
             self.timer_at = None;
             for (lease, wanted) in &mut self.leases {
                 wanted.pending.clear();
                 wanted.next_request_at = now;
-                let ended = wanted.forget_grant();
+                let ended = wanted.drop_grant();
                 report_ended(lease, ended, LossReason::ClockWentBackwards, actions);
             }
         }
@@ -142,7 +146,7 @@
     fn handle_release(&mut self, lease: &Name, actions: &mut Vec<Action>) {
         if let Some(wanted) = self.leases.get_mut(lease) {
             wanted.is_released = true;
-            self.stop(lease, LossReason::Released, actions);
+            self.end_lease(lease, LossReason::Released, actions);
         }
     }
 
@@ -154,8 +158,9 @@
         }
     }
 
-    /// Requests a lease. One that is wanted already keeps its spec, step and `wait`.
-    fn want(
+    /// Adds a lease that the host wants. A lease that is already wanted keeps its spec, step and
+    /// `wait`.
+    fn add_wanted_lease(
         &mut self,
         lease: Name,
         spec: LeaseSpec,
@@ -199,20 +204,20 @@
         response: Response,
         actions: &mut Vec<Action>,
     ) {
-        // A response to a request that is no longer known is ignored: when it was sent isn't known
-        // either.
+        // A response to a request that is no longer known is ignored, because the time at which the
+        // request was sent is not known either.
         let Some((lease, sent_at)) = self.pending_request(request) else {
             return;
         };
         let Some(wanted) = self.leases.get_mut(&lease) else {
             return;
         };
-        wanted.forget_requests_up_to(request);
+        wanted.remove_requests_up_to(request);
         wanted.not_leader_responses = 0;
-        let is_undecided = wanted.is_undecided();
+        let has_no_grant = wanted.has_no_grant();
         match response {
             Response::Granted { token } => self.handle_grant(&lease, sent_at, token, actions),
-            Response::Queued { ahead } if is_undecided => {
+            Response::Queued { ahead } if has_no_grant => {
                 wanted.status = LeaseStatus::Queued { ahead };
                 self.poll_later(&lease);
             }
@@ -222,9 +227,9 @@
                 self.poll_later(&lease);
             }
             Response::Rejected(RejectReason::Revoked) => {
-                self.stop(&lease, LossReason::Revoked, actions)
+                self.end_lease(&lease, LossReason::Revoked, actions)
             }
-            Response::Rejected(reason) if is_undecided => {
+            Response::Rejected(reason) if has_no_grant => {
                 actions.push(Action::Rejected {
                     lease: lease.clone(),
                     reason,
@@ -295,8 +300,9 @@
         let Some(wanted) = self.leases.get_mut(&lease) else {
             return;
         };
-        // The voter did respond, so its silence is no reason to try the next one: the hint decides.
-        wanted.forget_requests_up_to(request);
+        // The voter has responded, so the request must not count as timed out: the next request
+        // would otherwise skip the voter that the hint selects.
+        wanted.remove_requests_up_to(request);
         wanted.not_leader_responses += 1;
         let follows_at_once = wanted.not_leader_responses <= MAX_FOLLOWED_HINTS;
         if self.leader_hint.redirect(leader) && follows_at_once {
@@ -304,8 +310,9 @@
         }
     }
 
-    /// No guard is issued or valid any more. The slot is released once no guard is out.
-    fn stop(&mut self, lease: &Name, reason: LossReason, actions: &mut Vec<Action>) {
+    /// Ends a lease: no guard is issued or valid any more. The client releases the slot when no
+    /// guard is outstanding.
+    fn end_lease(&mut self, lease: &Name, reason: LossReason, actions: &mut Vec<Action>) {
         let Some(wanted) = self.leases.get_mut(lease) else {
             return;
         };
@@ -343,7 +350,7 @@
         self.send(command, actions);
     }
 
-    /// Sends a command to the voter that is taken for the leader.
+    /// Sends a command to the presumed leader.
     fn send(&mut self, command: Command, actions: &mut Vec<Action>) -> RequestId {
         self.last_request.0 += 1;
         let request = self.last_request;
@@ -357,8 +364,9 @@
         request
     }
 
-    /// Ends what has expired, releases what no guard keeps, and sends the requests that are due.
-    fn run_due(&mut self, actions: &mut Vec<Action>) {
+    /// Ends the leases that have expired, releases the slots of ended leases without outstanding
+    /// guards, and sends the requests that are due.
+    fn process_due_leases(&mut self, actions: &mut Vec<Action>) {
         let names: Vec<Name> = self.leases.keys().cloned().collect();
         for lease in &names {
             self.expire_if_due(lease, actions);
@@ -378,27 +386,27 @@
         self.set_timer(actions);
     }
 
-    /// A lease that was not renewed in time ends. The voters are asked whether it is still held
-    /// there.
+    /// Ends a lease that was not renewed in time. The client then requests it again, since the
+    /// voters may still count it as held.
     fn expire_if_due(&mut self, lease: &Name, actions: &mut Vec<Action>) {
         let Some(wanted) = self.leases.get_mut(lease) else {
             return;
         };
         if wanted.has_expired(self.now) {
-            let ended = wanted.forget_grant();
+            let ended = wanted.drop_grant();
             report_ended(lease, ended, LossReason::Expired, actions);
         }
     }
 
-    /// Releases the slot. A lease that was revoked and is still wanted goes to the end of the
-    /// queue.
+    /// Releases the slot. If the lease was revoked and the host still wants it, the client requests
+    /// it again later and joins the end of the queue.
     fn finish_release(&mut self, lease: &Name, token: FencingToken, actions: &mut Vec<Action>) {
         let Some(wanted) = self.leases.remove(lease) else {
             return;
         };
         self.release(lease, token, actions);
         if !wanted.is_released {
-            self.want(
+            self.add_wanted_lease(
                 lease.clone(),
                 wanted.spec,
                 wanted.max_step,
@@ -409,7 +417,7 @@
         }
     }
 
-    /// Requests a lease again after a part of its TTL.
+    /// Schedules the next request for a lease after a part of its TTL.
     fn poll_later(&mut self, lease: &Name) {
         if let Some(wanted) = self.leases.get_mut(lease) {
             wanted.next_request_at = self.now + self.schedule.queue_poll_interval(wanted.spec.ttl);
@@ -421,7 +429,7 @@
         let Some(wanted) = self.leases.get(lease) else {
             return;
         };
-        // The earlier request got no response in time: another voter is asked.
+        // An earlier request got no response in time, so the client asks another voter.
         if !wanted.pending.is_empty() {
             self.leader_hint.try_next();
         }
@@ -445,7 +453,7 @@
         wanted.next_request_at = retry_at;
     }
 
-    /// Asks for a timer where something is due before the one that was asked for.
+    /// Asks the host for a timer if a lease is due before the present timer.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
         let soonest = self.leases.values().filter_map(WantedLease::due_at).min();
         if let Some(at) = soonest.filter(|&at| self.timer_at.is_none_or(|timer_at| at < timer_at)) {
@@ -455,7 +463,8 @@
     }
 }
 
-/// Reports that a grant ended, where the host knows of it.
+/// Reports the end of a grant that was announced to the host; `token` is `None` for any other
+/// grant.
 fn report_ended(
     lease: &Name,
     token: Option<FencingToken>,
--- a/crates/leases/src/client/event.rs
+++ b/crates/leases/src/client/event.rs
@@ -7,28 +7,28 @@
     Command, FencingToken, Incarnation, LeaseSpec, Name, RejectReason, RequestId, Response,
 };
 
-/// How a client measures and spreads its times.
+/// The clock drift and jitter that a client allows for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// How far a clock may be off in its rate, in thousandths.
+    /// The maximum error of a clock's rate, in thousandths.
     pub max_clock_drift_permille: u32,
-    /// The jitter: a pause is longer by up to this fraction of it, drawn at random, in thousandths.
+    /// The jitter: the maximum random extension of a pause, in thousandths of the pause.
     pub jitter_permille: u32,
 }
 
 /// Input events of a client.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The host wants a lease. Where it is wanted already, or is still being released, the fields
-    /// are checked and otherwise ignored: the lease keeps those that it was first requested with.
+    /// The host wants a lease. If the lease is already wanted or is still being released, the
+    /// client checks the fields but keeps those of the first request.
     Acquire {
         /// The lease.
         lease: Name,
-        /// All that request it must agree.
+        /// The TTL and capacity, on which all requests for the lease must agree.
         spec: LeaseSpec,
-        /// How long a step under a guard takes at most. Guards become stale that much earlier.
+        /// Maximum duration of a step under a guard. Guards become stale that much earlier.
         max_step: Duration,
-        /// Whether to queue where no slot is free.
+        /// Whether to queue if no slot is free.
         wait: bool,
     },
     /// The host no longer wants a lease.
@@ -38,7 +38,8 @@
     },
     /// A voter's response.
     Response {
-        /// The run of this process that sent the request: an earlier run's may be applied only now.
+        /// The run of this process that sent the request. The voters may apply a request of an
+        /// earlier run only now.
         incarnation: Incarnation,
         /// The request.
         request: RequestId,
@@ -49,7 +50,7 @@
     NotLeader {
         /// The request.
         request: RequestId,
-        /// Who leads, where the voter knows.
+        /// The leader, if the voter knows it.
         leader: Option<Name>,
     },
     /// A queued client would be granted a slot if it requested it now.
@@ -80,7 +81,7 @@
         /// The fencing token of the grant.
         token: FencingToken,
     },
-    /// A lease ended: whatever is done under it must stop now.
+    /// A lease ended: the host must stop all work under it now.
     Lost {
         /// The lease.
         lease: Name,
@@ -89,11 +90,12 @@
         /// Why it ended.
         reason: LossReason,
     },
-    /// A lease was not granted. It is requested again later, unless the client itself rejected it.
+    /// A lease was not granted. The client requests it again later, unless the client itself
+    /// rejected it.
     Rejected {
         /// The lease.
         lease: Name,
-        /// Why.
+        /// Why it was not granted.
         reason: RejectReason,
     },
     /// Send [`Event::TimerElapsed`] at that time.
@@ -106,13 +108,13 @@
 /// Why a lease ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossReason {
-    /// Its TTL is about to end, and no voter renewed it.
+    /// Its TTL is about to end, and no voter has renewed it.
     Expired,
     /// An operator or another process revoked it.
     Revoked,
     /// The host released it.
     Released,
-    /// The clock went backwards, so no TTL can be measured by it.
+    /// The clock went backwards, so it can't measure a TTL.
     ClockWentBackwards,
 }
 
--- a/crates/leases/src/client/guard.rs
+++ b/crates/leases/src/client/guard.rs
@@ -6,26 +6,26 @@
 use crate::injected_bug::InjectedBug;
 use crate::protocol::{FencingToken, Name};
 
-/// The permission to act under a lease, for as long as [`LeaseClient::check_guard`] confirms it. It
-/// can't be made or copied outside this crate. Give it to [`LeaseClient::release_guard`] when
-/// nothing is done under it any more: the slot is released only then.
+/// The permission to act under a lease, as long as [`LeaseClient::check_guard`] confirms it. Code
+/// outside this crate can't construct or copy a guard. Pass it to [`LeaseClient::release_guard`]
+/// when the work under it has ended: the client releases the slot only then.
 #[derive(Debug, PartialEq, Eq)]
-#[must_use = "a lease is not released while a guard is out"]
+#[must_use = "a lease is not released while a guard is outstanding"]
 pub struct LeaseGuard {
     lease: Name,
     token: FencingToken,
 }
 
-/// The lease is not held, or no longer: no step may begin under it.
+/// The lease is not held, or no longer held: no step may begin under it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the lease is not held any more")]
 pub struct StaleGuard;
 
 impl LeaseClient {
-    /// A guard for a lease that is held now.
+    /// Acquires a guard for a lease that is held now.
     ///
     /// # Errors
-    /// [`StaleGuard`] where it is not held.
+    /// [`StaleGuard`] if the lease is not held.
     pub fn acquire_guard(&mut self, now: Duration, lease: &str) -> Result<LeaseGuard, StaleGuard> {
         let token = self.valid_token(now, lease).ok_or(StaleGuard)?;
         let name = self
@@ -39,11 +39,11 @@
         Ok(LeaseGuard { lease: name, token })
     }
 
-    /// The token to act with in one step that begins now. A process that was paused since its last
-    /// step learns here that its lease has ended.
+    /// Returns the fencing token for one step that begins now. A process that was paused since its
+    /// last step finds out here that its lease has ended.
     ///
     /// # Errors
-    /// [`StaleGuard`] where the lease has ended or was granted anew since the guard was acquired.
+    /// [`StaleGuard`] if the lease has ended or was granted anew since the guard was acquired.
     pub fn check_guard(
         &self,
         now: Duration,
@@ -57,14 +57,14 @@
             .ok_or(StaleGuard)
     }
 
-    /// Nothing is done under the guard any more.
+    /// Takes back a guard after the work under it has ended.
     pub fn release_guard(&mut self, now: Duration, guard: LeaseGuard) -> Vec<Action> {
         let mut actions = Vec::new();
         self.read_clock(now, &mut actions);
         if let Some(wanted) = self.leases.get_mut(&guard.lease) {
             wanted.guards = wanted.guards.saturating_sub(1);
         }
-        self.run_due(&mut actions);
+        self.process_due_leases(&mut actions);
         actions
     }
 
@@ -76,7 +76,8 @@
         else {
             return None;
         };
-        // A clock that went backwards proves nothing; the next event ends what was counted by it.
+        // A clock that went backwards can't show that the TTL has not ended. The next event ends
+        // the grant.
         let is_valid = now >= self.now && now < valid_until;
         (is_valid || self.bug.is_on(InjectedBug::UncheckedGuard)).then_some(token)
     }
--- a/crates/leases/src/client/leader_hint.rs
+++ b/crates/leases/src/client/leader_hint.rs
@@ -1,19 +1,21 @@
-//! Which voter a client takes for the leader: the one that a hint named, else each in turn.
+//! Selects the voter that a client presumes to be the leader: the voter that a hint named,
+//! otherwise each voter in turn.
 //!
-//! Only the leader grants, and it changes. A hint is followed even where it names a voter that was
-//! not configured: one that replaced another would else never be asked, and its clients would be
-//! without a lease while it leads.
+//! Only the leader grants leases, and the leader changes. A client follows a hint even if it names
+//! a voter that was not configured. Otherwise the client would never ask a voter that replaced
+//! another, and would have no lease while that voter leads.
 
 use crate::protocol::Name;
 
-/// Voters that a client knows, at most, former ones included. Bounds what hints can add.
+/// Maximum number of voters that a client knows, including former ones. Bounds the number of voters
+/// that hints can add.
 const MAX_KNOWN_VOTERS: usize = 16;
 
-/// The known voters and the one that requests go to.
+/// The known voters, and the voter that requests are sent to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct LeaderHint {
     voters: Vec<Name>,
-    /// The position of the one that requests go to.
+    /// The position of the voter that requests are sent to.
     target: usize,
 }
 
@@ -22,24 +24,24 @@
         LeaderHint { voters, target: 0 }
     }
 
-    /// The voter that is asked next; `None` where there are no voters.
+    /// The voter that the next request is sent to; `None` if there are no voters.
     pub(super) fn target(&self) -> Option<&Name> {
         self.voters.get(self.target)
     }
 
-    /// Goes on to the next voter.
+    /// Selects the next voter.
     pub(super) fn try_next(&mut self) {
         self.target = (self.target + 1) % self.voters.len().max(1);
     }
 
-    /// A voter does not lead and names who does, where it knows. Returns whether the hint named
-    /// another voter than the present target.
+    /// Handles the response of a voter that does not lead; `leader` is the leader that it names, if
+    /// it knows one. Returns whether the hint selected another voter than the present target.
     pub(super) fn redirect(&mut self, leader: Option<&str>) -> bool {
         let Some(leader) = leader else {
             self.try_next();
             return false;
         };
-        self.learn(leader);
+        self.add_voter(leader);
         match self.voters.iter().position(|voter| **voter == *leader) {
             Some(position) if position == self.target => false,
             Some(position) => {
@@ -53,8 +55,8 @@
         }
     }
 
-    /// Voters change: one that was not configured at the start is tried from now on as well.
-    fn learn(&mut self, voter: &str) {
+    /// Adds a voter that was not configured at the start, since the set of voters can change.
+    fn add_voter(&mut self, voter: &str) {
         let is_known = self.voters.iter().any(|known| **known == *voter);
         if !is_known && self.voters.len() < MAX_KNOWN_VOTERS {
             self.voters.push(voter.into());
--- a/crates/leases/src/client/tests.rs
+++ b/crates/leases/src/client/tests.rs
@@ -1,4 +1,4 @@
-//! The rules of a client, each at its thresholds.
+//! Tests of the client's components at their thresholds.
 
 use std::time::Duration;
 
@@ -36,8 +36,9 @@
     GrantOutcome::Active { replaced }
 }
 
-/// The release of a token may still be on its way when a late response grants it once more. A
-/// client that relied on it would act beside a second owner, once the release has freed the slot.
+/// The release of a token may still be in flight when a late response grants the token again. A
+/// client that relied on the grant would act at the same time as a second owner after the release
+/// has freed the slot.
 #[test]
 fn a_released_token_is_released_again_and_not_accepted() {
     let mut wanted = wanted();
@@ -84,7 +85,7 @@
 fn a_grant_that_ends_is_reported_where_it_was_announced() {
     let mut unannounced = wanted();
     unannounced.accept_grant(grant(5, 1900));
-    assert_eq!(unannounced.forget_grant(), None);
+    assert_eq!(unannounced.drop_grant(), None);
     let mut announced = wanted();
     announced.accept_grant(grant(5, 1900));
     announced.announce(Duration::ZERO, millis(1900));
@@ -109,14 +110,14 @@
     }
     let first = wanted.pending.first().map(|pending| pending.id);
     assert_eq!((wanted.pending.len(), first), (4, Some(RequestId(2))));
-    wanted.forget_requests_up_to(RequestId(3));
+    wanted.remove_requests_up_to(RequestId(3));
     assert_eq!(wanted.pending.len(), 2);
 }
 
-/// An owner's clock that is slow by the whole drift must end its lease no later than the voters'
-/// clocks do.
+/// On an owner's clock that is slow by the maximum drift, a lease must end no later than on the
+/// voters' clocks.
 #[test]
-fn a_ttl_is_used_shorter_by_the_drift_and_renewed_after_a_third() {
+fn the_usable_ttl_is_shorter_by_the_drift_and_renewed_after_a_third() {
     let config = Config {
         max_clock_drift_permille: 50,
         jitter_permille: 0,
@@ -149,11 +150,11 @@
 }
 
 #[test]
-fn a_hint_names_the_next_target_and_silence_tries_each_voter() {
+fn a_hint_selects_the_target_and_otherwise_voters_are_tried_in_turn() {
     let mut hint = LeaderHint::new(vec!["v".into(), "w".into()]);
-    assert!(hint.redirect(Some("new")), "a voter that replaced another");
+    assert!(hint.redirect(Some("new")), "an unknown voter is added");
     assert_eq!(hint.target(), Some(&"new".into()));
-    assert!(!hint.redirect(Some("new")), "it named itself");
+    assert!(!hint.redirect(Some("new")), "the target names itself");
     hint.try_next();
     assert_eq!(hint.target(), Some(&"v".into()));
     assert!(!hint.redirect(None));
@@ -166,7 +167,7 @@
     for voter in 2..=16 {
         assert!(hint.redirect(Some(&format!("v{voter}"))));
     }
-    assert!(!hint.redirect(Some("v17")), "it is not known and not added");
+    assert!(!hint.redirect(Some("v17")), "the voter is not added");
     assert_eq!(hint.target(), Some(&"v1".into()));
 }
 
@@ -179,7 +180,7 @@
     assert_eq!(
         released.latest("lease-0"),
         FencingToken(4096),
-        "rejects more"
+        "the maximum applies to all leases"
     );
     assert_eq!(released.latest("lease-4096"), FencingToken(4097));
     released.insert(&"lease-4096".into(), FencingToken(7));
--- a/crates/leases/src/client/wanted_lease.rs
+++ b/crates/leases/src/client/wanted_lease.rs
@@ -1,45 +1,47 @@
 //! One lease that a client requests or holds: its status, and which grants it accepts.
 //!
-//! A grant is accepted only where it can't be an old one. Responses may be late or repeated, and a
-//! token whose release is still on its way to the voters must not be accepted again: the release
-//! would free the slot of an owner that relies on it, and a second owner would be granted it.
+//! A grant is accepted only if it can't be outdated. Responses may be late or duplicated, and a
+//! token whose release is still in flight to the voters must not be accepted again: the release
+//! would free the slot of an owner that relies on it, and the voters would grant it to a second
+//! owner.
 
 use std::time::Duration;
 
 use crate::protocol::{FencingToken, LeaseSpec, RequestId};
 
-/// Requests of one lease whose responses are still accepted, at most. A response to an earlier one
-/// is ignored, as when it was sent is no longer known.
+/// Maximum number of requests for one lease whose responses are still accepted. The client ignores
+/// a response to an earlier request, because it no longer knows when it sent that request.
 const MAX_PENDING_REQUESTS: usize = 4;
 
-/// How a lease stands with its client.
+/// The status of a lease at its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseStatus {
-    /// The lease is requested and not granted: no voter has answered yet, or an earlier grant
-    /// expired or was given up since the clock went backwards.
+    /// The lease is requested but not granted: no voter has granted it yet, or an earlier grant
+    /// ended because it expired or the clock went backwards.
     Requested,
-    /// The client waits for a slot.
+    /// The client is queued for a slot.
     Queued {
-        /// Owners that are served before it.
+        /// Number of owners before it in the queue.
         ahead: u32,
     },
     /// The client holds the lease.
     Active {
         /// The fencing token of the grant.
         token: FencingToken,
-        /// When guards become stale, unless it is renewed.
+        /// When guards become stale, unless the lease is renewed.
         valid_until: Duration,
-        /// Whether [`Action::Acquired`](crate::Action::Acquired) was returned for it.
+        /// Whether [`Action::Acquired`](crate::Action::Acquired) was returned for the grant.
         announced: bool,
     },
-    /// The lease was released or revoked; its slot is released at the voters once no guard is out.
+    /// The lease was released or revoked. The client sends the release to the voters when no guard
+    /// is outstanding.
     Releasing {
         /// The fencing token of the grant that ends.
         token: FencingToken,
     },
 }
 
-/// A request that was sent and not responded to.
+/// A request that was sent and has no response yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingRequest {
     pub(super) id: RequestId,
@@ -50,23 +52,24 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Grant {
     pub(super) token: FencingToken,
-    /// When guards become stale by it.
+    /// When guards of this grant become stale.
     pub(super) valid_until: Duration,
-    /// Whether the token was released before.
+    /// Whether the client has released the token before.
     pub(super) was_released: bool,
 }
 
-/// What follows from a grant.
+/// The result of [`WantedLease::accept_grant`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GrantOutcome {
     /// The lease is held.
     Active {
-        /// An earlier grant of which the host knows and which ended unnoticed.
+        /// The token of an earlier grant that was announced to the host and that this one replaces.
         replaced: Option<FencingToken>,
     },
-    /// It is an old one, or the lease is being released.
+    /// The grant is outdated, or the lease is being released.
     Ignored,
-    /// Its token was released: it must be released again, as the voters think that it is held.
+    /// The token was released before. The client must release it again, because the voters count it
+    /// as held.
     ReleasedBefore,
 }
 
@@ -74,9 +77,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct WantedLease {
     pub(super) spec: LeaseSpec,
-    /// How long a step under a guard takes at most.
+    /// Maximum duration of a step under a guard.
     pub(super) max_step: Duration,
-    /// Whether to queue where no slot is free.
+    /// Whether to queue if no slot is free.
     pub(super) wait: bool,
     pub(super) status: LeaseStatus,
     /// The latest requests, the oldest first; at most [`MAX_PENDING_REQUESTS`].
@@ -84,9 +87,9 @@
     pub(super) next_request_at: Duration,
     /// `NotLeader` responses since the last other response, with a hint or without.
     pub(super) not_leader_responses: u32,
-    /// Guards that are out.
+    /// Number of outstanding guards.
     pub(super) guards: u32,
-    /// The host no longer wants it.
+    /// Whether the host no longer wants the lease.
     pub(super) is_released: bool,
 }
 
@@ -112,20 +115,21 @@
         }
     }
 
-    /// A response to a request makes those before it out of date.
-    pub(super) fn forget_requests_up_to(&mut self, request: RequestId) {
+    /// Removes a request and all earlier ones: a response to it makes them obsolete.
+    pub(super) fn remove_requests_up_to(&mut self, request: RequestId) {
         self.pending.retain(|pending| pending.id > request);
     }
 
-    /// Whether no grant holds: none was made yet, or an earlier one was forgotten.
-    pub(super) fn is_undecided(&self) -> bool {
+    /// Whether the lease has no grant: it was not granted yet, or the client has dropped an earlier
+    /// grant.
+    pub(super) fn has_no_grant(&self) -> bool {
         matches!(
             self.status,
             LeaseStatus::Requested | LeaseStatus::Queued { .. }
         )
     }
 
-    /// Takes a grant into account.
+    /// Accepts or ignores a grant that a voter has reported.
     pub(super) fn accept_grant(&mut self, grant: Grant) -> GrantOutcome {
         let Grant {
             token, valid_until, ..
@@ -159,8 +163,8 @@
         GrantOutcome::Active { replaced }
     }
 
-    /// Whether the host is to be told that the lease is held: once for a grant, and only while
-    /// guards would be valid by it.
+    /// Marks the grant as announced. Returns whether the client must notify the host that the lease
+    /// is held: once per grant, and only while its guards are valid.
     pub(super) fn announce(&mut self, now: Duration, valid_until: Duration) -> bool {
         let LeaseStatus::Active { announced, .. } = &mut self.status else {
             return false;
@@ -168,14 +172,14 @@
         now < valid_until && !std::mem::replace(announced, true)
     }
 
-    /// The grant can't be relied on any more; the voters are asked again. Returns its token where
-    /// the host knows of it.
-    pub(super) fn forget_grant(&mut self) -> Option<FencingToken> {
+    /// Drops a grant that is no longer certain; the client requests the lease again. Returns the
+    /// token if the grant was announced to the host.
+    pub(super) fn drop_grant(&mut self) -> Option<FencingToken> {
         self.end_grant(|_| LeaseStatus::Requested)
     }
 
-    /// No guard is issued or valid any more; the slot is released later. Returns the token where
-    /// the host knows of it.
+    /// Begins to release the lease: no guard is issued or valid any more, and the client releases
+    /// the slot later. Returns the token if the grant was announced to the host.
     pub(super) fn begin_release(&mut self) -> Option<FencingToken> {
         self.end_grant(|token| LeaseStatus::Releasing { token })
     }
@@ -194,12 +198,13 @@
         announced.then_some(token)
     }
 
-    /// Whether the TTL of the grant is over.
+    /// Whether the grant is no longer valid, so that its guards are stale.
     pub(super) fn has_expired(&self, now: Duration) -> bool {
         matches!(self.status, LeaseStatus::Active { valid_until, .. } if now >= valid_until)
     }
 
-    /// When the client must look at it again; `None` while only a guard can change it.
+    /// When the client must process the lease next; `None` while the lease only waits for its
+    /// guards to be released.
     pub(super) fn due_at(&self) -> Option<Duration> {
         match self.status {
             LeaseStatus::Active { valid_until, .. } => Some(valid_until.min(self.next_request_at)),
--- a/crates/leases/src/expiry.rs
+++ b/crates/leases/src/expiry.rs
@@ -1,15 +1,21 @@
-//! When an owner that did not renew loses its slot: once its TTL is over by any clock. The leader
-//! alone decides, and proposes it as a command.
+//! Expiry of owners that did not renew: an owner loses its slot or queue place after its TTL has
+//! ended on every clock within the drift limit. Only the leader decides this, and proposes it as a
+//! command.
 //!
-//! The failure to guard against is an expiry that comes too early: the former owner still acts and
-//! a second one is granted the slot. It would show as two valid guards at a time. Three things make
-//! it too late rather than too early: every TTL is counted longer by the rate that clocks may be
-//! off; a new leader counts every TTL anew and in full, as the owner may have renewed just before;
-//! and little is counted between two readings of the clock, so that a clock that jumps ahead, or a
-//! leader that was paused while renewals waited in its socket, expires nobody. The price: after a
-//! change of leader a dead owner's slot stays taken for up to two TTLs.
+//! If an expiry came too early, a second owner would be granted the slot while the former owner
+//! still acts, and two guards would be valid at the same time. Three rules make an expiry late
+//! rather than early:
 //!
-//! Nothing of this is replicated or stored. The scheme is that of Gray and Cheriton; see the crate.
+//! - The tracker lengthens every TTL by the maximum clock drift.
+//! - A new leader restarts every TTL in full, because the owner may have renewed just before.
+//! - The tracker counts at most [`MAX_COUNTED_STEP`] between two readings of the clock. A clock
+//!   that jumps ahead, or a pause of the leader while renewals wait in its socket, adds no more
+//!   than that to the age of a lease.
+//!
+//! The cost: after a change of leader, the slot of a dead owner stays taken for up to two TTLs.
+//!
+//! The tracker's state is neither replicated nor stored. The scheme is that of Gray and Cheriton;
+//! see the crate documentation.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,51 +24,51 @@
 use crate::protocol::{Command, Incarnation, Name, Owner, PERMILLE, RenewalNumber};
 use crate::state_machine::LeaseStateMachine;
 
-/// The most time that is counted between two readings of the clock.
+/// Maximum time that is counted between two readings of the clock.
 const MAX_COUNTED_STEP: Duration = Duration::from_millis(500);
-/// How long until an expiry that was not applied is proposed again.
+/// Interval after which the leader proposes an expiry again that was not applied.
 const EXPIRE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// An owner of a lease or of a place in its queue.
+/// A lease and one of its holders or queued owners.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct OwnedLease {
     lease: Name,
     owner: Owner,
 }
 
-/// When an owner's TTL is over.
+/// The end of an owner's TTL.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Deadline {
-    /// The latest request of the owner.
+    /// The number of the owner's latest request.
     renewal: RenewalNumber,
-    /// In counted time.
+    /// The end of the TTL in counted time.
     at: Duration,
 }
 
-/// Counts the TTLs of all owners while its voter leads, and proposes to expire those that did not
-/// renew. It owns all deadlines; the state machine is only read.
+/// Tracks the TTLs of all owners while its voter leads, and returns the commands that expire the
+/// owners that did not renew. It owns all deadlines and only reads the state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ExpiryTracker {
     max_clock_drift_permille: u32,
     is_leading: bool,
-    /// What the clock showed when it was last read.
-    clock: Duration,
-    /// The time counted so far. Deadlines are in this time.
+    /// The latest reading of the clock.
+    last_reading: Duration,
+    /// The time counted so far. Deadlines are in counted time.
     counted: Duration,
     deadlines: BTreeMap<OwnedLease, Deadline>,
-    /// The same deadlines, the soonest first.
+    /// The same deadlines, ordered by time.
     by_time: BTreeSet<(Duration, OwnedLease)>,
     bug: BugSwitch,
 }
 
 impl ExpiryTracker {
-    /// The tracker of a voter that does not lead yet. Clocks may be off in rate by
+    /// Creates the tracker of a voter that does not lead yet. The rate of a clock may be off by
     /// `max_clock_drift_permille` thousandths.
     pub fn new(max_clock_drift_permille: u32) -> Self {
         ExpiryTracker {
             max_clock_drift_permille,
             is_leading: false,
-            clock: Duration::ZERO,
+            last_reading: Duration::ZERO,
             counted: Duration::ZERO,
             deadlines: BTreeMap::new(),
             by_time: BTreeSet::new(),
@@ -70,31 +76,31 @@
         }
     }
 
-    /// Makes the tracker behave as though it had that bug.
+    /// Injects a bug; `None` removes it.
     #[cfg(feature = "injected-bugs")]
     pub fn inject_bug(&mut self, bug: Option<InjectedBug>) {
         self.bug = BugSwitch::new(bug);
     }
 
-    /// Its voter leads from now on: any owner may have renewed just before, so every TTL begins
-    /// now.
+    /// Starts to track TTLs because the voter has become the leader. Every TTL restarts now,
+    /// because any owner may have renewed just before.
     pub fn start_leading(&mut self, now: Duration, state: &LeaseStateMachine) {
         self.stop_leading();
-        self.clock = now;
+        self.last_reading = now;
         self.is_leading = true;
         for (lease, _) in state.leases() {
             self.track(lease, state);
         }
     }
 
-    /// Its voter leads no more.
+    /// Stops tracking because the voter is no longer the leader.
     pub fn stop_leading(&mut self) {
         self.is_leading = false;
         self.deadlines.clear();
         self.by_time.clear();
     }
 
-    /// A command about that lease was applied.
+    /// Updates the deadlines of a lease after a command about it was applied.
     pub fn command_applied(&mut self, now: Duration, lease: &Name, state: &LeaseStateMachine) {
         if self.is_leading {
             self.read_clock(now);
@@ -102,8 +108,8 @@
         }
     }
 
-    /// The owners whose TTL is over, each as a command to propose. One that is not applied is
-    /// returned again later.
+    /// Returns a command to propose for each owner whose TTL has ended. A command that is not
+    /// applied is returned again later.
     pub fn due_expirations(&mut self, now: Duration) -> Vec<Command> {
         if !self.is_leading {
             return Vec::new();
@@ -116,7 +122,7 @@
         commands
     }
 
-    /// Removes the soonest owner from the order of time, where its TTL is over.
+    /// Removes the earliest deadline from `by_time` if it has passed, and returns its owner.
     fn take_due(&mut self) -> Option<OwnedLease> {
         let (at, _) = self.by_time.first()?;
         if *at > self.counted {
@@ -125,7 +131,7 @@
         self.by_time.pop_first().map(|(_, owned)| owned)
     }
 
-    /// The command that expires an owner, and the time at which it is returned again.
+    /// Returns the command that expires an owner, and schedules its retry.
     fn expire(&mut self, owned: OwnedLease) -> Option<Command> {
         let retry_at = self.counted + EXPIRE_RETRY_INTERVAL;
         let deadline = self.deadlines.get_mut(&owned)?;
@@ -139,17 +145,18 @@
         Some(command)
     }
 
-    /// When [`due_expirations`](Self::due_expirations) should be called next, by the voter's clock.
-    /// At most a quarter of a second after the clock was last read: half of the most time that one
-    /// reading counts, so that one which comes somewhat late still counts in full.
+    /// When [`due_expirations`](Self::due_expirations) should be called next, by the voter's clock;
+    /// `None` while there are no deadlines. The time is at most 250 ms after the latest reading of
+    /// the clock. This is half of the maximum step, so that a somewhat late reading still counts in
+    /// full.
     pub fn next_check_at(&self) -> Option<Duration> {
         let (deadline, _) = self.by_time.first()?;
         let remaining = deadline.saturating_sub(self.counted);
-        Some(self.clock + remaining.min(MAX_COUNTED_STEP / 2))
+        Some(self.last_reading + remaining.min(MAX_COUNTED_STEP / 2))
     }
 
-    /// How long to count by this clock until a TTL is over by every clock: the owner's may be slow
-    /// and this one fast.
+    /// How long this clock must count until a TTL has ended on every clock: the owner's clock may
+    /// be slow and this one fast.
     fn longest_ttl(&self, ttl: Duration) -> Duration {
         if self.bug.is_on(InjectedBug::NoClockMargin) {
             return ttl;
@@ -158,11 +165,11 @@
     }
 
     fn read_clock(&mut self, now: Duration) {
-        self.counted += now.saturating_sub(self.clock).min(MAX_COUNTED_STEP);
-        self.clock = now;
+        self.counted += now.saturating_sub(self.last_reading).min(MAX_COUNTED_STEP);
+        self.last_reading = now;
     }
 
-    /// Brings the deadlines of one lease up to date.
+    /// Updates the deadlines of one lease.
     fn track(&mut self, lease: &Name, state: &LeaseStateMachine) {
         self.remove_former_owners(lease, state);
         for (owner, renewal, ttl) in state.running_ttls(lease) {
--- a/crates/leases/src/injected_bug.rs
+++ b/crates/leases/src/injected_bug.rs
@@ -1,28 +1,28 @@
-//! Bugs that proofs inject to show that their checkers find them. They can be injected only with
-//! the feature `injected-bugs`.
+//! Bugs that tests inject to show that their checkers find them. They can be injected only with the
+//! feature `injected-bugs`.
 
-/// A mistake that is easily made, and that a checker must find.
+/// A plausible programming error that a checker must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum InjectedBug {
-    /// Clocks are taken to run at the same rate.
+    /// TTLs are computed as if all clocks ran at the same rate.
     NoClockMargin,
-    /// A TTL is counted from when the response came instead of when the request was sent.
+    /// A TTL is counted from the arrival of the response instead of the sending of the request.
     TtlFromResponse,
-    /// A new leader forgets which tokens were handed out.
+    /// A new leader loses the number of the latest token and issues tokens again.
     VolatileTokens,
-    /// A guard stays valid until an event ends the lease.
+    /// A guard stays valid after the end of the TTL, until an event ends the lease.
     UncheckedGuard,
-    /// A slot that is released twice is freed twice.
+    /// A repeated release of a slot frees the slot of another holder.
     DoubleRelease,
-    /// An owner expires even if it renewed meanwhile.
+    /// A holder expires even if it has renewed in the meantime.
     IgnoredRenewal,
-    /// A grant is accepted although its token was released before.
+    /// A client accepts a grant although it has released the token before.
     ReusedReleasedToken,
 }
 
-/// Which bug a state machine has. Without the feature `injected-bugs`, with which no program is
-/// built, it is none: [`Self::is_on`] is then a constant `false`, and each branch that asks it is
-/// compiled out. Who reads a rule for what a program does reads `is_on` as `false`.
+/// The injected bug of a state machine. Without the feature `injected-bugs`, which no program
+/// enables, there is none: [`Self::is_on`] is then a constant `false`, and the compiler removes
+/// each branch that depends on it. In production, `is_on` can be read as `false`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct BugSwitch {
     #[cfg(feature = "injected-bugs")]
--- a/crates/leases/src/lease.rs
+++ b/crates/leases/src/lease.rs
@@ -1,10 +1,10 @@
-//! One lease: who holds its slots, who waits, and who gets a slot next.
+//! One lease: its holders, its queue, and the order in which owners are granted a slot.
 //!
-//! A slot goes to whoever is first in the queue, so nobody waits for ever. An owner keeps its token
-//! for as long as it renews without a break, and gets another one after any break: what is acted on
-//! under the lease can then tell a former owner's step from the present one's. Nothing here knows
-//! the time: an owner whose TTL is over is removed by a command that names the renewal whose TTL
-//! that was, since a renewal that was applied meanwhile must keep the slot.
+//! Slots are granted in queue order, so that no owner starves. An owner keeps its token as long as
+//! it renews without interruption and gets a new token after any interruption. A resource that is
+//! accessed under the lease can then tell the operations of a former owner from those of the
+//! current one. This module has no notion of time: a command that names the renewal whose TTL has
+//! ended removes the owner, because a renewal that was applied in the meantime must keep the slot.
 
 use std::time::Duration;
 
@@ -18,33 +18,33 @@
 /// An owner that holds a slot.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseHolder {
-    /// Who holds it.
+    /// The owner that holds the slot.
     pub owner: Owner,
     /// The fencing token of the grant.
     pub token: FencingToken,
-    /// The number of the latest request.
+    /// The number of the owner's latest request.
     pub renewal: RenewalNumber,
-    /// Whether the grant was revoked: it gets no further renewal.
+    /// Whether the grant was revoked: it can't be renewed.
     pub revoked: bool,
 }
 
 /// An owner that waits for a slot.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct QueuedOwner {
-    /// Who waits. Incarnation zero stands for whichever run requests first.
+    /// The queued owner. Incarnation zero stands for the first run that requests the lease.
     pub owner: Owner,
-    /// The number of the latest request.
+    /// The number of the owner's latest request.
     pub renewal: RenewalNumber,
 }
 
-/// A lease that is held or waited for.
+/// A lease with at least one holder or queued owner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
     /// The spec of the first request.
     pub spec: LeaseSpec,
     /// The owners that hold a slot, at most as many as the capacity.
     pub holders: Vec<LeaseHolder>,
-    /// The owners that wait; the first is served first.
+    /// The owners that wait for a slot, in the order in which they are granted one.
     pub queue: Vec<QueuedOwner>,
 }
 
@@ -54,7 +54,7 @@
     pub(crate) owner: &'a Owner,
     /// The number of this request.
     pub(crate) renewal: RenewalNumber,
-    /// Whether to queue where no slot is free.
+    /// Whether to queue the owner if no slot is free.
     pub(crate) wait: bool,
 }
 
@@ -71,12 +71,13 @@
         (self.spec.capacity as usize).saturating_sub(self.holders.len())
     }
 
-    /// Whether nobody holds it or waits.
+    /// Whether the lease has neither holders nor queued owners.
     pub(crate) fn is_unused(&self) -> bool {
         self.holders.is_empty() && self.queue.is_empty()
     }
 
-    /// Renews, grants or queues. A grant takes the token after `last_token`.
+    /// Renews the owner's slot, grants it one, or queues it. A grant issues the token after
+    /// `last_token`.
     pub(crate) fn request_slot(
         &mut self,
         request: SlotRequest<'_>,
@@ -85,7 +86,7 @@
         if let Some(renewed) = self.renew(request) {
             return renewed;
         }
-        // A restarted process takes its earlier run's place in the queue, yet not its slot.
+        // A restarted process takes over the queue place of its earlier run, but not its slot.
         let queued_at = self
             .queue
             .iter()
@@ -109,7 +110,7 @@
         Ok(Response::Queued { ahead })
     }
 
-    /// Renews the slot that the owner holds; `None` where it holds none.
+    /// Renews the slot that the owner holds; `None` if it holds none.
     fn renew(&mut self, request: SlotRequest<'_>) -> Option<Result<Response, RejectReason>> {
         let holder = self
             .holders
@@ -123,8 +124,8 @@
         Some(Ok(Response::Granted { token }))
     }
 
-    /// Keeps a place in the queue, or adds one at its end. One that is kept does so without
-    /// `wait`, too.
+    /// Keeps the owner's place in the queue, or adds one at the end. The owner keeps an existing
+    /// place even without `wait`.
     fn queue_owner(
         &mut self,
         request: SlotRequest<'_>,
@@ -143,8 +144,8 @@
         Ok(())
     }
 
-    /// Releases the slot held with that token, or without one the place in the queue. Returns
-    /// whether there was one.
+    /// Releases the slot that the owner holds with `token`, or its place in the queue if there is
+    /// no token. Returns whether it had one.
     pub(crate) fn release(&mut self, owner: &Owner, token: Option<FencingToken>) -> bool {
         let before = self.holders.len() + self.queue.len();
         match token {
@@ -156,8 +157,8 @@
         self.holders.len() + self.queue.len() < before
     }
 
-    /// Removes an owner whose latest request is still the one that is named. With
-    /// `ignores_renewal`, an injected bug, a holder is removed whatever it requested since.
+    /// Removes an owner if its latest request is still `renewal`. With `ignores_renewal`, an
+    /// injected bug, a holder is removed even if it has renewed since.
     pub(crate) fn expire(&mut self, owner: &Owner, renewal: RenewalNumber, ignores_renewal: bool) {
         self.holders.retain(|holder| {
             let was_renewed = holder.renewal != renewal && !ignores_renewal;
@@ -174,8 +175,9 @@
         Ok(())
     }
 
-    /// Queues a process before all others. No incarnation yet: whichever run requests the lease
-    /// takes this place. Beyond [`MAX_QUEUED_OWNERS`] the last in the queue loses its place.
+    /// Puts a process first in the queue. The place has no incarnation yet: the first run that
+    /// requests the lease takes it. If the queue exceeds [`MAX_QUEUED_OWNERS`], its last owner
+    /// loses its place.
     pub(crate) fn queue_first(&mut self, process: &Name, renewal: RenewalNumber) {
         self.queue.retain(|queued| queued.owner.name != *process);
         let owner = Owner {
@@ -194,7 +196,7 @@
             .map(|queued| &queued.owner)
     }
 
-    /// Everybody whose TTL runs, holder or queued: the owner, its latest renewal, and the TTL.
+    /// Each holder and queued owner, with the number of its latest request and its TTL.
     pub(crate) fn running_ttls(&self) -> impl Iterator<Item = (&Owner, RenewalNumber, Duration)> {
         let holders = self
             .holders
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,22 +1,27 @@
-//! Leases: up to so many owners at a time, often one, may act under a name until a TTL ends.
+//! Distributed leases with fencing tokens. A lease has a name, a TTL and a capacity: at most that
+//! number of owners, often one, may act under the lease at a time, each until its TTL ends.
 //!
-//! Three state machines decide, none of which does I/O or reads a clock:
+//! The crate consists of three state machines. None of them does I/O or reads a clock:
 //!
 //! - [`LeaseStateMachine`] is replicated by consensus. Input: a [`Command`]; output: a
-//!   [`Response`]. It grants slots, queues owners and hands out fencing tokens, and knows no time.
-//! - [`ExpiryTracker`] runs on the consensus leader. Input: the time and which commands were
-//!   applied; output: [`Command::Expire`] for each owner whose TTL is over by any clock.
+//!   [`Response`]. It grants slots, queues owners and issues fencing tokens. It has no notion of
+//!   time.
+//! - [`ExpiryTracker`] runs on the consensus leader. Input: the time and the applied commands;
+//!   output: [`Command::Expire`] for each owner whose TTL has ended on every clock within the drift
+//!   limit.
 //! - [`LeaseClient`] runs in each process that wants leases. Input: an [`Event`]; output:
 //!   [`Action`]s. It requests and renews, and issues a [`LeaseGuard`] only while a lease is
 //!   certainly valid.
 //!
-//! Times are durations since a start that each process chooses, by a clock that goes on while the
-//! machine sleeps. Clocks may differ in rate by [`Config::max_clock_drift_permille`]. Everything
-//! random is drawn from the seed that the client was made with, so runs can be repeated.
+//! Times are durations since a start that each process chooses, read from a clock that keeps
+//! running while the machine is suspended. The rate of a clock may be off by
+//! [`Config::max_clock_drift_permille`]. All randomness comes from the seed passed to
+//! [`LeaseClient::new`], so runs are reproducible.
 //!
 //! The scheme is that of Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism for
 //! distributed file cache consistency" (SOSP 1989), with fencing tokens for owners that are paused
-//! while they act. `docs/design-leases.md` argues why two owners of one slot never act at once.
+//! during an operation. `docs/design-leases.md` contains the argument why two owners never act
+//! under one slot at the same time.
 //!
 //! ```
 //! use std::time::Duration;
@@ -28,7 +33,7 @@
 //! # fn main() -> Result<(), tulipgap_leases::StaleGuard> {
 //! let owner = Owner { name: "north-1".into(), incarnation: Incarnation(1) };
 //! let mut client = LeaseClient::new(owner, vec!["voter-1".into()], Config::default(), 7);
-//! // In a cluster this one is replicated, and the network is between the two.
+//! // In a cluster, consensus replicates the state machine, and commands cross the network.
 //! let mut state_machine = LeaseStateMachine::default();
 //!
 //! let spec = LeaseSpec { ttl: Duration::from_secs(2), capacity: 1 };
--- a/crates/leases/src/protocol.rs
+++ b/crates/leases/src/protocol.rs
@@ -1,5 +1,5 @@
-//! What clients and the replicated state machine exchange. All of it is serialized by position, on
-//! the wire and in the consensus log: variants and fields keep their order.
+//! The commands and responses that clients and the replicated state machine exchange. The wire and
+//! the consensus log serialize these types by position, so variants and fields keep their order.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,32 +10,32 @@
 /// The name of a process or a lease, shared without copying.
 pub type Name = Arc<str>;
 
-/// The whole of which rates are given in thousandths.
+/// The denominator of rates that are given in thousandths.
 pub(crate) const PERMILLE: u32 = 1000;
-/// The longest name, in bytes. The shortest has one.
+/// Maximum length of a name in bytes. The minimum is one byte.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Leases that exist at a time, at most. Bounds the replicated state and its snapshots.
+/// Maximum number of leases that exist at a time. Bounds the replicated state and its snapshots.
 pub const MAX_LEASES: usize = 20_000;
-/// The largest capacity of a lease. The smallest is one.
+/// Maximum capacity of a lease. The minimum is one.
 pub const MAX_CAPACITY: u32 = 1000;
-/// Owners that wait for one lease, at most.
+/// Maximum number of owners that are queued for one lease.
 pub const MAX_QUEUED_OWNERS: usize = 1024;
-/// Leases that one client requests or holds at a time, at most.
+/// Maximum number of leases that one client requests or holds at a time.
 pub const MAX_WANTED_LEASES: usize = 1024;
-/// The shortest TTL. A renewal needs a round trip and a write by a majority within a third of it.
+/// Minimum TTL. A renewal needs a round trip and a write by a majority within a third of it.
 pub const MIN_LEASE_TTL: Duration = Duration::from_millis(200);
-/// The longest TTL. The slot of a dead owner stays taken for about as long.
+/// Maximum TTL. The slot of a dead owner stays taken for about one TTL.
 pub const MAX_LEASE_TTL: Duration = Duration::from_secs(3600);
 
-/// A number that grows with each grant, over all leases, and is never reused. What is acted on
-/// under a lease can reject a token that is older than one it has seen.
+/// A number that increases with each grant, across all leases, and is never reused. A resource that
+/// is accessed under a lease can reject a token that is older than one it has seen.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct FencingToken(pub u64);
 
 impl FencingToken {
-    /// The token of the next grant. No other place makes tokens.
+    /// Issues the token of the next grant. Only this function issues tokens.
     pub(crate) fn issue_next(&mut self) -> FencingToken {
         self.0 += 1;
         *self
@@ -48,8 +48,8 @@
     }
 }
 
-/// The number of a request that was applied. An expiry names the one whose TTL is over, and a later
-/// renewal voids it.
+/// The number of an applied request. An expiry names the request whose TTL has ended, and has no
+/// effect after a later renewal.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -61,28 +61,28 @@
 )]
 pub struct Incarnation(pub u64);
 
-/// Relates a response to its request, within one incarnation of the sender.
+/// Matches a response to its request, within one incarnation of the sender.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct RequestId(pub u64);
 
-/// A process and its incarnation. A process that was restarted is another owner, as nothing proves
-/// that the earlier run has ended.
+/// A process and its incarnation. A restarted process is a different owner, because nothing proves
+/// that its earlier run has ended.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Owner {
     /// The process.
     pub name: Name,
-    /// Which of its runs.
+    /// The run of the process.
     pub incarnation: Incarnation,
 }
 
-/// What a lease is like. All requests for it must agree.
+/// The TTL and capacity of a lease. All requests for a lease must agree on them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseSpec {
     /// How long a grant lasts without a renewal.
     pub ttl: Duration,
-    /// How many owners hold it at a time.
+    /// How many owners may hold the lease at a time.
     pub capacity: u32,
 }
 
@@ -106,55 +106,55 @@
     Acquire {
         /// The lease.
         lease: Name,
-        /// Who requests it.
+        /// The owner that requests the lease.
         owner: Owner,
         /// See [`LeaseSpec::ttl`].
         ttl: Duration,
         /// See [`LeaseSpec::capacity`].
         capacity: u32,
-        /// Whether to queue where no slot is free.
+        /// Whether to queue the owner if no slot is free.
         wait: bool,
     },
-    /// Releases a slot, or without a token a place in the queue.
+    /// Releases a slot, or a place in the queue if there is no token.
     Release {
         /// The lease.
         lease: Name,
-        /// Who holds it or waits.
+        /// The owner that holds the slot or is queued.
         owner: Owner,
-        /// The grant that ends.
+        /// The token of the grant that ends.
         token: Option<FencingToken>,
     },
-    /// Ends a grant or a place in the queue. The leader proposes it once the TTL is over by any
-    /// clock.
+    /// Removes an owner from its slot or from the queue. The leader proposes it after the TTL has
+    /// ended on every clock within the drift limit.
     Expire {
         /// The lease.
         lease: Name,
-        /// The owner whose TTL is over.
+        /// The owner whose TTL has ended.
         owner: Owner,
-        /// The renewal whose TTL is over.
+        /// The request whose TTL has ended.
         renewal: RenewalNumber,
     },
     /// Rejects every further renewal of a grant.
     Revoke {
         /// The lease.
         lease: Name,
-        /// The grant.
+        /// The token of the grant.
         token: FencingToken,
     },
-    /// Revokes a grant and queues a process first.
+    /// Revokes a grant and puts a process first in the queue.
     Transfer {
         /// The lease.
         lease: Name,
-        /// The grant that is revoked.
+        /// The token of the grant that is revoked.
         token: FencingToken,
-        /// The process that is served next.
+        /// The process that is granted the next free slot.
         to: Name,
     },
 }
 
 impl Command {
-    /// The incarnation of the owner that sent the command; zero where an operator or the leader
-    /// did.
+    /// The incarnation of the owner that sent the command; zero if an operator or the leader sent
+    /// it.
     pub fn incarnation(&self) -> Incarnation {
         match self {
             Command::Acquire { owner, .. } | Command::Release { owner, .. } => owner.incarnation,
@@ -181,12 +181,13 @@
 pub enum Response {
     /// The owner holds a slot.
     Granted {
-        /// Stays the same for as long as the slot is held without a break.
+        /// The token of the grant. It stays the same while the owner holds the slot without
+        /// interruption.
         token: FencingToken,
     },
-    /// The owner waits.
+    /// The owner is queued.
     Queued {
-        /// Owners that are served before it.
+        /// Number of owners before it in the queue.
         ahead: u32,
     },
     /// The command was applied.
@@ -200,7 +201,7 @@
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, thiserror::Error,
 )]
 pub enum RejectReason {
-    /// No slot is free, and the owner does not wait.
+    /// No slot is free, and the request does not ask to be queued.
     #[error("all slots of the lease are held")]
     AtCapacity,
     /// See [`MAX_QUEUED_OWNERS`].
@@ -209,12 +210,12 @@
     /// See [`MAX_LEASES`].
     #[error("there are too many leases (at most {MAX_LEASES})")]
     TooManyLeases,
-    /// Others requested the lease with another [`LeaseSpec`].
+    /// The lease exists with another [`LeaseSpec`].
     #[error("the lease has a TTL of {ttl:?} and a capacity of {capacity}")]
     SpecMismatch {
-        /// Its TTL.
+        /// The TTL of the existing lease.
         ttl: Duration,
-        /// Its capacity.
+        /// The capacity of the existing lease.
         capacity: u32,
     },
     /// A name, TTL, capacity or step is outside its limits.
--- a/crates/leases/src/state_machine.rs
+++ b/crates/leases/src/state_machine.rs
@@ -1,5 +1,5 @@
-//! The replicated state: all leases, and the numbers that are handed out. A command changes it in
-//! the same way on every voter, so it reads no clock and draws nothing at random.
+//! The replicated state: all leases, and the latest token and renewal number. A command must have
+//! the same effect on every voter, so the state machine reads no clock and uses no randomness.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,10 +13,11 @@
     Response, is_valid_name,
 };
 
-/// All leases. Each voter owns a copy and changes it by [`apply`](LeaseStateMachine::apply) alone.
+/// All leases. Each voter has its own copy and changes it only by
+/// [`apply`](LeaseStateMachine::apply).
 ///
-/// Invariants: a lease has at most as many holders as its capacity; tokens only grow; a lease that
-/// nobody holds or waits for is removed.
+/// Invariants: a lease has at most as many holders as its capacity; tokens only increase; a lease
+/// without holders and queued owners is removed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseStateMachine {
     leases: BTreeMap<Name, Lease>,
@@ -27,7 +28,7 @@
 }
 
 impl LeaseStateMachine {
-    /// An empty state that behaves as though it had that bug.
+    /// Creates an empty state machine with an injected bug.
     #[cfg(feature = "injected-bugs")]
     pub fn with_injected_bug(bug: Option<InjectedBug>) -> Self {
         LeaseStateMachine {
@@ -41,7 +42,7 @@
         self.leases.iter()
     }
 
-    /// The lease of that name, where somebody holds it or waits.
+    /// The lease of that name, if it has a holder or a queued owner.
     pub fn lease(&self, name: &str) -> Option<&Lease> {
         self.leases.get(name)
     }
@@ -51,15 +52,16 @@
         self.last_token
     }
 
-    /// A new leader begins. Nothing changes, but for [`InjectedBug::VolatileTokens`].
+    /// Handles a change of leader. It changes the state only with
+    /// [`InjectedBug::VolatileTokens`].
     pub fn leader_changed(&mut self) {
         if self.bug.is_on(InjectedBug::VolatileTokens) {
             self.last_token = FencingToken::default();
         }
     }
 
-    /// Applies a command. It never fails: a command that can't be applied is rejected in the same
-    /// way everywhere.
+    /// Applies a command. This never fails: every voter rejects a command that can't be applied in
+    /// the same way.
     pub fn apply(&mut self, command: &Command) -> Response {
         let result = self.try_apply(command);
         self.remove_if_unused(command.lease());
@@ -167,8 +169,8 @@
         Ok(Response::Done)
     }
 
-    /// Revokes a grant and queues a process first. The holder is told that its renewals are
-    /// rejected, ends what it does, and releases the slot.
+    /// Revokes a grant and puts a process first in the queue. The next renewal of the holder is
+    /// rejected; the holder then ends its work and releases the slot.
     fn transfer(
         &mut self,
         name: &Name,
@@ -199,7 +201,7 @@
         lease.into_iter().flat_map(Lease::next_owners)
     }
 
-    /// Everybody whose TTL runs, holder or queued: the owner, its latest renewal, and the TTL.
+    /// Each holder and queued owner of a lease, with the number of its latest request and its TTL.
     pub(crate) fn running_ttls(
         &self,
         name: &str,
--- a/crates/leases/tests/client.rs
+++ b/crates/leases/tests/client.rs
@@ -1,4 +1,4 @@
-//! Single cases of the client and of the replicated state.
+//! Individual cases of the client and of the replicated state machine.
 
 use std::time::Duration;
 
@@ -52,9 +52,9 @@
     }
 }
 
-/// Requests are numbered from the start in each run, and a leader may apply only now what an
-/// earlier run requested: its response, taken for that to a request of this run, gave a lease that
-/// the state had for nobody of this name.
+/// Request ids restart in each run, and a leader may apply a request of an earlier run late. The
+/// client took its response for the response to a request of the present run, and held a lease that
+/// the voters had not granted to it.
 #[test]
 fn a_response_to_an_earlier_incarnation_is_ignored() {
     let mut client = client(2);
@@ -65,8 +65,8 @@
     assert!(client.acquire_guard(Duration::from_millis(8), "x").is_ok());
 }
 
-/// Requests that were lost in a partition stayed pending for ever and made a client ignore every
-/// hint who leads.
+/// Requests that were lost in a partition stayed pending indefinitely and made a client ignore
+/// every leader hint.
 #[test]
 fn a_leader_hint_is_followed_after_lost_requests() {
     let mut client = client(1);
@@ -173,8 +173,8 @@
     );
 }
 
-/// A thousand leases and three hundred owners: each lease has its holders, all others wait in the
-/// order they came.
+/// Each of 1000 leases is held by the first three of 300 owners; all other owners are queued in the
+/// order of their requests.
 #[test]
 fn a_thousand_leases_are_granted_in_queue_order_to_three_hundred_owners() {
     let mut state = LeaseStateMachine::default();
@@ -203,7 +203,7 @@
             }
         }
     }
-    // A slot that is released goes to the first owner in the queue, and to nobody behind it.
+    // A released slot goes to the first owner in the queue and to no later one.
     let first = state.lease("l0").unwrap().holders[0].clone();
     let release = Command::Release {
         lease: "l0".into(),
--- a/crates/leases/tests/exhaustive.rs
+++ b/crates/leases/tests/exhaustive.rs
@@ -1,7 +1,11 @@
-//! Model checking: every state that clients, an expiry tracker and the replicated state can reach
-//! within a depth, with messages lost, delayed, duplicated and reordered, leader changes that keep
-//! or drop what was not committed, timers that come late (a paused process), and clocks at their
-//! bounds. The state machines are the real ones, over an abstract log.
+//! Bounded model checking of clients, an expiry tracker and the replicated state machine. Guards
+//! against two members that act under one slot at the same time, and against fencing tokens that do
+//! not increase.
+//!
+//! The checker explores every state that can be reached within a depth, with messages that are
+//! lost, delayed, duplicated and reordered, leader changes that keep or drop uncommitted proposals,
+//! late timers (a paused process), and clocks at their drift limits. The state machines are the
+//! production ones; the consensus log is abstract.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,8 +17,8 @@
     LeaseClient, LeaseSpec, LeaseStateMachine, Owner, RequestId, Response,
 };
 
-/// Clocks are off by a quarter at most here: 100 ms pass as 75 on a slow one and as 125 on a fast
-/// one. A TTL is over by true time after two ticks, on any clock.
+/// A clock is off by up to a quarter: a tick of 100 ms is 75 ms on a slow clock and 125 ms on a
+/// fast one. On either clock a TTL ends after two ticks, as it does in true time.
 const MAX_CLOCK_DRIFT_PERMILLE: u32 = 250;
 const TTL: Duration = Duration::from_millis(200);
 const SPEC: LeaseSpec = LeaseSpec {
@@ -24,7 +28,7 @@
 const SLOW_TICK: Duration = Duration::from_millis(75);
 const FAST_TICK: Duration = Duration::from_millis(125);
 const INCARNATION: Incarnation = Incarnation(1);
-/// Commands that are proposed and not committed.
+/// Number of uncommitted proposals from which on the leader accepts no further request.
 const MAX_PROPOSED: usize = 2;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -41,7 +45,7 @@
     },
 }
 
-/// A command that is proposed, and the client and request to respond to.
+/// A proposed command, with the client and request to respond to.
 type Proposal = (Command, Option<(usize, RequestId)>);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -56,11 +60,12 @@
     network: BTreeSet<Message>,
     leader_changes: u32,
     releases: u32,
-    /// Messages that were delivered and stay.
+    /// Number of messages that were delivered and stay in the network.
     duplicates: u32,
-    /// Of each lease the newest token that a client acquired, and the client.
+    /// For each lease, the latest token that a client acquired, and the client.
     newest_tokens: Vec<(&'static str, FencingToken, usize)>,
-    /// A token was not above those before it.
+    /// Whether a client acquired a token below the latest one of its lease, or the token of another
+    /// client.
     has_token_regression: bool,
 }
 
@@ -103,7 +108,7 @@
         }) * world.ticks
     }
 
-    /// The leader's clock is the fast one: its TTLs end as soon as they can.
+    /// The leader has the fast clock, so that its TTLs end as early as possible.
     fn leader_clock(&self, world: &World) -> Duration {
         FAST_TICK * world.ticks
     }
@@ -111,7 +116,7 @@
     fn perform(&self, world: &mut World, member: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                // More than fit are lost, as any may be.
+                // Requests beyond the limit are lost, as any message may be.
                 Action::Send {
                     request, command, ..
                 } if world.network.len() < self.max_in_flight => {
@@ -156,7 +161,7 @@
         (0..self.members.len()).filter(may_act).count()
     }
 
-    /// Delivers a message; `None` where the leader takes no further proposal.
+    /// Delivers a message; `None` if the leader accepts no further proposal.
     fn deliver(&self, world: &mut World, message: Message) -> Option<()> {
         match message {
             Message::Request {
@@ -361,12 +366,12 @@
     }
 }
 
-/// Explores all states within the depth. Returns the names of the properties with an example: a
-/// counterexample of an `always` property, and [`CHANGES_OWNER`] where it was reached.
+/// Explores all states within the depth. Returns the names of the `always` properties with a
+/// counterexample, and [`CHANGES_OWNER`] if the checker found an example of it.
 fn explore(model: LeaseModel, depth: usize) -> Vec<&'static str> {
-    // One at a time: each takes up to 3 GB.
-    static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
-    let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
+    // Explorations run one at a time, because each takes up to 3 GB.
+    static EXPLORATION: Mutex<()> = Mutex::new(());
+    let _guard = EXPLORATION.lock().unwrap_or_else(PoisonError::into_inner);
     let start = Instant::now();
     let (members, bug) = (model.members.len(), model.bug);
     let checker = model
@@ -398,7 +403,7 @@
     }
 }
 
-/// Explores deeper than by default: `LEASES_DEEPER=1 cargo test -p tulipgap-leases`.
+/// How much deeper than by default to explore: `LEASES_DEEPER=1 cargo test -p tulipgap-leases`.
 fn extra_depth() -> usize {
     std::env::var("LEASES_DEEPER")
         .ok()
@@ -478,7 +483,7 @@
         let discoveries = explore(model, depth);
         assert!(
             discoveries.iter().any(|name| *name != CHANGES_OWNER),
-            "{bug:?} is not found: {discoveries:?}"
+            "{bug:?} was not found: {discoveries:?}"
         );
     }
 }
--- a/crates/leases/tests/expiry.rs
+++ b/crates/leases/tests/expiry.rs
@@ -1,4 +1,5 @@
-//! When the leader expires an owner that did not renew.
+//! Tests of the time at which the leader expires an owner that did not renew. An early expiry would
+//! grant the slot to a second owner while the first still acts.
 
 use std::time::Duration;
 
@@ -7,7 +8,7 @@
 const TTL: Duration = Duration::from_secs(2);
 /// The TTL on a clock that is fast by 50 thousandths.
 const LONGEST_TTL: Duration = Duration::from_millis(2100);
-/// The most time that counts between two readings of the clock.
+/// Maximum time that counts between two readings of the clock.
 const MAX_COUNTED_STEP: Duration = Duration::from_millis(500);
 const NANOSECOND: Duration = Duration::from_nanos(1);
 
@@ -39,7 +40,8 @@
         self.expiry.command_applied(now, &lease, &self.state);
     }
 
-    /// Reads the clock often enough for all time to count. Returns whose expiry is due at the end.
+    /// Reads the clock often enough for all time to count. Returns the owners whose expiry is due
+    /// at `to`.
     fn expired_at(&mut self, from: Duration, to: Duration) -> Vec<Name> {
         let mut now = from;
         while now + MAX_COUNTED_STEP < to {
@@ -68,7 +70,7 @@
 }
 
 #[test]
-fn a_renewal_begins_the_ttl_anew() {
+fn a_renewal_restarts_the_ttl() {
     let mut leader = Leader::new();
     leader.acquire(Duration::ZERO, "a");
     let renewed = Duration::from_millis(400);
@@ -78,8 +80,8 @@
     assert_eq!(leader.expired_at(before, before + NANOSECOND), ["a".into()]);
 }
 
-/// A leader that was paused for a minute finds renewals in its socket that came meanwhile. If it
-/// counted the minute, it would expire all owners before it reads them.
+/// A leader that was paused for a minute finds renewals in its socket that arrived during the
+/// pause. If it counted the whole minute, it would expire all owners before it reads the renewals.
 #[test]
 fn a_pause_of_the_leader_counts_as_half_a_second() {
     let mut leader = Leader::new();
@@ -95,7 +97,7 @@
     assert_eq!(leader.expired_at(due - NANOSECOND, due), ["a".into()]);
 }
 
-/// An owner may have renewed with the former leader just before it failed.
+/// An owner may have renewed with the former leader just before that leader failed.
 #[test]
 fn a_new_leader_counts_every_ttl_in_full() {
     let mut leader = Leader::new();
@@ -128,7 +130,7 @@
 }
 
 #[test]
-fn the_clock_is_read_twice_in_each_step_that_counts() {
+fn the_next_check_is_due_within_half_the_maximum_counted_step() {
     let mut leader = Leader::new();
     leader.acquire(Duration::ZERO, "a");
     assert_eq!(leader.expiry.next_check_at(), Some(MAX_COUNTED_STEP / 2));
--- a/crates/leases/tests/golden_transcripts.rs
+++ b/crates/leases/tests/golden_transcripts.rs
@@ -1,12 +1,13 @@
-//! A change of the shape of the lease client, the replicated state or the expiry must not change
-//! what they do: for the same events the same actions, responses and expirations follow.
+//! Golden transcripts: a change that only moves or renames code of the lease client, the replicated
+//! state machine or the expiry tracker must not change the actions, responses and expirations that
+//! follow from the same events.
 //!
-//! Each transcript is a run of three clients against one replicated state and the expiry of its
-//! leader, all drawn from the seed: requests and responses are lost, delayed and repeated, voters
-//! don't lead and give hints, leases are revoked, transferred, released and wanted again, guards
-//! are held while the lease ends, leaders change, clocks jump ahead and back, and a client drains.
-//! The checksum of everything returned is compared with that of the code as it was when the test
-//! was written.
+//! Each transcript is a run of three clients against one replicated state machine and the expiry
+//! tracker of its leader. The seed determines the run: requests and responses are lost, delayed and
+//! duplicated, voters that don't lead respond with hints, leases are revoked, transferred, released
+//! and acquired again, guards are held while their lease ends, leaders change, clocks jump ahead
+//! and back, and a client drains. The test compares the checksum of all outputs with that of the
+//! code for which the test was written.
 
 #[path = "../../../tests/golden_transcripts/recorded_words.rs"]
 mod recorded_words;
@@ -29,7 +30,7 @@
 /// Words of the library renamed since the checksums were recorded: each present word, and the
 /// recorded word that takes its place in a transcript.
 const RENAMED_WORDS: &[(&str, &str)] = &[];
-const DURATION: Duration = Duration::from_secs(90);
+const SIMULATED_TIME: Duration = Duration::from_secs(90);
 const CLIENTS: usize = 3;
 const CONFIG: Config = Config {
     max_clock_drift_permille: 50,
@@ -48,7 +49,7 @@
         command: Command,
     },
     Check,
-    Act,
+    RandomAction,
 }
 
 struct Run {
@@ -61,7 +62,7 @@
     leader: Name,
     leases: LeaseStateMachine,
     expiry: ExpiryTracker,
-    /// By time and number.
+    /// The scheduled inputs by time and number.
     inputs: BTreeMap<(Duration, u64), Input>,
     last_input: u64,
     transcript: Hasher,
@@ -109,8 +110,8 @@
     "set timer",
 ];
 
-/// A status in words of this test, so that its fields may change.
-fn described(status: LeaseStatus) -> String {
+/// Describes a status in words of this test, so that its fields can be renamed.
+fn describe_status(status: LeaseStatus) -> String {
     match status {
         LeaseStatus::Requested => "requested".into(),
         LeaseStatus::Queued { ahead } => format!("queued ahead={ahead}"),
@@ -145,7 +146,7 @@
             kinds: BTreeSet::new(),
         };
         run.expiry.start_leading(run.now, &run.leases);
-        run.schedule(Duration::ZERO, Input::Act);
+        run.schedule(Duration::ZERO, Input::RandomAction);
         run.schedule(Duration::ZERO, Input::Check);
         run
     }
@@ -164,7 +165,7 @@
 
     fn run(mut self) -> (u32, BTreeSet<&'static str>) {
         while let Some(((at, _), input)) = self.inputs.pop_first() {
-            if at > DURATION {
+            if at > SIMULATED_TIME {
                 break;
             }
             self.now = at;
@@ -179,10 +180,10 @@
                     self.handle_command(from, &to, request, &command);
                 }
                 Input::Check => self.check_expiry(),
-                Input::Act => {
-                    self.act();
+                Input::RandomAction => {
+                    self.run_random_action();
                     let pause = Duration::from_millis(self.random.u64(1..60));
-                    self.schedule(pause, Input::Act);
+                    self.schedule(pause, Input::RandomAction);
                 }
             }
         }
@@ -215,7 +216,7 @@
                         request,
                         command,
                     };
-                    if let Some(delay) = self.delay() {
+                    if let Some(delay) = self.sample_delay() {
                         self.schedule(delay, input(command));
                     }
                 }
@@ -229,13 +230,13 @@
         }
         let statuses: Vec<String> = self.clients[client]
             .leases()
-            .map(|(lease, status)| format!("{lease} {}", described(status)))
+            .map(|(lease, status)| format!("{lease} {}", describe_status(status)))
             .collect();
         self.record(&statuses.join(", "));
     }
 
-    /// How long a message is under way; `None` where it is lost.
-    fn delay(&mut self) -> Option<Duration> {
+    /// Samples the delay of a message; `None` if it is lost.
+    fn sample_delay(&mut self) -> Option<Duration> {
         let micros = match self.random.u32(0..100) {
             0..8 => return None,
             8..14 => self.random.u64(10_000..2_500_000),
@@ -248,7 +249,7 @@
         let event = if *to != self.leader {
             let leader = match self.random.u32(0..4) {
                 0 => None,
-                1 => Some(self.any_voter()),
+                1 => Some(self.sample_voter()),
                 _ => Some(self.leader.clone()),
             };
             Event::NotLeader { request, leader }
@@ -263,7 +264,7 @@
         };
         let copies = if self.random.u32(0..20) == 0 { 2 } else { 1 };
         for _ in 0..copies {
-            if let Some(delay) = self.delay() {
+            if let Some(delay) = self.sample_delay() {
                 let event = event.clone();
                 self.schedule(
                     delay,
@@ -284,7 +285,7 @@
         self.record(&format!("{command:?} {response:?} {next:?}"));
         for owner in next {
             let client = (0..CLIENTS).find(|at| format!("m{at}") == *owner.name);
-            if let (Some(client), Some(delay)) = (client, self.delay()) {
+            if let (Some(client), Some(delay)) = (client, self.sample_delay()) {
                 let event = Event::SlotAvailable {
                     lease: command.lease().clone(),
                 };
@@ -307,16 +308,16 @@
         self.schedule(delay.max(Duration::from_millis(1)), Input::Check);
     }
 
-    fn any_voter(&mut self) -> Name {
+    fn sample_voter(&mut self) -> Name {
         let voters = ["v", "w", "x"];
         voters[self.random.usize(0..voters.len())].into()
     }
 
-    fn any_lease(&mut self) -> Name {
+    fn sample_lease(&mut self) -> Name {
         format!("lease-{}", self.random.u32(0..4)).into()
     }
 
-    fn any_held(&mut self) -> Option<(Name, FencingToken)> {
+    fn sample_held_lease(&mut self) -> Option<(Name, FencingToken)> {
         let held: Vec<(Name, FencingToken)> = self
             .leases
             .leases()
@@ -330,21 +331,21 @@
         (!held.is_empty()).then(|| held[self.random.usize(0..held.len())].clone())
     }
 
-    fn act(&mut self) {
+    fn run_random_action(&mut self) {
         let client = self.random.usize(0..CLIENTS);
-        let lease = self.any_lease();
+        let lease = self.sample_lease();
         match self.random.u32(0..1000) {
             0..350 => self.acquire(client, lease),
             350..400 => self.handle_event(client, Event::Release { lease }),
-            400..600 => self.take_guard(client, &lease),
-            600..800 => self.use_or_return_guard(),
+            400..600 => self.acquire_guard(client, &lease),
+            600..800 => self.check_or_release_guard(),
             800..830 => {
-                if let Some((lease, token)) = self.any_held() {
+                if let Some((lease, token)) = self.sample_held_lease() {
                     self.apply(&Command::Revoke { lease, token });
                 }
             }
             830..860 => {
-                if let Some((lease, token)) = self.any_held() {
+                if let Some((lease, token)) = self.sample_held_lease() {
                     let to = format!("m{client}").into();
                     self.apply(&Command::Transfer { lease, token, to });
                 }
@@ -373,9 +374,9 @@
     }
 
     fn acquire(&mut self, client: usize, lease: Name) {
-        let odd = self.random.u32(0..40) == 0;
+        let has_other_ttl = self.random.u32(0..40) == 0;
         let spec = LeaseSpec {
-            ttl: Duration::from_millis(if odd { 7000 } else { 2000 }),
+            ttl: Duration::from_millis(if has_other_ttl { 7000 } else { 2000 }),
             capacity: if &*lease == "lease-1" { 2 } else { 1 },
         };
         let max_step = Duration::from_millis(if self.random.u32(0..40) == 0 {
@@ -397,13 +398,13 @@
 
     fn change_leader(&mut self) {
         if self.random.bool() {
-            self.leader = self.any_voter();
+            self.leader = self.sample_voter();
             self.expiry.stop_leading();
             self.expiry.start_leading(self.now, &self.leases);
         }
     }
 
-    fn take_guard(&mut self, client: usize, lease: &str) {
+    fn acquire_guard(&mut self, client: usize, lease: &str) {
         let now = self.local_time(client);
         let guard = self.clients[client].acquire_guard(now, lease);
         self.record(&format!("{client} guard {guard:?}"));
@@ -412,7 +413,7 @@
         }
     }
 
-    fn use_or_return_guard(&mut self) {
+    fn check_or_release_guard(&mut self) {
         if self.guards.is_empty() {
             return;
         }
@@ -430,7 +431,7 @@
 }
 
 #[test]
-fn clients_and_their_leases_behave_as_before() {
+fn random_events_give_the_recorded_actions() {
     let (mut transcripts, mut kinds) = (Vec::new(), BTreeSet::new());
     for seed in 1..=TRANSCRIPTS.len() as u64 {
         let (transcript, seen) = Run::new(seed).run();
--- a/crates/leases/tests/senseless_messages.rs
+++ b/crates/leases/tests/invalid_messages.rs
@@ -1,6 +1,6 @@
-//! Commands, responses and notices that are valid on the wire and make no sense: whoever has the
-//! cluster's key can send them. Whatever they say, neither the replicated state nor a client
-//! panics, and both keep their bounds.
+//! Commands, responses and notifications that are well-formed on the wire but have invalid or
+//! contradictory contents. Any holder of the cluster key can send them. Neither the replicated
+//! state machine nor a client may panic on any of them, and both must stay within their bounds.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 };
 
 const NUMBERS: [u64; 6] = [0, 1, 2, 3, u64::MAX - 1, u64::MAX];
-/// Names of owners, leases and voters, of nobody, and some that are no names.
+/// Names of owners, leases and voters, unknown names, and invalid names.
 const NAMES: [&str; 7] = ["a", "b", "c", "v", "w", "", "x\0y z"];
 
 struct Sender {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// A number that the other side knows at times, as it is small.
+    /// A number. Half of the numbers are small, so that the receiver sometimes knows them.
     fn number(&mut self) -> u64 {
         match self.rng.bool() {
             true => self.rng.u64(..40),
@@ -136,7 +136,7 @@
     }
 }
 
-fn apply_senseless_commands(seeds: std::ops::Range<u64>, commands: u32) {
+fn apply_invalid_commands(seeds: std::ops::Range<u64>, commands: u32) {
     let (mut grants, mut queued) = (0, 0);
     for seed in seeds {
         let rng = fastrand::Rng::with_seed(seed);
@@ -156,10 +156,10 @@
             }
         }
     }
-    assert!(grants > 0 && queued > 0, "some commands make sense");
+    assert!(grants > 0 && queued > 0, "some commands are valid");
 }
 
-fn handle_senseless_events(seeds: std::ops::Range<u64>, events: u32) {
+fn handle_invalid_events(seeds: std::ops::Range<u64>, events: u32) {
     let (mut acquired, mut lost) = (0, 0);
     for seed in seeds {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -179,7 +179,7 @@
             let pauses = [0, 1, 100, 600, 10_000, 7_200_000];
             now += Duration::from_millis(rng.choice(pauses).unwrap());
             if rng.u8(..50) == 0 {
-                // A clock that was set back.
+                // The clock is set back.
                 now /= 2;
             }
             for action in client.handle_event(now, sender.event()) {
@@ -191,24 +191,24 @@
             }
         }
     }
-    assert!(acquired > 0 && lost > 0, "some events make sense");
+    assert!(acquired > 0 && lost > 0, "some events are valid");
 }
 
-/// Guards against a command of a peer that ends the process of each voter.
+/// Guards against a peer's command that crashes the process of each voter.
 #[test]
-fn commands_that_make_no_sense_do_not_panic() {
-    apply_senseless_commands(0..100, 500);
+fn invalid_commands_do_not_panic() {
+    apply_invalid_commands(0..100, 500);
 }
 
-/// Guards against a message of a peer, or a clock, that ends the process of an owner.
+/// Guards against a peer's message, or a jump of the clock, that crashes the process of an owner.
 #[test]
-fn events_that_make_no_sense_do_not_panic_a_client() {
-    handle_senseless_events(0..200, 500);
+fn invalid_events_do_not_panic() {
+    handle_invalid_events(0..200, 500);
 }
 
 #[test]
-#[ignore = "a million of each: cargo test -p tulipgap-leases --test senseless_messages -- --ignored"]
-fn a_million_commands_and_events_that_make_no_sense_do_not_panic() {
-    apply_senseless_commands(0..2000, 500);
-    handle_senseless_events(0..2000, 500);
+#[ignore = "a million of each: cargo test -p tulipgap-leases --test invalid_messages -- --ignored"]
+fn a_million_invalid_commands_and_events_do_not_panic() {
+    apply_invalid_commands(0..2000, 500);
+    handle_invalid_events(0..2000, 500);
 }
