--- a/crates/leases/src/client/wanted_lease.rs
+++ b/crates/leases/src/client/wanted_lease.rs
@@ -172,7 +172,7 @@
         now < valid_until && !std::mem::replace(announced, true)
     }
 
-    /// Drops a grant that is no longer certain; the client requests the lease again. Returns the
+    /// Drops a grant that may no longer be valid; the client requests the lease again. Returns the
     /// token if the grant was announced to the host.
     pub(super) fn drop_grant(&mut self) -> Option<FencingToken> {
         self.end_grant(|_| LeaseStatus::Requested)
--- a/crates/leases/src/lease.rs
+++ b/crates/leases/src/lease.rs
@@ -3,8 +3,9 @@
 //! Slots are granted in queue order, so that no owner starves. An owner keeps its token as long as
 //! it renews without interruption and gets a new token after any interruption. A resource that is
 //! accessed under the lease can then tell the operations of a former owner from those of the
-//! current one. This module has no notion of time: a command that names the renewal whose TTL has
-//! ended removes the owner, because a renewal that was applied in the meantime must keep the slot.
+//! current one. This module has no notion of time: a command removes an owner whose TTL has ended.
+//! The command names the renewal whose TTL that was, and has no effect if a later renewal was
+//! applied in the meantime.
 
 use std::time::Duration;
 
--- a/crates/leases/src/protocol.rs
+++ b/crates/leases/src/protocol.rs
@@ -192,7 +192,7 @@
     },
     /// The command was applied.
     Done,
-    /// The command changed nothing.
+    /// The command was rejected and changed no lease.
     Rejected(RejectReason),
 }
 
--- a/crates/leases/src/state_machine.rs
+++ b/crates/leases/src/state_machine.rs
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Applies a command. This never fails: every voter rejects a command that can't be applied in
-    /// the same way.
+    /// Applies a command. This never fails: a command that can't be applied is rejected, in the
+    /// same way on every voter.
     pub fn apply(&mut self, command: &Command) -> Response {
         let result = self.try_apply(command);
         self.remove_if_unused(command.lease());
