--- a/crates/cli/src/args/chaos.rs
+++ b/crates/cli/src/args/chaos.rs
@@ -8,34 +8,33 @@
 
 #[derive(Subcommand)]
 pub(crate) enum ChaosCommand {
-    /// Run a plan in simulated time, once for each seed; exits with 1 where an invariant is
-    /// violated
+    /// Run a plan in simulated time, once for each seed; exits with 1 if an invariant is violated
     Simulate {
         file: PathBuf,
         /// Range of seeds, such as 0..100 (the end is exclusive)
         #[arg(long, default_value = "0..100", value_parser = parse_seeds)]
         seeds: Range<u64>,
-        /// Add faults drawn from each seed to those of the plan; faults that violate an invariant
-        /// are minimized and printed
+        /// Add random faults to the plan, sampled from each seed; the faults that violate an
+        /// invariant are minimized and printed
         #[arg(long, visible_alias = "chaos")]
         random_faults: bool,
         #[arg(long)]
         json: bool,
     },
-    /// Run a plan with leases between real processes; exits with 1 where an invariant is violated
+    /// Run a plan with leases between real processes; exits with 1 if an invariant is violated
     Run {
         file: PathBuf,
-        /// The backend's program; by default tulipgapd beside this program
+        /// Path of the backend program; by default tulipgapd in the directory of this program
         #[arg(long)]
         program: Option<PathBuf>,
         /// Seed of the random faults
         #[arg(long, default_value_t = 0)]
         seed: u64,
-        /// Add faults drawn from the seed to those of the plan
+        /// Add random faults to the plan, sampled from the seed
         #[arg(long, visible_alias = "chaos")]
         random_faults: bool,
         /// Directory for configurations, logs and journals, which is kept; by default a temporary
-        /// one that is removed unless an invariant is violated
+        /// directory that is removed unless an invariant is violated
         #[arg(long)]
         folder: Option<PathBuf>,
         #[arg(long)]
@@ -43,10 +42,10 @@
     },
 }
 
-/// Why a range of seeds is not accepted.
+/// Why a range of seeds is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum SeedsError {
-    #[error("expected two numbers with .. between")]
+    #[error("expected two numbers separated by ..")]
     NotARange,
     #[error("{0}")]
     NotANumber(#[from] ParseIntError),
--- a/crates/cli/src/args/mod.rs
+++ b/crates/cli/src/args/mod.rs
@@ -25,28 +25,28 @@
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Recordings of the life of each request
+    /// Inspect, copy, merge and summarise recordings of requests
     Trace {
         #[command(subcommand)]
         command: TraceCommand,
     },
-    /// Fault injection between the members of a cluster
+    /// Run fault injection plans between the members of a cluster
     #[command(visible_alias = "rig")]
     Chaos {
         #[command(subcommand)]
         command: ChaosCommand,
     },
-    /// Members and voters as a process sees them
+    /// Show the members and the voter of a process, acquire its drain lease, or replace a voter
     Cluster {
         #[command(subcommand)]
         command: ClusterCommand,
     },
-    /// Leases: list, take, release, transfer and revoke
+    /// List, take, release, transfer and revoke leases
     Lease {
         #[command(subcommand)]
         command: LeaseCommand,
     },
-    /// Settings files of the product's own
+    /// Check configuration files
     Config {
         #[command(subcommand)]
         command: ConfigCommand,
--- a/crates/cli/src/args/operator.rs
+++ b/crates/cli/src/args/operator.rs
@@ -7,7 +7,7 @@
 /// The process that is queried, and how its answer is printed.
 #[derive(clap::Args)]
 pub(crate) struct Target {
-    /// The Unix socket that its configuration names (cluster.control)
+    /// Unix socket of the process, from its configuration (cluster.control)
     #[arg(long)]
     pub(crate) socket: PathBuf,
     /// Print the answer as JSON
@@ -22,12 +22,12 @@
         #[command(flatten)]
         target: Target,
     },
-    /// Show the state of this process's voter
+    /// Show the state of the process's voter
     Voter {
         #[command(flatten)]
         target: Target,
     },
-    /// Acquire the drain lease of this process's zone, so that only so many members drain at a
+    /// Acquire the drain lease of the process's zone, which limits how many members drain at a
     /// time; send the process the shutdown notice after that
     Drain {
         /// Time limit
@@ -41,7 +41,7 @@
         #[command(flatten)]
         target: Target,
     },
-    /// Replace a voter by another member; by the same name where its directory was lost
+    /// Replace a voter by another member, or by the same name if its directory was lost
     ReplaceVoter {
         old: String,
         new: String,
@@ -63,10 +63,10 @@
         #[command(flatten)]
         target: Target,
     },
-    /// Make this process hold a lease until it is released or the process exits
+    /// Make the process hold a lease until the lease is released or the process exits
     Take {
         lease: String,
-        /// Time to live without a renewal
+        /// How long the lease lasts without a renewal
         #[arg(
             long = "ttl",
             alias = "term",
@@ -99,7 +99,7 @@
         #[command(flatten)]
         target: Target,
     },
-    /// Stop the owner with that token from renewing the lease, and grant it to this member next
+    /// Stop the owner with that token from renewing the lease, and grant it to member TO next
     Transfer {
         lease: String,
         token: u64,
--- a/crates/cli/src/args/trace.rs
+++ b/crates/cli/src/args/trace.rs
@@ -8,9 +8,9 @@
 
 #[derive(Clone, Copy, ValueEnum)]
 pub(crate) enum ExportFormat {
-    /// One JSON object a line
+    /// One JSON object per line
     Jsonl,
-    /// Comma-separated values, with a line of names
+    /// Comma-separated values with a header line
     Csv,
 }
 
@@ -60,7 +60,7 @@
         #[command(flatten)]
         output: OutputArgs,
     },
-    /// Merge files into one, in the order of time
+    /// Merge files into one, ordered by time
     Merge {
         #[arg(required = true)]
         files: Vec<PathBuf>,
@@ -85,20 +85,20 @@
         /// Descriptor to read the key from
         #[arg(long)]
         key_fd: Option<u32>,
-        /// Hide the names of tenants, too
+        /// Also hide the names of tenants
         #[arg(long)]
         tenants: bool,
-        /// Hide the names of servers, too
+        /// Also hide the names of servers
         #[arg(long)]
         servers: bool,
-        /// Hide the names of handlers, too
+        /// Also hide the names of handlers
         #[arg(long)]
         handlers: bool,
     },
     /// Summarise requests by handler and tenant: completed, rejected by reason, failed, service
     /// level, response times
     Summary {
-        /// Files of several servers are merged in the order of time first
+        /// Several files are first merged, ordered by time
         #[arg(required = true)]
         files: Vec<PathBuf>,
         #[command(flatten)]
@@ -116,7 +116,7 @@
         #[arg(long)]
         json: bool,
     },
-    /// Write a sound file with the intact records of a damaged one, its gaps marked
+    /// Write the intact records of a damaged file to a sound file that marks the gaps
     Repair {
         file: PathBuf,
         #[command(flatten)]
--- a/crates/cli/src/chaos.rs
+++ b/crates/cli/src/chaos.rs
@@ -17,7 +17,7 @@
 use membership::MembershipReport;
 use processes::RunReport;
 
-/// File name of the backend's program where none is given; it is looked for beside this program.
+/// File name of the default backend program, which is in the directory of this program.
 const DEFAULT_PROGRAM: &str = "tulipgapd";
 
 /// The result of one or many runs of a plan.
@@ -25,12 +25,12 @@
     /// Whether an invariant was violated.
     fn has_violation(&self) -> bool;
 
-    /// Prints the report for people.
+    /// Prints the report as text.
     fn print(&self, plan: &Plan);
 }
 
 /// Runs a plan in simulated time once for each seed, until an invariant is violated. With
-/// `random_faults`, faults drawn from each seed are added to those of the plan.
+/// `random_faults`, adds faults to the plan that are sampled from each seed.
 pub(crate) fn simulate(
     file: &Path,
     seeds: Range<u64>,
@@ -55,7 +55,7 @@
     ))
 }
 
-/// Runs a plan once with real processes. Their directories are kept in `folder`, or where an
+/// Runs a plan once with real processes. Keeps their directories if `folder` is given or if an
 /// invariant was violated.
 pub(crate) fn run(
     file: &Path,
--- a/crates/cli/src/chaos/bounds.rs
+++ b/crates/cli/src/chaos/bounds.rs
@@ -1,4 +1,4 @@
-//! The longest violation of each membership invariant in a run, beside its bound.
+//! The longest violation of each membership invariant in a run, with its bound.
 
 use std::time::Duration;
 
--- a/crates/cli/src/chaos/leases.rs
+++ b/crates/cli/src/chaos/leases.rs
@@ -13,7 +13,7 @@
 
 use super::{Report, print_runs};
 
-/// Times are in seconds.
+/// The totals of simulated runs. Times are in seconds.
 #[derive(Default, Serialize)]
 pub(super) struct LeaseReport {
     runs: u64,
@@ -21,8 +21,8 @@
     /// The first violation, and the seed that shows it.
     #[serde(rename = "broken")]
     violation: Option<ViolationReport>,
-    /// The longest that a wanted lease had no holder: after the last fault, its bound, and in whole
-    /// runs.
+    /// The longest time for which a wanted lease had no holder: after the last fault, the bound of
+    /// that time, and in whole runs.
     #[serde(rename = "free_after")]
     longest_vacancy_after_faults: f64,
     #[serde(rename = "free_bound")]
@@ -52,7 +52,7 @@
     at: f64,
     #[serde(rename = "what")]
     details: String,
-    /// Those of the run's faults that the violation needs, as blocks of a plan file.
+    /// The minimized faults that cause the violation, as blocks of a plan file.
     faults: String,
 }
 
@@ -79,8 +79,8 @@
     outcome: LeaseOutcome,
 }
 
-/// Hands out seeds to threads in order until one has failed. Later seeds may be in progress by
-/// then; all seeds before the failed one are played.
+/// Distributes seeds to threads in order until the run of a seed has failed. Later seeds may be in
+/// progress by then; all seeds before the failed one are run.
 struct SeedQueue {
     next: AtomicU64,
     end: u64,
@@ -101,12 +101,12 @@
         (seed < self.end && seed <= self.first_failed.load(Ordering::Relaxed)).then_some(seed)
     }
 
-    fn fail(&self, seed: u64) {
+    fn record_failure(&self, seed: u64) {
         self.first_failed.fetch_min(seed, Ordering::Relaxed);
     }
 }
 
-/// The plan that is played with a seed.
+/// The plan that is run with a seed.
 fn plan_of_seed(plan: &Plan, seed: u64, has_random_faults: bool) -> Plan {
     if has_random_faults {
         with_random_faults(plan, seed)
@@ -115,15 +115,15 @@
     }
 }
 
-/// Plays seeds on all cores, and returns what came of them in their order. Up to the first that
-/// failed, that is the same whatever the number of cores.
+/// Runs seeds on all cores, and returns the outcomes in the order of the seeds. Up to the first
+/// failed seed, the outcomes are the same for any number of cores.
 fn simulate_seeds(plan: &Plan, seeds: Range<u64>, has_random_faults: bool) -> Vec<SeedOutcome> {
     let queue = SeedQueue::new(seeds);
     let simulate = |seed: u64| {
         let plan = plan_of_seed(plan, seed, has_random_faults);
         let outcome = simulate_leases(&plan, seed, InjectedBugs::default());
         if outcome.violation.is_some() {
-            queue.fail(seed);
+            queue.record_failure(seed);
         }
         SeedOutcome { seed, outcome }
     };
@@ -145,7 +145,7 @@
 }
 
 impl LeaseReport {
-    /// Plays the plan once for each seed, until an invariant is violated.
+    /// Runs the plan once for each seed, until an invariant is violated.
     pub(super) fn simulate(plan: &Plan, seeds: Range<u64>, has_random_faults: bool) -> Self {
         let mut report = LeaseReport {
             members: plan.members().len(),
--- a/crates/cli/src/chaos/membership.rs
+++ b/crates/cli/src/chaos/membership.rs
@@ -23,7 +23,7 @@
     /// Time from a crash to its first detection, over crashes whose process restarted.
     #[serde(rename = "first_noticed")]
     first_detection: Option<Distribution>,
-    /// The same to the last detection.
+    /// Time from a crash to its last detection, over the same crashes.
     #[serde(rename = "all_noticed")]
     last_detection: Option<Distribution>,
 }
@@ -70,7 +70,7 @@
 }
 
 impl Distribution {
-    /// `None` where there are no durations.
+    /// `None` if there are no durations.
     fn of(mut durations: Vec<Duration>) -> Option<Self> {
         durations.sort();
         let worst = durations.last()?.as_secs_f64();
@@ -82,7 +82,7 @@
 }
 
 impl MembershipReport {
-    /// Plays the plan once for each seed, until an invariant is violated.
+    /// Runs the plan once for each seed, until an invariant is violated.
     pub(super) fn simulate(plan: &Plan, seeds: Range<u64>) -> Self {
         let (mut runs, mut messages, mut false_deaths) = (0, 0, 0);
         let (mut worst, mut violation) = (WorstDurations::default(), None);
--- a/crates/cli/src/chaos/processes.rs
+++ b/crates/cli/src/chaos/processes.rs
@@ -19,14 +19,15 @@
     operations: u64,
     #[serde(rename = "refused")]
     rejected: u64,
-    /// Rejected reports of processes that were not paused: only the fencing token stopped these.
+    /// Rejected reports of processes that were not paused: only the fencing token prevented their
+    /// operations.
     #[serde(rename = "refused_awake")]
     rejected_while_running: u64,
     leases: Vec<LeaseReport>,
     #[serde(flatten)]
     bounds: MembershipBounds,
     false_deaths: u64,
-    /// Random faults and those of the plan, as blocks of a plan file; empty without random ones.
+    /// All faults of the run, as blocks of a plan file; empty without random faults.
     faults: String,
     #[serde(skip)]
     run_directory: PathBuf,
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command cannot be carried out. Its exit code is 2 then.
+//! Errors of commands that cannot be carried out, which exit with 2, and the status of all others.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -10,10 +10,10 @@
 /// Why a command cannot be carried out.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CliError {
-    /// An argument does not fit the others, or the file.
+    /// An argument is invalid, or does not match the other arguments or the file.
     #[error("{0}")]
     Argument(#[from] ArgumentError),
-    /// A file cannot be opened, read or put in its place.
+    /// A file cannot be opened, read, written or moved to its path.
     #[error("{}: {source}", path.display())]
     File { path: PathBuf, source: io::Error },
     /// A recording cannot be read.
@@ -58,24 +58,24 @@
     },
 }
 
-/// An argument that does not fit the others, or the file.
+/// An argument that is invalid, or does not match the other arguments or the file.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub(crate) enum ArgumentError {
-    #[error("--minutes {0}: more than 0, and a month at most")]
+    #[error("--minutes {0}: expected more than 0, and at most a month")]
     Minutes(f64),
-    #[error("--rate {0}: more than 0, and 1000000 at most")]
+    #[error("--rate {0}: expected more than 0, and at most 1000000")]
     Rate(f64),
-    #[error("there is no handler '{name}'; there are {}", known.join(", "))]
+    #[error("unknown handler '{name}'; the handlers are {}", known.join(", "))]
     UnknownHandler { name: String, known: Vec<String> },
-    #[error("'{0}' is no outcome; the outcomes are done, shed, errored and gone")]
+    #[error("unknown outcome '{0}'; the outcomes are done, shed, errored and gone")]
     UnknownOutcome(String),
-    #[error("--from lies at or behind --to")]
+    #[error("--from is not before --to")]
     EmptyTimeSpan,
     #[error("no key is given")]
     MissingKey,
-    #[error("--offset: no file is of server '{0}'")]
+    #[error("--offset: no file is from server '{0}'")]
     UnknownServer(String),
-    #[error("{}: random faults are drawn only for plans with leases", .0.display())]
+    #[error("{}: random faults are supported only for plans with leases", .0.display())]
     RandomFaultsWithoutLeases(PathBuf),
 }
 
@@ -119,7 +119,7 @@
 }
 
 impl Status {
-    /// Complete if it was, and if `is_complete`.
+    /// Returns [`Status::Incomplete`] unless `is_complete`; otherwise leaves the status as it is.
     pub(crate) fn and(self, is_complete: bool) -> Status {
         if is_complete {
             self
--- a/crates/cli/src/input.rs
+++ b/crates/cli/src/input.rs
@@ -8,7 +8,7 @@
 
 use crate::error::CliError;
 
-/// A file that is buffered and seekable.
+/// A buffered, seekable file.
 pub(crate) type Input = BufReader<File>;
 
 /// Whether a path stands for standard input or output.
@@ -21,11 +21,11 @@
     TraceReader::open(open(path)?).map_err(CliError::trace(path))
 }
 
-/// Opens a file for reading at any place. Standard input, and what cannot be sought in, is copied
-/// to a temporary file first, so that it takes no memory.
+/// Opens a file for reading at any position. Standard input and files that are not seekable are
+/// first copied to a temporary file, so that they take no memory.
 fn open(path: &Path) -> Result<Input, CliError> {
     if is_standard_stream(path) {
-        return spooled(&mut io::stdin().lock()).map_err(CliError::file(path));
+        return copy_to_temporary_file(&mut io::stdin().lock()).map_err(CliError::file(path));
     }
     open_path(path).map_err(CliError::file(path))
 }
@@ -39,11 +39,11 @@
     if metadata.is_file() {
         Ok(BufReader::new(file))
     } else {
-        spooled(&mut file)
+        copy_to_temporary_file(&mut file)
     }
 }
 
-fn spooled(source: &mut dyn Read) -> io::Result<Input> {
+fn copy_to_temporary_file(source: &mut dyn Read) -> io::Result<Input> {
     let mut file = tempfile::tempfile()?;
     io::copy(source, &mut file)?;
     file.seek(SeekFrom::Start(0))?;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,8 +1,8 @@
 //! `tulipgap`: the command line. It reads, makes and summarises recordings, runs fault injection
 //! plans, queries and controls the cluster of a running process, and checks configuration files.
 //!
-//! Exit codes: 0 for success; 1 where something is missing, damaged or rejected (the command has
-//! returned everything else); 2 where the command cannot be carried out.
+//! Exit codes: 0 for success; 1 if something is missing, damaged or rejected (the command has
+//! returned everything else); 2 if the command cannot be carried out.
 
 mod args;
 mod chaos;
@@ -23,11 +23,11 @@
 use crate::error::{CommandResult, Status};
 
 fn main() -> ExitCode {
-    // clap ends with 2 on invalid usage, and with 0 for help and version.
+    // clap exits with 2 on invalid usage, and with 0 for help and version.
     match run(Args::parse().command) {
         Ok(Status::Complete) => ExitCode::SUCCESS,
         Ok(Status::Incomplete) => ExitCode::from(1),
-        // Whoever reads the output has closed it, which is no failure.
+        // The reader of the output has closed it, which is not a failure.
         Err(error) if error.is_closed_pipe() => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("tulipgap: {error}");
--- a/crates/cli/src/messages.rs
+++ b/crates/cli/src/messages.rs
@@ -1,4 +1,4 @@
-//! Messages on standard error beside a result: losses, unknown columns, progress.
+//! Messages on standard error in addition to a result: losses, unknown columns, progress.
 
 use std::io::{self, IsTerminal, Write};
 use std::path::Path;
@@ -9,7 +9,7 @@
 /// Maximum number of losses of one file that are printed; further ones are counted.
 const MAX_PRINTED_LOSSES: usize = 20;
 
-/// Prints the losses of a file. Returns true where there are none.
+/// Prints the losses of a file. Returns whether there are none.
 pub(crate) fn print_losses(path: &Path, losses: &[Loss]) -> bool {
     for loss in losses.iter().take(MAX_PRINTED_LOSSES) {
         eprintln!("tulipgap: {}: {loss}", path.display());
@@ -47,7 +47,7 @@
     }
 }
 
-/// A progress bar on standard error, where that is a terminal.
+/// A progress bar on standard error; it is hidden unless that is a terminal.
 pub(crate) fn progress_bar(message: &'static str, length: u64) -> ProgressBar {
     if !io::stderr().is_terminal() {
         return ProgressBar::hidden();
--- a/crates/cli/src/operator/lease.rs
+++ b/crates/cli/src/operator/lease.rs
@@ -1,4 +1,5 @@
-//! `tulipgap lease`: lists leases, and has one process take and release them for an operator.
+//! `tulipgap lease`: lists, transfers and revokes leases, and makes a process take and release them
+//! for an operator.
 
 use serde_json::{Value, json};
 
--- a/crates/cli/src/operator/mod.rs
+++ b/crates/cli/src/operator/mod.rs
@@ -1,5 +1,5 @@
-//! Commands of operators to a running process, over its Unix socket: one JSON object a line in each
-//! direction. The keys and the commands are those of the socket's protocol (docs/leases.md).
+//! Commands of operators to a running process, over its Unix socket: one JSON object per line in
+//! each direction. docs/leases.md describes the keys and the commands of the socket's protocol.
 
 pub(crate) mod cluster;
 pub(crate) mod lease;
@@ -16,7 +16,7 @@
 
 /// Time limit for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(12);
-/// How often a process is asked whether it holds a lease yet.
+/// Interval at which [`acquire`] queries whether a process holds a lease.
 const LEASE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Sends one command and reads its answer.
@@ -63,8 +63,8 @@
     Ok(print_answer(answer, json, |_| println!("done")))
 }
 
-/// Sends a command that makes the process acquire a lease, and waits until it holds the lease, for
-/// `timeout` at most.
+/// Sends a command that makes the process acquire a lease, and waits until it holds the lease.
+/// After `timeout`, withdraws the request.
 fn acquire(target: &Target, command: &Value, timeout: Duration) -> CommandResult {
     let answer = request(&target.socket, command)?;
     let deadline = Instant::now() + timeout;
@@ -92,7 +92,7 @@
     }
 }
 
-/// The text under a key; empty where there is none.
+/// The text under a key; empty if there is none.
 fn text<'a>(row: &'a Value, key: &str) -> &'a str {
     row.get(key).and_then(Value::as_str).unwrap_or("")
 }
@@ -105,7 +105,7 @@
         .join(" ")
 }
 
-/// The list under a key; empty where there is none.
+/// The list under a key; empty if there is none.
 fn rows<'a>(answer: &'a Value, key: &str) -> impl Iterator<Item = &'a Value> {
     answer
         .get(key)
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -9,7 +9,7 @@
 use crate::error::CliError;
 use crate::input::is_standard_stream;
 
-/// A result that is being written.
+/// The output of a command while it is written.
 pub(crate) enum Output {
     /// Standard output.
     Stream(BufWriter<io::Stdout>),
@@ -23,7 +23,7 @@
 }
 
 impl Output {
-    /// Begins a result for that path.
+    /// Begins the output for a path.
     pub(crate) fn new(path: &Path) -> Result<Output, CliError> {
         if is_standard_stream(path) {
             return Ok(Output::Stream(BufWriter::new(io::stdout())));
@@ -40,7 +40,7 @@
             .filter(|directory| !directory.as_os_str().is_empty());
         let mut builder = tempfile::Builder::new();
         builder.prefix(".tulipgap-");
-        // The permissions that other tools give their files, and not those of temporary files.
+        // The file gets the usual permissions of new files instead of those of temporary files.
         #[cfg(unix)]
         builder.permissions(std::os::unix::fs::PermissionsExt::from_mode(0o666));
         let file = builder
@@ -52,7 +52,7 @@
         })
     }
 
-    /// Moves the complete result to its path.
+    /// Flushes the complete output, and moves a file to its path.
     pub(crate) fn commit(self) -> Result<(), CliError> {
         match self {
             Output::Stream(mut out) => out.flush().map_err(CliError::Io),
--- a/crates/cli/src/times.rs
+++ b/crates/cli/src/times.rs
@@ -20,7 +20,7 @@
     BeforeUnixEpoch,
     #[error("not of the form NAME=+1.5s or NAME=-20ms")]
     NotAnOffset,
-    #[error("'{0}' is no unit; the units are us, ms, s, m and h")]
+    #[error("unknown unit '{0}'; the units are us, ms, s, m and h")]
     UnknownUnit(String),
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl Moment {
-    /// Its Unix time in a recording with that first record.
+    /// The Unix time of the moment in a recording whose first record has the time `first`.
     pub(crate) fn unix_time(self, first: Micros) -> Micros {
         match self {
             Moment::AfterFirst(span) => first.saturating_add(micros(span)),
@@ -98,7 +98,7 @@
     }
 }
 
-/// A Unix time in RFC 3339; a number of microseconds where RFC 3339 cannot express it.
+/// A Unix time in RFC 3339, or a number of microseconds if RFC 3339 cannot express it.
 pub(crate) fn format_time(at: Micros) -> String {
     match u64::try_from(at)
         .ok()
--- a/crates/cli/src/trace/check.rs
+++ b/crates/cli/src/trace/check.rs
@@ -7,8 +7,8 @@
 use serde::Serialize;
 use tulipgap_trace::{CheckReport, Gap, check};
 
+use super::display_name;
 use super::gap::format_gap;
-use super::shown;
 use crate::error::{CliError, CommandResult, Status};
 use crate::input::open_trace;
 
@@ -54,7 +54,7 @@
 impl FileReport {
     fn new(path: &Path, report: CheckReport) -> Self {
         FileReport {
-            file: shown(path),
+            file: display_name(path),
             sound: report.is_sound(),
             records: report.records,
             blocks: report.blocks,
--- a/crates/cli/src/trace/copy.rs
+++ b/crates/cli/src/trace/copy.rs
@@ -40,7 +40,7 @@
     Ok(Status::of(summary.losses.is_empty()))
 }
 
-/// Begins a file of the same server and start.
+/// Begins a file with the server and the start time of `source`.
 fn begin_copy(source: &Header, output: &OutputArgs) -> Result<Writer<Output>, CliError> {
     let header = new_header(output.format, &source.server, source.start);
     Ok(Writer::new(
--- a/crates/cli/src/trace/info.rs
+++ b/crates/cli/src/trace/info.rs
@@ -6,8 +6,8 @@
 use serde::Serialize;
 use tulipgap_trace::{COLUMNS, Dictionary, Gap, Header, Micros, Survey};
 
+use super::display_name;
 use super::gap::format_gap;
-use super::shown;
 use crate::error::{CliError, CommandResult, Status};
 use crate::input::open_trace;
 use crate::messages::print_losses;
@@ -73,7 +73,7 @@
     fn new(path: &Path, header: &Header, names: &Dictionary, survey: &Survey, bytes: u64) -> Self {
         let span = survey.index.time_span();
         FileInfo {
-            file: shown(path),
+            file: display_name(path),
             file_id: header.file_id.clone(),
             format: header.version,
             program: header.program.clone(),
@@ -164,7 +164,7 @@
     }
 }
 
-/// The name of a column: its known name, or else the one in the header.
+/// The name of a column: its known name, otherwise its name in the header.
 fn column_name(id: u64, header: &Header) -> String {
     if let Some(column) = COLUMNS.iter().find(|column| u64::from(column.id) == id) {
         return column.name.to_owned();
--- a/crates/cli/src/trace/merge.rs
+++ b/crates/cli/src/trace/merge.rs
@@ -9,7 +9,7 @@
     Writer, estimate_clock_offsets, merge,
 };
 
-use super::{new_header, shown};
+use super::{display_name, new_header};
 use crate::error::{ArgumentError, CliError, CommandResult, Status};
 use crate::input::{Input, open_trace};
 use crate::messages::progress_bar;
@@ -91,7 +91,7 @@
         let reader = open_trace(path)?;
         let offset = offsets.get(&reader.header().server).copied().unwrap_or(0);
         Ok(MergeSource {
-            name: shown(path),
+            name: display_name(path),
             reader,
             offset,
         })
@@ -121,7 +121,8 @@
     Ok(offsets)
 }
 
-/// The estimated clock of each server. Records are merged first, by the clocks as they are.
+/// Estimates the clock offset of each server. The records are first merged by the uncorrected
+/// clocks.
 fn estimate(paths: &[PathBuf]) -> Result<Vec<(String, ClockOffset)>, CliError> {
     let spool = BufWriter::new(tempfile::tempfile()?);
     let header = new_header(NEWEST_VERSION, MERGED, 0);
--- a/crates/cli/src/trace/mod.rs
+++ b/crates/cli/src/trace/mod.rs
@@ -19,9 +19,9 @@
 use crate::args::TraceCommand;
 use crate::error::{ArgumentError, CommandResult};
 
-/// The longest synthetic recording.
+/// Maximum length of a synthetic recording.
 const MAX_SYNTHETIC_MINUTES: f64 = 60.0 * 24.0 * 31.0;
-/// The most first attempts a second of a synthetic recording.
+/// Maximum number of first attempts per second of a synthetic recording.
 const MAX_SYNTHETIC_RATE: f64 = 1e6;
 
 pub(crate) fn run(command: TraceCommand) -> CommandResult {
@@ -106,7 +106,7 @@
     })
 }
 
-/// The header of a file that is made from others, with an empty dictionary.
+/// The header of a file that is derived from others, with an empty dictionary.
 fn new_header(version: u32, server: &str, start: Micros) -> Header {
     Header {
         names: Dictionary::default(),
@@ -114,7 +114,7 @@
     }
 }
 
-/// How a file is named in reports.
-fn shown(path: &Path) -> String {
+/// The name of a file in reports.
+fn display_name(path: &Path) -> String {
     path.display().to_string()
 }
--- a/crates/cli/src/trace/record_text.rs
+++ b/crates/cli/src/trace/record_text.rs
@@ -1,5 +1,5 @@
-//! A record as text: a JSON line, as the raw log has it, or a CSV line. Keys are the names of the
-//! format's columns.
+//! The text forms of a record: a JSON line, as in the raw log, or a CSV line. Keys are the names of
+//! the format's columns.
 
 use std::borrow::Cow;
 use std::io::{self, Write};
@@ -8,7 +8,7 @@
 use serde::ser::SerializeMap;
 use tulipgap_trace::{COLUMNS, Column, ColumnKind, Dictionary, Record, zigzag_decode};
 
-/// A record with its dictionary, so that names stand in place of indices.
+/// A record with its dictionary, which gives the names for the record's indices.
 pub(super) struct NamedRecord<'a> {
     pub(super) record: &'a Record,
     pub(super) names: &'a Dictionary,
@@ -23,7 +23,7 @@
 }
 
 impl NamedRecord<'_> {
-    /// The value of a column; `None` where the record has none. Ids are hex digits.
+    /// The value of a column; `None` if the record has none. Ids are written as hex digits.
     fn value(&self, column: &Column) -> Option<Value<'_>> {
         let NamedRecord { record, names } = self;
         let raw = (column.get)(record)?;
--- a/crates/cli/src/trace/selection.rs
+++ b/crates/cli/src/trace/selection.rs
@@ -9,7 +9,7 @@
 use crate::error::{ArgumentError, CliError};
 use crate::input::Input;
 
-/// Surveys a file, and makes a filter for it. An empty selection matches all records.
+/// Surveys a file and creates the filter for it. An empty selection matches all records.
 pub(super) fn survey_and_filter(
     reader: &mut TraceReader<Input>,
     path: &Path,
@@ -24,7 +24,7 @@
     Ok((survey, filter))
 }
 
-/// The filter for a file with that first record and dictionary.
+/// The filter for a file whose first record has the time `first` and whose dictionary is `names`.
 fn filter(
     selection: &Selection,
     first: Micros,
--- a/crates/cli/src/trace/summary.rs
+++ b/crates/cli/src/trace/summary.rs
@@ -58,7 +58,7 @@
     ))
 }
 
-/// A summary, and what is missing in its file.
+/// The summary of a file, with the gaps, losses and unknown columns of the file.
 struct SummarisedFile {
     summary: Summary,
     gaps: Vec<Gap>,
--- a/crates/cli/src/trace/synthesize.rs
+++ b/crates/cli/src/trace/synthesize.rs
@@ -17,10 +17,10 @@
 use crate::output::Output;
 use crate::times::format_span;
 
-/// A storage of one file, which is the output of the command.
+/// A storage with a single file, the output of the command.
 struct SingleFileStorage(SharedOutput);
 
-/// The output; `None` after it was taken back.
+/// The output; `None` after [`SharedOutput::take`].
 #[derive(Clone)]
 struct SharedOutput(Arc<Mutex<Option<Output>>>);
 
@@ -36,7 +36,9 @@
     fn with<T: Default>(&self, write: impl FnOnce(&mut Output) -> io::Result<T>) -> io::Result<T> {
         match self.0.lock() {
             Ok(mut output) => output.as_mut().map_or(Ok(T::default()), write),
-            Err(_) => Err(io::Error::other("the output is gone")),
+            Err(_) => Err(io::Error::other(
+                "a thread panicked while it wrote the output",
+            )),
         }
     }
 }
@@ -63,7 +65,7 @@
         if number == 1 {
             Ok(self.0.clone())
         } else {
-            Err(io::Error::other("the output failed"))
+            Err(io::Error::other("writing the output failed"))
         }
     }
 
@@ -76,7 +78,8 @@
     }
 }
 
-/// A recording in blocks of a server's defaults, and in one file whatever its size.
+/// The configuration of a recording with the block size of a server's defaults, in a single file of
+/// any size.
 fn recorder_config(server: &str, version: u32) -> RecorderConfig {
     RecorderConfig {
         version,
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn config_check_reports_every_problem_with_its_place() {
+fn config_check_reports_every_problem_with_its_position() {
     let workspace = Workspace::new();
     std::fs::write(workspace.path("good.hcl"), "trace {\n  folder = \"t\"\n}\n").unwrap();
     std::fs::write(
@@ -328,9 +328,9 @@
     );
 }
 
-/// A hostile file has frame headers that claim the longest payloads and longer ones, with a long
-/// hole behind them. A reader that allocated what is claimed would run out of memory; it is limited
-/// to 96 MB here.
+/// A hostile file has frame headers that claim payloads of the maximum length and longer ones,
+/// followed by a large hole. A reader that allocated the claimed lengths would run out of memory;
+/// the test limits it to 96 MB.
 #[test]
 fn claimed_lengths_of_a_hostile_file_allocate_no_memory() {
     let workspace = Workspace::new();
@@ -349,7 +349,7 @@
         .open(workspace.path("hostile.tgt"))
         .and_then(|file| file.set_len(160 * 1024 * 1024))
         .unwrap();
-    // 96 MB of address space, which include the program itself.
+    // 96 MB of address space, including the program itself.
     let output = Command::new("sh")
         .args([
             "-c",
@@ -368,7 +368,7 @@
 }
 
 #[test]
-fn chaos_simulate_exits_by_the_result_of_the_plan() {
+fn chaos_simulate_exit_code_depends_on_the_result_of_the_plan() {
     let workspace = Workspace::new();
     let plan = std::fs::read_to_string(concat!(
         env!("CARGO_MANIFEST_DIR"),
@@ -386,7 +386,7 @@
             .run_ok("chaos simulate plan.hcl --seeds 0..2")
             .contains("held_dead  longest ")
     );
-    // No run can keep this bound: the report names the seed that violates it.
+    // Every run violates this bound, and the report names the seed.
     std::fs::write(
         workspace.path("tight.hcl"),
         plan.replace("known     = 30", "known     = 1"),
@@ -417,7 +417,7 @@
 }
 
 /// `chaos` was named `rig`, and its flag `--random-faults` was `--chaos`. Scripts use the old
-/// names, so both are taken and print the same.
+/// names, so the program accepts both, with the same output.
 #[test]
 fn rig_and_its_chaos_flag_are_aliases_of_chaos_and_random_faults() {
     let workspace = Workspace::new();
@@ -432,13 +432,13 @@
     assert!(new.starts_with("2 runs of "), "{new}");
     assert_eq!(new, old);
     let without = workspace.run_ok("chaos simulate plan.hcl --seeds 0..2");
-    assert_ne!(new, without, "the faults are drawn");
+    assert_ne!(new, without, "random faults are added");
     let help = workspace.run_ok("--help");
     assert!(help.contains("chaos") && help.contains("rig"), "{help}");
 }
 
-/// Options of `lease take` were named by the plan file's words. Scripts use the old names, so both
-/// are taken: with either the command fails only at the socket, which is not there.
+/// Options of `lease take` and `cluster drain` had other names. Scripts use the old names, so the
+/// program accepts both: with either name, the command fails only because the socket is missing.
 #[test]
 fn lease_take_and_drain_accept_old_and_new_option_names() {
     let workspace = Workspace::new();
@@ -458,8 +458,8 @@
     }
 }
 
-/// The recordings, and what version 0.1.0 exported of them, are beside the tests of the trace
-/// crate.
+/// Guards the format of old recordings: the test files of the trace crate contain recordings, and
+/// the lines that version 0.1.0 exported from them.
 #[test]
 fn recordings_of_version_0_1_0_export_the_same_lines() {
     let workspace = Workspace::new();
--- a/example/demo_peers.rs
+++ b/example/demo_peers.rs
@@ -1,6 +1,6 @@
 //! The peers of a demo deployment around one `tulipgapd`: an executor with two cores (the `kernel`
 //! of its configuration), a store, and an edge node that sends one request and then a burst. See
-//! README.md beside this file.
+//! README.md in this directory.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -42,7 +42,7 @@
             Err(_) => std::thread::sleep(Duration::from_millis(100)),
         }
     };
-    // The backend rejects everything until it is connected to its executor.
+    // The backend rejects all requests until it is connected to its executor.
     std::thread::sleep(Duration::from_millis(300));
     send_request(&mut edge, 1, "page")?;
     println!(
@@ -51,7 +51,7 @@
     );
     let mut outcomes = HashMap::new();
     let mut examples = HashMap::new();
-    // A connection may have 32 open requests, so the burst is sent over two connections.
+    // A connection may have at most 32 open requests, so the burst is sent over two connections.
     let mut other = TcpStream::connect(BACKEND)?;
     for sequence in 2..2 + BURST_REQUESTS {
         send_request(
@@ -81,7 +81,7 @@
     Ok(())
 }
 
-/// Serves each connection in a thread of its own.
+/// Serves each connection in a separate thread.
 fn serve_connections(
     listener: &TcpListener,
     serve: impl Fn(TcpStream) -> Result<(), Error> + Copy + Send + 'static,
@@ -95,8 +95,8 @@
     }
 }
 
-/// Reads lines and passes on their words. Some are followed by a body, whose length is the last
-/// word.
+/// Reads lines and passes their words to `handle`. Some lines are followed by a body, whose length
+/// is the last word of the line.
 fn read_lines(
     stream: &TcpStream,
     mut handle: impl FnMut(&[&str], Vec<u8>) -> Result<(), Error>,
@@ -164,7 +164,7 @@
                     let _ = reply.send(());
                 }
             }
-            _ => println!("demo_peers: the executor does not know {words:?}"),
+            _ => println!("demo_peers: the executor received an unknown command: {words:?}"),
         }
         Ok(())
     })
@@ -219,8 +219,8 @@
         self.send_notice("REAP", &head, result.as_bytes());
     }
 
-    /// Does half of the work, more slowly while more runs than cores are active. False where the
-    /// run was cancelled.
+    /// Does half of the work, more slowly while more runs than cores are active. Returns whether
+    /// the work was completed; a cancelled run does not complete it.
     fn work(&self) -> bool {
         self.running.fetch_add(1, Ordering::AcqRel);
         let mut remaining_ms = WORK_MS as f64 / 2.0;
