--- a/crates/server/tests/program/connection_floods.rs
+++ b/crates/server/tests/program/connection_floods.rs
@@ -12,7 +12,7 @@
 use crate::harness::edge_node::{
     AnswerKind, EdgeConnection, answers_until_close, slowest_answer_while,
 };
-use crate::harness::{PROMPT, wait_until};
+use crate::harness::{MAX_ANSWER_TIME, wait_until};
 
 /// A thousand connections are opened at a limit of 64 descriptors. Connections that are idle and
 /// silent give way, descriptors stay within the limit, a client that is connected is served
@@ -41,13 +41,13 @@
         let slowest = other.join().unwrap();
         println!("slowest answer beside a flood of {connected} connections: {slowest:?}");
         assert!(files <= 64, "{files} descriptors");
-        assert!(slowest < PROMPT, "{slowest:?}");
+        assert!(slowest < MAX_ANSWER_TIME, "{slowest:?}");
     });
     let begin = Instant::now();
     let mut newcomer = backend.connect();
     newcomer.send_request(1, "000000000b060001", b"run");
     assert_eq!(newcomer.read_answer().expect("an answer").sequence, 1);
-    assert!(begin.elapsed() < PROMPT, "{:?}", begin.elapsed());
+    assert!(begin.elapsed() < MAX_ANSWER_TIME, "{:?}", begin.elapsed());
 }
 
 /// One connection sends 3,000 requests without waiting, where 32 may be open at a time. Each is
@@ -76,7 +76,7 @@
         running.store(false, Ordering::Release);
         let slowest = other.join().unwrap();
         println!("slowest answer beside a flood of {REQUESTS} requests: {slowest:?}");
-        assert!(slowest < PROMPT, "{slowest:?}");
+        assert!(slowest < MAX_ANSWER_TIME, "{slowest:?}");
     });
     assert!(
         (1..=REQUESTS).all(|sequence| counts.get(&sequence) == Some(&1)),
--- a/crates/server/tests/program/executor_link.rs
+++ b/crates/server/tests/program/executor_link.rs
@@ -208,14 +208,14 @@
     ] {
         let backend = start_backend_with_changes(&[(r#""effect":"pure""#, effect)]);
         let id = "0000000000ef0001";
-        backend.executor().cuts_link_at_start = true;
+        backend.executor().should_cut_link_at_start = true;
         let mut edge = backend.connect();
         let mut keyed = request_fields(id, "20.0");
         keyed.push(("opkey", "ef".to_owned()));
         edge.send_request_with_fields(1, &keyed, b"hang");
         let first = edge.read_answer().expect("an answer");
         assert!(
-            first.kind == AnswerKind::Crashed || first.contains(b"unheard"),
+            first.kind == AnswerKind::Crashed || first.contains(b"ended in resynchronisation"),
             "{:?}",
             first.kind
         );
@@ -294,7 +294,7 @@
         ("\"objective\":10000.0", "\"objective\":300.0"),
         ("\"deadline\":20000.0", "\"deadline\":400.0"),
     ]);
-    backend.executor().ignores_queries = true;
+    backend.executor().should_ignore_queries = true;
     let delays = Delays::default();
     for round in 0..20u32 {
         // At different moments between two ticks.
--- a/crates/server/tests/program/harness/backend.rs
+++ b/crates/server/tests/program/harness/backend.rs
@@ -1,4 +1,4 @@
-//! A process of the program between stubs of its peers.
+//! A process of the program with stubs of its peers.
 
 use std::io::Read;
 use std::net::TcpStream;
@@ -12,7 +12,7 @@
 use super::store::{StoreStub, start_store};
 use super::{EDGE_PORT, LONG_TIMEOUT, unique_address, wait_until};
 
-/// A process of the program, the stubs around it, and its configuration file.
+/// A process of the program, the stubs of its peers, and its configuration file.
 pub(crate) struct TestBackend {
     pub(crate) host: String,
     pub(crate) executor: SharedExecutor,
@@ -21,15 +21,15 @@
     pub(crate) config_file: PathBuf,
 }
 
-/// Writes the configuration file of a backend.
+/// Writes the configuration file of a backend, and returns its path.
 pub(crate) fn write_config(host: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("tulipgapd-{host}.json"));
     std::fs::write(&path, text).unwrap();
     path
 }
 
-/// Starts the program with a configuration that it rejects; returns its exit status and what it
-/// wrote to standard error.
+/// Starts the program with a configuration that it rejects; returns its exit status and its output
+/// on standard error.
 pub(crate) fn run_until_rejected(file: &Path) -> (ExitStatus, String) {
     let mut child = spawn_program(file);
     let start = Instant::now();
@@ -39,7 +39,7 @@
         }
         assert!(
             start.elapsed() < LONG_TIMEOUT,
-            "the program exits by itself"
+            "the program did not exit after an invalid configuration"
         );
         std::thread::sleep(Duration::from_millis(5));
     };
@@ -53,22 +53,23 @@
     (status, written)
 }
 
-/// Starts the program with a configuration file.
+/// Starts the program with a configuration file and without a settings file.
 pub(crate) fn spawn_program(file: &Path) -> Child {
     spawn_program_with_settings(file, None)
 }
 
-/// The path of the program: the build of these sources, or another one to compare with, as one
-/// with a planted fault.
+/// The path of the program: the build of these sources, or the one that `TULIPGAP_PROGRAM` names,
+/// such as a build with an injected bug.
 fn program_under_test() -> String {
     let built = env!("CARGO_BIN_EXE_tulipgapd");
     std::env::var("TULIPGAP_PROGRAM").unwrap_or_else(|_| built.to_owned())
 }
 
-/// Starts the program, with the product's own configuration where one is given.
+/// Starts the program with a configuration file and, if there is one, the product's settings file.
 pub(crate) fn spawn_program_with_settings(file: &Path, settings: Option<&Path>) -> Child {
     let program = program_under_test();
-    // Measurements run all threads of the program on one core, as in the deployment.
+    // Measurements set `TULIPGAP_CORE`, which runs all threads of the program on one core as in the
+    // deployment.
     let mut command = match std::env::var("TULIPGAP_CORE") {
         Ok(core) => {
             let mut command = Command::new("taskset");
@@ -88,7 +89,7 @@
         .unwrap()
 }
 
-/// The configuration of a backend with one handler, `page`, and the peers of its host.
+/// The configuration of a backend with one handler, `page`, whose peers listen on its host.
 pub(crate) fn config_json(host: &str) -> String {
     let settings = r#"{"classes":[{"name":"page","objective":10000.0,"deadline":20000.0,"worth":1.0,"effect":"pure"}],
         "family_info":{"below":"shared","calls_out":20.0,"share_span":5000.0,"stays_for":100.0,"blowup":4.0,"cores":4,
@@ -102,7 +103,8 @@
     )
 }
 
-/// What a process of the program is started with: its address, its stubs and its configuration.
+/// The setup of a process of the program: its address, the stubs of its peers and its
+/// configuration.
 pub(crate) struct BackendSetup {
     pub(crate) host: String,
     pub(crate) executor: SharedExecutor,
@@ -112,7 +114,7 @@
 }
 
 impl BackendSetup {
-    /// An address of its own, with an executor and a store that serve there.
+    /// A unique address with stubs of an executor and a store that listen there.
     pub(crate) fn new() -> Self {
         let host = unique_address();
         let executor = serve_executor(SharedExecutor::default(), &host);
@@ -120,7 +122,7 @@
         BackendSetup::with_peers(host, executor, store)
     }
 
-    /// An address whose peers the test has set up.
+    /// A setup with stubs that the test has started.
     pub(crate) fn with_peers(host: String, executor: SharedExecutor, store: StoreStub) -> Self {
         let configuration = config_json(&host);
         BackendSetup {
@@ -132,26 +134,27 @@
         }
     }
 
-    /// Replaces a text of the configuration, which must be there.
+    /// Replaces a text of the configuration; panics if the configuration does not contain it.
     pub(crate) fn change(mut self, from: &str, to: &str) -> Self {
         assert!(self.configuration.contains(from), "{from}");
         self.configuration = self.configuration.replace(from, to);
         self
     }
 
-    /// The settings file of the product's own, where one is given.
+    /// Sets the product's settings file; `None` starts the program without one.
     pub(crate) fn settings(mut self, file: Option<&Path>) -> Self {
         self.settings = file.map(Path::to_owned);
         self
     }
 
-    /// Starts the process and waits for nothing.
+    /// Starts the process without waiting until it serves.
     pub(crate) fn spawn(self) -> TestBackend {
         let settings = self.settings.clone();
         self.spawn_by(|config_file| spawn_program_with_settings(config_file, settings.as_deref()))
     }
 
-    /// Starts the process by a function of its configuration file, and waits for nothing.
+    /// Starts the process by calling `spawn` with its configuration file, without waiting until it
+    /// serves.
     pub(crate) fn spawn_by(self, spawn: impl FnOnce(&Path) -> Child) -> TestBackend {
         let config_file = write_config(&self.host, &self.configuration);
         let child = spawn(&config_file);
@@ -172,17 +175,17 @@
     }
 }
 
-/// A backend with 1,024 descriptors that serves.
+/// Starts a backend with 1,024 descriptors and waits until it serves.
 pub(crate) fn start_backend() -> TestBackend {
     start_backend_with_sockets(1024)
 }
 
-/// A backend with that limit of descriptors in its configuration.
+/// Starts a backend with this limit of descriptors in its configuration.
 pub(crate) fn start_backend_with_sockets(sockets: usize) -> TestBackend {
     start_backend_with_settings(sockets, None)
 }
 
-/// The same, with a settings file of the product's own.
+/// Starts a backend with this limit of descriptors and the product's settings file.
 pub(crate) fn start_backend_with_settings(sockets: usize, settings: Option<&Path>) -> TestBackend {
     BackendSetup::new()
         .change("1024", &sockets.to_string())
@@ -190,7 +193,7 @@
         .start()
 }
 
-/// A backend whose configuration is changed by these replacements.
+/// Starts a backend whose configuration is changed by these replacements.
 pub(crate) fn start_backend_with_changes(changes: &[(&str, &str)]) -> TestBackend {
     changes
         .iter()
@@ -200,7 +203,7 @@
         .start()
 }
 
-/// A backend whose configuration promises more descriptors than the system grants.
+/// Starts a backend whose configuration has a higher limit of descriptors than the system grants.
 pub(crate) fn start_backend_with_descriptor_limit(
     sockets: usize,
     limit: usize,
@@ -232,8 +235,8 @@
         self.wait_until_healthy(|answer| answer.contains(b"signal"));
     }
 
-    /// Waits for a health check that succeeds: a connection alone shows nothing, because requests
-    /// are rejected until the executor is up.
+    /// Waits for a health check that succeeds and whose answer is expected. A connection alone is not
+    /// enough, because requests are rejected until the executor is up.
     pub(crate) fn wait_until_healthy(&self, is_expected: impl Fn(&ReceivedAnswer) -> bool) {
         wait_until("the backend serves", || {
             let Ok(stream) = TcpStream::connect((&self.host[..], EDGE_PORT)) else {
@@ -249,18 +252,18 @@
         });
     }
 
-    /// The stub of its executor.
+    /// Locks the stub of the executor.
     pub(crate) fn executor(&self) -> MutexGuard<'_, ExecutorStub> {
         self.executor.lock().unwrap()
     }
 
-    /// Whether the executor was ever told to run a request.
+    /// Whether the executor has ever started a run of this request.
     pub(crate) fn was_run(&self, id: &str) -> bool {
         let executor = self.executor();
         executor.runs.contains_key(id) || executor.ends.contains_key(id)
     }
 
-    /// A new connection of an edge node.
+    /// Opens a connection of an edge node.
     pub(crate) fn connect(&self) -> EdgeConnection {
         let stream = TcpStream::connect((&self.host[..], EDGE_PORT)).unwrap();
         stream.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
@@ -276,12 +279,12 @@
             "TERM" => libc::SIGTERM,
             other => panic!("no signal is named {other}"),
         };
-        // Safe: the process is a child that was not waited for, so its id is still its own.
+        // Safe: the child has not been waited for, so its process id has not been reused.
         let result = unsafe { libc::kill(self.child.id() as libc::pid_t, signal) };
         assert_eq!(result, 0, "{}", std::io::Error::last_os_error());
     }
 
-    /// What the process has logged, once it has ended.
+    /// Reads the log of the process; returns once the process has ended.
     pub(crate) fn read_log(&mut self) -> String {
         let mut log = String::new();
         let mut standard_error = self.child.stderr.take().unwrap();
@@ -296,7 +299,7 @@
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(start.elapsed() < LONG_TIMEOUT, "the program exits");
+            assert!(start.elapsed() < LONG_TIMEOUT, "the program did not exit");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
--- a/crates/server/tests/program/harness/edge_node.rs
+++ b/crates/server/tests/program/harness/edge_node.rs
@@ -1,4 +1,5 @@
-//! Connections of an edge node, whose messages are encoded by hand so that they can be invalid.
+//! Connections of an edge node. The messages are encoded here, without the program's codec, so that
+//! they can be invalid.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -30,9 +31,9 @@
 /// A message from the backend.
 pub(crate) struct ReceivedAnswer {
     pub(crate) kind: AnswerKind,
-    /// The sequence of the message that it answers.
+    /// The sequence of the message that this message answers.
     pub(crate) sequence: u32,
-    /// The message without its length.
+    /// The message without its length prefix.
     pub(crate) bytes: Vec<u8>,
 }
 
@@ -47,12 +48,12 @@
     pub(crate) stream: TcpStream,
 }
 
-/// A string as it is sent: its length and its bytes.
+/// Encodes a string as its length and its bytes.
 pub(crate) fn encode_string(bytes: &[u8]) -> Vec<u8> {
     [&(bytes.len() as u32).to_be_bytes(), bytes].concat()
 }
 
-/// The fields of a valid request with that id, which needs so many KB of memory.
+/// The fields of a valid request with this id, which needs `need` KB of memory.
 pub(crate) fn request_fields(id: &str, need: &str) -> Vec<(&'static str, String)> {
     let ts = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -76,7 +77,7 @@
     fields
 }
 
-/// The fields of a request, one of them changed.
+/// The fields of a valid request, with one of them changed.
 pub(crate) fn request_fields_with(
     id: &str,
     name: &str,
@@ -104,7 +105,7 @@
             .unwrap();
     }
 
-    /// A health check as it is sent.
+    /// Encodes a health check.
     pub(crate) fn encode_health_check(&self, sequence: u32) -> Vec<u8> {
         call(sequence, "probe", b"\0")
     }
@@ -131,7 +132,7 @@
         self.stream.write_all(&message).unwrap();
     }
 
-    /// A request as it is sent.
+    /// Encodes a request.
     pub(crate) fn encode_request(
         &self,
         sequence: u32,
@@ -160,21 +161,21 @@
         self.send_request_with_fields(sequence, &request_fields(id, "20.0"), body);
     }
 
-    /// The next answer; none once the connection is closed.
+    /// Reads the next message; `None` once the connection is closed.
     pub(crate) fn read_answer(&mut self) -> Option<ReceivedAnswer> {
         let mut head = [0; 4];
         self.stream.read_exact(&mut head).ok()?;
         let mut bytes = vec![0; u32::from_be_bytes(head) as usize];
         self.stream.read_exact(&mut bytes).ok()?;
-        let named = 8 + u32::from_be_bytes(bytes[4..8].try_into().unwrap()) as usize;
-        let sequence = u32::from_be_bytes(bytes[named..named + 4].try_into().unwrap());
-        let kind = match (bytes[3], bytes.get(named + 4..named + 7)) {
+        let name_end = 8 + u32::from_be_bytes(bytes[4..8].try_into().unwrap()) as usize;
+        let sequence = u32::from_be_bytes(bytes[name_end..name_end + 4].try_into().unwrap());
+        let kind = match (bytes[3], bytes.get(name_end + 4..name_end + 7)) {
             (4, _) => AnswerKind::NoMore,
             (3, _) => AnswerKind::Exception,
             (2, Some([12, 0, 0])) => AnswerKind::Answer,
             (2, Some([12, 0, 1])) => AnswerKind::Rejected,
             (2, Some([12, 0, 2])) => AnswerKind::Crashed,
-            other => panic!("no answer: {other:?}"),
+            other => panic!("invalid answer: {other:?}"),
         };
         Some(ReceivedAnswer {
             kind,
@@ -183,8 +184,8 @@
         })
     }
 
-    /// Waits until the connection is closed, and ignores what arrives before. False where it ends
-    /// by another error than a reset.
+    /// Waits until the connection is closed, and ignores the bytes that arrive before. Returns false
+    /// if the connection ends with an error other than a reset.
     pub(crate) fn wait_until_closed(&mut self) -> bool {
         match self.stream.read_to_end(&mut Vec::new()) {
             Ok(_) => true,
@@ -200,7 +201,7 @@
     }
 }
 
-/// A connection whose receive buffer holds very little, so that answers wait in the backend's send
+/// Opens a connection with a receive buffer of 4 KiB, so that answers wait in the backend's send
 /// buffer.
 pub(crate) fn connect_slow_reader(backend: &TestBackend) -> EdgeConnection {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
@@ -212,21 +213,21 @@
     EdgeConnection { stream }
 }
 
-/// Ends a connection with a reset. Its descriptor stays open.
+/// Resets a connection. Its descriptor stays open.
 pub(crate) fn reset_connection(stream: &TcpStream) {
-    // A connect to the unspecified family dissolves the connection, and the system resets it.
+    // A connect to an address of the unspecified family makes the system reset the connection.
     let address = libc::sockaddr {
         sa_family: libc::AF_UNSPEC as libc::sa_family_t,
         sa_data: [0; 14],
     };
     let descriptor = stream.as_raw_fd();
     let length = size_of::<libc::sockaddr>() as libc::socklen_t;
-    // Safe: the descriptor is open as long as the stream is, and the address outlives the call.
+    // Safe: the stream keeps the descriptor open, and the address outlives the call.
     unsafe { libc::connect(descriptor, &raw const address, length) };
 }
 
-/// The answers up to the end of the connection, counted by sequence; drain notifications are left
-/// out.
+/// Reads answers until the connection ends, and counts them by sequence without the drain
+/// notifications.
 pub(crate) fn answers_until_close(edge: &mut EdgeConnection) -> HashMap<u32, u32> {
     let mut counts = HashMap::new();
     while let Some(answer) = edge.read_answer() {
@@ -242,8 +243,7 @@
     while edge.read_answer().expect("a drain notification").kind != AnswerKind::NoMore {}
 }
 
-/// Sends requests one after the other while `running` is set; returns the longest time to an
-/// answer.
+/// Sends one request after the other while `running` is set; returns the longest time to an answer.
 pub(crate) fn slowest_answer_while(
     backend: &TestBackend,
     running: &AtomicBool,
--- a/crates/server/tests/program/harness/executor.rs
+++ b/crates/server/tests/program/harness/executor.rs
@@ -8,34 +8,36 @@
 use super::EXECUTOR_PORT;
 
 /// A stub of the executor. The body of a request selects what its run does:
-/// - `run` ends at once with a result that names the id; `large` does so with almost 4 KiB;
-/// - `hang` ends when it is cancelled or the test ends it;
-/// - `call` makes one call, and ends with `richer` after a reply or `poorer` where it is skipped;
+/// - `run` ends at once with a result that contains the id; `large` ends at once with a result of
+///   4,000 bytes;
+/// - `hang` ends when the backend cancels it or the test ends it;
+/// - `call` makes one call, and ends with the result `richer` after a reply or `poorer` if the
+///   backend skips the call;
 /// - `unknown` is reported as an invalid id.
 #[derive(Default)]
 pub(crate) struct ExecutorStub {
-    /// All notices so far; the first has number 1.
+    /// All notices sent so far; the first one has number 1.
     pub(crate) notices: Vec<Vec<u8>>,
     /// Runs that have not ended, and how often each was started.
     pub(crate) runs: HashMap<String, u32>,
-    /// How often each has ended.
+    /// How often the run of each request has ended.
     pub(crate) ends: HashMap<String, u32>,
-    /// The current link; none while the backend is not connected.
+    /// The current link; `None` while the backend is not connected.
     pub(crate) link: Option<TcpStream>,
-    /// How many links were opened.
+    /// The number of links that were opened.
     pub(crate) link_count: u32,
-    /// The next reply to a call is lost with the link that carried it.
-    pub(crate) loses_link_at_reply: bool,
-    /// The link breaks as the next run starts. The run ends behind the first gauges over the next
-    /// link, and its notice is delayed until more is received there.
-    pub(crate) cuts_link_at_start: bool,
-    /// Queries of the gauges get no reply.
-    pub(crate) ignores_queries: bool,
-    /// The run that ends behind the next gauges.
+    /// The stub closes the link when the next reply to a call arrives, and drops the reply.
+    pub(crate) should_lose_link_at_reply: bool,
+    /// The stub closes the link when the next run starts. The run ends right after the first reply
+    /// to a query of the gauges on the next link, and its notice is sent only with the next command.
+    pub(crate) should_cut_link_at_start: bool,
+    /// The stub does not reply to queries of the gauges.
+    pub(crate) should_ignore_queries: bool,
+    /// The run that ends after the next reply to a query of the gauges.
     pub(crate) ending_run: Option<String>,
     /// The notice that is delayed until the next command.
     pub(crate) delayed_notice: Vec<u8>,
-    /// The replies that calls got.
+    /// The replies to calls that were received.
     pub(crate) replies: Vec<Vec<u8>>,
 }
 
@@ -47,7 +49,7 @@
 pub(crate) type SharedExecutor = Arc<Mutex<ExecutorStub>>;
 
 impl ExecutorStub {
-    /// Sends a numbered notice, which is sent again over the next link.
+    /// Sends a numbered notice and keeps it, so that it can be sent again over a later link.
     pub(crate) fn send_notice(&mut self, word: &str, rest: String, body: &[u8]) {
         let head = format!(
             "{word} {} {rest} {}\r\n",
@@ -61,7 +63,7 @@
         self.notices.push(bytes);
     }
 
-    /// Ends a run with that word and result, unless it has ended.
+    /// Ends a run with this outcome and result, unless it has ended already.
     pub(crate) fn end_run(&mut self, id: &str, end: &str, result: &[u8]) {
         if self.runs.remove(id).is_some() {
             *self.ends.entry(id.to_owned()).or_default() += 1;
@@ -69,14 +71,14 @@
         }
     }
 
-    /// Sends a line as it is, which may be invalid.
+    /// Sends a line unchanged; it may be invalid.
     pub(crate) fn send_line(&mut self, line: String) {
         if let Some(link) = &mut self.link {
             let _ = link.write_all(line.as_bytes());
         }
     }
 
-    /// Carries out a command of the backend.
+    /// Executes a command of the backend.
     pub(crate) fn handle_command(&mut self, words: &[&str], body: Vec<u8>) {
         if let Some(link) = &mut self.link {
             let _ = link.write_all(&std::mem::take(&mut self.delayed_notice));
@@ -92,8 +94,8 @@
                 match &body[..] {
                     b"run" => self.end_run(&id, "success", format!("page \0 {id}").as_bytes()),
                     b"large" => self.end_run(&id, "success", &large_result(&id)),
-                    b"call" if *starts == 1 => self.send_notice("IOREQ", id, b"what is called"),
-                    _ if std::mem::take(&mut self.cuts_link_at_start) => {
+                    b"call" if *starts == 1 => self.send_notice("IOREQ", id, b"call body"),
+                    _ if std::mem::take(&mut self.should_cut_link_at_start) => {
                         let _ = self.link.take().unwrap().shutdown(Shutdown::Both);
                         self.ending_run = Some(id);
                     }
@@ -102,31 +104,31 @@
             }
             ["PREEMPT", id] => self.end_run(id, "interrupted", b""),
             ["NOIO", id, _] => self.end_run(id, "success", b"poorer"),
-            ["IODONE", ..] if std::mem::take(&mut self.loses_link_at_reply) => {
+            ["IODONE", ..] if std::mem::take(&mut self.should_lose_link_at_reply) => {
                 let _ = self.link.take().unwrap().shutdown(Shutdown::Both);
             }
             ["IODONE", id, _] => {
                 self.replies.push(body);
                 self.end_run(id, "success", b"richer");
             }
-            ["SYSINFO", _] if self.ignores_queries => {}
+            ["SYSINFO", _] if self.should_ignore_queries => {}
             ["SYSINFO", tag] => {
                 self.send_line(format!("INFO {tag} 0.1 0 0 1\r\n"));
                 if self.link.is_some()
                     && let Some(id) = self.ending_run.take()
                 {
                     let link = self.link.take();
-                    self.end_run(&id, "success", b"unheard");
+                    self.end_run(&id, "success", b"ended in resynchronisation");
                     (self.link, self.delayed_notice) = (link, self.notices.last().unwrap().clone());
                 }
             }
             ["POST", tag] => self.send_line(format!("POSTED {tag} success\r\n")),
-            other => panic!("no command: {other:?}"),
+            other => panic!("invalid command: {other:?}"),
         }
     }
 }
 
-/// Makes the stub listen on the executor's port of that host.
+/// Starts a thread that serves the stub on the executor's port of this host.
 pub(crate) fn serve_executor(executor: SharedExecutor, host: &str) -> SharedExecutor {
     let (shared, listener) = (
         executor.clone(),
@@ -143,12 +145,12 @@
 
 /// Reads commands from one link until it is closed or replaced.
 pub(crate) fn serve_executor_link(executor: &SharedExecutor, stream: TcpStream) {
-    // Else a notice would wait for the acknowledgement of the one before, which the backend's
-    // system sends with the next query of its gauges, 25 ms later.
+    // Without TCP_NODELAY a notice waits for the acknowledgement of the notice before it, which the
+    // backend's system sends with the next query of the gauges, 25 ms later.
     stream.set_nodelay(true).unwrap();
     let mut input = BufReader::new(stream.try_clone().unwrap());
     let mut line = String::new();
-    let mut number = 0;
+    let mut link_number = 0;
     loop {
         line.clear();
         if input.read_line(&mut line).unwrap_or(0) == 0 {
@@ -168,19 +170,19 @@
         if let ["OPEN", last] = words[..] {
             executor.link = Some(stream.try_clone().unwrap());
             executor.link_count += 1;
-            number = executor.link_count;
+            link_number = executor.link_count;
             executor
                 .send_line("BOOTED steady 1000.0\r\nDMESG 0 a remark of no meaning\r\n".to_owned());
-            // The last notice that the backend has read is sent again and must not be handled
-            // twice.
+            // The stub sends the last notice that the backend has read again. The backend must not
+            // handle it twice.
             let from = last.parse::<usize>().unwrap().saturating_sub(1);
             let missed = executor.notices[from..].concat();
             let _ = executor.link.as_ref().unwrap().write_all(&missed);
-        } else if executor.link_count == number {
+        } else if executor.link_count == link_number {
             executor.handle_command(&words, body);
         } else {
-            // A new link replaces the one before: commands left in the old link's buffers were sent
-            // again over the new one and would run twice.
+            // A newer link has replaced this one. The backend has sent the commands in the buffers
+            // of this link again over the newer link, so they would run twice.
             return;
         }
     }
--- a/crates/server/tests/program/harness/lease_runs.rs
+++ b/crates/server/tests/program/harness/lease_runs.rs
@@ -6,7 +6,7 @@
 
 use tulipgap_fault_injection::{OperationPhase, OperationRecord, Plan, RunOutcome, run};
 
-/// Five members with three voters, which use two leases, and these faults.
+/// A plan with five members, three of them voters, that use two leases, and with these faults.
 pub(crate) fn plan(faults: &str) -> Plan {
     let text = format!(
         r#"length = 150
@@ -39,14 +39,14 @@
     Plan::parse(&text).unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// The program that the runs start.
+/// The path of the program that the runs start.
 pub(crate) fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_tulipgapd"))
 }
 
-/// Plays the faults until operations have begun under both leases after the last one; no invariant
-/// may be violated on the way.
-pub(crate) fn run_until_operations_resume(what: &str, faults: &str) -> RunOutcome {
+/// Runs the plan with these faults until 10 operations have begun under each lease after the last
+/// fault. Panics if an invariant is violated.
+pub(crate) fn run_until_operations_resume(name: &str, faults: &str) -> RunOutcome {
     let (plan, folder) = (plan(faults), tempfile::tempdir().unwrap());
     // The run calls `is_finished` for the first time after its last fault.
     let (operations_at_last_fault, has_resumed) = (Cell::new(None), Cell::new(false));
@@ -68,24 +68,24 @@
         has_resumed.get()
     };
     let outcome = run(&plan, program(), folder.path(), |_| {}, is_finished)
-        .unwrap_or_else(|error| panic!("{what}: {error}"));
-    assert_eq!(outcome.violation, None, "{what}");
+        .unwrap_or_else(|error| panic!("{name}: {error}"));
+    assert_eq!(outcome.violation, None, "{name}");
     assert!(
         has_resumed.get(),
-        "{what}: no operations after the last fault: {:?}",
+        "{name}: no operations after the last fault: {:?}",
         outcome.tokens
     );
     println!(
-        "{what}: {} operations, {} rejected, no operation for {:?}",
+        "{name}: {} operations, {} rejected, no operation for {:?}",
         outcome.operations, outcome.rejected, outcome.longest_idle
     );
-    print_owners(&outcome);
+    print_owners_and_pauses(&outcome);
     outcome
 }
 
-/// Prints who acted under each token and from when to when, and the pauses: what tells why a lease
-/// went on to others late.
-fn print_owners(outcome: &RunOutcome) {
+/// Prints the first and the last operation of each owner under each token, the worst durations and
+/// the pauses. They show why a lease was granted to another owner late.
+fn print_owners_and_pauses(outcome: &RunOutcome) {
     let mut spans = BTreeMap::new();
     for record in outcome.history.iter().filter(|at| at.rejection.is_none()) {
         let key = (&record.lease, record.token, &record.member);
--- a/crates/server/tests/program/harness/mod.rs
+++ b/crates/server/tests/program/harness/mod.rs
@@ -1,5 +1,5 @@
-//! The harness of the program tests: a process of the program between stubs of its executor and its
-//! store, and an edge node whose messages are encoded by hand.
+//! The harness of the program tests. It starts a process of the program with stubs of its executor
+//! and its store, and encodes the messages of an edge node without the program's codec.
 
 pub(crate) mod backend;
 pub(crate) mod edge_node;
@@ -21,15 +21,16 @@
 /// Port of the service registry, for datagrams, in `config_json`.
 pub(crate) const REGISTRY_PORT: u16 = 7946;
 
-/// Far longer than anything takes, on a busy machine too.
+/// The time limit of waits that must succeed: far longer than any of them takes, even on a busy
+/// machine.
 pub(crate) const LONG_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Far longer than an answer takes on a busy machine, far shorter than a caller that is held up by
-/// another would wait.
-pub(crate) const PROMPT: Duration = Duration::from_secs(5);
+/// The bound on the time to an answer: far longer than an answer takes on a busy machine, far
+/// shorter than the wait of a caller that is blocked by another one.
+pub(crate) const MAX_ANSWER_TIME: Duration = Duration::from_secs(5);
 
-/// A loopback address that no other test uses, nor a suite that runs at the same time: a socket
-/// that is kept until the process ends claims it.
+/// Returns a loopback address that is used by no other test and by no other test process that runs
+/// at the same time: a UDP socket that stays open until the process ends claims it.
 pub(crate) fn unique_address() -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     static CLAIMED: Mutex<Vec<UdpSocket>> = Mutex::new(Vec::new());
@@ -37,7 +38,7 @@
     for _ in 0..1000 {
         let next = NEXT.fetch_add(1, Ordering::Relaxed);
         let second = 64 + next % 128;
-        // A suite with more backends than the second byte has values goes on with the third.
+        // After 128 values of the second byte the third byte is incremented.
         let third = (id >> 8).wrapping_add(next / 128) & 255;
         let host = format!("127.{second}.{third}.{}", 1 + id % 254);
         if let Ok(socket) = UdpSocket::bind((&host[..], 6564)) {
@@ -45,14 +46,14 @@
             return host;
         }
     }
-    panic!("no address is free");
+    panic!("no loopback address is free");
 }
 
-/// Waits until a condition holds; fails with `what` otherwise.
-pub(crate) fn wait_until(what: &str, holds: impl Fn() -> bool) {
+/// Waits until `is_met` returns true; panics with `condition` after [`LONG_TIMEOUT`].
+pub(crate) fn wait_until(condition: &str, is_met: impl Fn() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < LONG_TIMEOUT, "{what}");
+    while !is_met() {
+        assert!(start.elapsed() < LONG_TIMEOUT, "{condition}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/server/tests/program/harness/store.rs
+++ b/crates/server/tests/program/harness/store.rs
@@ -8,19 +8,20 @@
 
 use super::STORE_PORT;
 
-/// A stub of the store. It answers every call with its body, unless it is down or another reply is
-/// planned.
+/// A stub of the store. It replies to every call with the body of the call, unless it is down or
+/// another reply is planned.
 #[derive(Clone, Default)]
 pub(crate) struct StoreStub {
     /// Whether the store closes connections instead of answering.
     pub(crate) is_down: Arc<AtomicBool>,
-    /// How many calls were received.
+    /// The number of calls that were received.
     pub(crate) calls: Arc<AtomicU32>,
-    /// The replies to the next calls, with ID in place of theirs; an empty one is no reply.
+    /// The replies to the next calls, with `ID` in place of the id of the call. For an empty reply
+    /// the call is left unanswered.
     pub(crate) planned_replies: Arc<Mutex<VecDeque<String>>>,
-    /// Calls left without an answer, with their connections.
+    /// The connections of unanswered calls, by the id of the call.
     pub(crate) unanswered_calls: Arc<Mutex<HashMap<String, TcpStream>>>,
-    /// Connections that have closed.
+    /// The number of connections that have closed.
     pub(crate) closed_connections: Arc<AtomicU32>,
 }
 
@@ -39,7 +40,7 @@
         while !self.is_down.load(Ordering::Acquire) && input.read_line(&mut line).unwrap_or(0) > 0 {
             let words: Vec<&str> = line.trim_end().split(' ').collect();
             let ["CALL", id, _, length] = words[..] else {
-                panic!("no call: {words:?}")
+                panic!("invalid call: {words:?}")
             };
             let mut body = vec![0; length.parse::<usize>().unwrap() + 2];
             input.read_exact(&mut body).unwrap();
@@ -71,7 +72,7 @@
     }
 }
 
-/// Starts a stub on the store's port of that host.
+/// Starts a stub that listens on the store's port of this host.
 pub(crate) fn start_store(host: &str) -> StoreStub {
     let store = StoreStub::default();
     let (shared, listener) = (
--- a/crates/server/tests/program/main.rs
+++ b/crates/server/tests/program/main.rs
@@ -1,4 +1,4 @@
-//! The program as a whole, on loopback.
+//! Tests of the whole program on loopback addresses.
 
 mod address_limits;
 mod cancellation;
--- a/crates/server/tests/program/serving.rs
+++ b/crates/server/tests/program/serving.rs
@@ -21,7 +21,7 @@
         edge.expect_answer(3, AnswerKind::Answer)
             .contains(b"richer")
     );
-    assert_eq!(backend.executor().replies, [b"what is called"]);
+    assert_eq!(backend.executor().replies, [b"call body"]);
     // More estimated work than can be done in time.
     edge.send_request_with_fields(
         4,
--- a/crates/server/tests/program/shutdown_backlog.rs
+++ b/crates/server/tests/program/shutdown_backlog.rs
@@ -10,7 +10,7 @@
     AnswerKind, EdgeConnection, answers_until_close, connect_slow_reader, request_fields,
 };
 use crate::harness::wait_until;
-use crate::soak::crowd::{Crowd, CrowdKind};
+use crate::soak::connection_flood::{ConnectionFlood, FloodKind};
 use crate::soak::delays::Delays;
 
 /// Connections that a backend with 128 descriptors may have: 16 are its own, 16 are the store's.
@@ -53,10 +53,10 @@
 
 /// Shuts a full server down behind a crowd of this kind; the clients behind it are answered within
 /// the bound.
-fn assert_answered_within_the_bound(kind: CrowdKind) {
+fn assert_answered_within_the_bound(kind: FloodKind) {
     const REQUESTS: u32 = 5;
     let backend = start_with_places("\"drain_grace\":100.0", "\"stop_ms\":4000");
-    let _crowd = Crowd::connect(&backend.host, kind, CROWD, 0);
+    let _crowd = ConnectionFlood::connect(&backend.host, kind, CROWD, 0);
     let clients = clients_with_requests(&backend, REQUESTS);
     let waiting = CROWD + clients.len() - PLACES;
     let bound = TURNOVER * (waiting.div_ceil(PLACES) as u32 + 1);
@@ -87,9 +87,9 @@
 #[test]
 fn a_backlog_is_answered_within_its_bound_at_a_shutdown() {
     for kind in [
-        CrowdKind::HalfMessage,
-        CrowdKind::RequestThenHalf,
-        CrowdKind::RequestThenSilence,
+        FloodKind::HalfMessage,
+        FloodKind::RequestThenHalf,
+        FloodKind::RequestThenSilence,
     ] {
         assert_answered_within_the_bound(kind);
     }
@@ -99,7 +99,7 @@
 /// for a second. They have 6,000 requests, and the bound has no time for so many.
 #[test]
 fn a_backlog_with_thousands_of_requests_is_answered_within_its_bound_at_a_shutdown() {
-    assert_answered_within_the_bound(CrowdKind::RepliesNeverRead);
+    assert_answered_within_the_bound(FloodKind::RepliesNeverRead);
 }
 
 /// Guards against an operator who learns of a backlog that is too long only by its lost requests:
@@ -107,7 +107,7 @@
 #[test]
 fn a_backlog_that_the_termination_cuts_off_is_announced_at_the_notice() {
     let mut backend = start_with_places("\"drain_grace\":100.0", "\"stop_ms\":500");
-    let _crowd = Crowd::connect(&backend.host, CrowdKind::HalfMessage, CROWD, 0);
+    let _crowd = ConnectionFlood::connect(&backend.host, FloodKind::HalfMessage, CROWD, 0);
     backend.signal("TERM");
     assert_eq!(backend.wait_for_exit().code(), Some(0));
     let log = backend.read_log();
@@ -133,7 +133,7 @@
     let late = edge.encode_request(99, &request_fields("0000000000e50099", "20.0"), b"run");
     let (half, rest) = late.split_at(late.len() / 2);
     edge.stream.write_all(half).unwrap();
-    let _crowd = Crowd::connect(&backend.host, CrowdKind::HalfMessage, 2 * PLACES, 0);
+    let _crowd = ConnectionFlood::connect(&backend.host, FloodKind::HalfMessage, 2 * PLACES, 0);
     backend.signal("TERM");
     // Behind the 60 ms in which the half message is spared, and the end of its connection.
     std::thread::sleep(Duration::from_millis(500));
@@ -156,7 +156,7 @@
     wait_until("all are run", || {
         backend.executor().ends.len() as u32 == REQUESTS
     });
-    let _crowd = Crowd::connect(&backend.host, CrowdKind::HalfMessage, 2 * PLACES, 0);
+    let _crowd = ConnectionFlood::connect(&backend.host, FloodKind::HalfMessage, 2 * PLACES, 0);
     backend.signal("TERM");
     let mut answered = 0;
     while let Some(answer) = edge.read_answer() {
--- a/crates/server/tests/program/slow_clients.rs
+++ b/crates/server/tests/program/slow_clients.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use crate::harness::PROMPT;
+use crate::harness::MAX_ANSWER_TIME;
 use crate::harness::backend::start_backend;
 use crate::harness::edge_node::{
     AnswerKind, EdgeConnection, connect_slow_reader, request_fields, slowest_answer_while,
@@ -40,7 +40,7 @@
         running.store(false, Ordering::Release);
         let slowest = other.join().unwrap();
         println!("slowest answer beside 100 slow senders: {slowest:?}");
-        assert!(slowest < PROMPT, "{slowest:?}");
+        assert!(slowest < MAX_ANSWER_TIME, "{slowest:?}");
     });
     for edge in &mut senders {
         assert!(edge.wait_until_closed());
@@ -83,7 +83,7 @@
         println!(
             "slowest answer beside 100 slow readers: {slowest:?}; {served} of theirs were served"
         );
-        assert!(slowest < PROMPT, "{slowest:?}");
+        assert!(slowest < MAX_ANSWER_TIME, "{slowest:?}");
     });
     assert!(served > 0);
     for edge in &mut readers {
--- a/crates/server/tests/program/soak/checks.rs
+++ b/crates/server/tests/program/soak/checks.rs
@@ -1,4 +1,5 @@
-//! The rules of the service, checked on the record of a run.
+//! Checks of the four rules of the service (no lost request, no duplicate effect, graceful
+//! shutdown, availability) on the record of a run.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,56 +8,56 @@
 use super::delays::Delays;
 use super::process_end::ProcessEnd;
 
-/// A request that crosses the end of its connection within this time is sent once more by an edge
-/// node (PROTOCOL.md). What the test itself was late by is measured and added.
-const CROSSING: Duration = Duration::from_millis(50);
-/// By how much each time limit of the rules is longer on sockets (PROTOCOL.md).
+/// An edge node retries a request that it sent within this time before the end of its connection
+/// (PROTOCOL.md). The checks add the delay of the test itself.
+const MAX_CROSSING_TIME: Duration = Duration::from_millis(50);
+/// Allowance that PROTOCOL.md adds to each time limit of the rules on sockets.
 const TIME_LIMIT_SLACK: Duration = Duration::from_millis(50);
 
-/// What happened in a run.
+/// The record of a run.
 pub(super) struct RunRecord {
     pub(super) requests: Vec<SentRequest>,
     pub(super) notified_at: Instant,
     pub(super) grace: Duration,
-    /// Requests may run more than once.
+    /// Whether requests may run more than once.
     pub(super) may_repeat: bool,
-    /// How often the run of each request has ended.
+    /// How often the run of each request has ended, by request id.
     pub(super) ends: HashMap<String, u32>,
     pub(super) end: ProcessEnd,
     pub(super) max_files: usize,
     pub(super) sockets: usize,
-    /// By how much the test itself was late.
+    /// How late the threads of the test woke.
     pub(super) delays: Delays,
-    /// What the program has logged.
+    /// The log of the program.
     pub(super) log: String,
 }
 
-/// A rule that was broken.
+/// A violation of one of the rules.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Violation {
-    /// No answer, and the connection did not end just then.
+    /// No answer, and the connection ended later than a request in transit explains.
     Lost { id: String, waited: Duration },
-    /// Run, and no answer: whoever sends it once more has it run twice.
+    /// The request was run and not answered: a retry would run it twice.
     RunWithoutAnswer { id: String },
     /// More than one answer.
     AnsweredTwice { id: String },
-    /// An answer that says served, without a run.
+    /// The answer is a result, but the request was not run.
     ServedWithoutRun { id: String },
-    /// An effect more than once.
+    /// The request was run more than once, so its effect is duplicated.
     RunTwice { id: String },
-    /// Run, and the caller was told that nothing ran.
+    /// The request was run, and the caller received a rejection, which says that it was not.
     RunAndRejected { id: String },
-    /// Arrived behind the grace, and run.
+    /// The request arrived after the drain grace and was run.
     RunBehindGrace { id: String, late: Duration },
-    /// The process did not end by itself before the kill, or with an error.
+    /// The process exited with an error, or did not exit before the kill.
     Exit { code: Option<i32> },
-    /// A panic, or an invariant that did not hold, whatever the exit code.
+    /// The log has a panic or a violated invariant, whatever the exit code.
     Logged { line: String },
-    /// More descriptors than it may have.
+    /// The process had more descriptors than it may have.
     Descriptors { files: usize },
 }
 
-/// All rules that were broken.
+/// Returns all violations of the rules in a run.
 pub(super) fn violations(record: &RunRecord) -> Vec<Violation> {
     let mut violations: Vec<Violation> = record
         .requests
@@ -67,9 +68,9 @@
         let code = record.end.exit_code;
         violations.push(Violation::Exit { code });
     }
-    let signs_of_faults = ["panicked at", "invariant violated"];
+    let fault_markers = ["panicked at", "invariant violated"];
     for line in record.log.lines() {
-        if signs_of_faults.iter().any(|sign| line.contains(sign)) {
+        if fault_markers.iter().any(|marker| line.contains(marker)) {
             let line = line.to_owned();
             violations.push(Violation::Logged { line });
         }
@@ -92,7 +93,7 @@
         [] if request.is_caller_gone => {}
         [] if ends > 0 => violations.push(Violation::RunWithoutAnswer { id: id() }),
         [] => {
-            let crossing = CROSSING + request.reading_delay + own_delay(record, request);
+            let crossing = MAX_CROSSING_TIME + request.reading_delay + test_delay(record, request);
             if let Some(waited) = waited.filter(|waited| *waited > crossing) {
                 violations.push(Violation::Lost { id: id(), waited });
             }
@@ -117,21 +118,21 @@
     violations
 }
 
-/// By how much the test was late between the last byte of a request and the end of its connection.
-fn own_delay(record: &RunRecord, request: &SentRequest) -> Duration {
+/// The longest delay of the test between the last byte of a request and the end of its connection.
+fn test_delay(record: &RunRecord, request: &SentRequest) -> Duration {
     match request.connection_ended_at {
         Some(ended_at) => record.delays.longest(request.sent_at, ended_at),
         None => Duration::ZERO,
     }
 }
 
-/// A request whose first byte is written later than this must not run.
+/// The latest time of the first byte of a request that may run.
 fn last_run_at(record: &RunRecord) -> Instant {
     record.notified_at + record.grace + TIME_LIMIT_SLACK
 }
 
-/// A record that breaks no rule: one request, served before the notice.
-fn faultless() -> RunRecord {
+/// A record without violations: one request, which was served before the shutdown notice.
+fn valid_record() -> RunRecord {
     let now = Instant::now();
     RunRecord {
         requests: vec![SentRequest {
@@ -158,18 +159,19 @@
     }
 }
 
-/// Each check fails for a fault that is planted in a record without one.
+/// Guards against a check that detects nothing: each one must report the violation that is injected
+/// into a valid record.
 #[test]
-fn each_check_of_the_soak_finds_a_planted_fault() {
-    assert_eq!(violations(&faultless()), []);
+fn each_check_of_the_soak_detects_an_injected_violation() {
+    assert_eq!(violations(&valid_record()), []);
     let id = || "a".to_owned();
-    let planted = |plant: &dyn Fn(&mut RunRecord)| {
-        let mut record = faultless();
-        plant(&mut record);
+    let violations_after = |inject: &dyn Fn(&mut RunRecord)| {
+        let mut record = valid_record();
+        inject(&mut record);
         violations(&record)
     };
     assert_eq!(
-        planted(&|record| {
+        violations_after(&|record| {
             record.requests[0].answers.clear();
             record.ends.clear();
         }),
@@ -179,46 +181,46 @@
         }]
     );
     assert_eq!(
-        planted(&|record| {
+        violations_after(&|record| {
             record.requests[0].answers.clear();
             record.requests[0].connection_ended_at = Some(record.requests[0].sent_at);
         }),
         [Violation::RunWithoutAnswer { id: id() }]
     );
     assert_eq!(
-        planted(&|record| record.requests[0].answers.push(Answer::Failed)),
+        violations_after(&|record| record.requests[0].answers.push(Answer::Failed)),
         [Violation::AnsweredTwice { id: id() }]
     );
     assert_eq!(
-        planted(&|record| record.ends.clear()),
+        violations_after(&|record| record.ends.clear()),
         [Violation::ServedWithoutRun { id: id() }]
     );
     assert_eq!(
-        planted(&|record| _ = record.ends.insert(id(), 2)),
+        violations_after(&|record| _ = record.ends.insert(id(), 2)),
         [Violation::RunTwice { id: id() }]
     );
     assert_eq!(
-        planted(&|record| record.requests[0].answers = vec![Answer::Rejected]),
+        violations_after(&|record| record.requests[0].answers = vec![Answer::Rejected]),
         [Violation::RunAndRejected { id: id() }]
     );
     let late = Duration::from_millis(1);
     assert_eq!(
-        planted(&|record| {
+        violations_after(&|record| {
             record.requests[0].begun_at = last_run_at(record) + late;
         }),
         [Violation::RunBehindGrace { id: id(), late }]
     );
     assert_eq!(
-        planted(&|record| record.end.exit_code = None),
+        violations_after(&|record| record.end.exit_code = None),
         [Violation::Exit { code: None }]
     );
     assert_eq!(
-        planted(&|record| record.max_files = 33),
+        violations_after(&|record| record.max_files = 33),
         [Violation::Descriptors { files: 33 }]
     );
     let line = || "thread 'main' panicked at src/main.rs".to_owned();
     assert_eq!(
-        planted(&|record| record.log = format!("0.1 INFO started\n{}\n", line())),
+        violations_after(&|record| record.log = format!("0.1 INFO started\n{}\n", line())),
         [Violation::Logged { line: line() }]
     );
 }
--- a/crates/server/tests/program/soak/clients.rs
+++ b/crates/server/tests/program/soak/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of the soak. Each keeps requests open on its connection for as long as it lasts, past
-//! the drain notification, and connects again.
+//! Clients of the soak. Each client keeps requests open on its connection until the connection
+//! ends, also after the drain notification, and then reconnects.
 
 use std::collections::HashMap;
 use std::io::Write;
@@ -11,14 +11,14 @@
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, request_fields, reset_connection};
 use crate::harness::{EDGE_PORT, LONG_TIMEOUT};
 
-/// The pause of a client that has its requests open, or finds no listener.
-const CLIENT_PAUSE: Duration = Duration::from_millis(2);
-/// The pause of a client that reads slowly, before each answer.
-const SLOW_READ_PAUSE: Duration = Duration::from_millis(10);
-/// The pause between two pieces of a message.
-const PIECE_PAUSE: Duration = Duration::from_millis(1);
-/// Requests that a client sends in one write.
-const BATCH: usize = 8;
+/// Interval at which a client tries again when its window is full or its connect was refused.
+const CLIENT_RETRY_INTERVAL: Duration = Duration::from_millis(2);
+/// Interval between two answers that a slow reader reads.
+const SLOW_READ_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval between two pieces of a message.
+const PIECE_INTERVAL: Duration = Duration::from_millis(1);
+/// Maximum number of requests in one write of a client that writes in batches.
+const BATCH_REQUESTS: usize = 8;
 
 /// How a client writes its requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,21 +29,21 @@
     InBatches,
 }
 
-/// One client.
+/// The behaviour of one client.
 #[derive(Debug)]
 pub(super) struct ClientPlan {
-    /// Requests that it has open at a time.
+    /// Maximum number of open requests.
     window: usize,
     writing: Writing,
     reads_slowly: bool,
-    /// The bodies of its requests, in turn.
+    /// The bodies of the requests, used in turn.
     bodies: Vec<&'static str>,
-    /// After so many requests on a connection it resets it, whatever is open there.
+    /// The number of requests after which the client resets a connection, even with open requests.
     pub(super) resets_after: Option<u32>,
 }
 
 impl ClientPlan {
-    pub(super) fn draw(rng: &mut fastrand::Rng) -> Self {
+    pub(super) fn sample(rng: &mut fastrand::Rng) -> Self {
         let bodies = ["run", "run", "large", "call", "hang"];
         ClientPlan {
             window: rng.usize(1..=32),
@@ -62,7 +62,7 @@
 impl ClientPlan {
     fn reading_delay(&self) -> Duration {
         match self.reads_slowly {
-            true => SLOW_READ_PAUSE * self.window as u32,
+            true => SLOW_READ_INTERVAL * self.window as u32,
             false => Duration::ZERO,
         }
     }
@@ -77,7 +77,7 @@
 }
 
 impl Answer {
-    /// The answer that a message of this kind is, if it is one.
+    /// The answer that a message of this kind carries; `None` for a drain notification.
     pub(super) fn of(kind: &AnswerKind) -> Option<Answer> {
         match kind {
             AnswerKind::Answer => Some(Answer::Served),
@@ -88,25 +88,26 @@
     }
 }
 
-/// A request of which the last byte was written.
+/// A request that was written completely.
 #[derive(Clone, Debug)]
 pub(super) struct SentRequest {
     pub(super) id: String,
-    /// Before its first byte was written.
+    /// The time before the first byte was written.
     pub(super) begun_at: Instant,
-    /// After its last byte was written.
+    /// The time after the last byte was written.
     pub(super) sent_at: Instant,
     pub(super) answers: Vec<Answer>,
-    /// When its connection was seen to have ended.
+    /// The time at which the client saw the end of the connection.
     pub(super) connection_ended_at: Option<Instant>,
-    /// How long its client may take from the end of a connection to seeing it: one that reads
-    /// slowly reads what is before the end first.
+    /// How long the client may take to see the end of a connection: a slow reader first reads the
+    /// answers that arrived before the end.
     pub(super) reading_delay: Duration,
-    /// Its caller has reset the connection without an answer: it is known to be gone.
+    /// Whether the client reset the connection before it had an answer, so that it is known to be
+    /// gone.
     pub(super) is_caller_gone: bool,
 }
 
-/// What the reader of a connection has seen.
+/// The answers and the end of a connection, as its reader thread has seen them.
 #[derive(Default)]
 struct ReadState {
     answers: HashMap<u32, Vec<Answer>>,
@@ -114,7 +115,7 @@
     ended_at: Option<Instant>,
 }
 
-/// Sends requests until the run is over. Returns all that were sent.
+/// Sends requests until the run is over. Returns all requests that were sent.
 pub(super) fn run_client(
     host: &str,
     plan: &ClientPlan,
@@ -125,7 +126,7 @@
     while !is_over.load(Ordering::Acquire) {
         match TcpStream::connect((host, EDGE_PORT)) {
             Ok(stream) => use_connection(stream, plan, prefix, &mut requests, is_over),
-            Err(_) => std::thread::sleep(CLIENT_PAUSE),
+            Err(_) => std::thread::sleep(CLIENT_RETRY_INTERVAL),
         }
     }
     requests
@@ -153,11 +154,11 @@
     while state.lock().unwrap().ended_at.is_none() && !is_over.load(Ordering::Acquire) {
         let open = sequence as usize - state.lock().unwrap().answered;
         if open >= plan.window {
-            std::thread::sleep(CLIENT_PAUSE);
+            std::thread::sleep(CLIENT_RETRY_INTERVAL);
             continue;
         }
         let count = match plan.writing {
-            Writing::InBatches => BATCH.min(plan.window - open),
+            Writing::InBatches => BATCH_REQUESTS.min(plan.window - open),
             _ => 1,
         };
         if !send_requests(&mut edge, plan, prefix, &mut sequence, count, requests) {
@@ -169,7 +170,7 @@
             break;
         }
     }
-    // The process has ended, or ends the connection: the reader sees that.
+    // The reader ends because the process has ended or closes the connection.
     reader.join().unwrap();
     let state = state.lock().unwrap();
     for (request, sequence) in requests[first..].iter_mut().zip(1u32..) {
@@ -179,8 +180,8 @@
     }
 }
 
-/// Sends so many requests in the plan's way. Returns false once the connection takes no more; what
-/// was not written whole then does not count as sent.
+/// Sends `count` requests as the plan says. Returns false if a write fails; the requests of this
+/// call then do not count as sent.
 fn send_requests(
     edge: &mut EdgeConnection,
     plan: &ClientPlan,
@@ -203,7 +204,7 @@
     }
     let written = match plan.writing {
         Writing::InPieces => bytes.chunks(bytes.len() / 3 + 1).try_for_each(|piece| {
-            std::thread::sleep(PIECE_PAUSE);
+            std::thread::sleep(PIECE_INTERVAL);
             edge.stream.write_all(piece)
         }),
         _ => edge.stream.write_all(&bytes),
@@ -234,7 +235,7 @@
         state.answered += 1;
         drop(state);
         if reads_slowly {
-            std::thread::sleep(SLOW_READ_PAUSE);
+            std::thread::sleep(SLOW_READ_INTERVAL);
         }
     }
     state.lock().unwrap().ended_at = Some(Instant::now());
--- a/crates/server/tests/program/soak/crowd.rs
+++ b/crates/server/tests/program/soak/connection_flood.rs
@@ -1,5 +1,6 @@
-//! Crowds of the soak: more connections than the program may have descriptors. Every other one is
-//! of the crowd's kind, the others are silent; clients wait behind them in the backlog.
+//! Connection floods of the soak: more connections than the program may have descriptors. Every
+//! other connection acts as the kind of the flood says, the rest are silent; the connections of the
+//! clients wait after them in the backlog.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -10,20 +11,20 @@
 use crate::harness::EDGE_PORT;
 use crate::harness::edge_node::{EdgeConnection, request_fields, reset_connection};
 
-/// Between two bytes of a connection that writes one byte at a time.
-const TICK: Duration = Duration::from_millis(20);
-/// Between two resets of a crowd whose connections are reset.
+/// Interval between two bytes of a connection that writes one byte at a time.
+const BYTE_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between the resets of two connections of a [`FloodKind::Reset`].
 const RESET_INTERVAL: Duration = Duration::from_millis(2);
-/// Requests of a connection that never reads its replies.
-const UNREAD_REQUESTS: u32 = 24;
-/// Where the ids of a crowd's requests begin, behind the run's prefix.
+/// Number of requests on a connection that does not read its replies.
+const UNREAD_REPLY_REQUESTS: u32 = 24;
+/// Lower bits of the id of a flood's first request; the upper bits are the prefix of the run.
 const FIRST_REQUEST_NUMBER: u64 = 0xff << 24;
-/// The wait for what is still to be read once the process has ended.
+/// Time limit of a read once the process has ended.
 const LAST_READ_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What every other connection of a crowd does.
+/// The action of every other connection of a flood. `SOAK_CROWD` selects a kind by its name here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CrowdKind {
+pub(crate) enum FloodKind {
     Silent,
     HalfMessage,
     RequestThenHalf,
@@ -33,52 +34,52 @@
     Reset,
 }
 
-impl CrowdKind {
-    pub(super) const ALL: [CrowdKind; 7] = [
-        CrowdKind::Silent,
-        CrowdKind::HalfMessage,
-        CrowdKind::RequestThenHalf,
-        CrowdKind::RequestThenSilence,
-        CrowdKind::RepliesNeverRead,
-        CrowdKind::OneByteATick,
-        CrowdKind::Reset,
+impl FloodKind {
+    pub(super) const ALL: [FloodKind; 7] = [
+        FloodKind::Silent,
+        FloodKind::HalfMessage,
+        FloodKind::RequestThenHalf,
+        FloodKind::RequestThenSilence,
+        FloodKind::RepliesNeverRead,
+        FloodKind::OneByteATick,
+        FloodKind::Reset,
     ];
 
-    /// Whole requests that such a connection sends.
+    /// The number of complete requests that a connection of this kind sends.
     fn requests(self) -> u32 {
         match self {
-            CrowdKind::Silent | CrowdKind::HalfMessage | CrowdKind::OneByteATick => 0,
-            CrowdKind::RequestThenHalf | CrowdKind::RequestThenSilence | CrowdKind::Reset => 1,
-            CrowdKind::RepliesNeverRead => UNREAD_REQUESTS,
+            FloodKind::Silent | FloodKind::HalfMessage | FloodKind::OneByteATick => 0,
+            FloodKind::RequestThenHalf | FloodKind::RequestThenSilence | FloodKind::Reset => 1,
+            FloodKind::RepliesNeverRead => UNREAD_REPLY_REQUESTS,
         }
     }
 
-    fn sends_half_a_message(self) -> bool {
-        matches!(self, CrowdKind::HalfMessage | CrowdKind::RequestThenHalf)
+    fn sends_half_message(self) -> bool {
+        matches!(self, FloodKind::HalfMessage | FloodKind::RequestThenHalf)
     }
 }
 
-/// A connection of a crowd, and its whole requests by their sequence from 1 on.
-struct CrowdConnection {
+/// A connection of a flood, and its complete requests in the order of their sequences from 1 on.
+struct FloodConnection {
     edge: EdgeConnection,
-    /// It is of the crowd's kind; the others are silent.
+    /// Whether it acts as the kind of the flood says; otherwise it is silent.
     is_of_kind: bool,
     requests: Vec<SentRequest>,
 }
 
-/// The connections of a crowd.
-pub(crate) struct Crowd {
-    kind: CrowdKind,
-    connections: Vec<CrowdConnection>,
+/// The connections of a flood.
+pub(crate) struct ConnectionFlood {
+    kind: FloodKind,
+    connections: Vec<FloodConnection>,
 }
 
-impl Crowd {
-    /// Connects so many; the ids of their requests begin with `prefix`.
-    pub(crate) fn connect(host: &str, kind: CrowdKind, connections: usize, prefix: u64) -> Self {
+impl ConnectionFlood {
+    /// Opens this number of connections and sends their requests, whose ids begin with `prefix`.
+    pub(crate) fn connect(host: &str, kind: FloodKind, connections: usize, prefix: u64) -> Self {
         let mut number = prefix | FIRST_REQUEST_NUMBER;
         let connect = |at: usize| {
             let stream = TcpStream::connect((host, EDGE_PORT)).ok()?;
-            let mut connection = CrowdConnection {
+            let mut connection = FloodConnection {
                 edge: EdgeConnection { stream },
                 is_of_kind: at.is_multiple_of(2),
                 requests: Vec::new(),
@@ -89,19 +90,20 @@
             Some(connection)
         };
         let connections = (0..connections).filter_map(connect).collect();
-        Crowd { kind, connections }
+        ConnectionFlood { kind, connections }
     }
 
-    /// What the crowd does while the run lasts: it writes a byte at a time, or is reset.
-    pub(super) fn act(&self, is_over: &AtomicBool) {
+    /// Writes to the connections one byte at a time, or resets them, as the kind of the flood says.
+    /// Other kinds do nothing after they have connected.
+    pub(super) fn drive_connections(&self, is_over: &AtomicBool) {
         match self.kind {
-            CrowdKind::OneByteATick => self.write_bytes(is_over),
-            CrowdKind::Reset => self.reset(is_over),
+            FloodKind::OneByteATick => self.write_bytes(is_over),
+            FloodKind::Reset => self.reset_connections(is_over),
             _ => {}
         }
     }
 
-    fn of_kind(&self) -> impl Iterator<Item = &CrowdConnection> {
+    fn connections_of_kind(&self) -> impl Iterator<Item = &FloodConnection> {
         let connections = self.connections.iter();
         connections.filter(|connection| connection.is_of_kind)
     }
@@ -111,20 +113,20 @@
             let fields = request_fields("0000000000000000", "20.0");
             connection.edge.encode_request(1, &fields, b"run")
         });
-        // The last byte is left out, so that no request is whole.
+        // The last byte is left out, so that no request is complete.
         for byte in message.iter().flat_map(|bytes| &bytes[..bytes.len() - 1]) {
             if is_over.load(Ordering::Acquire) {
                 return;
             }
-            for connection in self.of_kind() {
+            for connection in self.connections_of_kind() {
                 let _ = (&connection.edge.stream).write_all(&[*byte]);
             }
-            std::thread::sleep(TICK);
+            std::thread::sleep(BYTE_INTERVAL);
         }
     }
 
-    fn reset(&self, is_over: &AtomicBool) {
-        for connection in self.of_kind() {
+    fn reset_connections(&self, is_over: &AtomicBool) {
+        for connection in self.connections_of_kind() {
             if is_over.load(Ordering::Acquire) {
                 return;
             }
@@ -133,21 +135,21 @@
         }
     }
 
-    /// The requests of the crowd, with the answers that are read now that the process has ended.
-    /// Those of callers that reset their connections are left out: these callers are gone.
+    /// Reads the remaining answers after the end of the process, and returns the requests of the
+    /// flood. For a [`FloodKind::Reset`] it returns none, because those callers are gone.
     pub(super) fn into_requests(self) -> Vec<SentRequest> {
-        if self.kind == CrowdKind::Reset {
+        if self.kind == FloodKind::Reset {
             return Vec::new();
         }
         let connections = self.connections.into_iter();
         connections
-            .flat_map(CrowdConnection::into_requests)
+            .flat_map(FloodConnection::into_requests)
             .collect()
     }
 }
 
-impl CrowdConnection {
-    fn send(&mut self, kind: CrowdKind, number: &mut u64) {
+impl FloodConnection {
+    fn send(&mut self, kind: FloodKind, number: &mut u64) {
         for sequence in 1..=kind.requests() {
             let id = format!("{number:016x}");
             *number += 1;
@@ -167,7 +169,7 @@
                 is_caller_gone: false,
             });
         }
-        if kind.sends_half_a_message() {
+        if kind.sends_half_message() {
             let _ = self.edge.stream.write_all(b"\0\0\0\x30\x80\x01");
         }
     }
--- a/crates/server/tests/program/soak/delays.rs
+++ b/crates/server/tests/program/soak/delays.rs
@@ -1,14 +1,14 @@
-//! How late the machine wakes the threads of the test. What a client sees late for that reason is
-//! measured, so that the checks need no allowance for a busy machine.
+//! How late the machine wakes the threads of the test. The checks add this delay to their time
+//! limits, so that the limits need no fixed allowance for a busy machine.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// The sleep whose end is measured.
+/// How long the measuring thread sleeps; it records how much later it wakes.
 const SLEEP: Duration = Duration::from_millis(1);
 
-/// The delays of a run, in the order in which they were measured.
+/// The delays of a run, in order of time.
 #[derive(Debug, Default)]
 pub(crate) struct Delays(Mutex<Vec<Delay>>);
 
@@ -20,7 +20,7 @@
 }
 
 impl Delays {
-    /// Measures until the run is over.
+    /// Records delays until `is_over` is set.
     pub(crate) fn measure(&self, is_over: &AtomicBool) {
         while !is_over.load(Ordering::Acquire) {
             let from = Instant::now() + SLEEP;
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Measures while `run` runs. Its result, or its panic, ends the measurement.
+    /// Records delays while `run` runs, and returns its result. A panic of `run` is passed on.
     pub(crate) fn measure_while<T>(&self, run: impl FnOnce() -> T) -> T {
         let is_over = AtomicBool::new(false);
         std::thread::scope(|scope| {
@@ -41,17 +41,20 @@
         })
     }
 
-    /// The longest delay that overlaps this time.
+    /// The longest delay that overlaps this period.
     pub(crate) fn longest(&self, from: Instant, to: Instant) -> Duration {
-        self.between(from, to).into_iter().max().unwrap_or_default()
+        self.overlapping(from, to)
+            .into_iter()
+            .max()
+            .unwrap_or_default()
     }
 
-    /// All delays that overlap this time together: what a busy machine has withheld meanwhile.
+    /// The sum of all delays that overlap this period.
     pub(crate) fn total(&self, from: Instant, to: Instant) -> Duration {
-        self.between(from, to).into_iter().sum()
+        self.overlapping(from, to).into_iter().sum()
     }
 
-    fn between(&self, from: Instant, to: Instant) -> Vec<Duration> {
+    fn overlapping(&self, from: Instant, to: Instant) -> Vec<Duration> {
         let delays = self.0.lock().unwrap();
         delays
             .iter()
--- a/crates/server/tests/program/soak/mod.rs
+++ b/crates/server/tests/program/soak/mod.rs
@@ -1,10 +1,11 @@
-//! A seeded soak of the real program: clients that go on past the drain notification, signals in
-//! series, crowds and troubles of its peers, up to the kill. Each seed draws a run and prints it,
-//! so that it can be played again; CONTRIBUTING.md has the commands.
+//! A soak of the real program. Each seed samples a run: clients that keep sending after the drain
+//! notification, a series of signals, a connection flood and a fault of a peer, up to the kill. A
+//! run that violates a rule is printed with its seed, so that it can be replayed; CONTRIBUTING.md
+//! has the commands.
 
 mod checks;
 mod clients;
-pub(crate) mod crowd;
+pub(crate) mod connection_flood;
 pub(crate) mod delays;
 mod plan;
 mod process_end;
@@ -19,39 +20,39 @@
 use crate::harness::{EDGE_PORT, unique_address, wait_until};
 use checks::{RunRecord, violations};
 use clients::{Answer, run_client};
-use crowd::{Crowd, CrowdKind};
+use connection_flood::{ConnectionFlood, FloodKind};
 use delays::Delays;
-use plan::{CLOSE_MARGINS, KillMargins, RunPlan, TimedSignal, Trouble, USUAL_MARGINS};
+use plan::{DEFAULT_MARGINS, KillMargins, PeerFault, RunPlan, SHORT_MARGINS, TimedSignal};
 use process_end::watch_until_kill;
 
-/// How often descriptors are counted.
+/// How often the descriptors of the process are counted.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The first seed of the long run, and its number of seeds: `SOAK_SEEDS=FIRST,COUNT`.
+/// The first seed and the number of seeds of the long run: `SOAK_SEEDS=FIRST,COUNT`.
 const SEEDS_VARIABLE: &str = "SOAK_SEEDS";
-/// Set, the kill comes closer behind the grace than the program reckons with.
-const CLOSE_KILL_VARIABLE: &str = "SOAK_CLOSE_KILL";
-/// The kind of the crowd of each seed, such as `RequestThenHalf`: `SOAK_CROWD=KIND`.
-const CROWD_VARIABLE: &str = "SOAK_CROWD";
-/// Seeds of the runs about crowds in CI: two of each kind.
-const CROWD_SEEDS: std::ops::Range<u64> = 40..54;
-/// Seeds of the runs with a crowd and a close kill.
-const CLOSE_KILL_CROWD_SEEDS: [u64; 3] = [9011, 9029, 9032];
-/// Seeds of the wide run in CI.
+/// If set, the kill follows the drain grace by less time than the program reserves for it.
+const SHORT_MARGIN_VARIABLE: &str = "SOAK_CLOSE_KILL";
+/// The kind of the connection flood of each run, such as `RequestThenHalf`: `SOAK_CROWD=KIND`.
+const FLOOD_KIND_VARIABLE: &str = "SOAK_CROWD";
+/// Seeds of the runs with connection floods in CI: two for each kind.
+const FLOOD_SEEDS: std::ops::Range<u64> = 40..54;
+/// Seeds of the runs with a connection flood and a short kill margin.
+const SHORT_MARGIN_FLOOD_SEEDS: [u64; 3] = [9011, 9029, 9032];
+/// Seeds of the wide runs in CI.
 const WIDE_SEEDS: std::ops::Range<u64> = 60..68;
-/// Calls that a silent store leaves without a reply.
-const SILENT_REPLIES: usize = 100;
-/// Set, the runs are drawn wider: `SOAK_WIDE=1`.
+/// Number of calls to which a silent store does not reply.
+const UNANSWERED_CALLS: usize = 100;
+/// If set, the runs are sampled by [`RunPlan::sample_wide`]: `SOAK_WIDE=1`.
 const WIDE_VARIABLE: &str = "SOAK_WIDE";
-/// Seeds of the run in CI.
+/// Seeds of the short soak in CI.
 const CI_SEEDS: std::ops::Range<u64> = 0..12;
 
-/// Seeds of the run whose kill comes close behind the grace.
-const CLOSE_KILL_SEEDS: std::ops::Range<u64> = 500..524;
+/// Seeds of the runs with a short kill margin.
+const SHORT_MARGIN_SEEDS: std::ops::Range<u64> = 500..524;
 
 impl RunPlan {
     fn start_backend(&self) -> TestBackend {
         let (grace, stop) = (self.grace.as_millis(), self.stop.as_millis());
-        let is_late = self.trouble == Trouble::ExecutorLate;
+        let is_late = self.peer_fault == PeerFault::ExecutorLate;
         let setup = match is_late {
             true => setup_without_executor(),
             false => BackendSetup::new(),
@@ -74,11 +75,16 @@
         backend
     }
 
-    /// Plays the run to the end of the process.
-    fn play(&self) -> RunRecord {
+    /// Executes the run until the process has ended, and returns its record.
+    fn run(&self) -> RunRecord {
         let mut backend = self.start_backend();
         let host = backend.host.clone();
-        let crowd = Crowd::connect(&host, self.crowd_kind, self.crowd, self.seed << 32);
+        let flood = ConnectionFlood::connect(
+            &host,
+            self.flood_kind,
+            self.flood_connections,
+            self.seed << 32,
+        );
         let delays = Delays::default();
         let is_over = AtomicBool::new(false);
         let max_files = AtomicUsize::new(0);
@@ -95,9 +101,9 @@
             let (max_files, ended) = (&max_files, &is_over);
             scope.spawn(move || watch_descriptors(process, max_files, ended));
             scope.spawn(|| delays.measure(&is_over));
-            scope.spawn(|| crowd.act(&is_over));
+            scope.spawn(|| flood.drive_connections(&is_over));
             self.send_signals(&backend, &self.signals_before);
-            self.make_trouble(&backend);
+            self.inject_peer_fault(&backend);
             let (notice, later) = self.signals_from_notice.split_first().unwrap();
             self.send_signals(&backend, std::slice::from_ref(notice));
             let notified_at = Instant::now();
@@ -120,7 +126,7 @@
                 log: String::new(),
             }
         });
-        record.requests.extend(crowd.into_requests());
+        record.requests.extend(flood.into_requests());
         record.log = backend.read_log();
         record.delays = delays;
         record.max_files = max_files.load(Ordering::Acquire);
@@ -138,24 +144,24 @@
         }
     }
 
-    fn make_trouble(&self, backend: &TestBackend) {
-        match self.trouble {
-            Trouble::None => {}
-            Trouble::ExecutorLinkBreaks => {
+    fn inject_peer_fault(&self, backend: &TestBackend) {
+        match self.peer_fault {
+            PeerFault::None => {}
+            PeerFault::ExecutorLinkBreaks => {
                 if let Some(link) = backend.executor().link.take() {
                     let _ = link.shutdown(std::net::Shutdown::Both);
                 }
             }
-            Trouble::StoreDown => backend.store.is_down.store(true, Ordering::Release),
-            Trouble::StoreSilent => backend.store.plan_replies(&[""; SILENT_REPLIES]),
-            Trouble::ExecutorLate => {
+            PeerFault::StoreDown => backend.store.is_down.store(true, Ordering::Release),
+            PeerFault::StoreSilent => backend.store.plan_replies(&[""; UNANSWERED_CALLS]),
+            PeerFault::ExecutorLate => {
                 serve_executor(backend.executor.clone(), &backend.host);
             }
         }
     }
 }
 
-/// A backend whose executor does not listen yet.
+/// The setup of a backend whose executor does not listen yet.
 fn setup_without_executor() -> BackendSetup {
     let host = unique_address();
     let store = start_store(&host);
@@ -171,7 +177,7 @@
     }
 }
 
-/// How many requests got which answer.
+/// Counts the requests of a run by answer.
 fn summary(record: &RunRecord) -> String {
     let count = |answer| {
         let requests = record.requests.iter();
@@ -188,12 +194,12 @@
     )
 }
 
-/// Plays these runs; fails where one broke a rule.
-fn soak(plans: impl Iterator<Item = RunPlan>) {
-    let mut broken = Vec::new();
+/// Executes these runs; panics if one of them violates a rule.
+fn run_plans(plans: impl Iterator<Item = RunPlan>) {
+    let mut failed_seeds = Vec::new();
     let (mut runs, mut requests) = (0, 0);
     for plan in plans {
-        let record = plan.play();
+        let record = plan.run();
         runs += 1;
         requests += record.requests.len();
         let violations = violations(&record);
@@ -209,89 +215,99 @@
             println!("{plan:#?}\nVIOLATED {violations:#?}");
             println!("broken: {} violations", violations.len());
             println!("{}", record.log);
-            broken.push(plan.seed);
+            failed_seeds.push(plan.seed);
         }
     }
-    println!("soak: {runs} runs, {requests} requests, broken: {broken:?}");
-    assert!(broken.is_empty(), "seeds {broken:?} broke a rule");
+    println!("soak: {runs} runs, {requests} requests, broken: {failed_seeds:?}");
+    assert!(
+        failed_seeds.is_empty(),
+        "seeds {failed_seeds:?} broke a rule"
+    );
 }
 
-fn draw_all(seeds: std::ops::Range<u64>, margins: KillMargins) -> impl Iterator<Item = RunPlan> {
-    seeds.map(move |seed| RunPlan::draw(seed, margins))
+fn sample_plans(
+    seeds: std::ops::Range<u64>,
+    margins: KillMargins,
+) -> impl Iterator<Item = RunPlan> {
+    seeds.map(move |seed| RunPlan::sample(seed, margins))
 }
 
-/// The runs of CI behind crowds of these kinds, two of each.
-fn draw_crowds(is_chosen: impl Fn(CrowdKind) -> bool) -> impl Iterator<Item = RunPlan> {
-    CROWD_SEEDS
-        .zip(CrowdKind::ALL.into_iter().cycle())
-        .filter(move |(_, kind)| is_chosen(*kind))
-        .map(|(seed, kind)| RunPlan::draw(seed, USUAL_MARGINS).with_crowd(kind))
+/// Samples the runs of CI with connection floods of these kinds, two for each kind.
+fn sample_flood_plans(is_included: impl Fn(FloodKind) -> bool) -> impl Iterator<Item = RunPlan> {
+    FLOOD_SEEDS
+        .zip(FloodKind::ALL.into_iter().cycle())
+        .filter(move |(_, kind)| is_included(*kind))
+        .map(|(seed, kind)| RunPlan::sample(seed, DEFAULT_MARGINS).with_flood(kind))
 }
 
-/// The rules of the service hold on drawn runs up to the kill.
+/// Guards against violations of the four rules in sampled runs up to the kill.
 #[test]
 fn the_four_rules_hold_in_a_short_soak() {
-    soak(draw_all(CI_SEEDS, USUAL_MARGINS));
+    run_plans(sample_plans(CI_SEEDS, DEFAULT_MARGINS));
 }
 
-/// Guards against a platform whose kill comes sooner behind the grace than the program reckons
-/// with: it is to have answered everything and to have ended by then.
+/// Guards against requests that are lost when the kill follows the drain grace by less time than
+/// the program reserves: it must have answered everything and exited by then.
 #[test]
-fn the_four_rules_hold_with_a_kill_close_behind_the_grace() {
-    soak(draw_all(CLOSE_KILL_SEEDS, CLOSE_MARGINS));
+fn the_four_rules_hold_with_a_short_kill_margin() {
+    run_plans(sample_plans(SHORT_MARGIN_SEEDS, SHORT_MARGINS));
 }
 
-/// Guards against connections that keep their places at a shutdown while requests wait behind them
-/// in the backlog, whatever their callers sent before or leave unread.
+/// Guards against connections that stay open at a shutdown while requests wait in the backlog,
+/// whatever the clients of these connections have sent or leave unread.
 #[test]
-fn the_four_rules_hold_behind_each_kind_of_crowd() {
-    soak(draw_crowds(|kind| kind != CrowdKind::RepliesNeverRead));
+fn the_four_rules_hold_during_each_kind_of_connection_flood() {
+    run_plans(sample_flood_plans(|kind| {
+        kind != FloodKind::RepliesNeverRead
+    }));
 }
 
-/// Guards against the same where each connection of the crowd has 24 requests: thousands are to be
-/// answered in the second of the shutdown.
+/// Guards against the same fault with 24 unread replies on half of the connections: thousands of
+/// requests must be answered within the second of the shutdown.
 #[test]
-fn the_four_rules_hold_behind_a_crowd_that_reads_no_replies() {
-    soak(draw_crowds(|kind| kind == CrowdKind::RepliesNeverRead));
+fn the_four_rules_hold_during_a_connection_flood_with_unread_replies() {
+    run_plans(sample_flood_plans(|kind| {
+        kind == FloodKind::RepliesNeverRead
+    }));
 }
 
-/// Guards against requests that are lost where each of hundreds of connections has many of them and
-/// the kill leaves a tenth of a second for all.
+/// Guards against lost requests when hundreds of connections have 24 requests each and the kill
+/// leaves a tenth of a second for all of them.
 #[test]
-fn the_four_rules_hold_behind_unread_replies_with_a_close_kill() {
-    let plans = CLOSE_KILL_CROWD_SEEDS.map(|seed| RunPlan::draw(seed, CLOSE_MARGINS));
-    let with_crowd = |plan: RunPlan| plan.with_crowd(CrowdKind::RepliesNeverRead);
-    soak(plans.into_iter().map(with_crowd));
+fn the_four_rules_hold_with_unread_replies_and_a_short_kill_margin() {
+    let plans = SHORT_MARGIN_FLOOD_SEEDS.map(|seed| RunPlan::sample(seed, SHORT_MARGINS));
+    let with_flood = |plan: RunPlan| plan.with_flood(FloodKind::RepliesNeverRead);
+    run_plans(plans.into_iter().map(with_flood));
 }
 
-/// Guards against requests that are lost among the troubles which the usual runs do not have.
+/// Guards against lost requests under the faults that only the wide runs have.
 #[test]
 fn the_four_rules_hold_in_a_wider_soak() {
-    soak(WIDE_SEEDS.map(RunPlan::draw_wide));
+    run_plans(WIDE_SEEDS.map(RunPlan::sample_wide));
 }
 
-/// The long run, by hand.
+/// Runs as many seeds as `SOAK_SEEDS` says. Started manually.
 #[test]
-#[ignore = "takes as long as it is told: SOAK_SEEDS=FIRST,COUNT"]
+#[ignore = "runs as many seeds as SOAK_SEEDS=FIRST,COUNT says"]
 fn the_four_rules_hold_in_a_long_soak() {
     let seeds = std::env::var(SEEDS_VARIABLE).unwrap_or_else(|_| "1000,50".to_owned());
     let (first, count) = seeds.split_once(',').expect("SOAK_SEEDS=FIRST,COUNT");
     let (first, count): (u64, u64) = (first.parse().unwrap(), count.parse().unwrap());
-    let margins = match std::env::var_os(CLOSE_KILL_VARIABLE) {
-        Some(_) => CLOSE_MARGINS,
-        None => USUAL_MARGINS,
+    let margins = match std::env::var_os(SHORT_MARGIN_VARIABLE) {
+        Some(_) => SHORT_MARGINS,
+        None => DEFAULT_MARGINS,
     };
-    let kind = std::env::var(CROWD_VARIABLE).ok().map(|name| {
-        let mut kinds = CrowdKind::ALL.into_iter();
-        let is_named = |kind: &CrowdKind| format!("{kind:?}") == name;
+    let kind = std::env::var(FLOOD_KIND_VARIABLE).ok().map(|name| {
+        let mut kinds = FloodKind::ALL.into_iter();
+        let is_named = |kind: &FloodKind| format!("{kind:?}") == name;
         kinds.find(is_named).expect("SOAK_CROWD=KIND")
     });
     if std::env::var_os(WIDE_VARIABLE).is_some() {
-        return soak((first..first + count).map(RunPlan::draw_wide));
+        return run_plans((first..first + count).map(RunPlan::sample_wide));
     }
-    soak(
-        draw_all(first..first + count, margins).map(|plan| match kind {
-            Some(kind) => plan.with_crowd(kind),
+    run_plans(
+        sample_plans(first..first + count, margins).map(|plan| match kind {
+            Some(kind) => plan.with_flood(kind),
             None => plan,
         }),
     );
--- a/crates/server/tests/program/soak/process_end.rs
+++ b/crates/server/tests/program/soak/process_end.rs
@@ -1,25 +1,25 @@
-//! The end of the process: it is watched from the shutdown notice on, beside the signals that are
-//! still to be sent, and the kill comes at its time whatever they are.
+//! The end of the process after the shutdown notice. One loop polls for the exit and sends the
+//! remaining signals, so that the process is killed in time however many signals are left.
 
 use std::time::{Duration, Instant};
 
 use super::plan::TimedSignal;
 use crate::harness::backend::TestBackend;
 
-/// How often the end of the process is looked for.
+/// How often the loop polls for the exit of the process.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// How a process ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct ProcessEnd {
-    /// `None` where the process was killed.
+    /// `None` if the process was killed.
     pub(super) exit_code: Option<i32>,
-    /// From the shutdown notice, as it was seen.
+    /// The time from the shutdown notice until the test saw the end.
     pub(super) after: Duration,
 }
 
-/// Sends the signals behind the notice, each after its pause, until the process ends or `stop`
-/// after the notice is over; then it is killed.
+/// Sends the signals that follow the notice, each after its pause, until the process exits. Kills
+/// the process if it has not exited `stop` after the notice.
 pub(super) fn watch_until_kill(
     backend: &mut TestBackend,
     notified_at: Instant,
@@ -31,7 +31,8 @@
     let mut next = signals.next();
     let mut sent_at = notified_at;
     loop {
-        // The process is asked before the time is: one that ends in time is never taken for late.
+        // The status is read before the clock, so an exit after the time of the kill never counts
+        // as in time.
         let status = backend.child.try_wait().unwrap();
         let now = Instant::now();
         if now >= kill_at {
@@ -78,18 +79,18 @@
         watch_until_kill(&mut backend, Instant::now(), &signals, STOP)
     }
 
-    /// Guards against a soak that takes a process for ended that is held up past the kill.
+    /// Guards against a soak that accepts a process that is still running at the time of the kill.
     #[test]
-    fn a_process_that_is_held_up_past_the_kill_is_found() {
+    fn a_process_paused_past_the_kill_is_reported_as_killed() {
         let end = end_with_signal("STOP", Duration::ZERO);
         assert_eq!(end.exit_code, None);
         assert!(end.after >= STOP, "{end:?}");
     }
 
-    /// Guards against a soak that takes a process for killed because signals were still to be sent
-    /// as it ended.
+    /// Guards against a soak that reports a process as killed although it exited in time, because
+    /// not all signals had been sent by then.
     #[test]
-    fn an_end_before_the_last_signal_is_seen_at_its_time() {
+    fn an_exit_before_the_last_signal_is_reported_with_its_time() {
         let end = end_with_signal("HUP", 2 * STOP);
         assert_eq!(end.exit_code, Some(0));
         assert!(end.after < STOP, "{end:?}");
--- a/crates/server/tests/program/store_calls.rs
+++ b/crates/server/tests/program/store_calls.rs
@@ -131,7 +131,7 @@
 fn a_reply_lost_with_the_executor_link_becomes_a_skipped_call() {
     let backend = start_backend();
     let mut edge = backend.connect();
-    backend.executor().loses_link_at_reply = true;
+    backend.executor().should_lose_link_at_reply = true;
     edge.send_request(1, "0000000000000ac1", b"call");
     // The reply may have arrived, so it is not sent again; the skip names its call.
     assert!(
