--- a/crates/server/tests/program/address_limits.rs
+++ b/crates/server/tests/program/address_limits.rs
@@ -1,5 +1,5 @@
-//! The program with bounds on connections: floods, known clients, descriptors that run out. Source
-//! addresses from 127.0.0.0/8 play the clients.
+//! Connection limits of the program: connection floods, known clients and descriptor exhaustion.
+//! Each client has its own source address from 127.0.0.0/8.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, request_fields};
 use crate::harness::{EDGE_PORT, LONG_TIMEOUT, wait_until};
 
-/// Ends the flood when it is dropped, also where the test fails before.
+/// Ends the flood when it is dropped, also if the test fails.
 struct StopOnDrop(Arc<AtomicBool>);
 
 impl Drop for StopOnDrop {
@@ -23,8 +23,9 @@
     }
 }
 
-/// Far longer than an accepted connection takes, far shorter than one that waits for a descriptor.
-const PROMPT: Duration = Duration::from_secs(5);
+/// The bound on the time to an accepted connection and its answer: far longer than that takes, far
+/// shorter than the wait of a connection for a descriptor.
+const MAX_ACCEPT_TIME: Duration = Duration::from_secs(5);
 
 fn settings(text: &str) -> (tempfile::TempDir, std::path::PathBuf) {
     let folder = tempfile::tempdir().unwrap();
@@ -33,7 +34,7 @@
     (folder, file)
 }
 
-/// A connection from that address; `None` where it cannot be established.
+/// Connects from this address; `None` if the connect fails.
 fn connect_from(backend: &TestBackend, address: [u8; 4]) -> Option<EdgeConnection> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket
@@ -41,14 +42,14 @@
         .ok()?;
     let host: Ipv4Addr = backend.host.parse().unwrap();
     socket
-        .connect_timeout(&SocketAddr::from((host, EDGE_PORT)).into(), PROMPT)
+        .connect_timeout(&SocketAddr::from((host, EDGE_PORT)).into(), MAX_ACCEPT_TIME)
         .ok()?;
     let stream: TcpStream = socket.into();
     stream.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
     Some(EdgeConnection { stream })
 }
 
-/// Sends a request, and returns whether it was answered before the connection ended.
+/// Sends a request, and returns whether its result arrived before the connection ended.
 fn is_served(edge: &mut EdgeConnection, sequence: u32, id: u64) -> bool {
     use std::io::Write;
     // A rejected connection may be closed before the whole request is written.
@@ -63,7 +64,7 @@
             .is_some_and(|answer| answer.kind == AnswerKind::Answer)
 }
 
-/// Makes an address a known client by requests that are completed over some seconds.
+/// Completes requests from an address for more than 2.6 s, so that it becomes a known client.
 fn become_known_client(backend: &TestBackend, address: [u8; 4], ids: &AtomicU32) {
     let mut edge = connect_from(backend, address).unwrap();
     let start = Instant::now();
@@ -80,8 +81,9 @@
     }
 }
 
-/// One address opens connections without end. Clients with a record of completed requests are still
-/// accepted and served promptly, because a fraction of the connections is kept for known clients.
+/// Guards against a connection flood from one address that locks out other clients. Half of the
+/// connections are reserved for clients with a record of completed requests, so these are accepted
+/// and served promptly.
 #[test]
 fn known_clients_are_accepted_while_one_address_opens_thousands() {
     let (_folder, file) = settings("  known_part = 0.5");
@@ -95,20 +97,20 @@
         }
     });
     let flooding = Arc::new(AtomicBool::new(true));
-    let ends = StopOnDrop(flooding.clone());
+    let stop_on_drop = StopOnDrop(flooding.clone());
     let flood = {
         let (backend, flooding) = (backend.clone(), flooding.clone());
         std::thread::spawn(move || {
-            let (mut held, mut tried) = (Vec::new(), 0u32);
-            while flooding.load(Ordering::Acquire) || tried < 5000 {
-                tried += 1;
-                held.extend(connect_from(&backend, [127, 99, 9, 9]));
-                // The test's own descriptors are limited, too: the oldest connections are closed.
-                if held.len() > 400 {
-                    held.drain(..200);
+            let (mut open, mut attempts) = (Vec::new(), 0u32);
+            while flooding.load(Ordering::Acquire) || attempts < 5000 {
+                attempts += 1;
+                open.extend(connect_from(&backend, [127, 99, 9, 9]));
+                // The descriptors of the test are limited, so it closes its oldest connections.
+                if open.len() > 400 {
+                    open.drain(..200);
                 }
             }
-            tried
+            attempts
         })
     };
     let mut slowest = Duration::ZERO;
@@ -124,18 +126,18 @@
         }
         std::thread::sleep(Duration::from_millis(200));
     }
-    drop(ends);
+    drop(stop_on_drop);
     assert!(flood.join().unwrap() >= 5000);
-    println!("slowest of 40 known ones: {slowest:?}");
-    assert!(slowest < PROMPT, "{slowest:?}");
+    println!("slowest of 40 known clients: {slowest:?}");
+    assert!(slowest < MAX_ACCEPT_TIME, "{slowest:?}");
     let files = std::fs::read_dir(format!("/proc/{}/fd", backend.child.id()))
         .unwrap()
         .count();
     assert!(files <= 128, "{files} descriptors");
 }
 
-/// An address may have so many connections open. Connections beyond that are closed at once, so
-/// that the client learns of it without waiting, and other addresses are not concerned.
+/// The backend closes connections beyond the limit of an address immediately, so that the client
+/// does not wait. Other addresses are not affected.
 #[test]
 fn an_address_beyond_its_connection_limit_is_rejected_at_once() {
     let (_folder, file) = settings("  address {\n    open = 5\n    rate = 1000\n  }");
@@ -148,12 +150,15 @@
         .map(|(id, edge)| is_served(edge, 1, id))
         .collect();
     assert_eq!(in_time.iter().filter(|&&served| served).count(), 5);
-    // A rejected client learns of it at once instead of waiting.
+    // The backend closes a rejected connection immediately.
     let start = Instant::now();
-    let mut refused = connect_from(&backend, [127, 98, 1, 1]).unwrap();
-    assert!(refused.wait_until_closed() && start.elapsed() < PROMPT);
+    let mut rejected = connect_from(&backend, [127, 98, 1, 1]).unwrap();
+    assert!(rejected.wait_until_closed() && start.elapsed() < MAX_ACCEPT_TIME);
     let mut other = connect_from(&backend, [127, 98, 1, 2]).unwrap();
-    assert!(is_served(&mut other, 1, 77), "another address has its own");
+    assert!(
+        is_served(&mut other, 1, 77),
+        "another address has its own limit"
+    );
     drop(edges);
     wait_until("the descriptor is free again", || {
         connect_from(&backend, [127, 98, 1, 1])
@@ -161,9 +166,9 @@
     });
 }
 
-/// The system grants fewer descriptors than the configuration promises, so accepting fails with
-/// EMFILE. Requests that were read are answered, also during a drain, and accepting goes on once
-/// descriptors are free.
+/// Guards against requests that are lost on descriptor exhaustion: the system grants fewer
+/// descriptors than the configuration has, so accepting fails with EMFILE. Requests that were read
+/// are answered, also during a drain, and the backend accepts again once descriptors are free.
 #[test]
 fn running_out_of_descriptors_loses_no_request_that_was_read() {
     let (_folder, file) =
@@ -176,8 +181,8 @@
         edge.send_request(1, &format!("{id:016x}"), b"hang");
     }
     wait_until("the requests run", || backend.executor().runs.len() == 3);
-    // Far more connections than descriptors: each is accepted, rejected or waits, and the server
-    // goes on.
+    // Far more connections than descriptors: each is accepted, rejected or waits, and the process
+    // does not exit.
     let many: Vec<EdgeConnection> = (0..120)
         .filter_map(|at| connect_from(&backend, [127, 96, 1, at % 4]))
         .collect();
@@ -187,7 +192,7 @@
         connect_from(&backend, [127, 95, 1, 1])
             .is_some_and(|mut edge| is_served(&mut edge, 1, fastrand::u64(..)))
     });
-    // The same again, followed by a drain.
+    // As many connections again, followed by a drain.
     let many: Vec<EdgeConnection> = (0..120)
         .filter_map(|at| connect_from(&backend, [127, 96, 1, at % 4]))
         .collect();
@@ -195,18 +200,18 @@
     let notice = early[0].read_answer();
     assert!(
         notice.is_some_and(|answer| answer.kind == AnswerKind::NoMore),
-        "it leaves"
+        "the first message is the drain notification"
     );
     for id in 1..=3 {
         backend
             .executor()
-            .end_run(&format!("{id:016x}"), "success", b"late, and whole");
+            .end_run(&format!("{id:016x}"), "success", b"late result");
     }
     for edge in &mut early {
         let answer = std::iter::from_fn(|| edge.read_answer())
             .find(|answer| answer.kind != AnswerKind::NoMore);
         assert!(answer.is_some_and(
-            |answer| answer.kind == AnswerKind::Answer && answer.contains(b"late, and whole")
+            |answer| answer.kind == AnswerKind::Answer && answer.contains(b"late result")
         ));
     }
     drop(many);
--- a/crates/server/tests/program/cancellation.rs
+++ b/crates/server/tests/program/cancellation.rs
@@ -1,4 +1,4 @@
-//! Callers that cancel requests, where the settings announce that they do.
+//! Requests that callers cancel, with settings that announce cancellations (`cancel_seen`).
 
 use std::collections::HashMap;
 use std::io::Write;
@@ -24,13 +24,13 @@
     }
 }
 
-fn start_backend_that_sees_cancellations() -> TestBackend {
+fn start_backend_with_cancellations() -> TestBackend {
     BackendSetup::new()
         .change(r#""cores":4"#, r#""cores":4,"cancel_seen":true"#)
         .spawn()
 }
 
-/// Cancels requests just as their runs end: whichever comes first, there is one answer or none.
+/// Cancels requests right before or right after their runs end; each may get one answer or none.
 fn cancel_as_runs_end(backend: &TestBackend, edge: &mut EdgeConnection) {
     for turn in 0..30u32 {
         let id = format!("0000000000f5{turn:04x}");
@@ -48,7 +48,7 @@
     }
 }
 
-/// Ends the runs that are left, stops the backend and starts it with settings that do not announce
+/// Ends the remaining runs, stops the backend and restarts it with settings that do not announce
 /// cancellations.
 fn restart_without_cancellations(backend: &mut TestBackend) {
     backend.signal("TERM");
@@ -62,32 +62,31 @@
     backend.wait_until_serving();
 }
 
-/// Where the settings announce cancellations, callers cancel requests before, with and behind their
-/// answer, twice, and for requests that never existed. A cancellation used to be taken for garbage:
-/// its connection was closed, and requests that arrived over it meanwhile were lost. One that
-/// arrived in the same read as its request let that request run for nobody. A cancellation is now
-/// matched to its request by sequence, and a request that is cancelled before it is registered has
-/// no time left to wait, so it is rejected at once.
+/// Guards against a cancellation that is handled as a malformed message, which closes its
+/// connection and loses the other requests on it, and against one that is ignored because it
+/// arrives in the same read as its request, which then runs without a caller. A cancellation is
+/// matched to its request by sequence, and a request that is cancelled before it is registered is
+/// rejected immediately. Callers cancel requests before, with and after the answer, twice, and
+/// requests that never existed.
 #[test]
 fn a_cancellation_affects_its_own_request_alone() {
-    let mut backend = start_backend_that_sees_cancellations();
+    let mut backend = start_backend_with_cancellations();
     backend.wait_until_serving();
     let mut edge = backend.connect();
     edge.send_request(1, "0000000000f40001", b"hang");
     edge.send_request(2, "0000000000f40002", b"hang");
     wait_until("both requests run", || backend.executor().runs.len() == 2);
     edge.cancel(1);
-    // The executor acknowledges that the run is stopped; no answer is due after that.
+    // The executor acknowledges that the run is stopped; the backend sends no answer after that.
     wait_until("the run is cancelled", || {
         backend.executor().ends.contains_key("0000000000f40001")
     });
-    // Cancellations of a finished request, of one that never existed, and a repeated one.
+    // Cancellations of a finished request, of one that never existed, and a duplicate.
     for sequence in [1, 77, 1] {
         edge.cancel(sequence);
     }
     cancel_as_runs_end(&backend, &mut edge);
-    // A request and its cancellation in one write: the request must not be run, as nobody waits for
-    // it.
+    // A request and its cancellation in one write: the request must not run.
     let mut both = edge.encode_request(200, &request_fields("0000000000f60001", "20.0"), b"hang");
     both.extend(edge.encode_cancellation(200));
     edge.stream.write_all(&both).unwrap();
@@ -96,7 +95,7 @@
         .end_run("0000000000f40002", "success", b"all the same");
     let mut seen = HashMap::new();
     loop {
-        let answer = edge.read_answer().expect("the connection goes on");
+        let answer = edge.read_answer().expect("the connection stays open");
         *seen.entry(answer.sequence).or_insert(0) += 1;
         if answer.sequence == 2 {
             assert!(answer.contains(b"all the same"));
@@ -111,14 +110,14 @@
         let ran = |id: &str| executor.runs.contains_key(id) || executor.ends.contains_key(id);
         assert!(
             ran("0000000000f70001") && !ran("0000000000f60001"),
-            "run for nobody"
+            "the request after the cancelled one runs, the cancelled one does not"
         );
     }
     assert!(
         seen.values().all(|&count| count == 1) && !seen.contains_key(&1),
         "{seen:?}"
     );
-    // Without the setting a cancellation is no valid message.
+    // Without the setting a cancellation is a malformed message.
     drop(edge);
     restart_without_cancellations(&mut backend);
     let mut edge = backend.connect();
--- a/crates/server/tests/program/configuration.rs
+++ b/crates/server/tests/program/configuration.rs
@@ -1,4 +1,4 @@
-//! Settings that are served and settings that are refused at the start.
+//! Settings that the program serves and settings that it rejects at the start.
 
 use std::time::{Duration, Instant};
 
@@ -8,13 +8,14 @@
 use crate::harness::edge_node::{AnswerKind, EdgeConnection};
 use crate::harness::unique_address;
 
-/// How long, and in how many requests, a feedback value is looked for at the least: the controller
-/// sets the first one with its first measurements.
-const FEEDBACK_REQUESTS: u32 = 299;
-const FEEDBACK_TIME: Duration = Duration::from_secs(1);
+/// Minimum number of requests that are sent to find a feedback value: the controller sets the first
+/// value with its first measurements.
+const MIN_FEEDBACK_REQUESTS: u32 = 299;
+/// Minimum time for which requests are sent to find a feedback value.
+const MIN_FEEDBACK_TIME: Duration = Duration::from_secs(1);
 
-/// A configuration that cannot be read or served ends the program with exit code 2 and one line
-/// that names the problem.
+/// The program exits with code 2 after an invalid configuration and writes one line that names the
+/// problem.
 #[test]
 fn an_invalid_configuration_is_reported_in_one_line() {
     let host = unique_address();
@@ -52,11 +53,12 @@
     }
 }
 
-/// Whether any answer carries a feedback value; the first ones come before one is known.
+/// Sends requests until an answer carries a feedback value; false if none does. The first answers
+/// are sent before the controller has a value.
 fn has_feedback_value(edge: &mut EdgeConnection) -> bool {
-    let until = Instant::now() + FEEDBACK_TIME;
+    let until = Instant::now() + MIN_FEEDBACK_TIME;
     let mut sequences =
-        (1..).take_while(|sequence| *sequence <= FEEDBACK_REQUESTS || Instant::now() < until);
+        (1..).take_while(|sequence| *sequence <= MIN_FEEDBACK_REQUESTS || Instant::now() < until);
     sequences.any(|sequence| {
         edge.send_request(sequence, &format!("{sequence:016x}"), b"run");
         edge.expect_answer(sequence, AnswerKind::Answer)
@@ -65,11 +67,11 @@
 }
 
 /// The settings of the sites regina-main and nairobi-calc: the endpoint list follows health,
-/// callers get no feedback value, and a handler writes. One build serves them from the settings
-/// alone. A write that is declared idempotent could be run twice; it is refused at the start, by
-/// the key at fault.
+/// callers get no feedback value, and a handler writes. The same build serves them without other
+/// changes. A write that is declared idempotent could run twice, so the program rejects it at the
+/// start with the key.
 #[test]
-fn settings_with_writes_are_served_and_an_idempotent_write_is_refused() {
+fn settings_with_writes_are_served_and_an_idempotent_write_is_rejected() {
     let changed_config = |host: &str| {
         config_json(host)
             .replace(r#""say":"weight""#, r#""say":"silent","list_follows":true"#)
@@ -102,14 +104,14 @@
     let mut edge = backend.connect();
     assert!(
         !has_feedback_value(&mut edge),
-        "a value where callers take none"
+        "a feedback value although callers use none"
     );
 }
 
-/// The settings of the site recife-matching give callers a feedback value and have the endpoint
-/// list follow health. Such settings were refused at the start.
+/// Guards against a start that rejects the settings of the site recife-matching, which give callers
+/// a feedback value and have the endpoint list follow health.
 #[test]
-fn feedback_values_beside_a_list_that_follows_health_are_served() {
+fn feedback_values_with_an_endpoint_list_that_follows_health_are_served() {
     let backend = BackendSetup::new()
         .change(r#""say":"weight""#, r#""say":"weight","list_follows":true"#)
         .spawn();
@@ -117,12 +119,12 @@
     let mut edge = backend.connect();
     assert!(
         has_feedback_value(&mut edge),
-        "no value where callers take one"
+        "no feedback value although callers use one"
     );
 }
 
-/// A word that the backend does not know, such as the site file's "keyed" for the wire's "token",
-/// used to be reported by line and column alone. The key is named, too.
+/// Guards against an error message without the key: an unknown value, such as the site file's
+/// `keyed` in place of the wire's `token`, is reported with its key, line and column.
 #[test]
 fn an_invalid_word_in_the_settings_is_reported_with_key_and_line() {
     let host = unique_address();
--- a/crates/server/tests/program/connection_close.rs
+++ b/crates/server/tests/program/connection_close.rs
@@ -1,4 +1,4 @@
-//! Requests and answers that cross the close of their connection, at an idle close, at shutdown or
+//! Requests and answers in transit when their connection closes: at an idle close, at shutdown, or
 //! by a reset from the caller.
 
 use std::io::{ErrorKind, Read, Write};
@@ -13,8 +13,8 @@
 };
 use crate::harness::wait_until;
 
-/// Sends requests on idle connections at moments around the close of each, and asserts that every
-/// one is answered once, or that its connection closes and the request was never run.
+/// Sends one request on each idle connection at times around its close, and asserts that the
+/// request is answered once, or that its connection closes and the request was never run.
 fn assert_answered_or_never_run(
     backend: &TestBackend,
     edges: Vec<EdgeConnection>,
@@ -40,8 +40,8 @@
     });
 }
 
-/// Connections that are idle after one answered request each.
-fn resting_connections(backend: &TestBackend, count: u32, prefix: &str) -> Vec<EdgeConnection> {
+/// Opens connections that are idle after one answered request each.
+fn idle_connections(backend: &TestBackend, count: u32, prefix: &str) -> Vec<EdgeConnection> {
     let idle_connection = |at: u32| {
         let mut edge = backend.connect();
         edge.send_request(1, &format!("{prefix}{at:04x}"), b"run");
@@ -51,42 +51,42 @@
     (0..count).map(idle_connection).collect()
 }
 
-/// Callers send requests on idle connections in the milliseconds around their close at shutdown. A
-/// request that was run must be answered. One whose connection closes first was never run, so that
-/// its caller may send it again.
+/// Guards against a request that is run and not answered because it arrives in the milliseconds
+/// around the close of its idle connection at shutdown. A request whose connection closes first
+/// must not run, so that its caller may send it again.
 #[test]
 fn a_request_that_crosses_the_close_at_shutdown_is_answered_or_never_run() {
     let mut backend =
         start_backend_with_changes(&[(r#""drain_grace":1000.0"#, r#""drain_grace":100.0"#)]);
-    let edges = resting_connections(&backend, 32, "000000000a01");
+    let edges = idle_connections(&backend, 32, "000000000a01");
     backend.signal("TERM");
-    // The close follows the notification by 60 ms.
+    // The backend closes the connection 60 ms after the notification.
     let (first, step) = (Duration::from_millis(40), Duration::from_millis(2));
     assert_answered_or_never_run(&backend, edges, "000000000a02", first, step);
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// The same at an idle close, which follows the drain notification by 2 s.
+/// Guards against the same fault at an idle close, which follows the drain notification by 2 s.
 #[test]
 fn a_request_that_crosses_an_idle_close_is_answered_or_never_run() {
     let backend = start_backend_with_changes(&[(r#""idle":9000.0"#, r#""idle":100.0"#)]);
-    let edges = resting_connections(&backend, 32, "000000000a03");
-    // The close follows the notification by 2 s.
+    let edges = idle_connections(&backend, 32, "000000000a03");
+    // The backend closes the connection 2 s after the notification.
     let (first, step) = (Duration::from_millis(1960), Duration::from_millis(4));
     assert_answered_or_never_run(&backend, edges, "000000000a04", first, step);
 }
 
-/// The process is paused while idle connections become due to close, and meanwhile requests arrive
-/// in their sockets. What has arrived is read before the connection closes: complete requests are
-/// answered, and halves of requests end with their connection and are not run.
+/// Guards against requests that are lost because they arrive while the process is paused, and their
+/// idle connections are due to close when it resumes. The backend reads the received bytes before
+/// the close: complete requests are answered, incomplete ones are not run.
 #[test]
 fn an_unread_request_is_answered_when_its_idle_connection_is_due_to_close() {
     let backend = start_backend_with_changes(&[(r#""idle":9000.0"#, r#""idle":100.0"#)]);
-    let mut edges = resting_connections(&backend, 16, "000000000a0f");
+    let mut edges = idle_connections(&backend, 16, "000000000a0f");
     for edge in &mut edges {
         wait_for_drain_notification(edge);
     }
-    // Long before the close, which follows the notification by 2 s.
+    // The pause begins long before the close, which follows the notification by 2 s.
     backend.signal("STOP");
     for (at, edge) in (0u32..).zip(&mut edges) {
         let message = edge.encode_request(
@@ -118,13 +118,13 @@
     }
 }
 
-/// A request is half sent when the shutdown notice arrives. It is answered once its second half has
-/// come. Without a second half its connection ends, and no other caller loses an answer.
+/// A request is partly sent when the shutdown notice arrives. The backend answers it once the rest
+/// has arrived. Without the rest its connection ends, and no other caller loses an answer.
 #[test]
 fn half_a_request_at_the_shutdown_notice_costs_no_answer() {
     let mut backend =
         start_backend_with_changes(&[(r#""drain_grace":1000.0"#, r#""drain_grace":300.0"#)]);
-    let mut edges = resting_connections(&backend, 16, "000000000a05");
+    let mut edges = idle_connections(&backend, 16, "000000000a05");
     let messages: Vec<Vec<u8>> = (0u32..)
         .zip(&edges)
         .map(|(at, edge)| {
@@ -161,20 +161,19 @@
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// A request is half sent when its idle connection is notified or due to close. Well before the
-/// close it is read as a whole and answered once; around the close it is answered once or was never
-/// run.
+/// A request is half sent at the drain notification of its idle connection or around its close. At
+/// the notification it is answered once; around the close it is answered once or never run.
 #[test]
 fn half_a_request_at_an_idle_close_costs_no_answer() {
     let backend = start_backend_with_changes(&[(r#""idle":9000.0"#, r#""idle":100.0"#)]);
-    let edges = resting_connections(&backend, 16, "000000000a07");
+    let edges = idle_connections(&backend, 16, "000000000a07");
     std::thread::scope(|scope| {
         for (at, mut edge) in (0u32..).zip(edges) {
             let backend = &backend;
             scope.spawn(move || {
                 let id = format!("000000000a08{at:04x}");
                 wait_for_drain_notification(&mut edge);
-                // Some at the notification, the others around the close 2 s behind it.
+                // Half of them at the notification, the rest around the close 2 s later.
                 let pause = if at < 8 {
                     0
                 } else {
@@ -190,7 +189,7 @@
                 match answers.get(&2) {
                     Some(count) => assert_eq!(*count, 1, "{id} is answered once"),
                     None => {
-                        assert!(at >= 8, "{id} came long before the close");
+                        assert!(at >= 8, "{id} arrived long before the close");
                         assert!(!backend.was_run(&id), "{id} was run and not answered");
                     }
                 }
@@ -199,12 +198,12 @@
     });
 }
 
-/// Answers to a slow reader were still in the send buffer when the backend closed the connection,
-/// and a request arrived behind the close. The system reset the connection for it and dropped the
-/// answers, 15 of 16. The connection is now shut for writing first, and what arrives is read and
-/// dropped until the answers are acknowledged, for at most 1 s.
+/// Guards against answers that are lost in the send buffer: a request that arrives after the close
+/// makes the system reset the connection and drop the unacknowledged answers to a slow reader, 15
+/// of 16. The backend therefore shuts the connection down for writing first, then reads and drops
+/// input until the answers are acknowledged, for at most 1 s.
 #[test]
-fn a_request_behind_the_close_does_not_reset_answers_in_the_send_buffer() {
+fn a_request_after_the_close_does_not_reset_answers_in_the_send_buffer() {
     const REQUESTS: u32 = 16;
     let mut backend =
         start_backend_with_changes(&[(r#""drain_grace":1000.0"#, r#""drain_grace":100.0"#)]);
@@ -219,7 +218,7 @@
         backend.executor().ends.len() as u32 == REQUESTS
     });
     backend.signal("TERM");
-    // Behind the grace and the 60 ms that a connection then has.
+    // After the drain grace and the 60 ms that a connection then has.
     std::thread::sleep(Duration::from_millis(500));
     let late = edge.encode_request(99, &request_fields("000000000a0a0001", "20.0"), b"run");
     let _ = edge.stream.write_all(&late);
@@ -229,15 +228,15 @@
         .filter(|sequence| answers.get(sequence) == Some(&1))
         .count();
     assert_eq!(answered as u32, REQUESTS, "answers lost: {answers:?}");
-    assert!(!backend.was_run("000000000a0a0001"), "run behind the close");
+    assert!(!backend.was_run("000000000a0a0001"), "run after the close");
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// A caller resets its connection just as its answer is sent, in three orders of the run's end and
-/// the reset. That answer is lost with its connection, and no other caller loses an answer or gets
-/// one twice.
+/// A caller resets its connection at the time of its answer: before the end of the run, after it,
+/// or at the same time. Only that answer may be lost; no other caller loses an answer or gets one
+/// twice.
 #[test]
-fn an_answer_that_meets_a_reset_is_the_only_one_lost() {
+fn an_answer_on_a_reset_connection_is_the_only_one_lost() {
     let backend = start_backend();
     let mut edge = backend.connect();
     for turn in 0..60u32 {
@@ -250,15 +249,15 @@
         socket2::SockRef::from(&cut.stream)
             .set_linger(Some(std::time::Duration::ZERO))
             .unwrap();
-        // By turns the end of the run comes first, the reset does, or both at once.
+        // In turn the run ends first, the reset comes first, or both come at once.
         match turn % 3 {
-            0 => backend.executor().end_run(&id, "success", b"to nobody"),
+            0 => backend.executor().end_run(&id, "success", b"unread result"),
             1 => drop(std::mem::replace(&mut cut, backend.connect())),
             _ => {}
         }
         drop(cut);
         if turn % 3 == 2 {
-            backend.executor().end_run(&id, "success", b"to nobody");
+            backend.executor().end_run(&id, "success", b"unread result");
         }
         edge.send_request(turn + 1, &format!("0000000000f5{turn:04x}"), b"run");
         assert!(
@@ -266,7 +265,7 @@
                 .contains(format!("f5{turn:04x}").as_bytes())
         );
     }
-    // Runs whose caller was gone before they ended are still open or were stopped.
+    // Runs whose caller reset its connection before their end are still open or were stopped.
     let left: Vec<String> = backend.executor().runs.keys().cloned().collect();
     for id in left {
         backend.executor().end_run(&id, "interrupted", b"");
@@ -277,34 +276,35 @@
     assert_eq!(
         edge.stream.read(&mut one).unwrap_err().kind(),
         ErrorKind::WouldBlock,
-        "nothing more than one each"
+        "one answer to each request"
     );
 }
 
-/// Guards against a message in transit that is cut off in service: its connection is asked to close
-/// meanwhile, and others wait for its place.
+/// Guards against a message that is cut off while it is being received: its connection has been
+/// asked to close, and other connections wait in the backlog.
 #[test]
-fn a_message_that_has_begun_is_read_while_others_wait_for_its_place() {
-    const PLACES: u32 = 96;
+fn a_partly_received_message_is_read_while_connections_wait_in_the_backlog() {
+    const MAX_CONNECTIONS: u32 = 96;
     let backend = start_backend_with_sockets(128);
     let mut edge = backend.connect();
     edge.send_request(1, "00000000000f0001", b"run");
     edge.expect_answer(1, AnswerKind::Answer);
-    // Behind the time for which a connection that was used is spared.
+    // Longer than the 250 ms for which a connection may not be evicted after its last use.
     std::thread::sleep(Duration::from_millis(400));
     let connect_and_run = |at: u32| {
         let mut other = backend.connect();
         other.send_request(1, &format!("0000000f{at:08x}"), b"hang");
         other
     };
-    // From 85 % of the places on, the connection that was used least is asked to close.
-    let mut others: Vec<EdgeConnection> = (0..PLACES * 9 / 10).map(connect_and_run).collect();
+    // From 85 % of the connections on, the least recently used one is asked to close.
+    let mut others: Vec<EdgeConnection> =
+        (0..MAX_CONNECTIONS * 9 / 10).map(connect_and_run).collect();
     wait_for_drain_notification(&mut edge);
     let message = edge.encode_request(2, &request_fields("00000000000f0002", "20.0"), b"run");
     let (half, rest) = message.split_at(message.len() / 2);
     edge.stream.write_all(half).unwrap();
-    others.extend((PLACES..PLACES + 20).map(connect_and_run));
-    // By then all places are taken.
+    others.extend((MAX_CONNECTIONS..MAX_CONNECTIONS + 20).map(connect_and_run));
+    // By then the number of connections is at its maximum.
     std::thread::sleep(Duration::from_millis(20));
     for piece in rest.chunks(5) {
         edge.stream.write_all(piece).unwrap();
--- a/crates/server/tests/program/connection_floods.rs
+++ b/crates/server/tests/program/connection_floods.rs
@@ -1,4 +1,4 @@
-//! Floods of connections and of requests on one connection, and the limit on open connections.
+//! Connection floods, request floods on one connection, and the limit on open connections.
 
 use std::collections::HashMap;
 use std::io::Write;
@@ -14,11 +14,11 @@
 };
 use crate::harness::{MAX_ANSWER_TIME, wait_until};
 
-/// A thousand connections are opened at a limit of 64 descriptors. Connections that are idle and
-/// silent give way, descriptors stay within the limit, a client that is connected is served
-/// promptly meanwhile, and a newcomer is served afterwards.
+/// A thousand connections are opened at a limit of 64 descriptors. The backend closes idle and
+/// silent connections, its descriptors stay within the limit, a connected client is served promptly
+/// during the flood, and a new client is served after it.
 #[test]
-fn a_flood_of_connections_holds_up_nobody_who_is_connected() {
+fn a_connection_flood_does_not_delay_connected_clients() {
     let backend = start_backend_with_sockets(64);
     let running = AtomicBool::new(true);
     let address: SocketAddr = format!("{}:6565", backend.host).parse().unwrap();
@@ -39,21 +39,21 @@
             .count();
         running.store(false, Ordering::Release);
         let slowest = other.join().unwrap();
-        println!("slowest answer beside a flood of {connected} connections: {slowest:?}");
+        println!("slowest answer during a flood of {connected} connections: {slowest:?}");
         assert!(files <= 64, "{files} descriptors");
         assert!(slowest < MAX_ANSWER_TIME, "{slowest:?}");
     });
     let begin = Instant::now();
-    let mut newcomer = backend.connect();
-    newcomer.send_request(1, "000000000b060001", b"run");
-    assert_eq!(newcomer.read_answer().expect("an answer").sequence, 1);
+    let mut new_client = backend.connect();
+    new_client.send_request(1, "000000000b060001", b"run");
+    assert_eq!(new_client.read_answer().expect("an answer").sequence, 1);
     assert!(begin.elapsed() < MAX_ANSWER_TIME, "{:?}", begin.elapsed());
 }
 
-/// One connection sends 3,000 requests without waiting, where 32 may be open at a time. Each is
-/// answered once, and a client on another connection is served promptly meanwhile.
+/// One connection sends 3,000 requests without waiting, and 32 may be open at a time. Each is
+/// answered once, and a client on another connection is served promptly during the flood.
 #[test]
-fn a_flood_of_requests_on_one_connection_holds_up_nobody_else() {
+fn a_request_flood_on_one_connection_does_not_delay_other_clients() {
     const REQUESTS: u32 = 3000;
     let backend = start_backend();
     let mut edge = backend.connect();
@@ -75,22 +75,22 @@
         }
         running.store(false, Ordering::Release);
         let slowest = other.join().unwrap();
-        println!("slowest answer beside a flood of {REQUESTS} requests: {slowest:?}");
+        println!("slowest answer during a flood of {REQUESTS} requests: {slowest:?}");
         assert!(slowest < MAX_ANSWER_TIME, "{slowest:?}");
     });
     assert!(
         (1..=REQUESTS).all(|sequence| counts.get(&sequence) == Some(&1)),
-        "once each"
+        "one answer to each request"
     );
 }
 
-/// More connections than there are descriptors either made one request and stay, or never send
-/// anything. The oldest idle ones are closed so that a new client is served, and connections that
-/// never send a complete message are closed.
+/// More connections than descriptors stay open after one request or never send anything. The
+/// backend closes the oldest idle ones, so that a new client is served, and every connection that
+/// sends no complete message.
 #[test]
 fn silent_connections_are_closed_to_admit_new_ones() {
     let backend = start_backend_with_sockets(48);
-    // Connections that stay open after one request are closed too, the oldest first.
+    // The backend also closes connections that stay open after one request, the oldest first.
     let connection_after_one_request = |at: u32| {
         let mut edge = backend.connect();
         edge.send_request(1, &format!("0000000000ea{at:04x}"), b"run");
@@ -106,7 +106,7 @@
         .unwrap()
         .count();
     assert!(files <= 48, "{files} descriptors");
-    // Connections that send nothing, or half a message, are closed.
+    // The backend closes connections that send nothing or half a message.
     let mut half = backend.connect();
     half.stream.write_all(b"\0\0\0\x30\x80\x01").unwrap();
     silent.push(half);
@@ -115,9 +115,9 @@
     }
 }
 
-/// Every connection that may be open has an open request, so none can be closed. A further
-/// connection waits in the backlog, and is served once a request is answered and its connection can
-/// be closed.
+/// Every connection within the limit has an open request, so the backend can close none of them. A
+/// further connection waits in the backlog, and is served once a request is answered and its
+/// connection can be closed.
 #[test]
 fn connections_beyond_the_limit_wait_for_a_free_descriptor() {
     let backend = start_backend_with_sockets(32);
@@ -136,19 +136,20 @@
         .unwrap()
         .count();
     assert!(files <= 32, "{files} descriptors");
-    // The waiting connection is served once another has no open request.
+    // The waiting connection is served once another connection has no open request.
     backend
         .executor()
-        .end_run("0000000000fa0000", "success", b"its place is free");
+        .end_run("0000000000fa0000", "success", b"result");
     edges[0].expect_answer(1, AnswerKind::Answer);
     last.expect_answer(1, AnswerKind::Answer);
     assert!(edges[0].wait_until_closed());
 }
 
-/// Guards against requests that are answered as malformed because their connection waited in the
-/// backlog: their timestamps lay over a second before it was accepted. From the ninth on nothing
-/// was read, so all further requests of the connection were lost. Here the process is paused for
-/// longer than that; behind a crowd of connections on a full server it is the same.
+/// Guards against requests that are rejected as malformed because their connection waited in the
+/// backlog, so that their timestamps are over a second older than its accept. After the ninth
+/// malformed message the backend reads nothing more from the connection, so all later requests are
+/// lost. The test pauses the process for longer than a second; a connection flood on a full server
+/// has the same effect.
 #[test]
 fn requests_that_waited_in_the_backlog_are_served() {
     const REQUESTS: u32 = 12;
@@ -166,18 +167,18 @@
     }
 }
 
-/// Guards against requests that are lost at a shutdown: their connection was in the backlog behind
-/// a crowd with half messages. Each of those kept its place for another second after it was
-/// evicted, and the process ended before it read the requests.
+/// Guards against requests that are lost at a shutdown because their connection waits in the
+/// backlog after a flood of connections with half a message each. If each of those keeps its
+/// descriptor for another second after its eviction, the process ends before it reads the requests.
 #[test]
-fn requests_behind_a_crowd_with_half_messages_are_answered_at_shutdown() {
+fn requests_after_a_flood_of_half_messages_are_answered_at_shutdown() {
     const REQUESTS: u32 = 10;
     let backend = start_backend_with_changes(&[
         ("1024", "128"),
         ("\"drain_grace\":1000.0", "\"drain_grace\":300.0"),
         ("\"stop_ms\":4000", "\"stop_ms\":2000"),
     ]);
-    let _crowd: Vec<EdgeConnection> = (0..200)
+    let _flood: Vec<EdgeConnection> = (0..200)
         .map(|_| {
             let mut half = backend.connect();
             half.stream.write_all(b"\0\0\0\x30\x80\x01").unwrap();
--- a/crates/server/tests/program/cost.rs
+++ b/crates/server/tests/program/cost.rs
@@ -1,5 +1,5 @@
-//! What a recording or a cluster costs, pair by pair: CPU of the process for a request and response
-//! times, with it and without. Run by hand, in a release build with the cores free:
+//! The cost of a recording and of a cluster: CPU time per request and response times, with and
+//! without it, in pairs of runs. Run manually, in a release build with the cores free:
 //! `TULIPGAP_CORE=0 cargo test --release -p tulipgap-server --test program cost -- --ignored
 //! --nocapture`
 
@@ -14,7 +14,7 @@
 const EDGE_NODES: usize = 4;
 const REQUESTS_PER_EDGE: u32 = 20_000;
 
-/// CPU seconds that the threads of a process have used, by their names.
+/// CPU seconds that the threads of a process have used, by thread name.
 fn cpu_seconds_by_thread(pid: u32) -> std::collections::BTreeMap<String, f64> {
     let mut all = std::collections::BTreeMap::new();
     for task in std::fs::read_dir(format!("/proc/{pid}/task"))
@@ -31,8 +31,8 @@
     all
 }
 
-/// CPU microseconds a request, those of the writer's thread among them, and the median and 99th
-/// percentile of response times in microseconds.
+/// Measures the CPU microseconds of the process per request, those of the writer thread alone, and
+/// the median and 99th percentile of the response times in microseconds.
 fn measure(settings: Option<&std::path::Path>) -> [f64; 4] {
     let mut backend = start_backend_with_settings(1024, settings);
     let before = cpu_seconds_by_thread(backend.child.id());
@@ -75,7 +75,7 @@
     [each(used), each(writer), at(0.5), at(0.99)]
 }
 
-/// Measures with these settings and without, in turn.
+/// Measures with and without these settings in `count` pairs, and prints the medians.
 fn compare_in_pairs(settings: &std::path::Path, count: usize) {
     let mut pairs = Vec::new();
     for pair in 0..count {
@@ -92,7 +92,7 @@
         );
         pairs.push((on, off));
     }
-    for (at, what) in ["CPU a req", "of the writer", "median", "99th percentile"]
+    for (at, name) in ["CPU a req", "of the writer", "median", "99th percentile"]
         .iter()
         .enumerate()
     {
@@ -101,7 +101,7 @@
         ratios.sort_by(f64::total_cmp);
         more.sort_by(f64::total_cmp);
         println!(
-            "{what}: ratio {:.3}, {:+.2} us, medians of {count} pairs",
+            "{name}: ratio {:.3}, {:+.2} us, medians of {count} pairs",
             ratios[count / 2],
             more[count / 2]
         );
@@ -115,7 +115,7 @@
     compare_in_pairs(&settings, PAIRS);
 }
 
-/// A member of a cluster of five with three voters, against a backend alone.
+/// Compares a member of a cluster of five with three voters to a backend without a cluster.
 #[test]
 #[ignore = "a measurement"]
 fn cost_of_a_cluster() {
@@ -145,8 +145,8 @@
     compare_in_pairs(&settings(0), 5);
 }
 
-/// As many requests as an hour at 190 a second has, sent as fast as possible with a recording: each
-/// must be in the file.
+/// Sends as many requests as an hour has at 190 per second, as fast as possible: the recording must
+/// have each of them.
 #[test]
 #[ignore = "a measurement"]
 fn an_hour_of_requests() {
@@ -196,7 +196,7 @@
     assert_eq!(records as u32, REQUESTS);
 }
 
-/// Processor time that all ended children of the test have used.
+/// CPU time that all ended children of the test process have used.
 fn cpu_of_ended_children() -> Duration {
     let mut usage = std::mem::MaybeUninit::<libc::rusage>::zeroed();
     // Safe: the call fills the structure, for which all values are valid.
@@ -213,9 +213,9 @@
     time(usage.ru_utime) + time(usage.ru_stime)
 }
 
-/// Requests that all wait to be read at a shutdown which leaves no time to run any: processor time
-/// for each until the process has ended, that of its connections included. `COST_CONNECTIONS` and
-/// `COST_REQUESTS` change how many there are.
+/// Measures the CPU time per request until the process has ended, including its connections, when
+/// all requests are unread at a shutdown that leaves no time to run any. `COST_CONNECTIONS` and
+/// `COST_REQUESTS` set the number of connections and of requests on each.
 #[test]
 #[ignore = "a measurement"]
 fn cost_of_a_rejection() {
@@ -231,7 +231,7 @@
             ("\"stop_ms\":4000", "\"stop_ms\":500"),
         ]);
         let mut edges: Vec<_> = (0..connections).map(|_| backend.connect()).collect();
-        // Every connection is accepted by the time that this one is served.
+        // Once this connection is served, all connections before it are accepted.
         let mut last = backend.connect();
         last.send_request(1, "00000000ffffffff", b"run");
         last.expect_answer(1, AnswerKind::Answer);
--- a/crates/server/tests/program/deployment.rs
+++ b/crates/server/tests/program/deployment.rs
@@ -1,4 +1,5 @@
-//! What the standing fleet test asks of `build` and `run` in the deploy file, without its bench.
+//! Requirements of the fleet test on `build` and `run` in the deploy file, checked without its
+//! bench.
 
 use std::collections::BTreeSet;
 use std::os::unix::process::CommandExt;
@@ -8,7 +9,7 @@
 use crate::harness::backend::{BackendSetup, TestBackend};
 use crate::harness::edge_node::AnswerKind;
 
-/// System calls that are refused, beside a new process (a clone that is no thread).
+/// System calls that the filter refuses, in addition to a clone that does not create a thread.
 const REFUSED: [i64; 6] = [
     libc::SYS_clone3,
     libc::SYS_io_uring_setup,
@@ -24,14 +25,14 @@
     let line = text
         .lines()
         .find_map(|line| line.strip_prefix(key)?.trim_start().strip_prefix('='));
-    line.unwrap_or_else(|| panic!("{key} is told"))
+    line.unwrap_or_else(|| panic!("the deploy file has no {key}"))
         .trim()
         .trim_matches('"')
         .to_owned()
 }
 
-/// Installs a filter for this and all later programs of the process: refused system calls get
-/// ENOSYS.
+/// Installs a system call filter for this program and all programs that the process executes later:
+/// refused system calls return ENOSYS.
 fn install_system_call_filter() -> std::io::Result<()> {
     let step = |code: u32, jt: u8, jf: u8, k: u32| libc::sock_filter {
         code: code as u16,
@@ -48,7 +49,7 @@
     for call in REFUSED {
         steps.extend([equal(call as u32, 0, 1), end(no)]);
     }
-    // The first argument of a clone tells whether it is a thread.
+    // The first argument of a clone has the flag for a thread.
     steps.extend([equal(libc::SYS_clone as u32, 0, 3), load(16)]);
     steps.push(step(
         libc::BPF_JMP | libc::BPF_JSET | libc::BPF_K,
@@ -61,7 +62,7 @@
         len: steps.len() as u16,
         filter: steps.as_mut_ptr(),
     };
-    // The steps outlive both calls, and neither takes memory or a lock.
+    // Safe: the steps outlive both calls, which allocate no memory and take no lock.
     let set = unsafe {
         libc::prctl(libc::PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) == 0
             && libc::prctl(libc::PR_SET_SECCOMP, libc::SECCOMP_MODE_FILTER, &program) == 0
@@ -73,8 +74,8 @@
     }
 }
 
-/// The deploy file's `run` is one program, started by exec. Recordings, which need a lasting disk,
-/// and everything that a settings file turns on stay off there.
+/// The deploy file's `run` starts one program by exec and without a settings file, so recordings,
+/// which need a lasting disk, and all other features of that file are off.
 #[test]
 fn the_run_command_is_one_process_by_exec_with_nothing_enabled() {
     assert_eq!(deploy_entry("run"), "exec target/release/tulipgapd");
@@ -82,7 +83,7 @@
     assert!(env!("CARGO_BIN_EXE_tulipgapd").ends_with("/tulipgapd"));
 }
 
-/// Starts the backend by the deploy file's command, under the filter.
+/// Starts the backend with the deploy file's command, under the system call filter.
 fn start_as_deployed() -> TestBackend {
     let run =
         deploy_entry("run").replace("target/release/tulipgapd", env!("CARGO_BIN_EXE_tulipgapd"));
@@ -93,15 +94,15 @@
             .env("LB_CONFIG", config_file)
             .stdin(Stdio::null())
             .stderr(Stdio::piped());
-        // Safe: it only makes system calls.
+        // Safe: it makes system calls and allocates one vector, which glibc permits after a fork.
         unsafe { command.pre_exec(install_system_call_filter) }
             .spawn()
             .unwrap()
     })
 }
 
-/// The program has replaced the shell, is linked dynamically, and has neither a child process nor
-/// an open file.
+/// Asserts that the program has replaced the shell, is linked dynamically, and has neither a child
+/// process nor an open file.
 fn assert_single_process(backend: &TestBackend) {
     let proc_path = |what: &str| format!("/proc/{}/{what}", backend.child.id());
     let maps = std::fs::read_to_string(proc_path("maps")).unwrap();
@@ -136,13 +137,16 @@
                 .any(|known| link.to_string_lossy().starts_with(known))
         })
         .collect();
-    // Standard output is the test's own, whatever that is.
-    let ours = std::fs::read_link("/proc/self/fd/1").unwrap();
-    assert!(others.iter().all(|other| *other == ours), "{others:?}");
+    // Standard output is inherited from the test.
+    let test_output = std::fs::read_link("/proc/self/fd/1").unwrap();
+    assert!(
+        others.iter().all(|other| *other == test_output),
+        "{others:?}"
+    );
 }
 
-/// The program listens at its one address only, and nothing of a cluster is there: no thread, and
-/// no datagram socket but that of its reports.
+/// Asserts that the program listens on one address only and runs no part of a cluster: it has no
+/// thread of one, and no datagram socket except the one for its reports.
 fn assert_nothing_else_listens(backend: &TestBackend) {
     let proc_path = |what: &str| format!("/proc/{}/{what}", backend.child.id());
     let inodes: BTreeSet<String> = std::fs::read_dir(proc_path("fd"))
@@ -168,24 +172,27 @@
     assert_eq!(
         count_own_sockets("net/tcp", Some("0A")) + count_own_sockets("net/tcp6", Some("0A")),
         1,
-        "sockets that listen"
+        "listening sockets"
     );
     assert!(
         count_own_sockets("net/udp", None) + count_own_sockets("net/udp6", None) <= 1,
-        "the reports alone"
+        "only the socket for reports"
     );
     for thread in std::fs::read_dir(proc_path("task")).unwrap() {
         let name = std::fs::read_to_string(thread.unwrap().path().join("comm")).unwrap_or_default();
-        let among = ["cluster", "peers", "voter", "control", "trial"];
-        assert!(!among.iter().any(|word| name.starts_with(word)), "{name}");
+        let cluster_threads = ["cluster", "peers", "voter", "control", "trial"];
+        assert!(
+            !cluster_threads.iter().any(|word| name.starts_with(word)),
+            "{name}"
+        );
     }
 }
 
-/// The fleet test refuses some system calls and any further process. The backend, started by the
-/// deploy file's command, must serve under that filter, as one process with one listening socket
-/// and nothing of a cluster.
+/// The fleet test refuses some system calls and child processes. The backend, started with the
+/// deploy file's command, must serve under that filter as one process with one listening socket and
+/// without a cluster.
 #[test]
-fn it_serves_as_one_process_under_the_fleet_tests_system_call_filter() {
+fn the_backend_serves_as_one_process_under_the_system_call_filter() {
     let mut backend = start_as_deployed();
     backend.wait_until_serving();
     let mut edge = backend.connect();
--- a/crates/server/tests/program/docs.rs
+++ b/crates/server/tests/program/docs.rs
@@ -1,4 +1,4 @@
-//! Log lines and tests that the pages name exist in the code.
+//! Checks that the log lines and tests named in the pages under docs exist in the code.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// All source text below a folder.
+/// Appends the text of all Rust files under a folder to `text`.
 fn sources(folder: &Path, text: &mut String) {
     for entry in fs::read_dir(folder)
         .expect("a folder of the repository")
@@ -22,7 +22,7 @@
     }
 }
 
-/// The log lines that a page quotes: code in the first column of a table whose first header is
+/// The log lines that a page quotes: code in the first column of tables whose first header is
 /// `line`.
 fn quoted_lines(page: &str) -> Vec<String> {
     let mut lines = Vec::new();
@@ -53,7 +53,7 @@
 }
 
 /// The longest literal part of a quoted line. Words in capitals, single capital letters and `...`
-/// stand for values, and so does what follows a `=`.
+/// stand for values, and so does the text after a `=`.
 fn longest_literal(line: &str) -> String {
     let is_placeholder = |word: &str| {
         let letters: String = word.chars().filter(|c| c.is_alphabetic()).collect();
@@ -97,7 +97,7 @@
 fn each_log_line_in_the_on_call_page_exists_in_the_code() {
     let mut text = String::new();
     sources(&root().join("crates"), &mut text);
-    // This file quotes lines of its own.
+    // The examples in this file do not count as source.
     let text = joined(&text.replace(include_str!("docs.rs"), ""));
     let page = fs::read_to_string(root().join("docs/on-call.md")).expect("the on-call page");
     let lines = quoted_lines(&page);
@@ -116,7 +116,7 @@
     );
 }
 
-/// Names of tests in a page: code with at least four underscores and nothing but a name in it.
+/// Names of tests in a page: code that is a single identifier with at least four underscores.
 fn quoted_tests(page: &str) -> Vec<&str> {
     let is_name = |code: &&str| {
         let is_word = code
--- a/crates/server/tests/program/executor_link.rs
+++ b/crates/server/tests/program/executor_link.rs
@@ -1,4 +1,4 @@
-//! Loss of the link to the executor, its resynchronisation, and an executor that violates its
+//! Loss and resynchronisation of the link to the executor, and an executor that violates its
 //! protocol.
 
 use std::collections::HashMap;
@@ -11,9 +11,9 @@
 use crate::harness::wait_until;
 use crate::soak::delays::Delays;
 
-/// The executor's link breaks while a run ends, so that nobody receives the notice of its end. The
-/// next link begins with the notices that were missed: the run is answered and not started again,
-/// and a request that arrived in between is run once.
+/// Guards against a run that is repeated because its end was not received: the executor's link
+/// breaks while the run ends. The next link begins with the missed notices, so the request is
+/// answered and not run again, and a request that arrived in between is run once.
 #[test]
 fn a_broken_executor_link_is_resumed_without_repeating_runs() {
     let backend = start_backend();
@@ -27,16 +27,15 @@
     {
         let mut executor = backend.executor();
         let link = executor.link.take().unwrap();
-        // The run ends while no link is there to report it.
-        executor.end_run("00000000000000b2", "success", b"ended unheard");
+        // The run ends while the executor has no link.
+        executor.end_run("00000000000000b2", "success", b"ended without link");
         link.shutdown(Shutdown::Both).unwrap();
     }
     edge.send_request(3, "00000000000000b3", b"hang");
     assert!(
         edge.expect_answer(2, AnswerKind::Answer)
-            .contains(b"ended unheard")
+            .contains(b"ended without link")
     );
-    // The request that arrived in between is run once.
     wait_until("the request runs", || {
         backend.executor().runs.contains_key("00000000000000b3")
     });
@@ -48,9 +47,9 @@
     edge.expect_answer(3, AnswerKind::Crashed);
 }
 
-/// The notice of a run's end is lost for good, so the executor neither runs it nor reports it.
-/// Whether it had effects cannot be known: its request fails and is not run again, and the run
-/// behind it is answered.
+/// Guards against a run that is repeated although its effects are unknown: the notice of its end is
+/// lost, and the executor neither runs it nor reports its end. Its request fails and is not run
+/// again, and the next run is answered.
 #[test]
 fn a_run_whose_end_notice_is_missing_is_not_run_again() {
     let backend = start_backend();
@@ -66,13 +65,13 @@
             .unwrap()
             .shutdown(Shutdown::Both)
             .unwrap();
-        // The notice of the first run's end is lost.
-        executor.end_run("00000000000000e1", "success", b"forgotten");
+        // The notice of the end of the first run is lost.
+        executor.end_run("00000000000000e1", "success", b"lost");
         executor.notices.last_mut().unwrap().clear();
-        executor.end_run("00000000000000e2", "success", b"kept");
+        executor.end_run("00000000000000e2", "success", b"result");
     }
-    let (one, other) = (edge.read_answer().unwrap(), edge.read_answer().unwrap());
-    for answer in [one, other] {
+    let (first, second) = (edge.read_answer().unwrap(), edge.read_answer().unwrap());
+    for answer in [first, second] {
         let kind = if answer.sequence == 1 {
             AnswerKind::Crashed
         } else {
@@ -83,8 +82,8 @@
     assert!(backend.executor().runs.is_empty(), "run again");
 }
 
-/// The executor does not know the ids of some requests and reports them as invalid. Those requests
-/// fail. Such failures must not make the controller reject the requests of others.
+/// Guards against a controller that rejects other requests after failed ones: requests whose ids
+/// the executor reports as invalid fail, and all others are served.
 #[test]
 fn ids_unknown_to_the_executor_fail_only_their_own_requests() {
     let backend = start_backend();
@@ -99,25 +98,25 @@
     }
     for sequence in 20..30 {
         edge.send_request(sequence, &format!("0000000000adb{sequence:03x}"), b"run");
-        // After failed runs the feedback value is 0; how much below its maximum it is on a busy
-        // machine is not asserted here.
+        // The feedback value must not be 0 after failed runs. The test does not assert more,
+        // because on a busy machine it is below its maximum.
         let answer = edge.expect_answer(sequence, AnswerKind::Answer);
         assert!(
             answer.contains(b"signal") && !answer.contains(b"0.0000"),
-            "no traffic is wanted"
+            "the feedback value is 0"
         );
     }
 }
 
-/// An executor that sends what is no message, or a line that is too long, loses its link, and a new
-/// one is opened. Messages that have no meaning here, and commands that it reports as invalid,
-/// leave the link as it is.
+/// The backend closes the link after an invalid message or a line that is too long, and opens a new
+/// one. Valid messages that refer to nothing, and commands that the executor reports as invalid, do
+/// not end the link.
 #[test]
 fn an_executor_that_violates_its_protocol_is_connected_again() {
     let backend = start_backend();
     let mut edge = backend.connect();
     let long = "x".repeat(5000);
-    for (sequence, nonsense) in (1..).zip([
+    for (sequence, invalid_line) in (1..).zip([
         "HELLO 1\r\n",
         "REAP 1 2\r\n",
         "IOREQ 5 x -1\r\n",
@@ -125,12 +124,12 @@
         &long,
     ]) {
         let links = backend.executor().link_count;
-        backend.executor().send_line(nonsense.to_owned());
-        wait_until(nonsense, || backend.executor().link_count > links);
+        backend.executor().send_line(invalid_line.to_owned());
+        wait_until(invalid_line, || backend.executor().link_count > links);
         edge.send_request(sequence, &format!("{sequence:016x}"), b"run");
         edge.expect_answer(sequence, AnswerKind::Answer);
     }
-    // Messages without a meaning and a rejected command leave the link as it is.
+    // Messages that refer to nothing and a rejected command do not end the link.
     edge.send_request(9, "00000000000000f9", b"hang");
     wait_until("the request runs", || !backend.executor().runs.is_empty());
     let links = backend.executor().link_count;
@@ -141,9 +140,8 @@
     assert_eq!(backend.executor().link_count, links);
 }
 
-/// The executor's link is cut over and over and the store goes down in between, with requests on
-/// four connections. Each request gets one answer, with a result of its own, and no run is started
-/// twice.
+/// The executor's link breaks repeatedly and the store is down in between, with requests on four
+/// connections. Each request gets one answer with its own result and runs once.
 #[test]
 fn each_request_is_answered_once_while_links_are_cut() {
     const REQUESTS_PER_CONNECTION: u32 = 150;
@@ -152,8 +150,7 @@
     let mut left: Vec<Vec<u32>> = vec![(1..=REQUESTS_PER_CONNECTION).collect(); edges.len()];
     let mut sent = 0;
     while left.iter().any(|left| !left.is_empty()) {
-        // A few more requests on each connection; their answers come in any order while links
-        // break.
+        // Ten more requests on each connection; their answers arrive in any order.
         let batch = sent..REQUESTS_PER_CONNECTION.min(sent + 10);
         for (at, edge) in edges.iter_mut().enumerate() {
             for sequence in batch.clone() {
@@ -175,18 +172,18 @@
             .store(sent % 40 == 0, Ordering::Release);
         for (at, edge) in edges.iter_mut().enumerate() {
             while left[at].iter().any(|&sequence| sequence <= sent) {
-                let answer = edge.read_answer().expect("an answer for each");
+                let answer = edge.read_answer().expect("an answer to each request");
                 let index = left[at]
                     .iter()
                     .position(|&sequence| sequence == answer.sequence);
-                left[at].swap_remove(index.expect("once each"));
-                let own = format!("page \0 {at:08x}{:08x}", answer.sequence);
-                let is_own_result = [own.as_bytes(), b"richer", b"poorer"]
+                left[at].swap_remove(index.expect("one answer to each request"));
+                let own_result = format!("page \0 {at:08x}{:08x}", answer.sequence);
+                let is_own_result = [own_result.as_bytes(), b"richer", b"poorer"]
                     .iter()
                     .any(|result| answer.contains(result));
                 assert!(
                     answer.kind != AnswerKind::Answer || is_own_result,
-                    "a result of its own"
+                    "the request's own result"
                 );
             }
         }
@@ -196,10 +193,10 @@
     assert!(executor.ends.values().all(|&ends| ends == 1), "run again");
 }
 
-/// A link broke just as a run started, and the run ended while the next link was being
-/// resynchronised: behind the notices that were read there, and before anything sent over it
-/// arrived. The backend sent the start again, and the run happened twice. A start that may have
-/// arrived is now repeated only for idempotent requests; any other counts as lost.
+/// Guards against a run that happens twice: the link breaks when the run starts, and the run ends
+/// during the resynchronisation of the next link, after the missed notices were sent and before a
+/// command arrives over it. A start that may have arrived is repeated only for idempotent requests;
+/// any other request counts as lost.
 #[test]
 fn a_run_that_ends_during_link_resynchronisation_is_not_run_again() {
     for effect in [
@@ -219,10 +216,10 @@
             "{:?}",
             first.kind
         );
-        // Once this request has run, the backend has read all that the executor sent before.
+        // Once this request is answered, the backend has read all earlier messages of the executor.
         edge.send_request(2, "0000000000ef0002", b"run");
         edge.expect_answer(2, AnswerKind::Answer);
-        // A duplicate is not run either.
+        // A duplicate of the keyed request is not run either.
         let mut again = request_fields("0000000000ef0003", "20.0");
         again.push(("opkey", "ef".to_owned()));
         if effect.contains("token") {
@@ -238,9 +235,9 @@
     }
 }
 
-/// A result and the end of the executor's link are both in the receive buffer when the backend
-/// reads, by turns with the shutdown notice. The result is read before the end, or sent again over
-/// the next link and taken once.
+/// Guards against a result that is lost or handled twice: it is in the receive buffer together with
+/// the end of the executor's link, and in the last turn with a shutdown notice. The backend reads
+/// the result before the end, or receives it again over the next link and handles it once.
 #[test]
 fn a_result_received_before_the_link_ends_is_answered_once() {
     let mut backend = start_backend();
@@ -275,7 +272,11 @@
         );
         assert!(answer.contains(b"its own"));
     }
-    assert_eq!(answers_until_close(&mut edge), HashMap::new(), "once each");
+    assert_eq!(
+        answers_until_close(&mut edge),
+        HashMap::new(),
+        "one answer each"
+    );
     assert!(
         backend.executor().ends.values().all(|&ends| ends == 1),
         "run again"
@@ -283,12 +284,14 @@
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// Guards against requests that are answered too late because the timers of the controller wait for
-/// the gauges of an executor that hangs: each tick does, for up to 60 ms in place of 25.
+/// Guards against requests that are answered too late because each tick of the controller waits for
+/// the gauges of an executor that hangs, so that ticks follow each other after up to 60 ms in place
+/// of 25 ms.
 #[test]
 fn requests_are_answered_in_time_while_the_executor_does_not_reply() {
     const DEADLINE: Duration = Duration::from_millis(400);
-    /// `grace_to_answer` of the configuration, and what PROTOCOL.md adds to each time limit.
+    /// `grace_to_answer` of the configuration, and the 50 ms that PROTOCOL.md adds to each time
+    /// limit.
     const SLACK: Duration = Duration::from_millis(60 + 50);
     let backend = start_backend_with_changes(&[
         ("\"objective\":10000.0", "\"objective\":300.0"),
@@ -297,7 +300,7 @@
     backend.executor().should_ignore_queries = true;
     let delays = Delays::default();
     for round in 0..20u32 {
-        // At different moments between two ticks.
+        // The requests arrive at different times between two ticks.
         std::thread::sleep(Duration::from_millis(u64::from(round * 7 % 60)));
         let mut edge = backend.connect();
         let sent_at = Instant::now();
@@ -307,11 +310,11 @@
                 edge.send_request(sequence, &id, b"hang");
             }
             for _ in 1..=4 {
-                edge.read_answer().expect("an answer for each");
+                edge.read_answer().expect("an answer to each request");
             }
             sent_at.elapsed()
         });
-        let own_delay = delays.longest(sent_at, sent_at + took);
-        assert!(took <= DEADLINE + SLACK + own_delay, "{took:?}");
+        let test_delay = delays.longest(sent_at, sent_at + took);
+        assert!(took <= DEADLINE + SLACK + test_delay, "{took:?}");
     }
 }
--- a/crates/server/tests/program/graceful_shutdown.rs
+++ b/crates/server/tests/program/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! The drain after a shutdown notice: when it takes effect, and what becomes of requests that are
-//! open or still arrive.
+//! The drain after a shutdown notice: when it takes effect, and how requests that are open or
+//! arrive later are answered.
 
 use std::collections::HashMap;
 use std::io::Write;
@@ -12,9 +12,9 @@
 use crate::harness::store::start_store;
 use crate::harness::{EDGE_PORT, unique_address, wait_until};
 
-/// A shutdown notice that came before the executor was connected was forgotten: requests that
-/// arrived behind the drain grace were run. The registry now keeps the notice and passes it to the
-/// controller right after the start.
+/// Guards against a shutdown notice that is lost when it arrives before the executor is connected,
+/// so that requests that arrive after the drain grace run. The request registry keeps the notice
+/// and passes it to the controller right after the controller starts.
 #[test]
 fn a_shutdown_notice_before_the_executor_is_up_takes_effect_once_it_is() {
     let host = unique_address();
@@ -29,29 +29,29 @@
         edge.expect_answer(1, AnswerKind::Answer)
             .bytes
             .ends_with(b"\x02\0\x03\0\0\0"),
-        "well before its executor is up"
+        "healthy before its executor is up"
     );
     backend.signal("TERM");
     let host = backend.host.clone();
     serve_executor(backend.executor.clone(), &host);
     wait_until("the link is up", || backend.executor().link_count == 1);
     edge.expect_answer(0, AnswerKind::NoMore);
-    // The request crosses the drain notification, and arrives behind the grace by more than the
-    // resolution of its timestamp.
+    // The request crosses the drain notification, and arrives after the drain grace by more than
+    // the resolution of its timestamp.
     std::thread::sleep(std::time::Duration::from_millis(5));
     edge.send_request(2, "00000000000ee002", b"run");
-    // On a slow machine the connection may be closed by then.
+    // On a slow machine the connection may be closed already.
     assert!(
         edge.read_answer()
             .is_none_or(|answer| answer.kind == AnswerKind::Rejected)
     );
-    assert!(backend.executor().ends.is_empty(), "run behind the grace");
+    assert!(backend.executor().ends.is_empty(), "run after the grace");
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// One thread read the configuration file and handled the signals. A file that yields nothing, here
-/// a pipe without a writer's data, kept it from seeing the shutdown notice for ever. The file is
-/// now read on a thread of its own.
+/// Guards against a shutdown notice that is never handled because the signal thread reads the
+/// configuration file and that read blocks, here on a pipe without data. The file is read on a
+/// separate thread.
 #[test]
 fn a_shutdown_notice_takes_effect_while_the_configuration_is_being_read() {
     let mut backend = start_backend();
@@ -59,8 +59,8 @@
     let path = std::ffi::CString::new(backend.config_file.as_os_str().as_bytes()).unwrap();
     assert_eq!(unsafe { libc::mkfifo(path.as_ptr(), 0o600) }, 0);
     backend.signal("HUP");
-    // Opening for writing returns once the program has opened the pipe for reading; from then on it
-    // waits for data that never comes.
+    // Opening for writing returns once the program has opened the pipe for reading; the program
+    // then waits for data that never arrives.
     let writer = std::fs::OpenOptions::new()
         .write(true)
         .open(&backend.config_file)
@@ -72,9 +72,9 @@
     drop(writer);
 }
 
-/// At shutdown all answers to a slow reader are still in its output buffer and in the sockets, and
-/// half a request is unread behind them. The connection counts as open until its output buffer is
-/// empty, so each answer arrives exactly once.
+/// Guards against answers that are lost at shutdown because they are still in the output buffer of
+/// the connection and in the sockets, with half a request unread. The connection counts as open
+/// until its output buffer is empty, so each answer arrives exactly once.
 #[test]
 fn a_slow_reader_gets_all_its_answers_at_shutdown() {
     let mut backend = start_backend();
@@ -100,8 +100,8 @@
 }
 
 /// A caller sends a request before it has read the drain notification. The request must be
-/// answered, because it was sent on an open connection, and behind the drain grace it must not be
-/// run.
+/// answered, because it was sent on an open connection, and must not run, because it arrived after
+/// the drain grace.
 #[test]
 fn a_request_that_crosses_the_drain_notification_is_answered_and_not_run() {
     let mut backend = start_backend();
@@ -116,14 +116,14 @@
     backend.signal("TERM");
     for (at, edge) in (0x10u32..).zip(&mut edges) {
         while edge.read_answer().expect("a drain notification").kind != AnswerKind::NoMore {}
-        // Behind the grace by more than the resolution of the request's timestamp.
+        // After the drain grace by more than the resolution of the request's timestamp.
         std::thread::sleep(std::time::Duration::from_millis(5));
         let message = edge.encode_request(
             2,
             &request_fields(&format!("0000000000f8{at:04x}"), "20.0"),
             b"run",
         );
-        // The request is written at once, or its last byte on its own.
+        // The request is sent in one write, or its last byte in a second one.
         let cut = if at % 2 == 0 {
             message.len()
         } else {
@@ -147,7 +147,7 @@
     let ends = backend.executor().ends.clone();
     assert!(
         ends.keys().all(|id| !id.starts_with("0000000000f8001")),
-        "run behind the grace: {ends:?}"
+        "run after the grace: {ends:?}"
     );
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
--- a/crates/server/tests/program/harness/backend.rs
+++ b/crates/server/tests/program/harness/backend.rs
@@ -235,8 +235,8 @@
         self.wait_until_healthy(|answer| answer.contains(b"signal"));
     }
 
-    /// Waits for a health check that succeeds and whose answer is expected. A connection alone is not
-    /// enough, because requests are rejected until the executor is up.
+    /// Waits for a health check that succeeds and whose answer is expected. A connection alone is
+    /// not enough, because requests are rejected until the executor is up.
     pub(crate) fn wait_until_healthy(&self, is_expected: impl Fn(&ReceivedAnswer) -> bool) {
         wait_until("the backend serves", || {
             let Ok(stream) = TcpStream::connect((&self.host[..], EDGE_PORT)) else {
--- a/crates/server/tests/program/harness/edge_node.rs
+++ b/crates/server/tests/program/harness/edge_node.rs
@@ -184,8 +184,8 @@
         })
     }
 
-    /// Waits until the connection is closed, and ignores the bytes that arrive before. Returns false
-    /// if the connection ends with an error other than a reset.
+    /// Waits until the connection is closed, and ignores the bytes that arrive before. Returns
+    /// false if the connection ends with an error other than a reset.
     pub(crate) fn wait_until_closed(&mut self) -> bool {
         match self.stream.read_to_end(&mut Vec::new()) {
             Ok(_) => true,
--- a/crates/server/tests/program/harness/executor.rs
+++ b/crates/server/tests/program/harness/executor.rs
@@ -29,7 +29,8 @@
     /// The stub closes the link when the next reply to a call arrives, and drops the reply.
     pub(crate) should_lose_link_at_reply: bool,
     /// The stub closes the link when the next run starts. The run ends right after the first reply
-    /// to a query of the gauges on the next link, and its notice is sent only with the next command.
+    /// to a query of the gauges on the next link, and its notice is sent only when the next command
+    /// arrives.
     pub(crate) should_cut_link_at_start: bool,
     /// The stub does not reply to queries of the gauges.
     pub(crate) should_ignore_queries: bool,
--- a/crates/server/tests/program/idempotency.rs
+++ b/crates/server/tests/program/idempotency.rs
@@ -6,13 +6,13 @@
 use crate::harness::edge_node::{AnswerKind, request_fields, request_fields_with};
 use crate::harness::wait_until;
 
-/// Duplicates of a keyed request arrive inside, at the edge of and past a retention window of 1.5
-/// s. The window counts by arrival at the machine, not by when the request is read. Inside it the
-/// first result is given again; past it the request is run.
+/// Duplicates of a keyed request arrive within, at the end of and after a retention window of 1.5
+/// s. The window applies to the arrival at the machine, not to the time at which the request is
+/// read. A duplicate within it gets the first result; one after it is run.
 #[test]
 fn a_keyed_duplicate_is_recognised_by_its_arrival_within_the_window() {
     const WINDOW_MS: u64 = 1500;
-    // The window is kept in steps of this length, so it may end that much late.
+    // The backend counts the window in steps of this length, so it may end up to one step late.
     const STEP_MS: u64 = 250;
     let backend = start_backend_with_changes(&[(
         r#""effect":"pure""#,
@@ -58,7 +58,7 @@
                 let was_known = answer.contains(first_id.as_bytes());
                 assert!(
                     was_known || answer.contains(second_id.as_bytes()),
-                    "a result of its own or of the first"
+                    "the result of the first request or its own"
                 );
                 assert_eq!(backend.was_run(&second_id), !was_known, "offset {offset}");
                 if let Some(known) = known {
@@ -76,10 +76,10 @@
     now.as_millis() as u64
 }
 
-/// A rejection tells the caller that its request was not run. When there is no memory for another
-/// request, a new one is rejected with a Retry-After; a duplicate of a request that was run was
-/// rejected too, and its caller could send it elsewhere, where it ran a second time. The duplicate
-/// now fails.
+/// Guards against a duplicate effect: if there is no memory for another request, a new request is
+/// rejected with a Retry-After, and a rejection means that the request was not run. If a duplicate
+/// of a request that was run were rejected too, its caller could retry on another server, where it
+/// would run again. The duplicate fails instead.
 #[test]
 fn a_duplicate_of_a_run_is_not_rejected_for_memory() {
     let backend = start_backend_with_changes(&[
@@ -107,9 +107,9 @@
     );
     edge.send_request_with_fields(3, &fields_with_key("0000000000e10003", "first"), b"runs");
     edge.expect_answer(3, AnswerKind::Exception);
-    // As many requests as there is memory for.
-    let most = (0.45 * 1024.0 / 24.0) as u32;
-    for at in 0..most {
+    // The maximum number of requests for which there is memory.
+    let max_requests = (0.45 * 1024.0 / 24.0) as u32;
+    for at in 0..max_requests {
         edge.send_request_with_fields(
             10 + at,
             &fields_with_key(&format!("0000000000e2{at:04x}"), &format!("k{at}")),
@@ -117,17 +117,18 @@
         );
     }
     wait_until("there is no memory for another request", || {
-        let mut probing = backend.connect();
+        let mut prober = backend.connect();
         let id = format!(
             "{:016x}",
             0xe300_0000u32 + backend.executor().notices.len() as u32
         );
-        probing.send_request_with_fields(1, &fields_with_key(&id, &id), b"run");
-        probing.read_answer().is_some_and(|answer| {
+        prober.send_request_with_fields(1, &fields_with_key(&id, &id), b"run");
+        prober.read_answer().is_some_and(|answer| {
             answer.kind == AnswerKind::Rejected && answer.contains(b"holdoff")
         })
     });
-    // This connection is opened late, because it would be closed as silent on a slow machine.
+    // This connection is opened late, because the backend would close a silent one on a slow
+    // machine.
     let mut other = backend.connect();
     other.send_request_with_fields(1, &fields_with_key("0000000000e10004", "first"), b"run");
     other.expect_answer(1, AnswerKind::Crashed);
--- a/crates/server/tests/program/lease_pauses.rs
+++ b/crates/server/tests/program/lease_pauses.rs
@@ -1,11 +1,11 @@
-//! An owner of a lease that is paused at a chosen step of an operation, for half of its TTL to
-//! three times its TTL. Whatever the step, no operation of a member that runs overlaps another one.
+//! Lease owners that are paused at one step of an operation, for half of the TTL to three times the
+//! TTL. At every step, no operation of a running member may overlap an operation of another one.
 
 use tulipgap_fault_injection::OperationStep;
 
 use crate::harness::lease_runs::run_until_operations_resume;
 
-/// The pauses, as member, begin and end in seconds. The TTL is 2 s.
+/// The pauses: member, begin and end in seconds. The TTL is 2 s.
 const PAUSES: [(&str, f64, f64); 5] = [
     ("a-1", 3.0, 4.0),
     ("b-1", 5.0, 7.0),
@@ -14,7 +14,7 @@
     ("c-1", 17.0, 23.0),
 ];
 
-/// Each member in turn is paused once it reaches the step. One that owns no lease is not.
+/// Pauses each member in turn once it reaches the step. A member that owns no lease is not paused.
 fn pause_members_at(step: OperationStep) {
     let block = |(member, at, back): (&str, f64, f64)| {
         let step = step.keyword();
@@ -28,26 +28,26 @@
 }
 
 #[test]
-fn an_owner_paused_before_it_checks_its_lease_overlaps_nobody() {
+fn an_owner_paused_before_it_checks_its_lease_overlaps_no_other_owner() {
     pause_members_at(OperationStep::BeforeCheck);
 }
 
 #[test]
-fn an_owner_paused_between_check_and_operation_is_turned_away() {
+fn an_owner_paused_between_check_and_operation_is_rejected() {
     pause_members_at(OperationStep::Checked);
 }
 
 #[test]
-fn an_owner_paused_while_its_begin_is_in_transit_is_turned_away() {
+fn an_owner_paused_while_its_begin_is_in_transit_is_rejected() {
     pause_members_at(OperationStep::BeginSent);
 }
 
 #[test]
-fn an_owner_paused_in_the_middle_of_an_operation_is_turned_away() {
+fn an_owner_paused_in_the_middle_of_an_operation_is_rejected() {
     pause_members_at(OperationStep::UnderWay);
 }
 
 #[test]
-fn an_owner_paused_before_it_reports_the_end_is_turned_away() {
+fn an_owner_paused_before_it_reports_the_end_is_rejected() {
     pause_members_at(OperationStep::BeforeEnd);
 }
--- a/crates/server/tests/program/leases.rs
+++ b/crates/server/tests/program/leases.rs
@@ -1,6 +1,6 @@
-//! Leases between real processes. Every link goes through a proxy; faults are injected into links,
-//! processes, clocks and disks; a history checker sees each operation under a lease. Safety is
-//! checked all the time, and the tests wait for progress.
+//! Leases between real processes. Every link passes through a proxy; faults are injected into
+//! links, processes, clocks and disks; a history checker receives each operation under a lease. The
+//! runs check safety at every step, and the tests wait for progress.
 
 use std::cell::{Cell, RefCell};
 use std::io::{BufRead, BufReader, Write};
@@ -19,34 +19,35 @@
 use crate::harness::store::{StoreStub, start_store};
 use crate::harness::{unique_address, wait_until};
 
-/// Each member in turn is paused for longer than its lease while an operation under it is under
-/// way. The lease goes on to another member. The paused one must not take effect when it wakes,
-/// because its fencing token is older than the newest that was seen. A pause outlasts the 8 s in
-/// which a lease has an owner again (docs/design-leases.md); no two voters are paused at a time.
+/// Guards against an operation that takes effect after its lease was granted to another member:
+/// each member in turn is paused for longer than the TTL during an operation. When it resumes, its
+/// operation is rejected, because its fencing token is older than the newest one. A pause is longer
+/// than the 8 s within which a lease has an owner again (docs/design-leases.md), and no two voters
+/// are paused at the same time.
 #[test]
-fn a_holder_stopped_in_mid_act_is_shut_out_when_it_wakes() {
+fn an_owner_paused_during_an_operation_is_rejected_after_it_resumes() {
     const PAUSE_SECONDS: u32 = 9;
-    let stop = |of: &str, at: u32| {
+    let pause = |of: &str, at: u32| {
         let back = at + PAUSE_SECONDS;
         format!("stop {{\n at = {at}\n of = \"{of}\"\n back = {back}\n}}\n")
     };
     let all: String = ["a-1", "a-2", "b-1", "b-2", "c-1"]
         .iter()
         .zip([4, 9, 14, 19, 24])
-        .map(|(of, at)| stop(of, at))
+        .map(|(of, at)| pause(of, at))
         .collect();
     let outcome = run_until_operations_resume("stopped", &all);
     assert!(
         outcome.tokens["one"] >= 2,
-        "the lease went on to others: {:?}",
+        "the lease was granted to another member: {:?}",
         outcome.tokens
     );
 }
 
-/// Lease holders and the leader of the voters are partitioned, in one direction and both, and one
-/// member is killed, all over lossy links. Leases must go on to members that can be reached.
+/// Lease holders and the leader of the voters are partitioned, in one direction or in both, and one
+/// member is killed, with lossy links. Leases must be granted to reachable members.
 #[test]
-fn a_holder_and_a_leader_cut_off_and_killed() {
+fn leases_move_to_reachable_members_after_partitions_and_a_crash() {
     let cut = |of: &str, at: u32, one_way: bool| {
         let to = at + 5;
         format!(
@@ -61,9 +62,9 @@
     );
 }
 
-/// All voters are killed at once, then two of three. What was granted is on their disks: after the
-/// restarts leases are held again, and the history checker finds no two holders and no token older
-/// than one it has seen.
+/// All voters are killed at the same time, then two of three. The grants are on their disks: after
+/// the restarts leases are held again, and the history checker finds no two holders and no token
+/// older than a previous one.
 #[test]
 fn leases_survive_killed_voters_and_a_lost_quorum() {
     let kill = |of: &str, at: u32, back: u32| {
@@ -74,7 +75,7 @@
 }
 
 /// Clocks run 5% fast and slow, a disk is full, a sync fails, and a voter loses its directory and
-/// is replaced. No two members may hold a lease of capacity one meanwhile, and operations go on
+/// is replaced. No two members may hold a lease of capacity one at any time, and operations resume
 /// after the last fault.
 #[test]
 fn leases_survive_disk_faults_clock_drift_and_a_lost_directory() {
@@ -129,8 +130,8 @@
     run_until_operations_resume("disks and clocks", text);
 }
 
-/// Sends one command to a control socket and returns the answer.
-fn ask_control_socket(socket: &Path, request: &str) -> Value {
+/// Sends one command to a control socket and returns the response.
+fn send_control_command(socket: &Path, request: &str) -> Value {
     let mut stream = UnixStream::connect(socket).unwrap();
     stream.write_all(format!("{request}\n").as_bytes()).unwrap();
     let mut line = String::new();
@@ -138,37 +139,37 @@
     serde_json::from_str(&line).unwrap()
 }
 
-/// Revokes a lease with a stale token, which is rejected, and then transfers it. Returns the new
-/// owner and the token before, or nothing while no voter leads.
-fn move_lease(socket: &Path, held: &Value) -> Option<(&'static str, Value)> {
+/// Sends a revocation with a stale token, which is rejected, and then transfers the lease. Returns
+/// the new owner and the previous token, or `None` while the voters have no leader.
+fn transfer_lease(socket: &Path, held: &Value) -> Option<(&'static str, Value)> {
     let stale = r#"{"do":"revoke","lease":"one","token":999}"#;
-    let refused = ask_control_socket(socket, stale);
-    let why = refused["error"].as_str().unwrap();
-    // While no voter leads, the command is repeated later.
-    if why.contains("no voter") {
+    let rejected = send_control_command(socket, stale);
+    let error = rejected["error"].as_str().unwrap();
+    // While the voters have no leader, the caller tries again later.
+    if error.contains("no voter") {
         return None;
     }
-    assert!(why.contains("nobody holds it"), "{refused}");
-    assert!(ask_control_socket(socket, r#"{"do":"hop"}"#)["error"].is_string());
+    assert!(error.contains("nobody holds it"), "{rejected}");
+    assert!(send_control_command(socket, r#"{"do":"hop"}"#)["error"].is_string());
     let to = if held["by"] == "b-2" { "c-1" } else { "b-2" };
     let token = &held["token"];
-    // The transfer is seen by the new owner: an answer may be lost, and the command is then sent
-    // twice.
-    ask_control_socket(
+    // The caller checks for the new owner instead of the response: a response may be lost, and the
+    // command is then sent twice.
+    send_control_command(
         socket,
         &format!(r#"{{"do":"transfer","lease":"one","token":{token},"to":"{to}"}}"#),
     );
     Some((to, token.clone()))
 }
 
-/// Operators list leases and members, transfer a lease, take and release one, and drain members of
-/// a zone one at a time. A command with a stale token is refused and changes nothing.
+/// Operators list leases and members, transfer a lease, acquire and release one, and drain members
+/// of a zone one at a time. A command with a stale token is rejected and changes nothing.
 #[test]
 fn operators_list_transfer_and_release_leases() {
     let (plan, folder) = (plan(""), tempfile::tempdir().unwrap());
     let at = |member: &str| folder.path().join(member).join("control");
     let has_drain_lease = |member: &str| {
-        let own = ask_control_socket(&at(member), r#"{"do":"own"}"#);
+        let own = send_control_command(&at(member), r#"{"do":"own"}"#);
         let rows = own["wanted"].as_array().unwrap();
         rows.iter()
             .any(|row| row["lease"].as_str().unwrap().starts_with("drain/") && row["held"] == true)
@@ -180,11 +181,11 @@
         if out.operations < 5 {
             return false;
         }
-        let listing = ask_control_socket(&socket, r#"{"do":"leases","lease":"one"}"#);
+        let listing = send_control_command(&socket, r#"{"do":"leases","lease":"one"}"#);
         let held = listing["leases"][0]["held"][0].clone();
         match step.get() {
             0 if held["token"].is_u64() => {
-                let Some((to, token)) = move_lease(&socket, &held) else {
+                let Some((to, token)) = transfer_lease(&socket, &held) else {
                     return false;
                 };
                 *before.borrow_mut() = serde_json::json!([to, token]);
@@ -195,7 +196,7 @@
                     held["token"].as_u64() > before.borrow()[1].as_u64(),
                     "tokens only grow"
                 );
-                let taken = ask_control_socket(
+                let taken = send_control_command(
                     &socket,
                     r#"{"do":"take","lease":"mine","term_ms":2000,"places":1}"#,
                 );
@@ -203,7 +204,7 @@
                 step.set(2);
             }
             2 => {
-                let own = ask_control_socket(&socket, r#"{"do":"own"}"#);
+                let own = send_control_command(&socket, r#"{"do":"own"}"#);
                 let mine = own["wanted"]
                     .as_array()
                     .unwrap()
@@ -211,32 +212,32 @@
                     .find(|row| row["lease"] == "mine")
                     .cloned();
                 if mine.is_some_and(|mine| mine["held"] == true) {
-                    ask_control_socket(&socket, r#"{"do":"release","lease":"mine"}"#);
+                    send_control_command(&socket, r#"{"do":"release","lease":"mine"}"#);
                     step.set(3);
                 }
             }
             3 => {
-                let listing = ask_control_socket(&socket, r#"{"do":"leases","lease":"mine"}"#);
+                let listing = send_control_command(&socket, r#"{"do":"leases","lease":"mine"}"#);
                 if listing["leases"].as_array().is_some_and(Vec::is_empty) {
-                    let members = ask_control_socket(&socket, r#"{"do":"members"}"#);
+                    let members = send_control_command(&socket, r#"{"do":"members"}"#);
                     assert_eq!(members["members"].as_array().unwrap().len(), 5, "{members}");
                     assert_eq!(
-                        ask_control_socket(&socket, r#"{"do":"drain"}"#)["lease"],
+                        send_control_command(&socket, r#"{"do":"drain"}"#)["lease"],
                         "drain/a"
                     );
                     step.set(4);
                 }
             }
             // One member of a zone drains at a time, members of other zones do not wait for it, and
-            // the member that waits is next.
+            // the waiting member of the zone is next.
             4 if has_drain_lease("a-1") => {
-                ask_control_socket(&at("a-2"), r#"{"do":"drain"}"#);
-                ask_control_socket(&at("c-1"), r#"{"do":"drain"}"#);
+                send_control_command(&at("a-2"), r#"{"do":"drain"}"#);
+                send_control_command(&at("c-1"), r#"{"do":"drain"}"#);
                 step.set(5);
             }
             5 if has_drain_lease("c-1") => {
                 assert!(has_drain_lease("a-1") && !has_drain_lease("a-2"));
-                ask_control_socket(&socket, r#"{"do":"release","lease":"drain/a"}"#);
+                send_control_command(&socket, r#"{"do":"release","lease":"drain/a"}"#);
                 step.set(6);
             }
             6 if has_drain_lease("a-2") => step.set(7),
@@ -249,7 +250,7 @@
 }
 
 /// Sends frames of another cluster and random bytes to the peer port.
-fn send_garbage(host: &str) {
+fn send_invalid_frames(host: &str) {
     let (udp, peer) = (UdpSocket::bind((host, 0)).unwrap(), format!("{host}:7100"));
     let mut rng = fastrand::Rng::with_seed(7);
     let other_cluster =
@@ -276,9 +277,9 @@
     }
 }
 
-/// Random bytes, frames of another cluster and a stream that stops in the middle arrive at the peer
-/// port. The member goes on. A voter without a directory, and a key that is too short, are refused
-/// at the start.
+/// Random bytes, frames of another cluster and truncated streams arrive at the peer port, and the
+/// member keeps running. At the start the program rejects a voter without a directory, a key that
+/// is too short, and a limit of descriptors that is too low for a cluster.
 #[test]
 fn malformed_frames_at_the_peer_port_are_ignored() {
     let host = unique_address();
@@ -306,30 +307,30 @@
             .spawn()
             .unwrap()
     };
-    let refusal = |text: &str| {
+    let startup_error = |text: &str| {
         let ended = start(text).wait_with_output().unwrap();
         assert_eq!(ended.status.code(), Some(2));
         String::from_utf8(ended.stderr).unwrap()
     };
     std::fs::write(at("key"), b"short").unwrap();
-    assert!(refusal(&settings("")).contains("a key takes 16 bytes or more"));
+    assert!(startup_error(&settings("")).contains("a key takes 16 bytes or more"));
     std::fs::write(at("key"), b"long enough to keep anybody out").unwrap();
-    assert!(refusal(&settings(" voters = [\"n3\"]\n")).contains("a voter needs one"));
+    assert!(startup_error(&settings(" voters = [\"n3\"]\n")).contains("a voter needs one"));
 
     std::fs::write(
         &file,
         config_json(&host).replace("\"sockets\":1024", "\"sockets\":64"),
     )
     .unwrap();
-    assert!(refusal(&settings("")).contains("too few to be one of a cluster"));
+    assert!(startup_error(&settings("")).contains("too few to be one of a cluster"));
     std::fs::write(&file, config_json(&host)).unwrap();
 
     let mut child = start(&settings(""));
     wait_until("the backend listens", || {
         UnixStream::connect(at("control")).is_ok()
     });
-    send_garbage(&host);
-    let members = ask_control_socket(&at("control"), r#"{"do":"members"}"#);
+    send_invalid_frames(&host);
+    let members = send_control_command(&at("control"), r#"{"do":"members"}"#);
     assert_eq!(
         members["members"].as_array().map(Vec::len),
         Some(1),
@@ -340,16 +341,16 @@
         .status();
     assert!(kill.unwrap().success());
     assert_eq!(child.wait().unwrap().code(), Some(0));
-    assert!(!at("control").exists(), "the socket is gone with it");
+    assert!(!at("control").exists(), "the control socket is removed");
     let _ = std::fs::remove_file(&file);
 }
 
 /// Three backends of a zone have a store that refuses connections. One of them probes it and
-/// publishes a verdict that all follow, and requests are answered throughout. When the store is
-/// back, the verdict is withdrawn and all make their calls again.
+/// publishes a verdict that all of them follow, and requests are answered throughout. When the
+/// store listens again, the verdict is withdrawn and all backends make their calls.
 #[test]
 fn one_member_of_a_zone_probes_a_store_that_is_down() {
-    let (hosts, away) = (
+    let (hosts, store_host) = (
         [unique_address(), unique_address(), unique_address()],
         unique_address(),
     );
@@ -375,16 +376,16 @@
         BackendSetup::with_peers(host.clone(), executor, StoreStub::default())
             .change(
                 &format!("\"store\":\"{host}:7700\""),
-                &format!("\"store\":\"{away}:7700\""),
+                &format!("\"store\":\"{store_host}:7700\""),
             )
             .settings(Some(&settings_file))
             .start()
     };
     let backends = [start(0), start(1), start(2)];
     let control = |at: usize| folder.path().join(format!("m{at}.control"));
-    // The members that publish a verdict, as this member sees them.
+    // The members that publish a verdict, in the view of this member.
     let verdicts = |at: usize| -> Vec<String> {
-        let members = ask_control_socket(&control(at), r#"{"do":"members"}"#);
+        let members = send_control_command(&control(at), r#"{"do":"members"}"#);
         let rows = members["members"].as_array().unwrap().iter();
         rows.filter(|row| row["facts"]["store"].is_string())
             .map(|row| row["name"].to_string())
@@ -399,10 +400,13 @@
             .contains(b"richer")
     };
     wait_until("all members have the verdict of one", || {
-        assert!(!backends.iter().any(&calls), "nobody answers at the store");
+        assert!(
+            !backends.iter().any(&calls),
+            "a call succeeded while the store is down"
+        );
         (0..3).all(|at| verdicts(at).len() == 1) && (1..3).all(|at| verdicts(at) == verdicts(0))
     });
-    let _store = start_store(&away);
+    let _store = start_store(&store_host);
     wait_until("the verdict is withdrawn", || {
         (0..3).all(|at| verdicts(at).is_empty())
     });
--- a/crates/server/tests/program/listener_close.rs
+++ b/crates/server/tests/program/listener_close.rs
@@ -1,4 +1,4 @@
-//! Connections that are made while the listener closes, as the drain begins or the grace ends.
+//! Connections that are made while the listener closes: when the drain begins or the grace ends.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,10 +11,10 @@
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, request_fields};
 use crate::harness::{LONG_TIMEOUT, wait_until};
 
-/// The process was paused while the system accepted connections into the listen backlog, each with
-/// a complete request on it, and the drain grace ended in that pause. The program saw no open
-/// connection, exited, and lost all of them. It now exits only after the listener is closed behind
-/// everything that was accepted.
+/// Guards against requests that are lost in the listen backlog: the process is paused while the
+/// system accepts connections into the backlog, each with a complete request, and the drain grace
+/// ends in that pause. A program that sees no open connection then exits and loses them. It must
+/// exit only after it has accepted the whole backlog and closed the listener.
 #[test]
 fn requests_in_the_backlog_when_the_grace_ends_are_answered() {
     for round in 0..5u32 {
@@ -31,7 +31,7 @@
         for (at, edge) in (0..).zip(&mut edges) {
             edge.send_request(1, &format!("00000000bac{round:01x}{at:04x}"), b"run");
         }
-        // The grace is over when the process continues: the test depends on this order, and not on
+        // The grace is over when the process resumes: the test depends on this order and not on
         // timing.
         std::thread::sleep(std::time::Duration::from_millis(1100));
         backend.signal("CONT");
@@ -49,10 +49,10 @@
     }
 }
 
-/// Callers connect as fast as they can, and the process is paused over the end of its grace with a
-/// long backlog behind it. Connections in the backlog used to be cut off together with the
-/// listener. The listener now closes only when all of the backlog is accepted, so every caller has
-/// an answer.
+/// Guards against connections that are reset in the backlog when the listener closes: callers
+/// connect as fast as they can, and the process is paused over the end of its grace with a long
+/// backlog. The listener closes only once the whole backlog is accepted, so every caller gets an
+/// answer.
 #[test]
 fn a_connection_before_the_listener_closes_is_answered() {
     for round in 0..4 {
@@ -101,10 +101,10 @@
             });
             backend.signal("TERM");
             backend.signal("STOP");
-            // Each caller stops after the request that it waits for.
+            // Each caller stops after its open request.
             is_over.store(true, Ordering::Release);
-            for waiting in 0..100 {
-                scope.spawn(move || send_one_request(&format!("0000d{round:01x}00{waiting:08x}")));
+            for request in 0..100 {
+                scope.spawn(move || send_one_request(&format!("0000d{round:01x}00{request:08x}")));
             }
             std::thread::sleep(std::time::Duration::from_millis(1200));
             backend.signal("CONT");
@@ -114,18 +114,18 @@
     }
 }
 
-/// Drains backends with open requests; each connection calls `then` with the address once it has
-/// its drain notification.
+/// Drains backends with open requests; for each connection calls `after_notification` with the
+/// address once the connection has its drain notification.
 fn run_at_drain_notifications(
     id_prefix: &str,
     connections: usize,
-    then: impl Fn(SocketAddr) + Sync,
+    after_notification: impl Fn(SocketAddr) + Sync,
 ) {
     for round in 0..3u32 {
         let mut backend = start_backend();
         let address = format!("{}:6565", backend.host).parse().unwrap();
         let mut edges: Vec<EdgeConnection> = (0..connections).map(|_| backend.connect()).collect();
-        // Open requests keep the connections and the process from ending.
+        // Open requests keep the connections open and the process running.
         for (at, edge) in (0u32..).zip(&mut edges) {
             edge.send_request(1, &format!("{id_prefix}{round:02x}{at:02x}"), b"hang");
         }
@@ -135,12 +135,12 @@
         backend.signal("TERM");
         std::thread::scope(|scope| {
             for edge in &mut edges {
-                let then = &then;
+                let after_notification = &after_notification;
                 scope.spawn(move || {
                     while edge.read_answer().expect("a drain notification").kind
                         != AnswerKind::NoMore
                     {}
-                    then(address);
+                    after_notification(address);
                 });
             }
         });
@@ -149,8 +149,8 @@
     }
 }
 
-/// Whether a connect succeeds. One that fails must be refused, and sooner than the system would
-/// send a lost first packet again.
+/// Whether a connect succeeds. If it fails, it must be refused, and sooner than the system would
+/// retransmit a lost SYN.
 fn is_connect_accepted(address: SocketAddr) -> bool {
     match TcpStream::connect_timeout(&address, std::time::Duration::from_millis(800)) {
         Ok(_) => true,
@@ -158,18 +158,17 @@
             assert_eq!(
                 error.kind(),
                 ErrorKind::ConnectionRefused,
-                "neither in nor refused"
+                "neither accepted nor refused"
             );
             false
         }
     }
 }
 
-/// An edge node that was notified of the drain connects again and again while the listener closes.
-/// Each attempt must succeed or be refused. In an earlier version a packet filter kept new
-/// connections out: their first packets were dropped, and callers hung for a second until the
-/// system sent another. What a connect meets is now decided by the system alone, however slow the
-/// program is.
+/// Guards against connects that hang while the listener closes: if a packet filter drops the SYNs
+/// of new connections, callers hang for a second until the system retransmits them. Edge nodes
+/// connect repeatedly after the drain notification, and the system must accept or refuse each
+/// attempt, however slow the program is.
 #[test]
 fn a_connect_as_the_listener_closes_does_not_hang() {
     run_at_drain_notifications("0000000000ed", 6, |address| {
@@ -177,20 +176,23 @@
     });
 }
 
-/// Edge nodes reconnect at once when they are notified of the drain. When accepting was late, such
-/// connections filled the backlog, the system dropped the first packets of others, and those hung
-/// for a second. New connections are now refused before the first notification is sent, so none of
-/// these attempts is accepted.
+/// Guards against connects that hang after the drain notification: edge nodes reconnect
+/// immediately, and if the program accepts late, these connections fill the backlog and the system
+/// drops the SYNs of others for a second. The backend has new connections refused before it sends
+/// the first notification, so none of these connects is accepted.
 #[test]
 fn a_reconnect_after_the_drain_notification_is_refused_at_once() {
     run_at_drain_notifications("0000000000ef", 16, |address| {
-        assert!(!is_connect_accepted(address), "it got in")
+        assert!(
+            !is_connect_accepted(address),
+            "a connect was accepted after the drain notification"
+        )
     });
 }
 
-/// Closing a listener resets the connections that are established and not yet accepted, and their
-/// requests were lost. The backend now has the system refuse new connections first and goes on
-/// accepting for 20 ms, so that no established connection is left when the listener closes.
+/// Guards against requests that are lost because closing a listener resets the connections that are
+/// established and not yet accepted. The backend has the system refuse new connections first and
+/// accepts for another 20 ms, so that no established connection is left when the listener closes.
 #[test]
 fn no_established_connection_is_reset_as_the_listener_closes() {
     const THREADS: usize = 6;
@@ -217,8 +219,8 @@
     assert_eq!(lost.into_inner().unwrap(), Vec::<String>::new(), "reset");
 }
 
-/// Ends the backend while so many callers connect, and returns a line for each connection that was
-/// reset.
+/// Shuts the backend down while `callers` threads connect, and returns a line for each connection
+/// that was reset.
 fn resets_at_shutdown(backend: &mut TestBackend, callers: usize) -> Vec<String> {
     let address: SocketAddr = format!("{}:6565", backend.host).parse().unwrap();
     backend.signal("TERM");
@@ -235,8 +237,8 @@
     resets
 }
 
-/// Connects again and again with a health check on each connection; returns a line for each that
-/// was reset before anything came from the backend.
+/// Connects repeatedly with a health check on each connection until a connect is refused; returns a
+/// line for each connection that was reset before the backend sent a byte.
 fn connect_until_refused(address: SocketAddr) -> Vec<String> {
     let mut resets = Vec::new();
     loop {
@@ -250,7 +252,7 @@
         };
         stream.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
         let mut edge = EdgeConnection { stream };
-        // The write fails where the connection was reset before; the read reports the same.
+        // The write fails if the connection is already reset; the read then reports the same error.
         let _ = edge.stream.write_all(&edge.encode_health_check(1));
         if let Err(error) = edge.stream.read(&mut [0]) {
             resets.push(format!("read: {error}"));
--- a/crates/server/tests/program/load.rs
+++ b/crates/server/tests/program/load.rs
@@ -1,5 +1,5 @@
-//! Requests are served by five real processes while the links between them break: each is answered
-//! once and run once.
+//! Requests to five real processes while the links between the processes break: each request is
+//! answered once and run once.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -15,32 +15,32 @@
 use crate::harness::executor::{SharedExecutor, serve_executor};
 use crate::harness::{LONG_TIMEOUT, wait_until};
 
-/// The outcomes of requests, over all edge nodes.
+/// The outcomes of the requests of all edge nodes.
 #[derive(Default)]
 struct Load {
-    over: AtomicBool,
+    is_over: AtomicBool,
     sent: AtomicU64,
     answered: AtomicU64,
-    /// Requests on a connection that broke, because their process was killed.
+    /// Requests without an answer because their connection broke.
     lost: AtomicU64,
-    /// Connections that broke at a member that was never killed, and answers to unknown sequences.
+    /// Unanswered requests to a member that was not killed, and answers with a wrong sequence.
     violations: Mutex<Vec<String>>,
     /// Response times in microseconds, by member.
     response_times: Mutex<HashMap<String, Vec<u64>>>,
 }
 
-/// Runs one edge node, which sends one request after the other to one member, each to be answered
-/// once.
-fn run_edge_node(load: &Load, member: &MemberEndpoints, at: usize, killed: bool) {
+/// Runs one edge node, which sends one request after the other to one member and waits for each
+/// answer.
+fn run_edge_node(load: &Load, member: &MemberEndpoints, at: usize, is_killed: bool) {
     let mut number = 0u64;
-    while !load.over.load(Ordering::Relaxed) {
+    while !load.is_over.load(Ordering::Relaxed) {
         let Ok(stream) = TcpStream::connect(member.listen) else {
             std::thread::sleep(Duration::from_millis(20));
             continue;
         };
         stream.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
         let mut edge = EdgeConnection { stream };
-        while !load.over.load(Ordering::Relaxed) {
+        while !load.is_over.load(Ordering::Relaxed) {
             number += 1;
             let (id, sequence) = (format!("{at:04x}{number:012x}"), number as u32);
             let sent_at = Instant::now();
@@ -62,15 +62,15 @@
                         .push(response_time);
                 }
                 Some(answer) => {
-                    let what = format!(
+                    let violation = format!(
                         "{}: {:?} to {} in place of {sequence}",
                         member.name, answer.kind, answer.sequence
                     );
-                    load.violations.lock().unwrap().push(what);
+                    load.violations.lock().unwrap().push(violation);
                 }
                 None => {
                     load.lost.fetch_add(1, Ordering::Relaxed);
-                    if !killed && !load.over.load(Ordering::Relaxed) {
+                    if !is_killed && !load.is_over.load(Ordering::Relaxed) {
                         load.violations
                             .lock()
                             .unwrap()
@@ -84,7 +84,7 @@
     }
 }
 
-/// Five members of which three vote: a cut, lossy links, a crash and a stop.
+/// Five members with three voters, and the faults: a partition, lossy links, a crash and a pause.
 const PLAN: &str = r#"length = 150
         voters = ["a-1", "b-1", "c-1"]
         members {
@@ -132,9 +132,9 @@
           back = 14
         }"#;
 
-/// Five real members serve requests while links are cut and degraded, one member is killed and one
-/// is paused. Requests have effects, so none may run twice, and each is answered unless its own
-/// process was killed.
+/// Five real members serve requests while links are partitioned and degraded, one member is killed
+/// and one is paused. Requests have side effects, so none may run twice, and each is answered
+/// unless its member was killed.
 #[test]
 fn each_request_is_answered_and_run_once_while_links_break_and_processes_die() {
     let plan = Plan::parse(PLAN).unwrap_or_else(|error| panic!("{error}"));
@@ -146,10 +146,10 @@
                 SharedExecutor::default(),
                 &member.executor.ip().to_string(),
             ));
-            for lane in 0..2 {
+            for connection in 0..2 {
                 let (load, member) = (load.clone(), member.clone());
                 std::thread::spawn(move || {
-                    run_edge_node(&load, &member, at * 2 + lane, member.name == "c-1")
+                    run_edge_node(&load, &member, at * 2 + connection, member.name == "c-1")
                 });
             }
         }
@@ -162,8 +162,8 @@
         }
         let done = out.is_converged && so_far > answered_before.get() + 500;
         if done {
-            // The processes end with the run, so open requests must be answered before.
-            load.over.store(true, Ordering::Relaxed);
+            // The processes end with the run, so open requests must be answered first.
+            load.is_over.store(true, Ordering::Relaxed);
             wait_until("the last requests are answered", || {
                 let count = |count: &AtomicU64| count.load(Ordering::Relaxed);
                 count(&load.sent) == count(&load.answered) + count(&load.lost)
@@ -176,9 +176,9 @@
         .unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(outcome.violation, None);
     assert_eq!(*load.violations.lock().unwrap(), Vec::<String>::new());
-    // Each request has effects, so it must never run twice.
+    // Requests have side effects, so none may run twice.
     for executor in executors.lock().unwrap().iter() {
-        let twice: Vec<String> = executor
+        let repeated: Vec<String> = executor
             .lock()
             .unwrap()
             .ends
@@ -186,7 +186,7 @@
             .filter(|(_, ends)| **ends > 1)
             .map(|(id, _)| id.clone())
             .collect();
-        assert_eq!(twice, Vec::<String>::new(), "run twice");
+        assert_eq!(repeated, Vec::<String>::new(), "run twice");
     }
     let (sent, answered) = (
         load.sent.load(Ordering::Relaxed),
--- a/crates/server/tests/program/malformed_messages.rs
+++ b/crates/server/tests/program/malformed_messages.rs
@@ -1,4 +1,4 @@
-//! Malformed messages and messages that violate the protocol of edge nodes.
+//! Malformed messages, and messages that violate the protocol of edge nodes.
 
 use std::io::Write;
 use std::net::Shutdown;
@@ -7,7 +7,7 @@
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, request_fields_with};
 use crate::harness::wait_until;
 
-/// Sends invalid requests. Each gets its exception, and the connection goes on.
+/// Sends invalid requests. Each is answered with an exception, and the connection stays open.
 fn send_invalid_requests(edge: &mut EdgeConnection) {
     edge.send_call(2, "drop_tables", b"\0");
     edge.expect_answer(2, AnswerKind::Exception);
@@ -31,8 +31,8 @@
     edge.expect_answer(10, AnswerKind::Answer);
 }
 
-/// Sends the id of an open request, the id of a finished one, and the sequence of an open one.
-/// After too many of these the connection is closed.
+/// Sends requests with the id of an open request, the id of a finished one, and the sequence of an
+/// open one. After too many of these the backend closes the connection.
 fn reuse_ids_and_sequences(backend: &TestBackend) {
     let mut other = backend.connect();
     for (sequence, id) in [(1, "00000000000000d1"), (2, "00000000000000d4")] {
@@ -59,9 +59,9 @@
     assert!(other.read_answer().is_none(), "closed");
 }
 
-/// Clients send invalid fields, reused ids and sequences, unknown methods, lengths beyond all
-/// bounds and bytes that are no message. Each gets an exception or loses its own connection.
-/// Requests that are open, also on that connection, are answered.
+/// Clients send invalid fields, reused ids and sequences, unknown methods, excessive lengths and
+/// malformed bytes. Each message is answered with an exception or closes its own connection. Open
+/// requests are answered, also on that connection.
 #[test]
 fn malformed_messages_harm_only_their_own_connection() {
     let backend = start_backend();
@@ -69,7 +69,8 @@
     edge.send_request(1, "00000000000000d1", b"hang");
     send_invalid_requests(&mut edge);
     reuse_ids_and_sequences(&backend);
-    // Cancellations are not announced in these settings, and a one-way message cannot be answered.
+    // These settings do not announce cancellations, and a one-way message cannot be answered. The
+    // requests before it have a field that is out of range.
     let mut other = backend.connect();
     for (name, value) in [
         ("need", "2000"),
@@ -88,8 +89,8 @@
     let mut other = backend.connect();
     other.send_oneway(1, "giveUp");
     assert!(other.read_answer().is_none(), "closed");
-    // After bytes that are no frame nothing is read from a connection any more, but its open
-    // requests are answered.
+    // After malformed bytes the backend reads nothing more from the connection, but answers its
+    // open requests.
     edge.stream.write_all(&[0xff; 64]).unwrap();
     for garbage in [
         &b"GET / HTTP/1.1\r\n\r\n"[..],
@@ -108,12 +109,12 @@
             .contains(b"all the same")
     );
     assert!(edge.read_answer().is_none(), "closed");
-    // The connection ends within a message.
+    // The client closes its side within a message.
     let mut other = backend.connect();
     other.stream.write_all(b"\0\0\0\x30\x80\x01\0\x01").unwrap();
     other.stream.shutdown(Shutdown::Write).unwrap();
     assert!(other.read_answer().is_none(), "closed");
-    // A connection that is dropped loses its request, and others are served.
+    // A new connection is served while a request of another connection runs.
     let mut cut = backend.connect();
     cut.send_request(1, "00000000000000d5", b"hang");
     wait_until("the request runs", || {
@@ -124,15 +125,15 @@
     edge.expect_answer(1, AnswerKind::Answer);
 }
 
-/// What the program has logged by its end, after a shutdown notice.
+/// Shuts the backend down and returns its log.
 fn log_after_shutdown(mut backend: TestBackend) -> String {
     backend.signal("TERM");
     assert_eq!(backend.wait_for_exit().code(), Some(0));
     backend.read_log()
 }
 
-/// Guards against an operator who looks for twice as many bad messages: the one with which a
-/// connection closes was counted again at the close.
+/// Guards against a misleading count of malformed messages: the message for which a connection
+/// closes is counted again at the close.
 #[test]
 fn each_malformed_message_is_counted_once() {
     let backend = start_backend();
@@ -149,15 +150,15 @@
     assert!(log.contains(" malformed_messages=10 "), "{log}");
 }
 
-/// Guards against an operator who looks for slow clients: half a message whose connection was
-/// evicted was logged as one that took too long.
+/// Guards against a misleading log line about slow clients: half a message on a connection that is
+/// evicted is logged as a message timeout.
 #[test]
 fn half_a_message_that_is_evicted_is_not_logged_as_a_timeout() {
     let backend = start_backend_with_changes(&[
         ("1024", "128"),
         (r#""drain_grace":1000.0"#, r#""drain_grace":100.0"#),
     ]);
-    let mut crowd: Vec<EdgeConnection> = (0..200)
+    let mut flood: Vec<EdgeConnection> = (0..200)
         .map(|_| {
             let mut half = backend.connect();
             half.stream.write_all(b"\0\0\0\x30\x80\x01").unwrap();
@@ -165,9 +166,9 @@
         })
         .collect();
     backend.signal("TERM");
-    assert!(crowd[0].wait_until_closed());
-    // The others do not come to their time limit of 2 s.
-    drop(crowd);
+    assert!(flood[0].wait_until_closed());
+    // The other connections are dropped before the message timeout of 2 s.
+    drop(flood);
     let log = log_after_shutdown(backend);
     assert!(log.contains("reason=evicted"), "{log}");
     assert!(!log.contains("reason=message_timeout"), "{log}");
--- a/crates/server/tests/program/membership.rs
+++ b/crates/server/tests/program/membership.rs
@@ -1,13 +1,13 @@
-//! Membership between nine real processes, with every link through a proxy. The invariants are
-//! checked all the time with long bounds, and the tests wait until all views agree after the last
-//! fault.
+//! Membership between nine real processes, with every link through a proxy. The runs check the
+//! invariants at every step with long bounds, and the tests wait until all views agree after the
+//! last fault.
 
 use std::cell::Cell;
 use std::path::Path;
 
 use tulipgap_fault_injection::{Plan, RunOutcome, run};
 
-fn assert_views_converge(what: &str, faults: &str) {
+fn assert_views_converge(name: &str, faults: &str) {
     let zone = |zone: &str| format!("members {{\n zone = \"{zone}\"\n count = 3\n}}\n");
     let zones = ["north", "west", "south"].map(zone).concat();
     let checks = "check {\n held_dead = 60\n known = 90\n agree = 150\n}\n";
@@ -20,11 +20,11 @@
     };
     let program = Path::new(env!("CARGO_BIN_EXE_tulipgapd"));
     let outcome = run(&plan, program, folder.path(), |_| {}, is_finished)
-        .unwrap_or_else(|error| panic!("{what}: {error}"));
-    assert_eq!(outcome.violation, None, "{what}");
-    assert!(has_converged.get(), "{what}: views still differ");
+        .unwrap_or_else(|error| panic!("{name}: {error}"));
+    assert_eq!(outcome.violation, None, "{name}");
+    assert!(has_converged.get(), "{name}: views still differ");
     println!(
-        "{what}: {:?} of {:?}, {} false deaths",
+        "{name}: {:?} of {:?}, {} false deaths",
         outcome.worst, plan.bounds, outcome.false_deaths
     );
 }
@@ -37,7 +37,7 @@
     format!("crash {{\n at = {at}\n of = \"{of}\"\n back = {back}\n}}\n")
 }
 
-/// A zone is partitioned from the others while members on both sides crash and restart. Each half
+/// A zone is partitioned from the others while members on both sides crash and restart. Each side
 /// must consider the other dead within the bounds, and all views must agree after the last fault.
 #[test]
 fn views_converge_after_a_zone_partition_with_crashes_on_both_sides() {
@@ -65,9 +65,9 @@
 /// member are slow. No live member that can be reached may stay dead in a view.
 #[test]
 fn views_converge_after_a_pause_a_one_way_cut_and_degraded_links() {
-    let stop = "stop {\n at = 5\n of = \"west-2\"\n back = 13\n}\n";
+    let pause = "stop {\n at = 5\n of = \"west-2\"\n back = 13\n}\n";
     let slow = "links {\n from = 5\n to = 20\n of = \"south-2\"\n delay_ms = 300\n}\n";
     let one_way = cut("north-1", "west-1", 5, 20, " one_way = true\n");
     let flapping = cut("north-2", "south-1", 5, 20, " flap = 1.5\n");
-    assert_views_converge("links", &(one_way + &flapping + stop + slow));
+    assert_views_converge("links", &(one_way + &flapping + pause + slow));
 }
--- a/crates/server/tests/program/peer_moves.rs
+++ b/crates/server/tests/program/peer_moves.rs
@@ -1,4 +1,4 @@
-//! Executor, store and service registry that move to another address while the program runs.
+//! Executor, store and service registry that move to other addresses while the program runs.
 
 use std::io::Write;
 use std::sync::atomic::Ordering;
@@ -16,7 +16,7 @@
 };
 
 impl TestBackend {
-    /// Moves the peers of these ports to another host, by the configuration file and SIGHUP.
+    /// Moves the peers with these ports to another host, through the configuration file and SIGHUP.
     fn move_peers(&self, new_host: &str, ports: &[u16]) {
         let mut text = config_json(&self.host);
         for port in ports {
@@ -30,12 +30,12 @@
     }
 
     /// Moves these peers and the service registry, and waits for the first report at the new
-    /// registry: it shows that the other peers have been moved.
+    /// registry, which shows that the other peers have moved.
     fn move_peers_and_wait(&self, new_host: &str, ports: &[u16]) {
-        let announce = std::net::UdpSocket::bind((new_host, REGISTRY_PORT)).unwrap();
-        announce.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
+        let registry = std::net::UdpSocket::bind((new_host, REGISTRY_PORT)).unwrap();
+        registry.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
         self.move_peers(new_host, &[ports, &[REGISTRY_PORT]].concat());
-        announce.recv(&mut [0; 64]).unwrap();
+        registry.recv(&mut [0; 64]).unwrap();
     }
 }
 
@@ -67,9 +67,9 @@
     }
 }
 
-/// SIGHUP moves executor, store and service registry to the addresses of the configuration. Runs go
-/// on, calls are made at the new store, reports go to the new registry, also during a drain, and a
-/// file that is half written changes nothing.
+/// SIGHUP moves executor, store and service registry to the addresses of the configuration. Runs
+/// continue, calls are sent to the new store and reports to the new registry, peers may also move
+/// during a drain, and a half-written file changes nothing.
 #[test]
 fn peers_move_on_sighup() {
     let backend = start_backend();
@@ -85,8 +85,8 @@
     let new_host = unique_address();
     serve_executor(backend.executor.clone(), &new_host);
     let store = start_store(&new_host);
-    let announce = std::net::UdpSocket::bind((&new_host[..], REGISTRY_PORT)).unwrap();
-    announce.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
+    let registry = std::net::UdpSocket::bind((&new_host[..], REGISTRY_PORT)).unwrap();
+    registry.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
     let mut text = config_json(&backend.host);
     for port in [EXECUTOR_PORT, STORE_PORT, REGISTRY_PORT] {
         text = text.replace(
@@ -98,7 +98,7 @@
     for _ in 0..3 {
         backend.signal("HUP");
     }
-    // Runs go on, and calls and reports go to the new addresses.
+    // Runs continue, and calls and reports are sent to the new addresses.
     wait_until("the link moves", || backend.executor().link_count == 2);
     backend
         .executor()
@@ -120,9 +120,9 @@
         (0, 1)
     );
     let mut report = [0; 64];
-    let length = announce.recv(&mut report).unwrap();
+    let length = registry.recv(&mut report).unwrap();
     assert_eq!(&report[..length], b"announce n3 true");
-    // Peers may move during a drain, too.
+    // Peers may also move during a drain.
     backend.signal("TERM");
     backend.signal("HUP");
     backend
@@ -139,9 +139,9 @@
     );
 }
 
-/// The executor moves to an address where connects hang, and on from there. Connects had no time
-/// limit of their own, so nothing ran for two minutes. A connect now checks every 50 ms whether its
-/// address still holds, and ends after 2 s.
+/// Guards against two minutes without a run: the executor moves to an address where connects hang,
+/// and then to another one, and a connect without a time limit blocks the second move. A connect
+/// checks every 50 ms whether its address is still the current one, and ends after 2 s.
 #[test]
 fn an_executor_that_moves_while_a_connect_hangs_is_connected() {
     let backend = start_backend();
@@ -151,19 +151,21 @@
     let (hanging_host, new_host) = (unique_address(), unique_address());
     let _full_backlog = fill_backlog(&hanging_host, EXECUTOR_PORT);
     backend.move_peers(&hanging_host, &[EXECUTOR_PORT]);
-    // The backend has closed the old link, so the new connect hangs by now or is about to.
+    // The backend has closed the old link, so the new connect hangs now or will hang soon.
     wait_until("the old link is closed", || {
         let executor = backend.executor();
         let mut one = [0];
         let link = executor.link.as_ref().unwrap().try_clone().unwrap();
         link.set_nonblocking(true).unwrap();
-        let left = matches!(link.peek(&mut one), Ok(0));
+        let is_closed = matches!(link.peek(&mut one), Ok(0));
         link.set_nonblocking(false).unwrap();
-        left
+        is_closed
     });
     serve_executor(backend.executor.clone(), &new_host);
     backend.move_peers(&new_host, &[EXECUTOR_PORT]);
-    wait_until("the link moves on", || backend.executor().link_count == 2);
+    wait_until("the link moves again", || {
+        backend.executor().link_count == 2
+    });
     backend
         .executor()
         .end_run("0000000000fe0001", "success", b"all the same");
@@ -173,19 +175,19 @@
     );
 }
 
-/// The executor moves away and back before the farewell to its link is answered. The link stayed,
-/// because its address was right again, but nothing was sent over it after its farewell. It is now
-/// left, and a new one is opened at the same address.
+/// Guards against a link over which nothing is sent any more: the executor moves away and back
+/// before it replies to the final query of its link, and the address of the link is the current one
+/// again. The backend closes a link after its final query and opens a new one at the same address.
 #[test]
-fn an_executor_that_moves_back_during_the_farewell_is_connected_again() {
+fn an_executor_that_moves_back_during_the_final_query_is_connected_again() {
     let backend = start_backend();
     let mut edge = backend.connect();
     edge.send_request(1, "0000000000ff0001", b"hang");
     wait_until("the request runs", || !backend.executor().runs.is_empty());
     let other_host = unique_address();
     {
-        // The executor stub answers nothing while its lock is held.
-        let _held = backend.executor();
+        // The executor stub does not reply while its lock is held.
+        let _executor_lock = backend.executor();
         backend.move_peers(&other_host, &[EXECUTOR_PORT]);
         std::thread::sleep(std::time::Duration::from_millis(30));
         backend.move_peers(&other_host, &[]);
@@ -206,9 +208,9 @@
     );
 }
 
-/// Connects to an address that does not answer occupied all connections of the store's pool for two
-/// minutes, so no call was made to the address that the store had moved to. Connects are limited in
-/// time, and a move ends them.
+/// Guards against two minutes without calls: connects to an address that does not answer occupy all
+/// connections of the store's pool, so no call reaches the address to which the store has moved.
+/// Connects have a time limit, and a move ends them.
 #[test]
 fn a_store_that_moves_while_connects_hang_is_called() {
     let backend = start_backend_with_sockets(32);
@@ -216,7 +218,7 @@
     let (hanging_host, new_host) = (unique_address(), unique_address());
     let _full_backlog = fill_backlog(&hanging_host, STORE_PORT);
     backend.move_peers_and_wait(&hanging_host, &[STORE_PORT]);
-    // More calls than may be open at once; each ends at its time limit.
+    // More calls than the pool has connections; each ends at its time limit.
     for sequence in 1..9 {
         edge.send_request(sequence, &format!("0000000000fd{sequence:04x}"), b"call");
     }
@@ -239,14 +241,14 @@
     assert!(store.calls.load(Ordering::Acquire) > 0);
 }
 
-/// A number that no request of this backend has had yet.
+/// Returns an id number that no request of this backend has used.
 fn unused_id(backend: &TestBackend) -> u32 {
     0x1000 + backend.executor().ends.len() as u32
 }
 
-/// The store has moved, and a reply still arrives over a connection to the old address while a call
-/// waits for a connection. That call was given to the old connection. A connection to an old
-/// address now ends with its reply.
+/// Guards against calls to the old address of a store that has moved: a reply arrives over a
+/// connection to the old address while a call waits for a connection, and the pool assigns the call
+/// to that connection. A connection to an old address closes after its reply.
 #[test]
 fn a_connection_to_the_stores_old_address_gets_no_further_call() {
     let backend = start_backend_with_sockets(32);
@@ -280,14 +282,14 @@
     assert_eq!(
         backend.store.calls.load(Ordering::Acquire),
         4,
-        "a call more where it was"
+        "another call to the old address"
     );
     drop(store);
 }
 
-/// The store is removed from the configuration while a call waits for a connection. The call was
-/// dropped without a word, and its request stood until its deadline. Queued calls are now skipped
-/// at once; calls that were sent still get their replies.
+/// Guards against a request that waits until its deadline because its queued call is dropped when
+/// the store is removed from the configuration. Queued calls are skipped immediately; calls that
+/// were sent still get their replies.
 #[test]
 fn a_queued_call_is_skipped_at_once_when_the_store_is_removed() {
     let backend = start_backend_with_sockets(32);
@@ -303,7 +305,7 @@
     wait_until("the request waits for its call", || {
         backend.executor().runs.contains_key("0000000000ee0005")
     });
-    // The backend reads the executor's call request before the end of the run behind it.
+    // The backend reads the executor's call request before the end of the next run.
     edge.send_request(6, "0000000000ee0006", b"run");
     edge.expect_answer(6, AnswerKind::Answer);
     let text = config_json(&backend.host).replace("1024", "32");
@@ -311,7 +313,7 @@
     assert!(text.contains(&store));
     std::fs::write(&backend.config_file, text.replace(&store, "")).unwrap();
     backend.signal("HUP");
-    // The four other calls still wait for their replies.
+    // The four calls that were sent still wait for their replies.
     assert!(
         edge.expect_answer(5, AnswerKind::Answer)
             .contains(b"poorer")
@@ -325,9 +327,9 @@
     }
 }
 
-/// Two backends' files were mixed up, and a backend connected to the executor of the other. A file
-/// with another name or address than the running one's is now ignored, and so is a file that is
-/// missing.
+/// Guards against a backend that connects to the executor of another backend after a mix-up of
+/// their configuration files. A file with another name or address than the running backend's is
+/// ignored, and so is a missing file.
 #[test]
 fn a_configuration_file_of_another_backend_is_ignored() {
     let backend = start_backend();
@@ -336,7 +338,7 @@
     let other = config_json(&new_host).replace("\"n3\"", "\"n4\"");
     std::fs::write(&backend.config_file, other).unwrap();
     backend.signal("HUP");
-    // The file is removed, and then written again for the other backend.
+    // The file is removed, and then written again with the configuration of the other backend.
     std::fs::remove_file(&backend.config_file).unwrap();
     backend.signal("HUP");
     std::fs::write(
@@ -357,7 +359,7 @@
     assert_eq!(
         other_executor.lock().unwrap().link_count,
         0,
-        "spoken to another's kernel"
+        "connected to the executor of another backend"
     );
     assert_eq!(backend.executor().link_count, 1);
 }
--- a/crates/server/tests/program/recording.rs
+++ b/crates/server/tests/program/recording.rs
@@ -1,4 +1,4 @@
-//! Recordings of the program.
+//! Recordings of requests by the program.
 
 use std::collections::{BTreeMap, HashSet};
 use std::path::{Path, PathBuf};
@@ -12,7 +12,7 @@
 use crate::harness::edge_node::{AnswerKind, request_fields, request_fields_with};
 use crate::harness::{LONG_TIMEOUT, unique_address, wait_until};
 
-/// A directory for a recording, and the settings file that names it.
+/// Creates a directory for a recording, and a settings file that enables the recording there.
 pub(crate) fn recording_settings(seal_after: &str) -> (tempfile::TempDir, PathBuf) {
     let folder = tempfile::tempdir().unwrap();
     let settings = folder.path().join("tulipgap.hcl");
@@ -41,7 +41,7 @@
             records: Vec::new(),
             losses: Vec::new(),
         };
-        // A file that was just begun may have no header yet.
+        // A new file may have no header yet.
         let Ok(trace) = TraceReader::open(std::fs::File::open(path).unwrap()) else {
             continue;
         };
@@ -49,7 +49,7 @@
             match item.unwrap() {
                 Item::Records(records) => read.records.extend(records),
                 Item::Loss(loss) => read.losses.push(loss),
-                Item::Gap(gap) => panic!("nothing is missing: {gap:?}"),
+                Item::Gap(gap) => panic!("no record may be missing: {gap:?}"),
             }
         }
         all.push(read);
@@ -57,14 +57,14 @@
     all
 }
 
-/// The number of records in complete files without losses.
+/// Counts the records of all files; panics if a file has a loss.
 pub(crate) fn count_records(folder: &Path) -> usize {
     let files = read_files(folder);
     assert!(files.iter().all(|file| file.losses.is_empty()));
     files.iter().map(|file| file.records.len()).sum()
 }
 
-/// Asserts that each time of a record is behind the one before it.
+/// Asserts that the times of each record are in order, and that its other fields are as sent.
 fn assert_times_in_order(records: &[Record]) {
     for record in records {
         let times = [record.read, record.answered, record.released].map(Option::unwrap);
@@ -79,10 +79,10 @@
     }
 }
 
-/// Each outcome of a request leaves one record with its times in order, its reason, its work and
+/// Each outcome of a request is recorded once, with its times in order, its reason, its work and
 /// its calls, and no record is lost at shutdown.
 #[test]
-fn the_complete_life_of_each_request_is_recorded() {
+fn each_outcome_of_a_request_is_recorded_once() {
     let (folder, settings) = recording_settings("200ms");
     let mut backend = start_backend_with_settings(1024, Some(&settings));
     let mut edge = backend.connect();
@@ -112,7 +112,7 @@
     wait_until("the request runs", || {
         backend.executor().runs.contains_key("00000000000000a6")
     });
-    // An unread answer turns the close of the connection into a reset.
+    // With an unread answer the close of the connection is a reset.
     other.send_request(2, "00000000000000a7", b"run");
     wait_until("an answer has arrived", || {
         other.stream.peek(&mut [0; 16]).is_ok_and(|count| count > 0)
@@ -162,9 +162,9 @@
     assert!(record(1).feedback.is_some());
 }
 
-/// The process is killed under load and started again on the same directory. What was on disk
-/// before must be complete in the files, no record may stand there twice, and each file says that
-/// its end is missing.
+/// The process is killed under load and restarted with the same directory. The files must have
+/// every record that was on disk before a kill, none of them twice, and the reader must report that
+/// the end of each file is missing.
 #[test]
 fn recorded_requests_survive_a_kill() {
     let (folder, settings) = recording_settings("200ms");
@@ -179,7 +179,7 @@
             edge.expect_answer(sequence, AnswerKind::Answer);
         }
         answered += 300;
-        // More requests are sent until the first ones are on disk.
+        // Sends more requests until the records of those 300 are on disk.
         let began = std::time::Instant::now();
         loop {
             sequence += 1;
@@ -200,7 +200,10 @@
             {
                 break;
             }
-            assert!(began.elapsed() < LONG_TIMEOUT, "a block is on disk in time");
+            assert!(
+                began.elapsed() < LONG_TIMEOUT,
+                "the records are not on disk in time"
+            );
         }
         backend.child.kill().unwrap();
         backend.child.wait().unwrap();
@@ -211,7 +214,7 @@
         }
     }
     let files = read_files(folder.path());
-    assert_eq!(files.len(), 2, "the second start begins a file of its own");
+    assert_eq!(files.len(), 2, "each start begins a new file");
     let mut ids = HashSet::new();
     for file in &files {
         assert!(file.losses.contains(&Loss::MissingEnd), "{:?}", file.losses);
@@ -221,15 +224,18 @@
         );
     }
     let early = ids.iter().filter(|&&id| id < 2000).count();
-    assert_eq!(early, answered, "all that was over long before is there");
+    assert_eq!(
+        early, answered,
+        "the records that were on disk before a kill"
+    );
 }
 
-/// The directory of the recording cannot be written. Requests are served as without a recording,
-/// and the log says how many records are missing.
+/// The directory of the recording is not writable. Requests are served as without a recording, and
+/// the log has the number of missing records.
 #[test]
 fn an_unwritable_recording_folder_harms_no_request() {
     let (folder, settings) = recording_settings("200ms");
-    // A file stands at the place of the directory.
+    // A file has the name of the directory.
     std::fs::write(folder.path().join("trace"), "in the way").unwrap();
     let mut backend = start_backend_with_settings(1024, Some(&settings));
     let mut edge = backend.connect();
@@ -246,9 +252,9 @@
     );
 }
 
-/// An unknown key in the settings file ends the program with exit code 2 and names file, line,
-/// column and the key that was probably meant. `--help` and `--version` work without a
-/// configuration.
+/// With an unknown key in the settings file the program exits with code 2 and an error that names
+/// the file, line, column and the most similar key. `--help` and `--version` work, and an unknown
+/// option exits with code 2.
 #[test]
 fn an_invalid_configuration_is_reported_and_exits_with_2() {
     let folder = tempfile::tempdir().unwrap();
--- a/crates/server/tests/program/registration.rs
+++ b/crates/server/tests/program/registration.rs
@@ -3,9 +3,9 @@
 use crate::harness::backend::start_backend;
 use crate::harness::{LONG_TIMEOUT, REGISTRY_PORT};
 
-/// The service registry is down when the backend starts, and falls silent later. The backend
-/// repeats its report, so it is registered as soon as the registry listens. The deregistration is
-/// sent several times, because each datagram may be lost, and nothing follows it.
+/// The service registry is down when the backend starts, and again for a while later. The backend
+/// repeats its report, so it is registered as soon as the registry listens. It sends the
+/// deregistration several times, because each datagram may be lost, and no report after it.
 #[test]
 fn a_backend_is_registered_whenever_the_service_registry_listens() {
     let mut backend = start_backend();
@@ -19,7 +19,7 @@
         socket.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
         socket
     };
-    // Until now no socket received the reports; the registry then falls silent and returns.
+    // No socket has received reports so far; the registry then listens, closes and listens again.
     for _ in 0..2 {
         assert!(receives(&listen(&backend.host), b"announce n3 true"));
         std::thread::sleep(std::time::Duration::from_millis(200));
@@ -27,7 +27,7 @@
     let registry = listen(&backend.host);
     backend.signal("TERM");
     while !receives(&registry, b"announce n3 false") {}
-    // The deregistration is repeated, because each datagram may be lost, and nothing else follows.
+    // The backend repeats the deregistration and sends no report after it.
     for _ in 0..2 {
         assert!(receives(&registry, b"announce n3 false"));
     }
--- a/crates/server/tests/program/restart.rs
+++ b/crates/server/tests/program/restart.rs
@@ -1,12 +1,13 @@
-//! A process that is killed and started again under the same name and address.
+//! A process that is killed and restarted with the same name and address.
 
 use crate::harness::backend::{spawn_program, start_backend};
 use crate::harness::edge_node::AnswerKind;
 use crate::harness::wait_until;
 
-/// The process is killed with requests read, run, and answered but not sent, and starts again under
-/// the same name and address while runs of the previous process still end. Their events must not be
-/// taken for events of new requests, not even where a new request has the id of an old one.
+/// Guards against events of the previous process that are matched to new requests: the process is
+/// killed with requests that are running, waiting for a call or answered, and restarted with the
+/// same name and address while runs of the previous process still end. Their events must be
+/// ignored, even if a new request has the id of an old one.
 #[test]
 fn a_restart_ignores_events_of_the_previous_process() {
     let mut backend = start_backend();
@@ -24,16 +25,17 @@
         answered.iter().all(|sequence| *sequence > 2),
         "{answered:?}"
     );
-    // Notices count from 1 again; those of the previous process's runs come first.
+    // The numbers of notices start at 1 again; the first notices are for runs of the previous
+    // process.
     {
         let mut executor = backend.executor();
         executor.link = None;
         executor.notices.clear();
-        executor.end_run("0000000000fa0001", "success", b"of the former life");
+        executor.end_run("0000000000fa0001", "success", b"of the previous process");
         executor.send_notice(
             "IOREQ",
             "0000000000fa0002".into(),
-            b"a call of the former life",
+            b"a call of the previous process",
         );
     }
     backend.child = spawn_program(&backend.config_file);
@@ -46,15 +48,15 @@
     wait_until("the request runs", || {
         backend.executor().runs.contains_key("0000000000fa0009")
     });
-    // An id of the previous process, one of whose runs ends just now.
+    // A request with an id of the previous process, while a run of that process ends.
     backend
         .executor()
-        .end_run("0000000000fa0002", "success", b"of the former life");
+        .end_run("0000000000fa0002", "success", b"of the previous process");
     edge.send_request(2, "0000000000fa0001", b"run");
     let answer = edge.expect_answer(2, AnswerKind::Answer);
     assert!(
         answer.contains(b"page \0 0000000000fa0001"),
-        "another life's result"
+        "the result of the new request"
     );
     backend
         .executor()
--- a/crates/server/tests/program/serving.rs
+++ b/crates/server/tests/program/serving.rs
@@ -1,19 +1,19 @@
-//! Requests, calls, rejections and memory in ordinary service. Nothing here depends on how fast the
-//! machine is: all time limits are long.
+//! Requests, calls, rejections and memory in normal operation. These tests do not depend on the
+//! speed of the machine: all time limits are long.
 
 use crate::harness::backend::start_backend;
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, request_fields, request_fields_with};
 
-/// The ordinary life of a backend: results come in any order and byte for byte, a call is made to
-/// the store, a request that cannot be in time is rejected, and after the shutdown notice what was
-/// read is answered before the process exits.
+/// The normal operation of a backend: results are sent unchanged and in any order, a call is made
+/// to the store, a request that cannot end in time is rejected, and requests that were read before
+/// the shutdown notice are answered before the process exits.
 #[test]
 fn a_backend_serves_calls_the_store_rejects_and_drains() {
     let mut backend = start_backend();
     let mut edge = backend.connect();
     edge.send_request(1, "00000000000000a1", b"hang");
     edge.send_request(2, "00000000000000a2", b"run");
-    // Answers come in any order, with the result byte for byte and the feedback value.
+    // Answers are sent in any order, with the unchanged result and the feedback value.
     let done = edge.expect_answer(2, AnswerKind::Answer);
     assert!(done.contains(b"page \0 00000000000000a2") && done.contains(b"signal"));
     edge.send_request(3, "00000000000000a3", b"call");
@@ -29,8 +29,8 @@
         b"run",
     );
     edge.expect_answer(4, AnswerKind::Rejected);
-    // An estimate beyond all reason may be an honest one: such requests are rejected, and the
-    // connection goes on.
+    // A very large estimate may be correct, so it is not malformed: such requests are rejected, and
+    // the connection stays open.
     for sequence in 5..20 {
         edge.send_request_with_fields(
             sequence,
@@ -43,21 +43,22 @@
     edge.expect_answer(20, AnswerKind::Answer);
 
     backend.signal("TERM");
-    // Requests that were read are answered, and the drain notification is sent.
-    let (mut answered, mut no_more) = (false, false);
-    while !(answered && no_more) {
+    // The backend answers the open request and sends the drain notification.
+    let (mut is_answered, mut is_drain_notified) = (false, false);
+    while !(is_answered && is_drain_notified) {
         let answer = edge.read_answer().expect("an answer before the end");
         match answer.kind {
-            AnswerKind::NoMore => no_more = true,
-            _ => answered |= answer.sequence == 1,
+            AnswerKind::NoMore => is_drain_notified = true,
+            _ => is_answered |= answer.sequence == 1,
         }
     }
     drop(edge);
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// The limit on memory is 192 MB, and a queued request costs memory until it is answered. About two
-/// thousand of them, each with 2 KiB of body, must fit into half of that limit.
+/// Guards against a process that exceeds its memory limit of 192 MB because queued requests take
+/// memory until they are answered. About two thousand of them, each with a body of 2 KiB, must fit
+/// into half of that limit.
 #[test]
 fn thousands_of_queued_requests_fit_the_memory_limit() {
     let backend = start_backend();
@@ -69,7 +70,7 @@
         }
         edge.send_call(31, "probe", b"\0");
     }
-    // A health check is read behind the requests before it.
+    // A health check is read after all requests before it on the connection.
     for edge in &mut edges {
         while edge.read_answer().expect("the check is answered").sequence != 31 {}
     }
@@ -86,6 +87,6 @@
             .parse::<u64>()
             .unwrap()
     };
-    println!("{} kB at the most for {} reqs", resident(), 64 * 31);
+    println!("peak of {} kB for {} requests", resident(), 64 * 31);
     assert!(resident() < 96 * 1024, "{} kB", resident());
 }
--- a/crates/server/tests/program/shutdown_time.rs
+++ b/crates/server/tests/program/shutdown_time.rs
@@ -1,5 +1,5 @@
-//! What a shutdown spends its time on, with an order of events that is forced: the process is
-//! stopped while its callers connect and write, and gets the notice before it goes on.
+//! The time that a shutdown takes. The tests fix the order of events: some pause the process while
+//! its callers connect and write, and send the shutdown notice before it resumes.
 
 use std::io::Write;
 use std::time::{Duration, Instant};
@@ -11,10 +11,11 @@
 
 /// Requests on each connection.
 const REQUESTS: u32 = 24;
-/// Connections that a backend with 128 descriptors may have: 16 are its own, 16 are the store's.
-const PLACES: u32 = 96;
-/// Connections with one request each that wait for a place.
-const WAITING: u32 = 50;
+/// Maximum number of client connections of a backend with 128 descriptors: 16 are reserved for the
+/// process, 16 for the store.
+const MAX_CONNECTIONS: u32 = 96;
+/// Number of connections with one request each that wait in the backlog.
+const BACKLOG_CONNECTIONS: u32 = 50;
 
 fn start(drain_grace: &str, stop_ms: &str) -> TestBackend {
     start_backend_with_changes(&[
@@ -23,8 +24,9 @@
     ])
 }
 
-/// A backend with few places and memory for many requests, and half a second to its kill.
-fn start_with_places() -> TestBackend {
+/// Starts a backend with few connections, memory for many requests, and half a second from the
+/// notice to the kill.
+fn start_with_connection_limit() -> TestBackend {
     start_backend_with_changes(&[
         ("1024", "128"),
         ("\"drain_grace\":1000.0", "\"drain_grace\":100.0"),
@@ -33,22 +35,22 @@
     ])
 }
 
-/// Connections behind those that hold all places.
-fn connect_waiting(backend: &TestBackend) -> Vec<EdgeConnection> {
-    let mut edges = connect_all(backend, WAITING);
+/// Opens connections that wait in the backlog of a full server, with one request each.
+fn connect_in_backlog(backend: &TestBackend) -> Vec<EdgeConnection> {
+    let mut edges = connect_all(backend, BACKLOG_CONNECTIONS);
     for (at, edge) in (0u32..).zip(&mut edges) {
         edge.send_request(1, &format!("00000003{at:08x}"), b"run");
     }
     edges
 }
 
-/// Shuts the backend down; each of these callers gets the answer to its request.
-fn assert_answered_at_a_shutdown(backend: &TestBackend, waiting: Vec<EdgeConnection>) {
+/// Shuts the backend down, and asserts that each of these callers gets the answer to its request.
+fn assert_answered_at_shutdown(backend: &TestBackend, waiting: Vec<EdgeConnection>) {
     backend.signal("TERM");
     let answers = waiting
         .into_iter()
         .map(|mut edge| answers_until_close(&mut edge).len());
-    assert_eq!(answers.sum::<usize>(), WAITING as usize);
+    assert_eq!(answers.sum::<usize>(), BACKLOG_CONNECTIONS as usize);
 }
 
 fn connect_all(backend: &TestBackend, connections: u32) -> Vec<EdgeConnection> {
@@ -63,10 +65,10 @@
     }
 }
 
-/// Guards against a shutdown that reads thousands of requests, with a coroutine for each, before it
-/// answers the first, and ends with none of them answered.
+/// Guards against a shutdown that reads thousands of requests, each with a coroutine, before it
+/// answers the first one, so that none is answered before the kill.
 #[test]
-fn requests_that_wait_unread_at_a_shutdown_are_answered_before_a_close_kill() {
+fn unread_requests_at_a_shutdown_are_answered_before_an_early_kill() {
     const CONNECTIONS: u32 = 200;
     const STOP: Duration = Duration::from_millis(200);
     let mut backend = start("\"drain_grace\":100.0", "\"stop_ms\":200");
@@ -83,10 +85,10 @@
     assert_eq!(answered.sum::<usize>(), (CONNECTIONS * REQUESTS) as usize);
 }
 
-/// Guards against a drain that is held to its last moment by connections whose callers owe nothing
-/// and do not close: some were never used, and the others are answered.
+/// Guards against a drain that lasts until the termination because callers do not close connections
+/// without open requests: some were never used, the others are answered.
 #[test]
-fn connections_on_which_nothing_is_open_do_not_hold_a_drain() {
+fn connections_without_open_requests_do_not_delay_a_drain() {
     let mut backend = start("\"drain_grace\":100.0", "\"stop_ms\":1500");
     let _unused = connect_all(&backend, 100);
     let mut used = connect_all(&backend, 100);
@@ -100,10 +102,10 @@
     assert!(!log.contains("drain cut short"), "{log}");
 }
 
-/// Guards against a caller that keeps its connection, and the process, until the kill by sending a
-/// request for each answer past the drain notification: it is never without one that is open.
+/// Guards against a drain that lasts until the kill because a caller sends another request for each
+/// answer after the drain notification, so that its connection always has an open request.
 #[test]
-fn a_caller_that_goes_on_sending_does_not_hold_a_drain() {
+fn a_caller_that_keeps_sending_does_not_delay_a_drain() {
     const OPEN_REQUESTS: u32 = 32;
     let mut backend = start("\"drain_grace\":100.0", "\"stop_ms\":4000");
     let mut edge = backend.connect();
@@ -128,30 +130,31 @@
     assert!(!log.contains("drain cut short"), "{log}");
 }
 
-/// Guards against places that are held by deep health checks while the executor hangs: they wait
-/// for two seconds, and the requests behind them were lost.
+/// Guards against requests in the backlog that are lost because deep health checks occupy all
+/// connections: while the executor hangs, such a check waits for two seconds.
 #[test]
-fn deep_health_checks_do_not_hold_places_at_a_shutdown() {
-    let backend = start_with_places();
+fn deep_health_checks_do_not_block_the_backlog_at_a_shutdown() {
+    let backend = start_with_connection_limit();
     let executor = backend.executor.clone();
-    // The executor's stand-in does no work while its lock is held.
-    let hang = executor.lock().unwrap();
-    let mut checks = connect_all(&backend, PLACES);
+    // The executor stub does no work while its lock is held.
+    let executor_lock = executor.lock().unwrap();
+    let mut checks = connect_all(&backend, MAX_CONNECTIONS);
     for edge in &mut checks {
         edge.send_call(1, "probe", b"\x02\0\x01\x01\0");
     }
     std::thread::sleep(Duration::from_millis(50));
-    let waiting = connect_waiting(&backend);
-    assert_answered_at_a_shutdown(&backend, waiting);
-    drop(hang);
+    let waiting = connect_in_backlog(&backend);
+    assert_answered_at_shutdown(&backend, waiting);
+    drop(executor_lock);
 }
 
-/// Guards against places that are held by callers which read nothing, until the kill: their replies
-/// are in the hands of the system, which goes on with them behind the close.
+/// Guards against requests in the backlog that are lost because callers that read nothing occupy
+/// all connections until the kill. The system owns their replies and keeps sending them after the
+/// close.
 #[test]
-fn callers_that_read_nothing_do_not_hold_places_where_time_is_short() {
+fn callers_that_read_nothing_do_not_block_the_backlog_before_an_early_kill() {
     const LARGE_REPLIES: u32 = 30;
-    let mut backend = start_with_places();
+    let mut backend = start_with_connection_limit();
     let connect = |at: u32| {
         let mut edge = connect_slow_reader(&backend);
         for sequence in 1..=LARGE_REPLIES {
@@ -161,29 +164,30 @@
                 b"large",
             );
         }
-        // Its replies are written before the next caller's.
+        // The replies to this caller are written before those to the next one.
         std::thread::sleep(Duration::from_millis(4));
         edge
     };
-    let mut unread: Vec<EdgeConnection> = (0..PLACES).map(connect).collect();
-    let waiting = connect_waiting(&backend);
-    assert_answered_at_a_shutdown(&backend, waiting);
+    let mut unread: Vec<EdgeConnection> = (0..MAX_CONNECTIONS).map(connect).collect();
+    let waiting = connect_in_backlog(&backend);
+    assert_answered_at_shutdown(&backend, waiting);
     assert_eq!(backend.wait_for_exit().code(), Some(0));
     for edge in &mut unread {
         assert_eq!(answers_until_close(edge).len() as u32, LARGE_REPLIES);
     }
 }
 
-/// Guards against whole requests that were read and are taken for half a message, because a long
-/// reply before them left no room to handle them in the same turn.
+/// Guards against complete requests that were read and are handled as half a message, because an
+/// unread reply of more than 4 KiB before them ends the handling of input in that turn.
 #[test]
-fn requests_behind_a_long_reply_are_answered_at_a_shutdown() {
-    let backend = start_with_places();
+fn requests_after_a_long_reply_are_answered_at_a_shutdown() {
+    let backend = start_with_connection_limit();
     backend.signal("STOP");
-    let _before = connect_all(&backend, 2 * PLACES);
+    let _connections_before = connect_all(&backend, 2 * MAX_CONNECTIONS);
     let mut edge = backend.connect();
-    let _behind = connect_all(&backend, 2 * PLACES);
-    // The exception names the method, which is as long as the unread bytes may be.
+    let _connections_after = connect_all(&backend, 2 * MAX_CONNECTIONS);
+    // The exception contains the name of the method, which alone is longer than the 4 KiB of
+    // replies that may be unread.
     let unknown_method = "x".repeat(4200);
     edge.send_call(REQUESTS + 1, &unknown_method, b"\0");
     for sequence in 1..=REQUESTS {
--- a/crates/server/tests/program/slow_clients.rs
+++ b/crates/server/tests/program/slow_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send or read slowly, and what they cost the others.
+//! Clients that send or read slowly: they must not delay other clients.
 
 use std::io::{ErrorKind, Read, Write};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,8 +11,9 @@
 };
 use crate::harness::executor::large_result;
 
-/// A hundred connections send one byte every 100 ms. Each is closed 2 s after its first byte
-/// without a complete message, and another client is answered promptly meanwhile.
+/// A hundred connections send one byte every 100 ms. The backend closes each one 2 s after its
+/// first byte, because it has sent no complete message, and another client is answered promptly at
+/// the same time.
 #[test]
 fn a_hundred_slow_senders_delay_no_other_client() {
     let backend = start_backend();
@@ -39,7 +40,7 @@
         }
         running.store(false, Ordering::Release);
         let slowest = other.join().unwrap();
-        println!("slowest answer beside 100 slow senders: {slowest:?}");
+        println!("slowest answer with 100 slow senders: {slowest:?}");
         assert!(slowest < MAX_ANSWER_TIME, "{slowest:?}");
     });
     for edge in &mut senders {
@@ -49,8 +50,8 @@
 }
 
 /// A hundred connections read nothing for a while, and then slowly. Each gets every answer once and
-/// complete, because a connection with too much unread output is not read from, and another client
-/// is answered promptly meanwhile.
+/// complete, because the backend does not read from a connection with too much unread output, and
+/// another client is answered promptly at the same time.
 #[test]
 fn a_hundred_slow_readers_get_their_answers_and_delay_no_other_client() {
     const REQUESTS: u32 = 12;
@@ -72,7 +73,7 @@
                 let answer = edge.read_answer().expect("an answer for each");
                 if answer.kind == AnswerKind::Answer {
                     let id = format!("000b03{at:02x}{:08x}", answer.sequence);
-                    assert!(answer.contains(&large_result(&id)), "whole");
+                    assert!(answer.contains(&large_result(&id)), "a complete result");
                     served += 1;
                 }
             }
@@ -81,7 +82,7 @@
         running.store(false, Ordering::Release);
         let slowest = other.join().unwrap();
         println!(
-            "slowest answer beside 100 slow readers: {slowest:?}; {served} of theirs were served"
+            "slowest answer with 100 slow readers: {slowest:?}; {served} of their requests were served"
         );
         assert!(slowest < MAX_ANSWER_TIME, "{slowest:?}");
     });
@@ -91,13 +92,13 @@
         let more = edge.stream.read(&mut [0; 64]);
         assert!(
             more.is_err_and(|error| error.kind() == ErrorKind::WouldBlock),
-            "once each"
+            "one answer to each request"
         );
     }
 }
 
-/// One connection sends hundreds of requests and reads no answer until the end. Another client is
-/// answered meanwhile, and afterwards the slow one gets each of its answers once.
+/// One connection sends hundreds of requests and reads no answer until all are sent. Another client
+/// is answered in between, and the slow reader then gets each of its answers once.
 #[test]
 fn a_slow_reader_delays_no_other_client() {
     let backend = start_backend();
@@ -113,7 +114,10 @@
     let mut left: Vec<u32> = (1..400).collect();
     while !left.is_empty() {
         let answer = slow.read_answer().expect("an answer for each");
-        assert!(left.contains(&answer.sequence), "once each");
+        assert!(
+            left.contains(&answer.sequence),
+            "one answer to each request"
+        );
         left.retain(|&sequence| sequence != answer.sequence);
     }
 }
--- a/crates/server/tests/program/soak/clients.rs
+++ b/crates/server/tests/program/soak/clients.rs
@@ -35,7 +35,7 @@
     /// Maximum number of open requests.
     window: usize,
     writing: Writing,
-    reads_slowly: bool,
+    is_slow_reader: bool,
     /// The bodies of the requests, used in turn.
     bodies: Vec<&'static str>,
     /// The number of requests after which the client resets a connection, even with open requests.
@@ -50,7 +50,7 @@
             writing: rng
                 .choice([Writing::OneByOne, Writing::InPieces, Writing::InBatches])
                 .unwrap(),
-            reads_slowly: rng.u8(..4) == 0,
+            is_slow_reader: rng.u8(..4) == 0,
             bodies: (0..rng.usize(1..5))
                 .map(|_| rng.choice(bodies).unwrap())
                 .collect(),
@@ -61,7 +61,7 @@
 
 impl ClientPlan {
     fn reading_delay(&self) -> Duration {
-        match self.reads_slowly {
+        match self.is_slow_reader {
             true => SLOW_READ_INTERVAL * self.window as u32,
             false => Duration::ZERO,
         }
@@ -144,8 +144,8 @@
     let state = Arc::new(Mutex::new(ReadState::default()));
     let reader = {
         let (stream, state) = (stream.try_clone().unwrap(), state.clone());
-        let reads_slowly = plan.reads_slowly;
-        std::thread::spawn(move || read_answers(EdgeConnection { stream }, reads_slowly, &state))
+        let is_slow_reader = plan.is_slow_reader;
+        std::thread::spawn(move || read_answers(EdgeConnection { stream }, is_slow_reader, &state))
     };
     let first = requests.len();
     let mut edge = EdgeConnection { stream };
@@ -225,7 +225,7 @@
     true
 }
 
-fn read_answers(mut edge: EdgeConnection, reads_slowly: bool, state: &Mutex<ReadState>) {
+fn read_answers(mut edge: EdgeConnection, is_slow_reader: bool, state: &Mutex<ReadState>) {
     while let Some(answer) = edge.read_answer() {
         let Some(kind) = Answer::of(&answer.kind) else {
             continue;
@@ -234,7 +234,7 @@
         state.answers.entry(answer.sequence).or_default().push(kind);
         state.answered += 1;
         drop(state);
-        if reads_slowly {
+        if is_slow_reader {
             std::thread::sleep(SLOW_READ_INTERVAL);
         }
     }
--- a/crates/server/tests/program/socket_options.rs
+++ b/crates/server/tests/program/socket_options.rs
@@ -1,4 +1,4 @@
-//! Options of the sockets that the program writes to.
+//! Options of the program's sockets.
 
 use std::os::fd::{AsRawFd, FromRawFd, OwnedFd};
 
@@ -8,9 +8,9 @@
 use crate::harness::edge_node::AnswerKind;
 use crate::harness::{EDGE_PORT, EXECUTOR_PORT, STORE_PORT};
 
-/// Without TCP_NODELAY a small message can wait for the acknowledgement of the one before it. The
-/// option must be set on each TCP connection that the backend writes to: callers', the executor's
-/// and the store's.
+/// Guards against small messages that wait for the acknowledgement of the message before:
+/// TCP_NODELAY must be set on each TCP connection to which the backend writes, to callers, the
+/// executor and the store.
 #[test]
 fn every_connection_has_tcp_nodelay() {
     let backend = start_backend();
@@ -46,7 +46,7 @@
     }
 }
 
-/// Copies of the sockets of a child process.
+/// Duplicates the sockets of a child process into this process.
 fn sockets_of(process: u32) -> Vec<Socket> {
     let process_fd = unsafe { libc::syscall(libc::SYS_pidfd_open, process, 0) };
     assert!(
--- a/crates/server/tests/program/startup.rs
+++ b/crates/server/tests/program/startup.rs
@@ -1,4 +1,4 @@
-//! The time from the start of the process to its first answer, whatever state its peers are in.
+//! The time from the start of the process to its first answer, in each state of its peers.
 
 use std::net::{TcpListener, TcpStream, UdpSocket};
 use std::time::{Duration, Instant};
@@ -11,14 +11,15 @@
     EDGE_PORT, EXECUTOR_PORT, LONG_TIMEOUT, REGISTRY_PORT, STORE_PORT, unique_address,
 };
 
-/// The rule allows 30 s from the start of the process to the first answer.
+/// The bound on the time to the first answer; the rule allows 30 s from the start of the process.
 const MAX_TIME_TO_FIRST_ANSWER: Duration = Duration::from_secs(5);
 
-/// The state of a peer as the backend starts.
+/// The state of a peer when the backend starts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Presence {
+enum PeerState {
     Absent,
-    /// It accepts connections and sends nothing, for a second or for ever.
+    /// The peer accepts connections and sends nothing, the executor for a second, the store
+    /// indefinitely. A slow service registry is like a present one.
     Slow,
     Present,
 }
@@ -30,27 +31,28 @@
     Registry,
 }
 
-/// The time from the start of the process to the first answer of any kind, and to the first request
-/// that was served.
+/// The times from the start of the process to the first answer of any kind, and to the first
+/// result.
 struct StartupTimes {
     first_answer: Duration,
     first_served: Option<Duration>,
 }
 
-/// A backend must answer soon after its start, whatever its peers do: before the executor is up it
-/// rejects. Five starts with executor, store and service registry each absent, slow and present.
+/// A backend must answer soon after its start in each state of its peers; it rejects requests until
+/// the executor is up. Each case has five starts, with one of executor, store and service registry
+/// absent, slow or present.
 #[test]
 fn the_first_answer_is_in_time_with_each_peer_absent_slow_and_present() {
     const STARTS: usize = 5;
     for peer in [Peer::Executor, Peer::Store, Peer::Registry] {
-        for presence in [Presence::Absent, Presence::Slow, Presence::Present] {
-            let times = startup_times(peer, presence, STARTS);
+        for peer_state in [PeerState::Absent, PeerState::Slow, PeerState::Present] {
+            let times = startup_times(peer, peer_state, STARTS);
             let (median, worst) =
                 median_and_worst(times.iter().map(|times| times.first_answer).collect());
-            print!("{peer:?} {presence:?}: first answer p50 {median:?}, worst {worst:?}");
+            print!("{peer:?} {peer_state:?}: first answer p50 {median:?}, worst {worst:?}");
             assert!(
                 worst < MAX_TIME_TO_FIRST_ANSWER,
-                "{peer:?} {presence:?}: {worst:?}"
+                "{peer:?} {peer_state:?}: {worst:?}"
             );
             let served: Vec<Duration> = times
                 .iter()
@@ -58,13 +60,13 @@
                 .collect();
             if served.is_empty() {
                 println!();
-                assert_eq!((peer, presence), (Peer::Executor, Presence::Absent));
+                assert_eq!((peer, peer_state), (Peer::Executor, PeerState::Absent));
             } else {
                 let (median, worst) = median_and_worst(served);
                 println!("; first served p50 {median:?}, worst {worst:?}");
                 assert!(
                     worst < MAX_TIME_TO_FIRST_ANSWER,
-                    "{peer:?} {presence:?}: {worst:?}"
+                    "{peer:?} {peer_state:?}: {worst:?}"
                 );
             }
         }
@@ -76,41 +78,41 @@
     (times[times.len() / 2], times[times.len() - 1])
 }
 
-/// Starts a backend so many times beside the same peers, and measures each start.
-fn startup_times(peer: Peer, presence: Presence, starts: usize) -> Vec<StartupTimes> {
+/// Starts a backend `starts` times with the same peers, and measures each start.
+fn startup_times(peer: Peer, peer_state: PeerState, starts: usize) -> Vec<StartupTimes> {
     let host = unique_address();
-    let presence_of = |other: Peer| {
+    let state_of = |other: Peer| {
         if other == peer {
-            presence
+            peer_state
         } else {
-            Presence::Present
+            PeerState::Present
         }
     };
     let executor = SharedExecutor::default();
-    match presence_of(Peer::Executor) {
-        Presence::Absent => {}
-        Presence::Slow => serve_executor_late(executor.clone(), &host),
-        Presence::Present => _ = serve_executor(executor.clone(), &host),
+    match state_of(Peer::Executor) {
+        PeerState::Absent => {}
+        PeerState::Slow => serve_executor_slowly(executor.clone(), &host),
+        PeerState::Present => _ = serve_executor(executor.clone(), &host),
     }
     let mut silent_store = None;
-    let store = match presence_of(Peer::Store) {
-        Presence::Absent => StoreStub::default(),
-        Presence::Slow => {
+    let store = match state_of(Peer::Store) {
+        PeerState::Absent => StoreStub::default(),
+        PeerState::Slow => {
             // Connections stay in the backlog of this listener.
             silent_store = Some(TcpListener::bind((&host[..], STORE_PORT)).unwrap());
             StoreStub::default()
         }
-        Presence::Present => start_store(&host),
+        PeerState::Present => start_store(&host),
     };
-    let registry = match presence_of(Peer::Registry) {
-        Presence::Absent => None,
-        Presence::Slow | Presence::Present => {
+    let registry = match state_of(Peer::Registry) {
+        PeerState::Absent => None,
+        PeerState::Slow | PeerState::Present => {
             Some(UdpSocket::bind((&host[..], REGISTRY_PORT)).unwrap())
         }
     };
     let mut begin = Instant::now();
     let mut backend = BackendSetup::with_peers(host, executor, store).spawn();
-    let may_serve = presence_of(Peer::Executor) != Presence::Absent;
+    let may_serve = state_of(Peer::Executor) != PeerState::Absent;
     let mut times = Vec::new();
     loop {
         times.push(first_answers(&backend, begin, may_serve));
@@ -122,7 +124,7 @@
         begin = Instant::now();
         backend.child = spawn_program(&backend.config_file);
     }
-    if peer == Peer::Registry && presence == Presence::Present {
+    if peer == Peer::Registry && peer_state == PeerState::Present {
         let registry = registry.as_ref().unwrap();
         registry
             .set_read_timeout(Some(MAX_TIME_TO_FIRST_ANSWER))
@@ -133,13 +135,16 @@
     times
 }
 
-/// Sends requests on new connections until one is answered, and, where it may be served, until one
-/// is served.
+/// Sends requests on new connections until one is answered and, if `may_serve`, until one is
+/// served.
 fn first_answers(backend: &TestBackend, begin: Instant, may_serve: bool) -> StartupTimes {
     let mut first_answer = None;
     loop {
-        assert!(begin.elapsed() < LONG_TIMEOUT, "no answer");
-        if let Some(kind) = answer_on_new_connection(backend, begin) {
+        assert!(
+            begin.elapsed() < LONG_TIMEOUT,
+            "no answer within the time limit"
+        );
+        if let Some(kind) = request_on_new_connection(backend, begin) {
             let now = begin.elapsed();
             let first_answer = *first_answer.get_or_insert(now);
             if kind == AnswerKind::Answer {
@@ -159,7 +164,7 @@
     }
 }
 
-fn answer_on_new_connection(backend: &TestBackend, begin: Instant) -> Option<AnswerKind> {
+fn request_on_new_connection(backend: &TestBackend, begin: Instant) -> Option<AnswerKind> {
     let stream = TcpStream::connect((&backend.host[..], EDGE_PORT)).ok()?;
     stream.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
     let mut edge = EdgeConnection { stream };
@@ -168,8 +173,8 @@
     edge.read_answer().map(|answer| answer.kind)
 }
 
-/// An executor that accepts a link at once and answers it a second later.
-fn serve_executor_late(executor: SharedExecutor, host: &str) {
+/// Starts an executor that accepts a link immediately and replies on it a second later.
+fn serve_executor_slowly(executor: SharedExecutor, host: &str) {
     let listener = TcpListener::bind((host, EXECUTOR_PORT)).unwrap();
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
--- a/crates/server/tests/program/store_calls.rs
+++ b/crates/server/tests/program/store_calls.rs
@@ -1,5 +1,5 @@
-//! Calls to the store: a store that is down, silent or malformed, replies that break off, and
-//! pooled connections that close.
+//! Calls to the store: a store that is down or silent, malformed and truncated replies, and pooled
+//! connections that close.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -15,8 +15,8 @@
 use crate::harness::store::StoreStub;
 use crate::harness::{LONG_TIMEOUT, STORE_PORT, unique_address, wait_until};
 
-/// While the store is down, requests are completed without the call, in the cheaper variant. Once
-/// it is back, calls are made again without a restart.
+/// While the store is down, requests are completed without the call, with the degraded result. Once
+/// the store is up, calls are made again without a restart.
 #[test]
 fn calls_are_skipped_while_the_store_is_down() {
     let backend = start_backend();
@@ -45,8 +45,9 @@
     });
 }
 
-/// A call that the store never answers ends at its time limit: its request goes on without it, and
-/// the connection is closed, because a late reply would be taken for the next call's.
+/// A call to which the store does not reply ends at its time limit: its request is completed
+/// without the call, and the backend closes the connection, because a late reply would be matched
+/// to the next call.
 #[test]
 fn a_call_that_is_not_answered_times_out() {
     let backend = start_backend();
@@ -62,14 +63,14 @@
     });
 }
 
-/// The store answers with noise, an absurd length, a wrong length or an endless line. That call
-/// fails, and a call on another connection is not touched. A reply to nobody and a second copy of a
-/// reply are passed over.
+/// The store replies with random bytes, an excessive length, a wrong length or a line that is too
+/// long. That call fails, and a call on another connection is not affected. The backend ignores a
+/// reply to an unknown call and a duplicate of a reply.
 #[test]
 fn a_malformed_reply_costs_its_own_call_only() {
     let backend = start_backend();
     let mut edge = backend.connect();
-    for (at, spoilt) in [
+    for (at, malformed_reply) in [
         "\u{1}noise\r\n",
         "ID OK 3000000000\r\nx",
         "ID OK 2\r\nfour\r\n",
@@ -79,7 +80,9 @@
     .enumerate()
     {
         let other = format!("00000000000cc{at:02}0");
-        backend.store.plan_replies(&["", spoilt, spoilt, spoilt]);
+        backend
+            .store
+            .plan_replies(&["", malformed_reply, malformed_reply, malformed_reply]);
         edge.send_request(1, &other, b"call");
         wait_until("the call waits for its reply", || {
             backend
@@ -106,7 +109,7 @@
                 .contains(b"richer")
         );
     }
-    // A reply to an unknown call before the right one, and a copy of it behind.
+    // A reply to an unknown call before the right reply, and a duplicate after it.
     backend.store.plan_replies(&[
         "f OK 1\r\nx\r\nID OK 3\r\nown\r\nID OK 3\r\nown\r\n",
         "ID BUSY\r\n",
@@ -124,34 +127,33 @@
     assert_eq!(backend.executor().replies.last().unwrap(), b"own");
 }
 
-/// The link to the executor breaks as the reply to a call is sent over it. The reply may have
-/// arrived, so it is not sent again; the call is skipped by name instead, which the executor
-/// ignores if it had the reply.
+/// The link to the executor breaks when the reply to a call is sent over it. The reply may have
+/// arrived, so the backend does not send it again. It sends a command that skips this call, which
+/// the executor ignores if it has received the reply.
 #[test]
 fn a_reply_lost_with_the_executor_link_becomes_a_skipped_call() {
     let backend = start_backend();
     let mut edge = backend.connect();
     backend.executor().should_lose_link_at_reply = true;
     edge.send_request(1, "0000000000000ac1", b"call");
-    // The reply may have arrived, so it is not sent again; the skip names its call.
     assert!(
         edge.expect_answer(1, AnswerKind::Answer)
             .contains(b"poorer")
     );
 }
 
-/// The store closes each connection together with its reply, just as the pool assigns the next call
-/// to it. 150 calls are made; each request ends once, no run gets another call's reply, and more
-/// than 50 calls succeed.
+/// The store closes each connection together with its reply, while the pool assigns the next call
+/// to it. 150 calls are made; each request ends once, no run gets the reply to another call, and
+/// more than 50 calls succeed.
 #[test]
 fn a_pooled_connection_that_closes_as_it_is_assigned_costs_one_call_at_most() {
     let host = unique_address();
     let listener = std::net::TcpListener::bind((&host[..], STORE_PORT)).unwrap();
-    let resets = AtomicBool::new(false);
+    let should_reset = AtomicBool::new(false);
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
             let mut bytes = [0; 512];
-            // One call and its reply, followed by a plain close and a reset in turn.
+            // One call and its reply, followed by a normal close or a reset in turn.
             let Ok(read) = stream.read(&mut bytes) else {
                 continue;
             };
@@ -160,7 +162,7 @@
                 continue;
             };
             let _ = stream.write_all(format!("{id} OK 3\r\nown\r\n").as_bytes());
-            if resets.fetch_not(Ordering::AcqRel) {
+            if should_reset.fetch_not(Ordering::AcqRel) {
                 let _ = socket2::SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO));
             }
             let _ = stream.shutdown(Shutdown::Write);
@@ -180,13 +182,13 @@
     let executor = backend.executor();
     assert!(
         executor.replies.iter().all(|reply| reply == b"own"),
-        "a reply of its own"
+        "the reply to its own call"
     );
     assert!(executor.ends.values().all(|&ends| ends == 1));
 }
 
-/// A reply and the reset of its connection are both in the receive buffer before the backend reads
-/// either. The reply is read first, so it counts.
+/// A reply is in the receive buffer and its connection is closed or reset before the backend reads.
+/// The backend reads the reply first and uses it.
 #[test]
 fn a_store_reply_received_before_a_reset_is_used() {
     let (backend, calls) = start_backend_with_test_store();
@@ -222,13 +224,13 @@
     );
 }
 
-/// A call as the test's own store has read it.
+/// A call that the test's store has read.
 struct Call {
     id: String,
     stream: TcpStream,
 }
 
-/// A backend whose store hands each call to the test.
+/// Starts a backend whose store passes each call to the test.
 fn start_backend_with_test_store() -> (TestBackend, std::sync::mpsc::Receiver<Call>) {
     let host = unique_address();
     let listener = TcpListener::bind((&host[..], STORE_PORT)).unwrap();
@@ -236,7 +238,7 @@
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
             let mut bytes = [0; 512];
-            // A call is written at once, so it is read at once.
+            // The backend sends a call in one write, so one read receives all of it.
             let Ok(length) = stream.read(&mut bytes) else {
                 continue;
             };
@@ -260,15 +262,15 @@
     (backend, calls)
 }
 
-/// A reply breaks off behind each of its bytes in turn, with a plain end or a reset. Its call
-/// fails, its request is answered once, and no run is given a part of a reply.
+/// Replies are truncated after each number of bytes in turn, by a normal close or a reset. The call
+/// fails, its request is answered once, and no run gets a part of a reply.
 #[test]
 fn a_truncated_store_reply_is_never_used_as_a_reply() {
     const BODY: &str = "a reply";
     let (backend, calls) = start_backend_with_test_store();
     let whole_length = format!("{:016x} OK {}\r\n{BODY}\r\n", 0, BODY.len()).len();
-    let done = Arc::new(AtomicBool::new(false));
-    let finished = done.clone();
+    let is_done = Arc::new(AtomicBool::new(false));
+    let is_finished = is_done.clone();
     let store = std::thread::spawn(move || {
         let mut cut = 0;
         for (number, call) in calls.iter().enumerate() {
@@ -283,7 +285,7 @@
                     let _ = SockRef::from(&call.stream).set_linger(Some(Duration::ZERO));
                 }
                 cut += 1;
-                finished.store(cut == whole_length, Ordering::Release);
+                is_finished.store(cut == whole_length, Ordering::Release);
             }
             if cut == whole_length {
                 return;
@@ -292,10 +294,10 @@
     });
     let mut edge = backend.connect();
     for sequence in 1.. {
-        if done.load(Ordering::Acquire) {
+        if is_done.load(Ordering::Acquire) {
             break;
         }
-        assert!(sequence < 2000, "the store is called");
+        assert!(sequence < 2000, "the store received too few calls");
         edge.send_request(sequence, &format!("000000000a0d{sequence:04x}"), b"call");
         let answer = edge.expect_answer(sequence, AnswerKind::Answer);
         assert!(answer.contains(b"richer") || answer.contains(b"poorer"));
@@ -308,7 +310,7 @@
             .replies
             .iter()
             .all(|reply| reply == BODY.as_bytes()),
-        "part of a reply"
+        "a run got part of a reply"
     );
     assert!(executor.ends.values().all(|&ends| ends == 1));
 }
