--- a/crates/trace/src/anonymise.rs
+++ b/crates/trace/src/anonymise.rs
@@ -1,6 +1,6 @@
-//! Copies of a file in which ids, idempotency keys, subjects and callers are replaced by keyed
-//! hashes. Files made with one key can still be correlated, and none of the replaced values
-//! is left.
+//! Anonymised copies of a file, in which ids, idempotency keys, subjects and callers are replaced
+//! by keyed hashes. Copies with the same key can still be correlated, and contain none of the
+//! replaced values.
 
 use std::io::{Read, Seek, Write};
 
@@ -16,21 +16,21 @@
 /// Minimum length of a key, in bytes.
 const MIN_KEY_BYTES: usize = 32;
 /// Minimum number of distinct bytes of a key. Fewer than one in a billion keys of 32 random bytes
-/// has fewer than 20 distinct ones.
+/// has fewer than 20 distinct bytes.
 const MIN_DISTINCT_BYTES: usize = 20;
-/// The context of the key derivation of BLAKE3.
-const CONTEXT: &str = "tulipgap trace anonymise 2026 v1";
+/// The context string of the BLAKE3 key derivation.
+const KEY_DERIVATION_CONTEXT: &str = "tulipgap trace anonymise 2026 v1";
 
 /// Why a key is rejected.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum KeyError {
-    /// The key is too short; its length in bytes.
+    /// The key is too short. The value is its length in bytes.
     #[error(
         "the key has {0} bytes; at least {MIN_KEY_BYTES} are needed, such as 64 hex digits or 32 random bytes"
     )]
     TooShort(usize),
-    /// The key is not random; its number of distinct bytes.
-    #[error("the key is weak: only {0} of its bytes differ; take random ones")]
+    /// The key is not random. The value is its number of distinct bytes.
+    #[error("the key is weak: only {0} of its bytes are distinct; use random bytes")]
     TooFewDistinctBytes(usize),
 }
 
@@ -38,10 +38,10 @@
 pub struct HashKey([u8; 32]);
 
 impl HashKey {
-    /// A key from hex digits, or from bytes as they are. White space around hex digits is ignored.
+    /// Creates a key from hex digits or from raw bytes. White space around hex digits is ignored.
     ///
     /// # Errors
-    /// [`KeyError`] where the key is short or not random.
+    /// [`KeyError`] if the key is short or not random.
     pub fn new(text: &[u8]) -> Result<HashKey, KeyError> {
         let trimmed = text.trim_ascii();
         let is_hex = trimmed.iter().all(u8::is_ascii_hexdigit) && trimmed.len().is_multiple_of(2);
@@ -63,10 +63,10 @@
         if distinct.len() < MIN_DISTINCT_BYTES {
             return Err(KeyError::TooFewDistinctBytes(distinct.len()));
         }
-        Ok(HashKey(blake3::derive_key(CONTEXT, &bytes)))
+        Ok(HashKey(blake3::derive_key(KEY_DERIVATION_CONTEXT, &bytes)))
     }
 
-    /// The hash of a value. The same value of two kinds has two hashes.
+    /// The hash of a value. Equal values of different kinds have different hashes.
     fn hash(&self, kind: &str, bytes: &[u8]) -> blake3::Hash {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         hasher
@@ -100,14 +100,14 @@
 /// Writes an anonymised copy in the newest format version.
 ///
 /// # Errors
-/// [`RewriteError::Read`] or [`RewriteError::Write`]. Damage is no error but a [`crate::Loss`].
+/// [`RewriteError::Read`] or [`RewriteError::Write`]. Damage is not an error but a [`crate::Loss`].
 pub fn anonymise<R: Read + Seek, W: Write>(
     mut source: TraceReader<R>,
     key: &HashKey,
     hidden: HiddenNames,
     out: W,
 ) -> Result<CopySummary, RewriteError> {
-    // After a survey the dictionary has the names that came later in the file, too.
+    // After a survey, the dictionary also has the names that the file adds after its header.
     source.survey().map_err(RewriteError::read("input"))?;
     let mut names = source.dictionary().clone();
     if hidden.tenants {
@@ -136,20 +136,20 @@
     };
     let mut header = Header::new(NEWEST_VERSION, 0, &server, original.start);
     header.names = names.clone();
-    // The id of the source would connect the copy with it; a hash of it still shows a file that is
-    // given twice.
+    // The file id of the source would link the copy to the source. A hash of it still lets a merge
+    // detect a file that is given twice.
     header.file_id = key.hash_name("file", &original.file_id);
     let mut writer = Writer::new(out, header, BlockConfig::default())?;
     let mut source = source.rewind().map_err(RewriteError::read("input"))?;
     source.rename(names);
     let summary = copy(source, &Filter::default(), &mut writer, |record| {
-        hide(record, key)
+        anonymise_record(record, key)
     })?;
     writer.finish()?;
     Ok(summary)
 }
 
-fn hide(record: &mut Record, key: &HashKey) {
+fn anonymise_record(record: &mut Record, key: &HashKey) {
     record.id = key.hash_number("id", record.id);
     record.key = record.key.map(|value| key.hash_number("key", value));
     record.subject = record
--- a/crates/trace/src/block/decode.rs
+++ b/crates/trace/src/block/decode.rs
@@ -16,7 +16,7 @@
 
 /// Maximum unpacked size of a part, in bytes for each record of the block.
 const MAX_PART_BYTES_PER_RECORD: usize = 32;
-/// Maximum unpacked size of a part beyond its bytes for each record.
+/// Number of bytes by which the unpacked size of a part may exceed the bytes for each record.
 const MAX_PART_EXTRA_BYTES: usize = 64;
 
 /// One encoded column of a block.
@@ -31,23 +31,24 @@
     parts: Vec<Part<'a>>,
 }
 
-/// Some bytes of a column.
+/// A part of an encoded column, which is compressed separately from the other parts.
 #[derive(Clone, Copy, Debug)]
 struct Part<'a> {
     raw_length: usize,
-    /// 0 where the part is not compressed.
+    /// 0 if the part is not compressed.
     compressed_length: usize,
     body: &'a [u8],
 }
 
 impl EncodedColumn<'_> {
-    /// The bytes that its values take in the file.
+    /// The number of bytes that the values of the column take in the file.
     pub(crate) fn stored_bytes(&self) -> usize {
         self.parts.iter().map(|part| part.body.len()).sum()
     }
 }
 
-/// The columns of a block, still encoded. `input` is positioned behind the header of the block.
+/// Reads the columns of a block without decoding them. `input` is positioned after the header of
+/// the block.
 pub(crate) fn read_columns<'a>(
     input: &mut ByteReader<'a>,
     header: &BlockHeader,
@@ -55,7 +56,7 @@
     let count = input.read_u64()?;
     if count > MAX_COLUMNS as u64 {
         return Err(TraceError::LimitExceeded {
-            what: "columns of a block",
+            quantity: "columns of a block",
             value: count,
         });
     }
@@ -75,11 +76,11 @@
     if input.is_empty() {
         Ok(all)
     } else {
-        Err(TraceError::Invalid("bytes behind a block"))
+        Err(TraceError::Invalid("bytes after a block"))
     }
 }
 
-/// The description of a column, which precedes all bodies.
+/// Reads the description of a column. The descriptions of all columns precede their parts.
 fn read_column_entry<'a>(
     input: &mut ByteReader<'a>,
     max_part_bytes: u64,
@@ -98,7 +99,7 @@
         let compressed_length = input.read_u64()?;
         if raw_length > max_part_bytes {
             return Err(TraceError::LimitExceeded {
-                what: "bytes of a column",
+                quantity: "bytes of a column",
                 value: raw_length,
             });
         }
@@ -118,7 +119,7 @@
 }
 
 impl<'a> PartReader<'a, '_> {
-    /// The bytes of the next part.
+    /// Returns the unpacked bytes of the next part.
     fn next(&mut self) -> Result<Cow<'a, [u8]>, TraceError> {
         let part = self
             .parts
@@ -141,7 +142,7 @@
         self.parts.len() == 0
     }
 
-    /// Values whose remaining parts are their planes.
+    /// Decodes values from their planes, which are the remaining parts.
     fn planes(&mut self, count: usize) -> Result<Vec<u64>, TraceError> {
         let width = self.parts.len();
         if !(1..=MAX_PLANES).contains(&width) {
@@ -177,7 +178,7 @@
         if input.is_empty() {
             Ok(values)
         } else {
-            Err(TraceError::Invalid("bytes behind a column"))
+            Err(TraceError::Invalid("bytes after a column"))
         }
     }
 
@@ -187,7 +188,7 @@
         let entries = input.read_u64()?;
         if entries > MAX_TABLE_ENTRIES as u64 {
             return Err(TraceError::LimitExceeded {
-                what: "entries of a table",
+                quantity: "entries of a table",
                 value: entries,
             });
         }
@@ -208,7 +209,7 @@
     }
 }
 
-/// The differences of a column to their predictions, as they are stored.
+/// Decodes the stored differences of a column's values to their predictions.
 fn read_differences(
     column: &EncodedColumn,
     records: usize,
@@ -221,13 +222,13 @@
     let bitmap = match column.presence {
         presence::ALL => None,
         presence::BITMAP => Some(parts.next()?),
-        _ => return Err(TraceError::Invalid("which records have a value")),
+        _ => return Err(TraceError::Invalid("the presence of a column's values")),
     };
     if bitmap
         .as_ref()
         .is_some_and(|bitmap| bitmap.len() != records.div_ceil(8))
     {
-        return Err(TraceError::Invalid("which records have a value"));
+        return Err(TraceError::Invalid("the presence of a column's values"));
     }
     let has_value = |at: usize| {
         bitmap
@@ -251,13 +252,13 @@
         .collect())
 }
 
-/// A column whose values are known.
+/// A column after decoding.
 struct DecodedColumn {
     id: u64,
     values: Vec<Option<u64>>,
 }
 
-/// The records of a block. Ids of unknown columns are added to `unknown`.
+/// Decodes the records of a block. Ids of unknown columns are added to `unknown`.
 pub(crate) fn decode_records(
     header: &BlockHeader,
     columns: &[EncodedColumn],
@@ -289,7 +290,7 @@
     Ok(records)
 }
 
-/// Turns differences into values, by the prediction of their column.
+/// Turns differences into values by adding the predictions of the column.
 fn add_predictions(
     column: &EncodedColumn,
     values: &mut [Option<u64>],
@@ -305,7 +306,7 @@
             }
         }
         prediction::OTHER_COLUMN => {
-            // The other column precedes this one, or there is none.
+            // A prediction refers to a preceding column. Without that column it is 0.
             let other = decoded
                 .iter()
                 .find(|other| other.id == u64::from(column.other_column));
@@ -314,7 +315,7 @@
                 *value = value.map(|value| sum(value, predicted));
             }
         }
-        _ => return Err(TraceError::Invalid("how a column is predicted")),
+        _ => return Err(TraceError::Invalid("the prediction of a column")),
     }
     Ok(())
 }
--- a/crates/trace/src/block/encode.rs
+++ b/crates/trace/src/block/encode.rs
@@ -1,4 +1,5 @@
-//! Encodes records as the payload of a block: columns, their predictions, layouts and compression.
+//! Encodes records as the payload of a block: chooses the layout of each column, and compresses its
+//! parts.
 
 use zstd::bulk::Compressor;
 
@@ -8,12 +9,12 @@
 use crate::record::Record;
 use crate::varint::{write_u64, zigzag_decode, zigzag_encode};
 
-/// The zstd level of a block. Higher levels take more time and save next to nothing.
+/// The zstd level of a block. Higher levels take more time and save almost no space.
 pub(crate) const COMPRESSION_LEVEL: i32 = 1;
 /// Number of values that are sampled to decide whether a table of distinct values is built.
-const TABLE_SAMPLE: usize = 256;
-/// Minimum ratio of the frequency with which two bytes of a part are equal to that of random bytes;
-/// a part below it is stored uncompressed.
+const TABLE_SAMPLE_SIZE: usize = 256;
+/// Minimum ratio of the frequency of equal pairs of bytes in a part to their frequency in random
+/// bytes; a part below this ratio is stored uncompressed.
 const MIN_BYTE_SKEW: f64 = 1.05;
 /// Initial capacity of a block's buffer, in bytes per record.
 const ESTIMATED_RECORD_BYTES: usize = 24;
@@ -26,10 +27,10 @@
     values: Vec<Option<u64>>,
 }
 
-/// The columns of these records in a format version.
+/// Builds the columns of records in a format version.
 ///
 /// # Errors
-/// [`WriteError::ValueOutOfRange`] names the column that a value does not fit.
+/// [`WriteError::ValueOutOfRange`], with the name of the column that a value does not fit.
 pub(crate) fn columns_of(
     records: &[Record],
     version: u32,
@@ -76,8 +77,8 @@
     }
 }
 
-/// The payload of a block. The compressor is reused from block to block, as setting one up costs as
-/// much as compressing a part.
+/// Encodes the payload of a block. The caller reuses the compressor for all blocks, because setting
+/// one up takes as long as compressing a part.
 pub(crate) fn encode(
     header: &BlockHeader,
     columns: &[ColumnValues],
@@ -96,7 +97,8 @@
         out.extend_from_slice(&[column.kind.code(), presence]);
         out.extend_from_slice(&prediction_bytes(column.prediction));
         out.push(laid_out.layout);
-        // Each part is compressed by itself: bytes of other parts would make its code worse.
+        // Each part is compressed separately, because it compresses worse together with other
+        // parts.
         let parts: Vec<Vec<u8>> = bitmap.into_iter().chain(laid_out.parts).collect();
         out.push(parts.len() as u8);
         for raw in parts {
@@ -124,7 +126,7 @@
     Ok(out)
 }
 
-/// Whether bytes are practically random, so that compressing them would only cost time.
+/// Whether the bytes are so close to random that compressing them costs time and saves no space.
 fn is_uniform(bytes: &[u8]) -> bool {
     let mut counts = [0u32; 256];
     for &byte in bytes {
@@ -165,7 +167,7 @@
     zigzag_encode(zigzag_decode(value).wrapping_sub(zigzag_decode(predicted)))
 }
 
-/// The presence of values in records: the stored number, and a bitmap where not all have one.
+/// The stored number of the presence of values, and a bitmap if some records have no value.
 fn presence_of(values: &[Option<u64>]) -> (u8, Option<Vec<u8>>) {
     if values.iter().all(Option::is_some) {
         return (presence::ALL, None);
@@ -181,7 +183,7 @@
     (presence::BITMAP, Some(bitmap))
 }
 
-/// Values in one of the layouts.
+/// The values of a column in one of the layouts.
 struct LaidOut {
     layout: u8,
     parts: Vec<Vec<u8>>,
@@ -207,8 +209,8 @@
             parts: table_parts(values, &table),
         };
     }
-    // Times of one order of magnitude compress best as planes, of which the upper ones are nearly
-    // constant. Small numbers with a few long ones among them do so as varints.
+    // Times of one order of magnitude compress best as planes, because the upper planes are nearly
+    // constant. Small numbers with a few large ones among them compress best as varints.
     let width = values
         .iter()
         .max()
@@ -243,15 +245,15 @@
     out
 }
 
-/// The distinct values in ascending order, where a table of them is smaller.
+/// The distinct values in ascending order; `None` if a table of them would not save space.
 fn table_of(values: &[u64]) -> Option<Vec<u64>> {
-    // No table is built where the values of a sample hardly repeat.
+    // No table is built if the values of a sample rarely repeat.
     let sample = values
         .iter()
-        .step_by(values.len() / TABLE_SAMPLE + 1)
+        .step_by(values.len() / TABLE_SAMPLE_SIZE + 1)
         .copied()
         .collect();
-    if distinct(sample).len() * 2 > TABLE_SAMPLE {
+    if distinct(sample).len() * 2 > TABLE_SAMPLE_SIZE {
         return None;
     }
     let table = distinct(values.to_vec());
@@ -264,7 +266,8 @@
     values
 }
 
-/// The table, each entry as its distance from the one before, and planes of positions in it.
+/// Encodes the table, with each entry as the difference to the previous one, and the positions of
+/// the values in the table as planes.
 fn table_parts(values: &[u64], table: &[u64]) -> Vec<Vec<u8>> {
     let mut entries = varints(&[table.len() as u64]);
     let mut previous = 0;
@@ -282,7 +285,7 @@
         .collect()
 }
 
-/// The lowest bytes of all values, then the next ones, and so on.
+/// Splits values into planes: the lowest bytes of all values, then the next ones, and so on.
 fn planes(values: &[u64], width: usize) -> Vec<Vec<u8>> {
     (0..width)
         .map(|plane| {
--- a/crates/trace/src/block/mod.rs
+++ b/crates/trace/src/block/mod.rs
@@ -1,5 +1,5 @@
-//! A block: up to [`MAX_RECORDS`] records, column by column. Each column states its kind, how its
-//! values are predicted and laid out, and how long it is, so that a reader can skip a column that
+//! A block stores up to [`MAX_RECORDS`] records, column by column. Each column states its kind, the
+//! prediction and the layout of its values, and its length, so that a reader can skip a column that
 //! it does not know or does not need.
 
 mod decode;
@@ -24,7 +24,8 @@
 /// Maximum width of a value in planes, in bytes.
 const MAX_PLANES: usize = 8;
 
-/// The stored numbers of layouts: how the values of a column are arranged before compression.
+/// The stored numbers of layouts. A layout is the arrangement of a column's values before
+/// compression.
 mod layout {
     /// All values are equal.
     pub(super) const CONSTANT: u8 = 0;
@@ -38,9 +39,9 @@
 
 /// The stored numbers of the presence of values in a column.
 mod presence {
-    /// Each record has one.
+    /// Each record has a value.
     pub(super) const ALL: u8 = 0;
-    /// The first part is a bitmap of those that have one.
+    /// The first part of the column is a bitmap of the records that have a value.
     pub(super) const BITMAP: u8 = 1;
 }
 
@@ -48,13 +49,13 @@
 mod prediction {
     /// The prediction is 0.
     pub(super) const ZERO: u8 = 0;
-    /// The prediction is the value of the previous record.
+    /// The prediction is the value of the previous record that has one.
     pub(super) const PREVIOUS_RECORD: u8 = 1;
     /// The prediction is the value of another column of the same record.
     pub(super) const OTHER_COLUMN: u8 = 2;
 }
 
-/// The stored form of a prediction: its number, and the column it refers to.
+/// The stored form of a prediction: its number, and the id of the column that it refers to.
 fn prediction_bytes(prediction: Prediction) -> [u8; 2] {
     match prediction {
         Prediction::Zero => [prediction::ZERO, 0],
@@ -68,17 +69,17 @@
 pub(crate) struct BlockHeader {
     /// The number of the block in its file, from 0.
     pub(crate) number: u64,
-    /// The number of records before it in the file.
+    /// The number of records before the block in the file.
     pub(crate) records_before: u64,
-    /// The number of its records.
+    /// The number of records in the block.
     pub(crate) records: usize,
     /// The earliest `reached`.
     pub(crate) from: Micros,
     /// The latest `reached`.
     pub(crate) to: Micros,
-    /// The handlers that occur.
+    /// The handlers that occur in the block.
     pub(crate) handlers: BTreeSet<u32>,
-    /// The outcomes that occur, a bit for each.
+    /// The outcomes that occur in the block, a bit for each.
     pub(crate) outcomes: u32,
 }
 
@@ -128,7 +129,7 @@
         let handler_count = input.read_u64()?;
         if handler_count > records as u64 {
             return Err(TraceError::LimitExceeded {
-                what: "handlers of a block",
+                quantity: "handlers of a block",
                 value: handler_count,
             });
         }
@@ -153,7 +154,7 @@
 pub(crate) fn check_record_count(records: usize) -> Result<(), TraceError> {
     if records > MAX_RECORDS {
         return Err(TraceError::LimitExceeded {
-            what: "records of a block",
+            quantity: "records of a block",
             value: records as u64,
         });
     }
--- a/crates/trace/src/check.rs
+++ b/crates/trace/src/check.rs
@@ -1,5 +1,5 @@
-//! Checks that a file is sound: intact, with an index that agrees with its blocks, and without
-//! contradictions in its records.
+//! Checks that a file is sound: it is intact, its index agrees with its blocks, and its records
+//! have no contradictions.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{Read, Seek};
@@ -9,32 +9,33 @@
 use crate::reader::{Item, Loss, TraceError, TraceReader};
 use crate::record::Record;
 
-/// Maximum number of ids that are kept for finding duplicates.
-const MAX_REMEMBERED_IDS: usize = 1 << 20;
-/// A block that begins further than this before the latest record so far counts as set back, in
-/// microseconds.
-const SET_BACK: Micros = 60_000_000;
+/// Maximum number of ids that are kept to find duplicates.
+const MAX_TRACKED_IDS: usize = 1 << 20;
+/// Maximum time by which a block may end before the latest record so far, in microseconds. A block
+/// that ends earlier counts as set back.
+const MAX_BACKWARD_STEP: Micros = 60_000_000;
 
 /// The result of [`check()`].
 #[derive(Debug, Default)]
 pub struct CheckReport {
-    /// Records that were read.
+    /// The number of records that were read.
     pub records: u64,
-    /// Blocks that were read.
+    /// The number of blocks that were read.
     pub blocks: usize,
-    /// The gaps that the writer noted.
+    /// The gaps that the writer recorded.
     pub gaps: Vec<Gap>,
     /// The losses: parts that could not be read.
     pub losses: Vec<Loss>,
     /// Unknown columns, which were skipped.
     pub unknown_columns: Vec<String>,
-    /// The number of records with times out of order, by the times that contradict each other.
+    /// The number of records with times out of order, by the contradiction.
     pub out_of_order_times: BTreeMap<&'static str, u64>,
-    /// Records with an id that an earlier record of the same server has.
+    /// The number of records with the id of an earlier record of the same server.
     pub duplicate_ids: u64,
-    /// Blocks that lie over a minute before the latest record so far: the clock may have been set.
+    /// The number of blocks that end more than a minute before the latest record so far, which
+    /// suggests that the clock was set back.
     pub set_back_blocks: u64,
-    /// Whether the index does not agree with the blocks.
+    /// Whether the index differs from the blocks.
     pub has_wrong_index: bool,
 }
 
@@ -47,7 +48,7 @@
             && !self.has_wrong_index
     }
 
-    fn add_times(&mut self, record: &Record) {
+    fn count_contradictions(&mut self, record: &Record) {
         for (contradiction, is_found) in time_contradictions(record) {
             if is_found {
                 *self.out_of_order_times.entry(contradiction).or_default() += 1;
@@ -60,19 +61,19 @@
 #[derive(Default)]
 struct RecentIds {
     ids: BTreeSet<(u32, u64)>,
-    /// In the order in which they were added.
+    /// The ids in the order in which they were added.
     order: VecDeque<(u32, u64)>,
 }
 
 impl RecentIds {
-    /// Adds an id; false where it is known already.
+    /// Adds the id of a record; false if the id is already known.
     fn insert(&mut self, record: &Record) -> bool {
         let id = (record.server, record.id);
         if !self.ids.insert(id) {
             return false;
         }
         self.order.push_back(id);
-        if self.order.len() > MAX_REMEMBERED_IDS
+        if self.order.len() > MAX_TRACKED_IDS
             && let Some(oldest) = self.order.pop_front()
         {
             self.ids.remove(&oldest);
@@ -84,7 +85,7 @@
 /// Reads a whole file and reports damage and contradictions.
 ///
 /// # Errors
-/// [`TraceError`] where it cannot be read at all. Damage is a part of the report.
+/// [`TraceError`] if the file cannot be read at all. Damage is a part of the report.
 pub fn check<R: Read + Seek>(mut reader: TraceReader<R>) -> Result<CheckReport, TraceError> {
     let survey = reader.survey()?;
     let mut reader = reader.rewind()?;
@@ -103,24 +104,25 @@
                     .map(|record| record.reached)
                     .max()
                     .unwrap_or(latest);
-                report.set_back_blocks += u64::from(to < latest.saturating_sub(SET_BACK));
+                report.set_back_blocks += u64::from(to < latest.saturating_sub(MAX_BACKWARD_STEP));
                 latest = latest.max(to);
                 for record in &records {
-                    report.add_times(record);
+                    report.count_contradictions(record);
                     report.duplicate_ids += u64::from(!ids.insert(record));
                 }
             }
         }
     }
     report.unknown_columns = reader.unknown_columns();
-    // A damaged block is missing among those that were read, and is a loss already.
+    // A damaged block is already reported as a loss, and is missing from the blocks that were read,
+    // so the index is compared only without losses.
     report.has_wrong_index = survey.is_indexed
         && report.losses.is_empty()
         && survey.index.blocks() != reader.blocks().blocks();
     Ok(report)
 }
 
-/// Which times of a record are out of order.
+/// The contradictions between the times of a record, and whether each was found.
 fn time_contradictions(record: &Record) -> [(&'static str, bool); 5] {
     let is_reversed = |first: Option<Micros>, then: Option<Micros>| matches!((first, then), (Some(a), Some(b)) if b < a);
     [
--- a/crates/trace/src/clock_offsets.rs
+++ b/crates/trace/src/clock_offsets.rs
@@ -1,8 +1,8 @@
 //! Estimates the offsets of the servers' clocks from attempts of one request at several servers. A
-//! retry reaches its server after the earlier attempt was answered by another one, which bounds the
-//! difference of their clocks from one side; retries in the other direction bound it from the
-//! other, as an exchange of time stamps does in NTP. Of all pairs of servers, those with the
-//! closest bounds are used.
+//! retry reaches its server after another server answered the earlier attempt, which bounds the
+//! difference of the two clocks from one side. Retries in the other direction bound the difference
+//! from the other side, as an exchange of time stamps does in NTP. The estimate uses the pairs of
+//! servers with the closest bounds.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -11,7 +11,7 @@
 use crate::record::Record;
 
 /// Maximum number of requests that are kept for correlation.
-const MAX_REMEMBERED_REQUESTS: usize = 1 << 18;
+const MAX_TRACKED_REQUESTS: usize = 1 << 18;
 /// How long a request is kept for correlation, in microseconds.
 const CORRELATION_WINDOW: Micros = 7_200_000_000;
 /// Maximum number of attempts of one request that are compared; further ones add no information.
@@ -22,7 +22,8 @@
 pub struct ClockOffset {
     /// The index of the server.
     pub server: u32,
-    /// The offset to add, in microseconds; `None` where no retries connect it to the first server.
+    /// The offset to add, in microseconds; `None` if no retries connect the server to the first
+    /// one.
     pub offset: Option<Micros>,
     /// The maximum error of `offset` in either direction, in microseconds.
     pub uncertainty: Micros,
@@ -37,12 +38,12 @@
     is_retry: bool,
 }
 
-/// For each ordered pair of servers: the least time from an answer by the one to a retry at the
-/// other.
+/// The minimum time from an answer of the first server to a retry at the second one, for each
+/// ordered pair of servers.
 type MinDelays = BTreeMap<(u32, u32), Micros>;
 
-/// Estimates the clocks of `servers` against that of the first. Records may come in any order in
-/// which attempts of one request are not too far apart.
+/// Estimates the clock offsets of `servers` relative to the first of them. Records may come in any
+/// order in which the attempts of one request are close to each other.
 pub fn estimate_clock_offsets(
     records: impl Iterator<Item = Record>,
     servers: &[u32],
@@ -74,7 +75,7 @@
         }
         let is_old =
             |&(at, _): &(Micros, CorrelationKey)| reached.saturating_sub(at) > CORRELATION_WINDOW;
-        while order.len() > MAX_REMEMBERED_REQUESTS || order.front().is_some_and(is_old) {
+        while order.len() > MAX_TRACKED_REQUESTS || order.front().is_some_and(is_old) {
             let Some((_, key)) = order.pop_front() else {
                 break;
             };
@@ -84,7 +85,7 @@
     offsets_from(&min_delays, servers)
 }
 
-/// Notes the delay between two attempts of which one is a retry, at different servers.
+/// Adds the delay between two attempts at different servers, if one of them is a retry.
 fn add_delay(min_delays: &mut MinDelays, one: &Attempt, other: &Attempt) {
     let (first, retry) = match (one.is_retry, other.is_retry) {
         (false, true) => (one, other),
@@ -100,7 +101,8 @@
     }
 }
 
-/// Two servers whose clocks are bounded from both sides, in the order in which they are used.
+/// Two servers with bounds from both sides for the difference of their clocks. Pairs with closer
+/// bounds come first in the order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct BoundedPair {
     /// The distance between the bounds.
@@ -111,8 +113,8 @@
     middle: Micros,
 }
 
-/// From delays between pairs to the offset of each server: a tree of the pairs with the closest
-/// bounds, from the first server on.
+/// Computes the offset of each server from the delays between pairs of servers, along a spanning
+/// tree of the pairs with the closest bounds that starts at the first server.
 fn offsets_from(min_delays: &MinDelays, servers: &[u32]) -> Vec<ClockOffset> {
     let pairs = bounded_pairs(min_delays);
     let unknown = |&server: &u32| ClockOffset {
@@ -124,7 +126,8 @@
     if let Some(first) = clocks.first_mut() {
         first.offset = Some(0);
     }
-    while let Some((at, offset, uncertainty)) = pairs.iter().find_map(|pair| extend(pair, &clocks))
+    while let Some((at, offset, uncertainty)) =
+        pairs.iter().find_map(|pair| clock_from_pair(pair, &clocks))
     {
         (clocks[at].offset, clocks[at].uncertainty) = (Some(offset), uncertainty);
     }
@@ -134,8 +137,8 @@
 fn bounded_pairs(min_delays: &MinDelays) -> Vec<BoundedPair> {
     let mut pairs = Vec::new();
     for (&(a, b), &high) in min_delays.iter().filter(|((a, b), _)| a < b) {
-        // offset(a) - offset(b) is at most the least delay from a to b, and at least minus that
-        // from b to a.
+        // offset(a) - offset(b) is at most the minimum delay from a to b, and at least the negated
+        // minimum delay from b to a.
         let Some(low) = min_delays.get(&(b, a)).map(|&delay| -delay) else {
             continue;
         };
@@ -154,9 +157,9 @@
     pairs
 }
 
-/// Position, offset and uncertainty of the clock that a pair adds to the known ones, if it adds
-/// one.
-fn extend(pair: &BoundedPair, clocks: &[ClockOffset]) -> Option<(usize, Micros, Micros)> {
+/// The position, offset and uncertainty of the clock that a pair adds to the known clocks; `None`
+/// if the pair adds no clock.
+fn clock_from_pair(pair: &BoundedPair, clocks: &[ClockOffset]) -> Option<(usize, Micros, Micros)> {
     let position = |server: u32| clocks.iter().position(|clock| clock.server == server);
     let (a, b) = (position(pair.a)?, position(pair.b)?);
     let uncertainty = |known: usize| clocks[known].uncertainty + (pair.width + 1) / 2;
--- a/crates/trace/src/columns.rs
+++ b/crates/trace/src/columns.rs
@@ -10,7 +10,7 @@
 pub enum ColumnKind {
     /// A number without sign.
     Unsigned,
-    /// Microseconds before or after something; stored in zigzag form.
+    /// A signed number of microseconds; stored in zigzag form.
     Signed,
     /// The bits of an IEEE double.
     Float,
@@ -30,7 +30,7 @@
         ColumnKind::Flag,
     ];
 
-    /// Its number in a block.
+    /// The stored number of the kind.
     pub(crate) fn code(self) -> u8 {
         ColumnKind::ALL
             .iter()
@@ -38,7 +38,7 @@
             .unwrap_or_default() as u8
     }
 
-    /// Its name in a header.
+    /// The name of the kind in a header.
     pub fn name(self) -> &'static str {
         match self {
             ColumnKind::Unsigned => "unsigned",
@@ -55,34 +55,34 @@
 pub(crate) enum Prediction {
     /// No prediction: the value itself is stored.
     Zero,
-    /// The value of the same column in the record before.
+    /// The value of the same column in the previous record that has one.
     PreviousRecord,
-    /// The value of the column of that id in the same record; 0 where it has none.
+    /// The value of the column with this id in the same record; 0 if the record has none.
     OtherColumn(u8),
 }
 
 /// One column of the format.
 pub struct Column {
-    /// Its id in blocks, which is never reused for another column.
+    /// The id of the column in blocks, which is never reused for another column.
     pub id: u8,
-    /// Its name in headers and exports.
+    /// The name of the column in headers and exports.
     pub name: &'static str,
-    /// The kind of its values.
+    /// The kind of the values.
     pub kind: ColumnKind,
-    /// The first format version that has it.
+    /// The first format version that has the column.
     pub(crate) since: u32,
     /// The maximum width of a value in bits, in version 1 and from version 2 on.
     bits: [u32; 2],
-    /// The prediction of its values.
+    /// The prediction of the values.
     pub(crate) prediction: Prediction,
-    /// Its value in a record, if the record has one.
+    /// Reads the value of the column from a record, if the record has one.
     pub get: fn(&Record) -> Option<u64>,
-    /// Sets its value in a record; false where the value is invalid.
+    /// Sets the value of the column in a record; false if the value is invalid.
     pub(crate) set: fn(&mut Record, u64) -> bool,
 }
 
 impl Column {
-    /// The maximum width of a value in bits, in that format version.
+    /// The maximum width of a value in bits, in a format version.
     pub(crate) fn max_bits(&self, version: u32) -> u32 {
         self.bits[usize::from(version > 1)]
     }
@@ -186,7 +186,7 @@
         record.tenant.is_some()
     },
 );
-/// Access to the outcome; a number without an outcome is invalid.
+/// Access to the outcome; a number that no outcome has is invalid.
 const OUTCOME_ACCESS: Access = (
     |record| {
         Outcome::ALL
@@ -461,7 +461,7 @@
     COLUMNS.iter().filter(move |column| column.since <= version)
 }
 
-/// The column of that id, if it is known.
+/// The column with an id, if the id is known.
 pub(crate) fn by_id(id: u8) -> Option<&'static Column> {
     COLUMNS.iter().find(|column| column.id == id)
 }
--- a/crates/trace/src/copy.rs
+++ b/crates/trace/src/copy.rs
@@ -47,7 +47,8 @@
         Ok(())
     }
 
-    /// Records a loss, also as a gap in the output where records are missing.
+    /// Adds a loss to the summary, and writes a gap to the output if the loss means missing
+    /// records.
     fn note_loss(&mut self, loss: Loss, server: &str) -> Result<(), RewriteError> {
         if let Some(gap) = gap_for_loss(&loss, server) {
             self.out.write_gap(&gap)?;
@@ -56,7 +57,8 @@
         Ok(())
     }
 
-    /// Records a block of the index that cannot be read, with the times that the index has for it.
+    /// Adds the losses of an indexed block that cannot be read to the summary, and writes a gap
+    /// with the times of the block in the index.
     fn note_damaged_block(
         &mut self,
         block: &BlockEntry,
@@ -84,12 +86,12 @@
     }
 }
 
-/// Copies the records that a filter matches, each as `change` leaves it. Where the source has an
-/// index, only the blocks that are needed are read; a source that was cut off is read as far as it
-/// is intact.
+/// Copies the records that a filter matches, after `change` has modified each of them. If the
+/// source has an index, only the blocks that may match are read; a source that was cut off is read
+/// as far as it is intact.
 ///
 /// # Errors
-/// [`RewriteError::Read`] or [`RewriteError::Write`]. Damage is no error but a [`Loss`].
+/// [`RewriteError::Read`] or [`RewriteError::Write`]. Damage is not an error but a [`Loss`].
 pub fn copy<R: Read + Seek, W: Write>(
     mut source: TraceReader<R>,
     filter: &Filter,
@@ -100,7 +102,7 @@
     copy_surveyed(source, survey, filter, out, change)
 }
 
-/// The same as [`copy()`] for a file that was surveyed already.
+/// The same as [`copy()`], for a file that was already surveyed.
 ///
 /// # Errors
 /// As [`copy()`].
@@ -146,8 +148,8 @@
     Ok(copy.summary)
 }
 
-/// The same as [`copy()`], from the first byte of the source to the last, for one that cannot be
-/// sought in or has no index.
+/// The same as [`copy()`], but reads the source from its first byte to its last. For a source that
+/// is not seekable or has no index.
 ///
 /// # Errors
 /// As [`copy()`].
--- a/crates/trace/src/correlate.rs
+++ b/crates/trace/src/correlate.rs
@@ -1,5 +1,6 @@
-//! Correlates attempts of one request. Each attempt has an id of its own; the attempts share the
-//! idempotency key, or else the subject of a read and the edge node that sends it.
+//! Correlates the attempts of one request. Each attempt has a separate id. The attempts share the
+//! idempotency key; the attempts of a read without a key share the subject and the edge node that
+//! sends them.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -7,7 +8,7 @@
 use crate::record::{Outcome, Record};
 
 /// Maximum number of requests that are kept for correlation; the oldest are dropped first.
-const MAX_REMEMBERED_REQUESTS: usize = 1 << 20;
+const MAX_TRACKED_REQUESTS: usize = 1 << 20;
 /// How long after its first attempt a request is kept for correlation, in microseconds.
 const CORRELATION_WINDOW: Micros = 120_000_000;
 
@@ -40,7 +41,7 @@
 }
 
 impl CorrelationKey {
-    /// The key of a record; `None` where its attempts cannot be correlated.
+    /// The key of a record; `None` if the record cannot be correlated.
     pub(crate) fn of(record: &Record) -> Option<CorrelationKey> {
         let handler = record.handler;
         if let Some(key) = record.key {
@@ -58,24 +59,24 @@
 
 /// The state that is kept for a request.
 struct Request {
-    /// When its first attempt reached the server.
+    /// When the first attempt of the request reached the server.
     reached: Micros,
     is_completed: bool,
 }
 
-/// Correlates attempts as their records come in the order of time. It owns the state that is kept
-/// for requests.
+/// Correlates attempts. Their records are passed in time order. The correlator owns the state that
+/// is kept for requests.
 #[derive(Default)]
 pub(crate) struct AttemptCorrelator {
     requests: HashMap<CorrelationKey, Request>,
-    /// In the order of their first attempts.
+    /// The keys of the requests, in the order of their first attempts.
     order: VecDeque<(Micros, CorrelationKey)>,
 }
 
 impl AttemptCorrelator {
     /// Returns the relation of the next record to the earlier ones.
     pub(crate) fn observe(&mut self, record: &Record) -> Attempt {
-        self.forget_old(record.reached);
+        self.evict_old_requests(record.reached);
         let is_completed = record.outcome == Outcome::Completed;
         let Some(key) = CorrelationKey::of(record) else {
             return if record.is_retry {
@@ -84,8 +85,8 @@
                 Attempt::First
             };
         };
-        // An idempotency key shows a retry even where its mark was lost; a read without the mark is
-        // a new one.
+        // An idempotency key identifies a retry even if the retry mark was lost. A read without the
+        // mark is a new request.
         let may_be_retry = record.is_retry || matches!(key, CorrelationKey::Idempotency { .. });
         match self.requests.get_mut(&key) {
             Some(request) if may_be_retry => {
@@ -108,14 +109,14 @@
         }
     }
 
-    fn forget_old(&mut self, now: Micros) {
+    fn evict_old_requests(&mut self, now: Micros) {
         while let Some(&(reached, key)) = self.order.front() {
             let is_recent = now.saturating_sub(reached) <= CORRELATION_WINDOW;
-            if self.order.len() <= MAX_REMEMBERED_REQUESTS && is_recent {
+            if self.order.len() <= MAX_TRACKED_REQUESTS && is_recent {
                 return;
             }
             self.order.pop_front();
-            // A later first attempt may have replaced it.
+            // A later request with the same key may have replaced this one.
             if self
                 .requests
                 .get(&key)
--- a/crates/trace/src/dictionary.rs
+++ b/crates/trace/src/dictionary.rs
@@ -1,4 +1,4 @@
-//! The dictionary of a file: the names behind the indices in its records.
+//! The dictionary of a file: the names that the indices in its records refer to.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,7 +7,7 @@
 /// Maximum number of entries of each kind in a dictionary.
 pub(crate) const MAX_NAMES: usize = 100_000;
 
-/// Servers, handlers and tenants of a file. Records refer to them by their positions in these
+/// Servers, handlers and tenants of a file. Records refer to entries by their positions in these
 /// lists.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Dictionary {
@@ -23,21 +23,21 @@
 }
 
 impl Dictionary {
-    /// The name of a handler; `handler-N` where the dictionary has none.
+    /// The name of a handler; `handler-N` if the dictionary has no entry for it.
     pub fn handler(&self, index: u32) -> String {
         self.handlers
             .get(index as usize)
             .map_or_else(|| format!("handler-{index}"), |info| info.name.clone())
     }
 
-    /// The name of a tenant; `tenant-N` where the dictionary has none.
+    /// The name of a tenant; `tenant-N` if the dictionary has no entry for it.
     pub fn tenant(&self, index: u32) -> String {
         self.tenants
             .get(index as usize)
             .map_or_else(|| format!("tenant-{index}"), |info| info.name.clone())
     }
 
-    /// The name of a server; `server-N` where the dictionary has none.
+    /// The name of a server; `server-N` if the dictionary has no entry for it.
     pub fn server(&self, index: u32) -> String {
         self.servers
             .get(index as usize)
@@ -45,10 +45,10 @@
             .unwrap_or_else(|| format!("server-{index}"))
     }
 
-    /// Appends the entries of another dictionary, as a file continues its own.
+    /// Appends the entries of a later frame of the same file.
     ///
     /// # Errors
-    /// [`TraceError::LimitExceeded`] where it would have more entries than a dictionary may have.
+    /// [`TraceError::LimitExceeded`] if the dictionary then has more entries than it may have.
     pub(crate) fn extend(&mut self, more: Dictionary) -> Result<(), TraceError> {
         self.servers.extend(more.servers);
         self.handlers.extend(more.handlers);
@@ -60,7 +60,7 @@
             .max(self.tenants.len());
         if longest > MAX_NAMES {
             return Err(TraceError::LimitExceeded {
-                what: "names",
+                quantity: "names",
                 value: longest as u64,
             });
         }
@@ -68,12 +68,12 @@
     }
 }
 
-/// A handler as a file names it. Times are microseconds; an unknown value is 0.
+/// A handler in the dictionary of a file. Times are in microseconds; an unknown value is 0.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct HandlerInfo {
     /// The name of the handler.
     pub name: String,
-    /// An answer within this time counts with the full priority weight.
+    /// The latency objective: an answer within this time counts with the full priority weight.
     #[serde(default, rename = "response_target")]
     pub latency_objective: Micros,
     /// The latency objective grows by this multiple of a request's estimated work, up to the client
@@ -92,7 +92,7 @@
 }
 
 impl HandlerInfo {
-    /// The latency objective of a request with that estimated work.
+    /// The latency objective of a request with this estimated work.
     pub fn objective(&self, estimated_work: Option<Micros>) -> Micros {
         let stretch = self.objective_stretch * estimated_work.unwrap_or(0) as f64;
         let objective = self.latency_objective.saturating_add(stretch as Micros);
@@ -104,7 +104,7 @@
     }
 }
 
-/// A tenant as a file names it.
+/// A tenant in the dictionary of a file.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct TenantInfo {
     /// The name of the tenant.
--- a/crates/trace/src/framing.rs
+++ b/crates/trace/src/framing.rs
@@ -1,25 +1,25 @@
-//! Frames, the units of a file. Each frame has a marker, a length with a checksum of its own, and a
-//! checksum of its payload, so that a reader finds the next intact frame behind any damage.
+//! Frames, the units of a file. Each frame has a marker, a length with a separate checksum, and a
+//! checksum of the payload, so that a reader finds the next intact frame after any damage.
 
 use std::io::{self, Read, Write};
 
 /// The first bytes of a recording.
 pub(crate) const MAGIC: &[u8; 8] = b"TULIPTRC";
-/// Length of the start of a file in bytes: magic, version and their checksum.
+/// Length of the prelude at the start of a file, in bytes: magic, version and their checksum.
 pub(crate) const PRELUDE_BYTES: usize = 16;
 /// The marker that each frame begins with.
 const MARKER: [u8; 3] = [0xF7, b't', b'g'];
 /// Length of a frame's header in bytes: marker, kind, payload length and their checksum.
 pub(crate) const FRAME_HEADER_BYTES: usize = 12;
-/// Length of the checksum behind a payload, in bytes.
+/// Length of the checksum that follows a payload, in bytes.
 pub(crate) const CHECKSUM_BYTES: usize = 4;
-/// Maximum length of a frame's payload, in bytes. A header that claims more is invalid.
+/// Maximum length of a frame's payload, in bytes. A frame header with a larger length is invalid.
 pub(crate) const MAX_PAYLOAD_BYTES: usize = 8 * 1024 * 1024;
 /// Maximum length of a frame with its header and checksum, in bytes.
 pub(crate) const MAX_FRAME_BYTES: u64 =
     (MAX_PAYLOAD_BYTES + FRAME_HEADER_BYTES + CHECKSUM_BYTES) as u64;
-/// Number of bytes that are read from the input at a time.
-const READ_BYTES: usize = 64 * 1024;
+/// Number of bytes that a reader requests from its input at a time.
+const READ_CHUNK_BYTES: usize = 64 * 1024;
 
 /// The kinds of frames.
 pub(crate) mod kind {
@@ -40,22 +40,22 @@
 /// The payload of the last frame of a file.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndMark {
-    /// The offset of the index; 0 where there is none.
+    /// The offset of the index; 0 if the file has no index.
     pub(crate) index_offset: u64,
-    /// The number of blocks of the file.
+    /// The number of blocks in the file.
     pub(crate) blocks: u64,
-    /// The number of records of the file.
+    /// The number of records in the file.
     pub(crate) records: u64,
 }
 
 impl EndMark {
-    /// Length of its payload, in bytes.
+    /// Length of the payload of an end mark, in bytes.
     const PAYLOAD_BYTES: usize = 24;
-    /// Length of its frame, in bytes.
+    /// Length of the frame of an end mark, in bytes.
     pub(crate) const FRAME_BYTES: usize =
         FRAME_HEADER_BYTES + EndMark::PAYLOAD_BYTES + CHECKSUM_BYTES;
 
-    /// The payload of its frame.
+    /// Encodes the payload of the frame.
     pub(crate) fn encode(self) -> Vec<u8> {
         [self.index_offset, self.blocks, self.records]
             .iter()
@@ -63,20 +63,19 @@
             .collect()
     }
 
-    /// Where the index begins, as a payload states it; `None` where the payload is too short.
+    /// Reads the offset of the index from a payload; `None` if the payload is too short.
     pub(crate) fn read_index_offset(payload: &[u8]) -> Option<u64> {
         read_u64_at(payload, 0)
     }
 
-    /// How many records the file has, as a payload states it; `None` where the payload is too
-    /// short.
+    /// Reads the number of records from a payload; `None` if the payload is too short.
     pub(crate) fn read_records(payload: &[u8]) -> Option<u64> {
         read_u64_at(payload, 16)
     }
 }
 
-/// The first bytes of a file of that format version.
-pub(crate) fn write_prelude(version: u32) -> [u8; PRELUDE_BYTES] {
+/// Encodes the prelude of a file.
+pub(crate) fn encode_prelude(version: u32) -> [u8; PRELUDE_BYTES] {
     let mut bytes = [0; PRELUDE_BYTES];
     bytes[..8].copy_from_slice(MAGIC);
     bytes[8..12].copy_from_slice(&version.to_le_bytes());
@@ -85,8 +84,8 @@
     bytes
 }
 
-/// The format version of a prelude; `None` where it is damaged or not a prelude.
-pub(crate) fn read_prelude(bytes: &[u8]) -> Option<u32> {
+/// Reads the format version from a prelude; `None` if the bytes are damaged or not a prelude.
+pub(crate) fn parse_prelude(bytes: &[u8]) -> Option<u32> {
     let bytes: &[u8; PRELUDE_BYTES] = bytes.get(..PRELUDE_BYTES)?.try_into().ok()?;
     let version = read_u32_at(bytes, 8)?;
     (bytes[..8] == MAGIC[..] && read_u32_at(bytes, 12)? == crc32fast::hash(&bytes[..12]))
@@ -101,7 +100,7 @@
     Some(u64::from_le_bytes(bytes.get(at..at + 8)?.try_into().ok()?))
 }
 
-/// The checksum of a kind and a payload.
+/// The checksum of a frame, over its kind and payload.
 fn frame_checksum(kind: u8, payload: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&[kind]);
@@ -112,12 +111,12 @@
 /// Writes one frame and returns its length.
 ///
 /// # Errors
-/// `InvalidInput` where the payload is longer than [`MAX_PAYLOAD_BYTES`].
+/// `InvalidInput` if the payload is longer than [`MAX_PAYLOAD_BYTES`].
 pub(crate) fn write_frame(out: &mut impl Write, kind: u8, payload: &[u8]) -> io::Result<u64> {
     let too_long = || {
         io::Error::new(
             io::ErrorKind::InvalidInput,
-            "the payload is longer than a frame may be",
+            "the payload is longer than the maximum payload of a frame",
         )
     };
     if payload.len() > MAX_PAYLOAD_BYTES {
@@ -135,7 +134,8 @@
     Ok(bytes.len() as u64)
 }
 
-/// Kind and payload length of the frame header at the start of these bytes, if there is one.
+/// Parses the frame header at the start of `bytes` into the kind and the payload length of the
+/// frame; `None` if there is no valid header.
 pub(crate) fn parse_frame_header(bytes: &[u8]) -> Option<(u8, usize)> {
     if bytes.len() < FRAME_HEADER_BYTES
         || bytes[..3] != MARKER
@@ -147,7 +147,8 @@
     (length <= MAX_PAYLOAD_BYTES).then_some((bytes[3], length))
 }
 
-/// Kind and payload of the intact frame at the start of these bytes, if there is one.
+/// Parses the frame at the start of `bytes` into its kind and payload; `None` if there is no intact
+/// frame.
 pub(crate) fn parse_frame(bytes: &[u8]) -> Option<(u8, &[u8])> {
     let (kind, length) = parse_frame_header(bytes)?;
     let payload = bytes.get(FRAME_HEADER_BYTES..FRAME_HEADER_BYTES + length)?;
@@ -155,7 +156,7 @@
         .then_some((kind, payload))
 }
 
-/// An item of a [`FrameReader`].
+/// A part of a file, as [`FrameReader`] returns it.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Segment {
     /// An intact frame.
@@ -164,7 +165,7 @@
         kind: u8,
         payload: Vec<u8>,
     },
-    /// Bytes that are no intact frame; `is_torn` where the file ends in them.
+    /// Bytes that do not form an intact frame; `is_torn` if the file ends with them.
     Skipped {
         offset: u64,
         bytes: u64,
@@ -172,12 +173,13 @@
     },
 }
 
-/// Reads frame after frame, and skips what is not an intact frame. It buffers one frame at a time,
-/// so memory is bounded by [`MAX_FRAME_BYTES`] whatever lengths a file claims.
+/// Reads the frames of a file in order, and skips bytes that do not form an intact frame. The
+/// reader buffers at most one frame and the skipped bytes before it, so memory is bounded by a
+/// small multiple of [`MAX_FRAME_BYTES`], whatever lengths a file claims.
 pub(crate) struct FrameReader<R> {
     input: R,
     buffer: Vec<u8>,
-    /// The bytes of `buffer` that were consumed.
+    /// The number of bytes of `buffer` that were consumed.
     consumed: usize,
     /// The offset of `buffer` in the file.
     buffer_offset: u64,
@@ -185,7 +187,7 @@
 }
 
 impl<R: Read> FrameReader<R> {
-    /// Reads from `input`, which is at the start of the file.
+    /// Creates a reader of `input`, which is positioned at the start of the file.
     pub(crate) fn new(input: R) -> Self {
         FrameReader {
             input,
@@ -196,14 +198,14 @@
         }
     }
 
-    /// The next bytes, at most that many, without consuming them.
+    /// Returns up to `count` of the next bytes without consuming them.
     pub(crate) fn peek(&mut self, count: usize) -> io::Result<&[u8]> {
         self.fill(count)?;
         let rest = &self.buffer[self.consumed..];
         Ok(&rest[..rest.len().min(count)])
     }
 
-    /// Skips the next bytes, as far as they are buffered.
+    /// Consumes up to `count` of the buffered bytes.
     pub(crate) fn consume(&mut self, count: usize) {
         self.consumed = (self.consumed + count).min(self.buffer.len());
     }
@@ -213,32 +215,31 @@
         self.input
     }
 
-    /// The underlying input, for reading at other places of the file than the next frame.
+    /// The underlying input, for reading at other offsets of the file.
     pub(crate) fn input(&mut self) -> &mut R {
         &mut self.input
     }
 
-    /// Puts a frame back in front of the buffer, so that it is read once more.
+    /// Puts a frame back at the start of the buffer, so that the next read returns it again.
     pub(crate) fn put_back(&mut self, offset: u64, kind: u8, payload: &[u8]) {
         let mut bytes = Vec::with_capacity(FRAME_HEADER_BYTES + payload.len() + CHECKSUM_BYTES);
-        // Writing to memory does not fail, and the payload was no longer than allowed when it was
-        // read.
+        // Writing to memory does not fail, and a payload that was read is not longer than allowed.
         let _ = write_frame(&mut bytes, kind, payload);
         bytes.extend_from_slice(&self.buffer[self.consumed..]);
         (self.buffer, self.consumed, self.buffer_offset) = (bytes, 0, offset);
     }
 
-    /// Buffers that many bytes, or the rest of the file.
+    /// Buffers at least `count` bytes, or the rest of the file.
     fn fill(&mut self, count: usize) -> io::Result<()> {
-        if self.consumed > 4 * READ_BYTES {
+        if self.consumed > 4 * READ_CHUNK_BYTES {
             self.buffer.drain(..self.consumed);
             self.buffer_offset += self.consumed as u64;
             self.consumed = 0;
         }
         while !self.is_at_end && self.buffer.len() - self.consumed < count {
             let start = self.buffer.len();
-            // The buffer grows by what the file has, not by what a header claims.
-            self.buffer.resize(start + READ_BYTES, 0);
+            // The buffer grows with the bytes of the file, not with the length in a header.
+            self.buffer.resize(start + READ_CHUNK_BYTES, 0);
             let result = loop {
                 match self.input.read(&mut self.buffer[start..]) {
                     Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -252,7 +253,7 @@
         Ok(())
     }
 
-    /// The next segment; `None` at the end of the file.
+    /// Reads the next segment; `None` at the end of the file.
     pub(crate) fn next_segment(&mut self) -> io::Result<Option<Segment>> {
         let mut skipped = 0usize;
         loop {
@@ -268,7 +269,7 @@
                     payload,
                 }));
             }
-            // Skipped bytes are reported in bounded segments, too.
+            // The length of a segment of skipped bytes is bounded, too.
             if skipped >= MAX_PAYLOAD_BYTES {
                 return Ok(Some(self.skip(skipped, false)));
             }
@@ -286,7 +287,8 @@
         }
     }
 
-    /// The intact frame that begins that many bytes ahead, if there is one.
+    /// Parses the frame that begins `ahead` bytes after the next byte; `None` if there is no intact
+    /// frame.
     fn frame_at(&mut self, ahead: usize) -> io::Result<Option<(u8, Vec<u8>)>> {
         self.fill(ahead + FRAME_HEADER_BYTES)?;
         let rest = &self.buffer[self.consumed + ahead..];
--- a/crates/trace/src/index.rs
+++ b/crates/trace/src/index.rs
@@ -1,8 +1,8 @@
-//! The index of a file: the offsets of its blocks, and a structure that finds the blocks for a
-//! filter by time, handler and outcome. Blocks are sorted by their earliest record, with a tree
-//! over their latest ones (a max-augmented interval tree in an array), so that finding blocks that
-//! overlap costs a logarithm of their number, even where one spans hours because a clock was set.
-//! Handlers and outcomes are bitmaps of blocks.
+//! The index of a file: the offsets of its blocks, and a lookup structure that finds the blocks for
+//! a filter by time, handler and outcome. The lookup structure is a max-augmented interval tree in
+//! an array: blocks are sorted by their earliest record, and a tree over them has the times of the
+//! latest records. Finding the blocks that overlap a time span takes logarithmic time, even if one
+//! block spans hours because a clock was set. Each handler and outcome has a bitmap of its blocks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read};
@@ -25,19 +25,19 @@
 /// One block of a file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BlockEntry {
-    /// The offset of its frame in the file.
+    /// The offset of the block's frame in the file.
     pub offset: u64,
-    /// The length of its frame, in bytes.
+    /// The length of the block's frame, in bytes.
     pub length: u64,
-    /// The number of its records.
+    /// The number of records in the block.
     pub records: usize,
-    /// The earliest `reached` of its records.
+    /// The earliest `reached` of the records.
     pub from: Micros,
-    /// The latest `reached` of its records.
+    /// The latest `reached` of the records.
     pub to: Micros,
-    /// The handlers that occur.
+    /// The handlers that occur in the block.
     pub handlers: BTreeSet<u32>,
-    /// The outcomes that occur: a bit for each, by its position in [`Outcome::ALL`].
+    /// The outcomes that occur in the block: a bit for each, by its position in [`Outcome::ALL`].
     pub outcomes: u32,
 }
 
@@ -105,7 +105,7 @@
                 .is_none_or(|outcomes| outcomes.iter().any(has_outcome))
     }
 
-    /// Whether a gap may lie in the time span; a gap without times may.
+    /// Whether a gap may overlap the time span of the filter. A gap without times always may.
     pub(crate) fn may_match_gap(&self, gap: &Gap) -> bool {
         let overlaps =
             self.from.is_none_or(|from| gap.to >= from) && self.to.is_none_or(|to| gap.from < to);
@@ -121,8 +121,8 @@
     pub(crate) gaps: Vec<Gap>,
 }
 
-/// The blocks of one or more files, in the order in which they were added. It owns the entries, and
-/// the lookup structure over them, which is built when it is first needed.
+/// The blocks of one or more files, in the order in which they were added. The index owns the
+/// entries and the lookup structure over them, which is built when it is first needed.
 #[derive(Clone, Debug, Default)]
 pub struct Index {
     blocks: Vec<BlockEntry>,
@@ -130,33 +130,33 @@
 }
 
 impl Index {
-    /// Adds a block. The lookup structure is built anew when it is next needed.
+    /// Adds a block. The lookup structure is rebuilt when it is next needed.
     pub fn add(&mut self, block: BlockEntry) {
         self.blocks.push(block);
         self.lookup = None;
     }
 
-    /// How many blocks it has.
+    /// The number of blocks.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Whether it has no block.
+    /// Whether the index has no blocks.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// Its blocks, in the order in which they were added.
+    /// The blocks, in the order in which they were added.
     pub fn blocks(&self) -> &[BlockEntry] {
         &self.blocks
     }
 
-    /// How many records its blocks have.
+    /// The number of records in all blocks.
     pub fn records(&self) -> u64 {
         self.blocks.iter().map(|block| block.records as u64).sum()
     }
 
-    /// The times of the earliest and the latest record; `None` without blocks.
+    /// The times of the earliest and the latest record; `None` if there are no blocks.
     pub fn time_span(&self) -> Option<(Micros, Micros)> {
         let from = self.blocks.iter().map(|block| block.from).min()?;
         Some((from, self.blocks.iter().map(|block| block.to).max()?))
@@ -195,7 +195,7 @@
             .collect()
     }
 
-    /// The payload of an index frame.
+    /// Encodes the payload of an index frame.
     pub(crate) fn encode(&self, names: &Dictionary, gaps: &[Gap]) -> io::Result<Vec<u8>> {
         let mut raw = Vec::new();
         let metadata = IndexMetadata {
@@ -228,8 +228,8 @@
         Ok(out)
     }
 
-    /// Reads the payload of an index frame that begins at `index_offset`; all blocks precede
-    /// it.
+    /// Reads the payload of an index frame that begins at `index_offset`. All blocks precede the
+    /// index.
     pub(crate) fn decode(
         payload: &[u8],
         index_offset: u64,
@@ -252,7 +252,7 @@
         if input.is_empty() {
             Ok((index, metadata))
         } else {
-            Err(TraceError::Invalid("bytes behind an index"))
+            Err(TraceError::Invalid("bytes after an index"))
         }
     }
 }
@@ -263,11 +263,11 @@
     let length = input.read_u64()?;
     if length > MAX_RAW_BYTES {
         return Err(TraceError::LimitExceeded {
-            what: "bytes of an index",
+            quantity: "bytes of an index",
             value: length,
         });
     }
-    // Unpacked as a stream, so that no memory is taken for a length that is only claimed.
+    // The payload is unpacked as a stream, so that a false length does not allocate memory.
     let mut raw = Vec::new();
     let stream = zstd::stream::read::Decoder::new(input.0)?;
     stream
@@ -277,7 +277,7 @@
     Ok(raw)
 }
 
-/// Reads the entry of a block; none reaches beyond `index_offset`.
+/// Reads the entry of a block, which must not reach beyond `index_offset`.
 fn read_entry(
     input: &mut ByteReader,
     previous_end: u64,
@@ -320,10 +320,12 @@
 struct Lookup {
     /// Positions of the blocks, sorted by their earliest record.
     order: Vec<u32>,
-    /// The earliest record of each block, by rank.
+    /// The time of the earliest record of each block, by rank.
     starts: Vec<Micros>,
-    /// A tree over the ranks: the latest record under each node. Leaves are the second half.
+    /// A tree over the ranks: the time of the latest record under each node. The leaves are the
+    /// second half of the array.
     latest: Vec<Micros>,
+    /// The number of leaves: the number of blocks, rounded up to a power of two.
     leaves: usize,
     /// Ranks of the blocks with each handler.
     handlers: BTreeMap<u32, RoaringBitmap>,
@@ -372,8 +374,8 @@
         });
         let from = filter.from.unwrap_or(Micros::MIN);
         let mut ranks = Vec::new();
-        match self.ranks_by_name(filter) {
-            // Few blocks have those handlers and outcomes, so each is checked.
+        match self.ranks_by_handler_and_outcome(filter) {
+            // Few blocks have the requested handlers and outcomes, so each of them is checked.
             Some(named) if named.len() * 8 < end as u64 => {
                 let is_late = |&rank: &u32| self.latest[self.leaves + rank as usize] >= from;
                 ranks.extend(
@@ -396,8 +398,9 @@
             .collect()
     }
 
-    /// Ranks of the blocks with the wanted handlers and outcomes; `None` where all are wanted.
-    fn ranks_by_name(&self, filter: &Filter) -> Option<RoaringBitmap> {
+    /// Ranks of the blocks with the handlers and outcomes of the filter; `None` if the filter does
+    /// not restrict them.
+    fn ranks_by_handler_and_outcome(&self, filter: &Filter) -> Option<RoaringBitmap> {
         let union = |bitmaps: Vec<&RoaringBitmap>| {
             bitmaps
                 .into_iter()
@@ -425,8 +428,8 @@
         }
     }
 
-    /// Collects the ranks below `end` whose latest record is at `from` or later, within a node of
-    /// the tree that covers `ranks`. The depth of the tree is a logarithm of the number of blocks,
+    /// Collects the ranks below `end` whose latest record is at `from` or later, within the node of
+    /// the tree that covers `ranks`. The depth of the tree is logarithmic in the number of blocks,
     /// so the recursion is shallow.
     fn collect_overlapping(
         &self,
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,17 +1,17 @@
 //! Recordings of what happened to each request of a server, in a compact, versioned, indexed file.
 //! This crate writes them, reads them (also torn or damaged ones), and copies, merges, anonymises
-//! and summarises them. Nothing here opens a socket. The format is described byte by byte in
+//! and summarises them. It opens no sockets. The format is described byte by byte in
 //! docs/trace-format.md.
 //!
-//! - [`Writer`] and [`TraceReader`] are the two ends of a file. The writer takes [`Record`]s and
-//!   [`Gap`]s; the reader yields them as [`Item`]s, together with every [`Loss`]: what of the file
-//!   could not be read.
-//! - [`Recorder`] feeds a writer from a server without ever blocking it. Its input is one
-//!   [`Record`] for each attempt; its output is a directory of files, bounded in size by a
-//!   [`RetentionConfig`]. It decides when a block is sealed, when a file is rotated, which old
-//!   files are removed and which records are dropped.
-//! - [`copy()`], [`merge()`], [`anonymise()`], [`check()`] and [`Summary`] make files or figures
-//!   from files.
+//! - [`Writer`] writes a file and [`TraceReader`] reads it. The writer takes [`Record`]s and
+//!   [`Gap`]s; the reader yields them as [`Item`]s, together with a [`Loss`] for each part of the
+//!   file that could not be read.
+//! - [`Recorder`] passes the records of a server to a writer and never blocks the server. Its input
+//!   is one [`Record`] for each attempt; its output is a directory of files, bounded in size by a
+//!   [`RetentionConfig`]. The recorder decides when a block is sealed, when a file is rotated,
+//!   which old files are removed and which records are dropped.
+//! - [`copy()`], [`merge()`], [`anonymise()`], [`check()`] and [`Summary`] derive files or
+//!   statistics from existing files.
 //!
 //! ```
 //! use tulipgap_trace::{BlockConfig, Header, Item, NEWEST_VERSION, Record, TraceReader, Writer};
@@ -80,8 +80,8 @@
 pub use varint::zigzag_decode;
 pub use writer::{BlockConfig, WriteError, Writer};
 
-/// The newest format version that is written and read here.
+/// The newest format version that this crate writes and reads.
 pub const NEWEST_VERSION: u32 = 2;
 
-/// Microseconds since the Unix epoch, or between two moments.
+/// A time in microseconds since the Unix epoch, or a duration in microseconds.
 pub type Micros = i64;
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -1,6 +1,6 @@
-//! Merges files into one, in the order of time. Each file yields its blocks by their earliest
-//! record, so only blocks that overlap are in memory; memory does not grow with the length of the
-//! files.
+//! Merges files into one, in time order. The merge reads the blocks of each file in the order of
+//! their earliest records, so only blocks that overlap are in memory, and memory does not grow with
+//! the length of the files.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -19,11 +19,11 @@
 
 /// A file to be merged.
 pub struct MergeSource<R> {
-    /// How the file is named in errors and in the summary.
+    /// The name of the file in errors and in the summary.
     pub name: String,
     /// The file.
     pub reader: TraceReader<R>,
-    /// The offset that is added to its times, in microseconds.
+    /// The offset that is added to the times of the file, in microseconds.
     pub offset: Micros,
 }
 
@@ -32,7 +32,7 @@
 pub struct DuplicateFile {
     /// The name of the source that was ignored.
     pub name: String,
-    /// The name of the earlier one.
+    /// The name of the earlier source.
     pub first: String,
 }
 
@@ -41,20 +41,20 @@
 pub struct SourceLoss {
     /// The name of the source.
     pub name: String,
-    /// What could not be read.
+    /// The part that could not be read.
     pub loss: Loss,
 }
 
 /// The result of a merge.
 #[derive(Debug, Default)]
 pub struct MergeSummary {
-    /// Records that were written.
+    /// The number of records that were written.
     pub records: u64,
     /// Sources that were ignored.
     pub duplicate_files: Vec<DuplicateFile>,
-    /// Records that were left out because an equal one was written.
+    /// The number of records that were omitted because an equal one was written.
     pub duplicate_records: u64,
-    /// What could not be read.
+    /// The parts of the sources that could not be read.
     pub losses: Vec<SourceLoss>,
     /// The maximum number of records that were in memory at a time.
     pub max_buffered_records: usize,
@@ -63,22 +63,22 @@
 /// The order of a record in a merge: its sort key, then the position of its file.
 type MergeKey = (SortKey, usize);
 
-/// One source, yielding its records in order.
+/// One source, which yields its records in order.
 struct SortedSource<R> {
     source: MergeSource<R>,
-    /// Its position among the sources.
+    /// The position of the source among the sources.
     position: usize,
-    /// The blocks that are not read yet by their earliest record, the next one last.
+    /// The blocks that are not read yet, sorted by their earliest records, the next block last.
     blocks: Vec<BlockEntry>,
     mapping: DictionaryMapping,
-    /// Records that were read and not yielded.
+    /// Records that were read and are not yielded yet.
     buffer: BinaryHeap<Reverse<BufferedRecord>>,
     records_read: u64,
 }
 
 struct BufferedRecord {
     key: MergeKey,
-    /// Its number among the records of its file, which decides between equal keys.
+    /// The number of the record in its file, which orders records with equal keys.
     number: u64,
     record: Record,
 }
@@ -106,7 +106,7 @@
     }
 }
 
-/// A block that could not be read although its index has it.
+/// A block that the index has but that could not be read.
 struct DamagedBlock {
     source_name: String,
     block: BlockEntry,
@@ -114,8 +114,8 @@
 }
 
 impl<R: Read + Seek> SortedSource<R> {
-    /// Reads blocks until the first buffered record comes before all that are not read. Returns its
-    /// key; `None` where the source is exhausted.
+    /// Reads blocks until the first buffered record comes before all unread records. Returns the
+    /// key of that record; `None` if the source is exhausted.
     fn fill<W: Write>(
         &mut self,
         out: &mut Writer<W>,
@@ -174,7 +174,7 @@
 /// far and the total.
 ///
 /// # Errors
-/// [`RewriteError::UnsupportedVersion`] where `out` is not of the newest format version;
+/// [`RewriteError::UnsupportedVersion`] if `out` does not have the newest format version;
 /// [`RewriteError::TooManyOverlappingRecords`]; [`RewriteError::Read`] or [`RewriteError::Write`].
 pub fn merge<R: Read + Seek, W: Write>(
     sources: Vec<MergeSource<R>>,
@@ -188,7 +188,7 @@
     let mut sorted = Vec::new();
     let mut total_records = 0;
     for source in sources {
-        if let Some(first) = same_file(&source, &sorted) {
+        if let Some(first) = find_same_file(&source, &sorted) {
             summary.duplicate_files.push(DuplicateFile {
                 name: source.name,
                 first,
@@ -226,9 +226,9 @@
     Ok(summary)
 }
 
-/// The name of the earlier source that is the same file, by the id in the header. A file without
-/// its header has none.
-fn same_file<R>(source: &MergeSource<R>, earlier: &[SortedSource<R>]) -> Option<String>
+/// The name of an earlier source with the same file id in its header. A source with a damaged
+/// header has no file id, and is never the same as another one.
+fn find_same_file<R>(source: &MergeSource<R>, earlier: &[SortedSource<R>]) -> Option<String>
 where
     R: Read,
 {
@@ -286,7 +286,7 @@
     Ok((sorted, index.records()))
 }
 
-/// Writes the records of all sources in order, without those that are equal to one already written.
+/// Writes the records of all sources in order, and omits records that are equal to a written one.
 fn merge_records<R: Read + Seek, W: Write>(
     mut sources: Vec<SortedSource<R>>,
     out: &mut Writer<W>,
@@ -299,7 +299,7 @@
     for source in &mut sources {
         first_keys.extend(source.fill(out, &mut damaged)?.map(Reverse));
     }
-    // The records written last that have the same sort key; equal records are among them.
+    // The last written records with one sort key. Only these can be equal to the next record.
     let mut same_key: Vec<Record> = Vec::new();
     while let Some(Reverse((_, position))) = first_keys.pop() {
         if let Some(Reverse(BufferedRecord { record, .. })) = sources[position].buffer.pop() {
--- a/crates/trace/src/metadata.rs
+++ b/crates/trace/src/metadata.rs
@@ -1,4 +1,4 @@
-//! The metadata of a file beside its dictionary: the header, and gaps.
+//! The metadata of a file other than its dictionary: the header and the gaps.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,16 +6,16 @@
 use crate::columns::{self, Column};
 use crate::dictionary::Dictionary;
 
-/// A column as a header names it, so that a reader can say which columns it skips.
+/// The description of a column in a header, so that a reader can report which columns it skips.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ColumnInfo {
     /// The id of the column.
     pub id: u8,
     /// The name of the column.
     pub name: String,
-    /// The name of its [`crate::ColumnKind`].
+    /// The name of the column's [`crate::ColumnKind`].
     pub kind: String,
-    /// The maximum width of its values, in bits.
+    /// The maximum width of the column's values, in bits.
     pub bits: u32,
 }
 
@@ -40,14 +40,14 @@
     /// twice.
     #[serde(rename = "file")]
     pub file_id: String,
-    /// The server that recorded it.
+    /// The server that recorded the file.
     pub server: String,
     /// When the file was created, Unix time.
     pub start: Micros,
-    /// The program that wrote it, and its version.
+    /// The name and version of the program that wrote the file.
     #[serde(default)]
     pub program: String,
-    /// The columns of its blocks.
+    /// The columns of the blocks.
     #[serde(default)]
     pub columns: Vec<ColumnInfo>,
     /// The dictionary at the creation of the file.
@@ -56,7 +56,7 @@
 }
 
 impl Header {
-    /// The header of a file that this program writes, with the server alone in its dictionary.
+    /// Creates the header of a file that this program writes. Its dictionary has only the server.
     pub fn new(version: u32, file_id: u128, server: &str, start: Micros) -> Self {
         Header {
             version,
@@ -75,11 +75,11 @@
     }
 }
 
-/// Why records are missing, or times cannot be compared across a place.
+/// Why a file has a gap: records are missing, or times before and after it cannot be compared.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum GapReason {
-    /// The queue before the writer was full.
+    /// The queue of the writer was full.
     QueueFull,
     /// Writing to the disk failed.
     #[serde(rename = "disk")]
@@ -89,27 +89,27 @@
     /// A value of the record did not fit its column.
     #[serde(rename = "unfit")]
     ValueOutOfRange,
-    /// No record is missing: the system's clock was set, and times from here on still go by the old
-    /// one.
+    /// No record is missing. The system clock was set, and the times of later records still follow
+    /// the clock as it was before.
     ClockSet,
 }
 
-/// Records that are known to be missing, and between which times they were handed over.
+/// Records that are known to be missing, with the time span to which they belong.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Gap {
-    /// Why they are missing.
+    /// Why the records are missing.
     #[serde(rename = "why")]
     pub reason: GapReason,
-    /// The number of missing records; `None` where it is unknown.
+    /// The number of missing records; `None` if it is unknown.
     pub records: Option<u64>,
-    /// The time after which they are missing, Unix time; 0 where it is unknown.
+    /// The time after which the records are missing, Unix time; 0 if it is unknown.
     pub from: Micros,
-    /// The time until which they are missing, Unix time; 0 where it is unknown.
+    /// The time until which the records are missing, Unix time; 0 if it is unknown.
     pub to: Micros,
-    /// The server whose records are missing; empty where it is unknown.
+    /// The server whose records are missing; empty if it is unknown.
     #[serde(default)]
     pub server: String,
-    /// By how much the clock was set, for [`GapReason::ClockSet`].
+    /// The offset by which the clock was set, for [`GapReason::ClockSet`].
     #[serde(default, rename = "by")]
     pub clock_change: Micros,
 }
--- a/crates/trace/src/reader/error.rs
+++ b/crates/trace/src/reader/error.rs
@@ -13,7 +13,7 @@
     /// The file does not begin with the magic of a recording.
     #[error("this is not a recording of tulipgap")]
     NotARecording,
-    /// The format version is newer than this program.
+    /// This program does not know the format version.
     #[error("format {0} is newer than this program, which reads up to {NEWEST_VERSION}")]
     UnsupportedVersion(u32),
     /// There is no intact frame at all.
@@ -22,17 +22,17 @@
     /// A part of the file violates the format.
     #[error("{0}: invalid")]
     Invalid(&'static str),
-    /// A value of a column is not one that the column can have.
+    /// A value is not valid for its column.
     #[error("column {column}: a value is invalid")]
     InvalidValue {
         /// The name of the column.
         column: &'static str,
     },
     /// A number in the file is beyond a limit of the format.
-    #[error("{what}: {value} is beyond the limit of the format")]
+    #[error("{quantity}: {value} is beyond the limit of the format")]
     LimitExceeded {
-        /// What the number counts.
-        what: &'static str,
+        /// The quantity that the number states.
+        quantity: &'static str,
         /// The number.
         value: u64,
     },
@@ -41,38 +41,38 @@
 /// A part of a file that could not be read or is missing. Offsets and lengths are in bytes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Loss {
-    /// Bytes that are no intact frame were skipped.
+    /// Bytes that do not form an intact frame were skipped.
     SkippedBytes {
-        /// The offset of the first one.
+        /// The offset of the first byte.
         offset: u64,
-        /// Their number.
+        /// The number of bytes.
         bytes: u64,
-        /// Whether the file ends in them.
+        /// Whether the file ends with these bytes.
         is_torn: bool,
     },
     /// A frame is intact by its checksum, but its payload is invalid.
     InvalidFrame {
-        /// Its offset.
+        /// The offset of the frame.
         offset: u64,
         /// The text of the [`TraceError`].
         reason: String,
     },
     /// Records between two blocks that were read are missing.
     MissingRecords {
-        /// Their number.
+        /// The number of missing records.
         count: u64,
     },
-    /// The file has no end mark: its writer died, or is still writing.
+    /// The file has no end mark, because its writer crashed or is still writing.
     MissingEnd,
-    /// The end mark states another number of records than was read.
+    /// The number of records in the end mark differs from the number that was read.
     RecordCountMismatch {
         /// The number in the end mark.
         stated: u64,
         /// The number that was read.
         read: u64,
     },
-    /// The header was damaged. Times and columns are known from the blocks, names only as far as
-    /// later frames have them.
+    /// The header was damaged. Times and columns are known from the blocks; a name is known only if
+    /// a later frame has it.
     DamagedHeader,
 }
 
@@ -86,11 +86,11 @@
             } => {
                 write!(
                     f,
-                    "torn off at byte {offset}: the last {bytes} bytes are no whole block"
+                    "torn off at byte {offset}: the last {bytes} bytes are not a complete block"
                 )
             }
             Loss::SkippedBytes { offset, bytes, .. } => {
-                write!(f, "damaged at byte {offset}: {bytes} bytes passed over")
+                write!(f, "damaged at byte {offset}: {bytes} bytes skipped")
             }
             Loss::InvalidFrame { offset, reason } => {
                 write!(f, "damaged at byte {offset}: {reason}")
@@ -103,12 +103,12 @@
                 )
             }
             Loss::RecordCountMismatch { stated, read } => {
-                write!(f, "the file tells of {stated} records, {read} were read")
+                write!(f, "the end mark states {stated} records, {read} were read")
             }
             Loss::DamagedHeader => {
                 write!(
                     f,
-                    "the header is damaged: names are known only as far as they came again"
+                    "the header is damaged: only names that later frames repeat are known"
                 )
             }
         }
--- a/crates/trace/src/reader/mod.rs
+++ b/crates/trace/src/reader/mod.rs
@@ -20,51 +20,51 @@
 pub use error::{Loss, TraceError};
 pub use random_access::Survey;
 
-/// Minimum number of correct bytes of a damaged magic for a file to be accepted as a recording.
-const MIN_MAGIC_MATCH: usize = 6;
+/// Minimum number of intact bytes of a damaged magic for a file to be accepted as a recording.
+const MIN_MATCHING_MAGIC_BYTES: usize = 6;
 
 /// An item of a file.
 #[derive(Debug)]
 pub enum Item {
     /// The records of one block that the filter matches.
     Records(Vec<Record>),
-    /// A gap that the writer noted.
+    /// A gap that the writer recorded.
     Gap(Gap),
     /// A part of the file that could not be read.
     Loss(Loss),
 }
 
-/// Replacement names for those of a file.
+/// A dictionary that replaces the one of a file.
 struct Renaming {
     dictionary: Dictionary,
-    /// The servers as the file names them.
+    /// The names of the servers in the file.
     original_servers: Vec<String>,
 }
 
-/// Reads a file; an iterator of its [`Item`]s. It owns the input and all that is known of the file
-/// so far.
+/// Reads a file, as an iterator of its [`Item`]s. The reader owns the input and the state of what
+/// it has read so far.
 pub struct TraceReader<R> {
     frames: FrameReader<R>,
     header: Header,
     dictionary: Dictionary,
     renaming: Option<Renaming>,
     filter: Filter,
-    /// Ids of unknown columns that were met.
+    /// Ids of the unknown columns in the blocks so far.
     unknown_columns: BTreeSet<u64>,
-    /// The blocks that were met, for a file without an index.
+    /// The blocks so far, for a file without an index.
     blocks: Index,
-    /// The number of records before the next block, as stated by the blocks so far.
+    /// The number of records before the next block, according to the blocks so far.
     records_before: u64,
     records_read: u64,
     has_end_mark: bool,
     is_finished: bool,
-    /// Items to be yielded before more is read, the next one first.
+    /// Items to be yielded before the next segment is read, the next item first.
     pending: Vec<Item>,
 }
 
 /// The start of a file, before its blocks.
 struct FileStart {
-    /// `None` where the header is damaged.
+    /// `None` if the header is damaged.
     header: Option<Header>,
     losses: Vec<Item>,
 }
@@ -73,8 +73,8 @@
     /// Reads the header of a file. A damaged header is a [`Loss`] if intact frames follow it.
     ///
     /// # Errors
-    /// [`TraceError`] where the file is not a recording, of a newer version, without any intact
-    /// frame, or unreadable.
+    /// [`TraceError`] if the file is not a recording, has a newer format version, has no intact
+    /// frame, or cannot be read.
     pub fn open(input: R) -> Result<Self, TraceError> {
         let mut frames = FrameReader::new(input);
         let version = read_version(&mut frames)?;
@@ -113,23 +113,23 @@
         })
     }
 
-    /// Yields only the records that a filter matches. Gaps and losses are yielded regardless.
+    /// Yields only the records that a filter matches. The filter does not apply to gaps and losses.
     pub fn with_filter(mut self, filter: Filter) -> Self {
         self.filter = filter;
         self
     }
 
-    /// The header; with empty `file_id` and dictionary where it is damaged.
+    /// The header. If it is damaged, its `file_id` and dictionary are empty.
     pub fn header(&self) -> &Header {
         &self.header
     }
 
-    /// The dictionary as far as it was read.
+    /// The dictionary, with the entries that were read so far.
     pub fn dictionary(&self) -> &Dictionary {
         &self.dictionary
     }
 
-    /// Puts other names in place of those of the file, at the same indices.
+    /// Replaces the names of the file by other names with the same indices.
     pub fn rename(&mut self, dictionary: Dictionary) {
         let original_servers = std::mem::replace(&mut self.dictionary, dictionary.clone()).servers;
         self.renaming = Some(Renaming {
@@ -151,12 +151,12 @@
         gap
     }
 
-    /// The blocks that were met so far.
+    /// The blocks that were read so far.
     pub(crate) fn blocks(&self) -> &Index {
         &self.blocks
     }
 
-    /// The unknown columns that were met, by their names in the header.
+    /// The unknown columns in the blocks so far, by their names in the header.
     pub fn unknown_columns(&self) -> Vec<String> {
         let name = |id: &u64| {
             let info = self
@@ -225,7 +225,7 @@
                 Ok(())
             }
             kind::INDEX => {
-                // The index repeats the whole dictionary, and so what was lost of it.
+                // The index repeats the whole dictionary, with the entries whose frames were lost.
                 let (_, IndexMetadata { names, .. }) = Index::decode(payload, offset)?;
                 if names.handlers.len() >= self.dictionary.handlers.len() {
                     self.dictionary = names;
@@ -233,7 +233,7 @@
                 Ok(())
             }
             kind::END => self.handle_end(payload),
-            // Later programs may add kinds to a format version.
+            // Later versions of the program may add kinds of frames to a format version.
             _ => Ok(()),
         }
     }
@@ -242,8 +242,8 @@
         let length = (framing::FRAME_HEADER_BYTES + payload.len() + framing::CHECKSUM_BYTES) as u64;
         let mut input = ByteReader(payload);
         let block = BlockHeader::read(&mut input)?;
-        // A block states how many records stand before it, and so how many were in blocks that are
-        // lost.
+        // A block states the number of records before it. The difference to the number so far is
+        // the number of records in lost blocks.
         let missing = block.records_before.saturating_sub(self.records_before);
         if missing > 0 {
             self.pending
@@ -272,7 +272,7 @@
         Ok(())
     }
 
-    /// The records of a block; `input` is positioned behind its header.
+    /// Decodes the records of a block. `input` is positioned after the header of the block.
     fn decode_block(
         &mut self,
         block: &BlockHeader,
@@ -297,10 +297,10 @@
     }
 }
 
-/// Reads the format version at the start of a file; `None` where that start is damaged.
+/// Reads the format version from the prelude of a file; `None` if the prelude is damaged.
 fn read_version<R: Read>(frames: &mut FrameReader<R>) -> Result<Option<u32>, TraceError> {
     let start = frames.peek(framing::PRELUDE_BYTES)?.to_vec();
-    match framing::read_prelude(&start) {
+    match framing::parse_prelude(&start) {
         Some(version) if version > NEWEST_VERSION || version == 0 => {
             Err(TraceError::UnsupportedVersion(version))
         }
@@ -314,7 +314,7 @@
                 .zip(framing::MAGIC)
                 .filter(|(a, b)| a == b)
                 .count();
-            if matching < MIN_MAGIC_MATCH {
+            if matching < MIN_MATCHING_MAGIC_BYTES {
                 Err(TraceError::NotARecording)
             } else {
                 Ok(None)
@@ -323,7 +323,7 @@
     }
 }
 
-/// Reads up to the header. It is the first intact frame, or it is lost.
+/// Reads up to the header. If the first intact frame is not the header, the header is lost.
 fn read_start<R: Read>(frames: &mut FrameReader<R>) -> Result<FileStart, TraceError> {
     let mut losses = Vec::new();
     loop {
--- a/crates/trace/src/reader/random_access.rs
+++ b/crates/trace/src/reader/random_access.rs
@@ -16,20 +16,20 @@
 pub struct Survey {
     /// The blocks of the file.
     pub index: Index,
-    /// The gaps that the writer noted.
+    /// The gaps that the writer recorded.
     pub gaps: Vec<Gap>,
-    /// The losses; empty where the file's own index was used.
+    /// The losses; empty if the index of the file was used.
     pub losses: Vec<Loss>,
-    /// Whether the file's own index was used.
+    /// Whether the index of the file was used.
     pub is_indexed: bool,
 }
 
 impl<R: Read + Seek> TraceReader<R> {
-    /// Finds the blocks and gaps of a file by the index at its end, or else by reading all of it.
-    /// The dictionary is complete afterwards.
+    /// Finds the blocks and gaps of a file from the index at its end, or by reading the whole file
+    /// if it has no usable index. The dictionary is complete afterwards.
     ///
     /// # Errors
-    /// [`TraceError`] where the file cannot be read at all.
+    /// [`TraceError`] if the file cannot be read at all.
     pub fn survey(&mut self) -> Result<Survey, TraceError> {
         let mut survey = match self.index_at_end()? {
             Some((index, IndexMetadata { names, gaps })) => {
@@ -54,9 +54,9 @@
         Ok(survey)
     }
 
-    /// Reads the file from its start without the records.
+    /// Surveys the file by reading it from its start, without decoding the records.
     fn survey_by_reading(&mut self) -> Result<Survey, TraceError> {
-        // No block can match, so only the headers of blocks are read.
+        // No block can match this filter, so only the headers of blocks are decoded.
         let nothing = Filter {
             from: Some(Micros::MAX),
             to: Some(Micros::MIN),
@@ -80,10 +80,10 @@
         Ok(survey)
     }
 
-    /// The same file from its start, with the same filters and names.
+    /// Returns a reader of the same file from its start, with the same filter and names.
     ///
     /// # Errors
-    /// [`TraceError`] where it cannot be read any more.
+    /// [`TraceError`] if the file can no longer be read.
     pub fn rewind(self) -> Result<TraceReader<R>, TraceError> {
         let mut input = self.frames.into_input();
         input.seek(SeekFrom::Start(0))?;
@@ -100,6 +100,7 @@
         })
     }
 
+    /// Reads the index that the end mark refers to; `None` if there is no intact one.
     fn index_at_end(&mut self) -> Result<Option<(Index, IndexMetadata)>, TraceError> {
         let input = self.frames.input();
         let length = input.seek(SeekFrom::End(0))?;
@@ -118,7 +119,7 @@
         }
         input.seek(SeekFrom::Start(index_offset))?;
         let mut bytes = Vec::new();
-        // An index is one frame, so no more than the longest frame is read.
+        // An index is one frame, so at most the maximum length of a frame is read.
         input
             .take((end - index_offset).min(framing::MAX_FRAME_BYTES))
             .read_to_end(&mut bytes)?;
@@ -128,7 +129,8 @@
         }
     }
 
-    /// The payload of a block, as long as its entry states and no longer than a frame can be.
+    /// Reads the payload of a block. An entry that states more than the maximum length of a frame
+    /// is an error.
     fn block_payload(&mut self, entry: &BlockEntry) -> Result<Vec<u8>, TraceError> {
         let damaged = TraceError::Invalid("a block");
         if entry.length > framing::MAX_FRAME_BYTES {
@@ -147,10 +149,11 @@
         }
     }
 
-    /// The records of one block that the filter matches. Gaps between blocks are not detected.
+    /// Reads the records of one block that the filter matches. Missing records between blocks are
+    /// not detected.
     ///
     /// # Errors
-    /// [`TraceError`] where there is no intact block at that offset.
+    /// [`TraceError`] if there is no intact block at the offset of the entry.
     pub fn read_block(&mut self, entry: &BlockEntry) -> Result<Vec<Record>, TraceError> {
         let payload = self.block_payload(entry)?;
         let mut input = ByteReader(&payload);
@@ -160,10 +163,10 @@
         Ok(records)
     }
 
-    /// The number of bytes of each column of a block, by its id.
+    /// The stored size of each column of a block in bytes, with the id of the column.
     ///
     /// # Errors
-    /// [`TraceError`] where there is no intact block at that offset.
+    /// [`TraceError`] if there is no intact block at the offset of the entry.
     pub fn column_sizes(&mut self, entry: &BlockEntry) -> Result<Vec<(u64, usize)>, TraceError> {
         let payload = self.block_payload(entry)?;
         let mut input = ByteReader(&payload);
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -8,14 +8,14 @@
 /// the format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Outcome {
-    /// It was answered with a result.
+    /// The attempt was answered with a result.
     #[default]
     Completed,
-    /// It was rejected by load shedding.
+    /// Load shedding rejected the attempt.
     Rejected,
-    /// It was admitted and failed.
+    /// The attempt was admitted and failed.
     Failed,
-    /// Its caller had disconnected before the answer.
+    /// The caller had disconnected before the answer.
     Abandoned,
 }
 
@@ -28,7 +28,7 @@
         Outcome::Abandoned,
     ];
 
-    /// Its name in exports, summaries and command line options.
+    /// The name of the outcome in exports, summaries and command line options.
     pub fn name(self) -> &'static str {
         match self {
             Outcome::Completed => "done",
@@ -38,14 +38,14 @@
         }
     }
 
-    /// The outcome of that [`Outcome::name`].
+    /// The outcome with this [`Outcome::name`].
     pub fn from_name(name: &str) -> Option<Outcome> {
         Outcome::ALL
             .into_iter()
             .find(|outcome| outcome.name() == name)
     }
 
-    /// Its bit in a set of outcomes.
+    /// The bit of the outcome in a set of outcomes.
     pub(crate) fn bit(self) -> u32 {
         1 << self as u32
     }
@@ -70,21 +70,21 @@
 }
 
 reasons! {
-    /// It was admitted and ended by itself.
+    /// The attempt was admitted, and its execution ended by itself.
     NONE = 0 "none",
     /// Too much memory was in use.
     MEMORY_LIMIT = 1 "memory",
-    /// Executions of this handler were failing.
+    /// The failure rate of the handler's executions was high.
     HIGH_FAILURE_RATE = 2 "failing",
-    /// The admitted fraction had been lowered.
+    /// Admission control had reduced the admitted fraction.
     ADMISSION_CONTROL = 3 "share",
-    /// It was predicted to miss its latency objective.
+    /// The attempt was predicted to miss its latency objective.
     PREDICTED_LATE = 4 "late",
-    /// It was predicted to miss its latency objective after it had been queued.
+    /// The attempt was predicted to miss its latency objective after it had been queued.
     OVERTAKEN = 5 "overtaken",
-    /// Its latency objective passed while it was queued.
+    /// The latency objective passed while the attempt was queued.
     OBJECTIVE_MISSED = 6 "missed",
-    /// Its client timeout was near.
+    /// The client timeout was near.
     DEADLINE_NEAR = 7 "due",
     /// The server was draining.
     DRAINING = 8 "draining",
@@ -92,23 +92,23 @@
     TERMINATING = 9 "stopping",
     /// A call to a dependency failed.
     CALL_FAILED = 10 "call-failed",
-    /// Its execution was cancelled.
+    /// The execution was cancelled.
     CANCELLED = 11 "stopped",
-    /// Its execution failed.
+    /// The execution failed.
     RUN_FAILED = 12 "run-errored",
-    /// The attempt that it duplicates failed.
+    /// The original of this duplicate attempt failed.
     ORIGINAL_FAILED = 13 "first-errored",
-    /// Its execution could not be started.
+    /// The execution could not be started.
     NOT_STARTED = 14 "not-started",
-    /// There was no memory for a further request at all.
+    /// There was no memory for a further request.
     NO_CAPACITY = 15 "no-room",
-    /// It was coalesced with the attempt that it duplicates, and answered with the result of that
-    /// one.
+    /// The duplicate attempt was coalesced with its original, and answered with the result of the
+    /// original.
     COALESCED = 16 "joined",
 }
 
 impl Reason {
-    /// Its name in exports and summaries; `reason-N` where the number has no name here.
+    /// The name of the reason in exports and summaries; `reason-N` if the number has no name here.
     pub fn name(self) -> Cow<'static, str> {
         match Reason::NAMED.iter().find(|(code, _)| *code == self.0) {
             Some((_, name)) => (*name).into(),
@@ -117,8 +117,8 @@
     }
 }
 
-/// The number that stands for a text in a record. It is the same on every server, so that attempts
-/// of one request can be correlated by it.
+/// The hash that a record stores instead of a text. It is the same on every server, so that
+/// attempts of one request can be correlated by the hash.
 pub fn hash_text(text: &str) -> u64 {
     leading_u64(&blake3::hash(text.as_bytes()))
 }
@@ -135,53 +135,53 @@
 /// file. All times but `reached` are microseconds since `reached`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Record {
-    /// The server that recorded it.
+    /// The server that recorded the attempt.
     pub server: u32,
-    /// The handler it asked for.
+    /// The handler that the attempt requested.
     pub handler: u32,
-    /// The tenant it came from, where one was named.
+    /// The tenant of the attempt, if the request names one.
     pub tenant: Option<u32>,
-    /// The id of this attempt; a retry has an id of its own.
+    /// The id of this attempt; a retry has a different id.
     pub id: u64,
     /// The hash of the idempotency key.
     pub key: Option<u64>,
-    /// The hash of what a read is about.
+    /// The hash of the subject of a read.
     pub subject: Option<u64>,
-    /// The number of the edge node that sent it.
+    /// The number of the edge node that sent the attempt.
     pub caller: Option<u64>,
-    /// Whether its sender marked it as a retry.
+    /// Whether the sender marked the attempt as a retry.
     pub is_retry: bool,
-    /// When it reached the machine, Unix time.
+    /// When the attempt reached the machine, Unix time.
     pub reached: Micros,
-    /// When it was read off its connection.
+    /// When the request was read from the connection.
     pub read: Option<Micros>,
-    /// When it was admitted.
+    /// When the attempt was admitted.
     pub admitted: Option<Micros>,
-    /// When its execution started for the first time.
+    /// When the execution started for the first time.
     pub started: Option<Micros>,
-    /// When its first call to a dependency started.
+    /// When the first call to a dependency started.
     pub first_call: Option<Micros>,
-    /// When it was answered.
+    /// When the attempt was answered.
     pub answered: Option<Micros>,
-    /// When the server released all that belonged to it.
+    /// When the server released all resources of the attempt.
     pub released: Option<Micros>,
-    /// How long its client would wait, where that was stated.
+    /// How long the client would wait, if the request states it.
     pub client_wait: Option<Micros>,
-    /// The work that its sender estimated.
+    /// The work that the sender estimated.
     pub estimated_work: Option<Micros>,
-    /// The work that it took.
+    /// The work that the execution took.
     pub work: Option<Micros>,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Why it ended so.
+    /// Why the attempt ended with this outcome.
     pub reason: Reason,
     /// Whether the answer said not to retry on another server.
     pub no_retry: bool,
     /// The `retry_after` of the answer.
     pub retry_after: Option<Micros>,
-    /// Calls to dependencies that were made.
+    /// The number of calls to dependencies that were made.
     pub calls: u32,
-    /// Calls to dependencies that were skipped.
+    /// The number of calls to dependencies that were skipped.
     pub skipped_calls: u32,
     /// The load feedback to callers at the time of the answer.
     pub feedback: Option<f64>,
@@ -191,7 +191,8 @@
 pub type SortKey = (Micros, u64, u64, u32);
 
 impl Record {
-    /// The key by which records are sorted and merged; ties beyond it go by the order of the files.
+    /// The key by which records are sorted and merged. A merge orders records with equal keys by
+    /// the order of the files.
     pub fn sort_key(&self) -> SortKey {
         (
             self.reached,
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -1,5 +1,5 @@
-//! Passes records from a server to its files. The server adds to a bounded queue and never waits
-//! for the disk; a thread of its own writes the files.
+//! Passes records from a server to its files. The server adds records to a bounded queue and never
+//! waits for the disk; a separate thread writes the files.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -15,22 +15,22 @@
 use crate::writer::WriteError;
 use crate::{Micros, NEWEST_VERSION};
 
-/// How long the writer's thread sleeps before it polls the queue again. It is never woken: a
-/// wake-up for each record would cost the server a system call each time.
+/// How long the writer's thread sleeps between two polls of the queue. The server does not wake the
+/// thread for a record, because each wake-up would cost the server a system call.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Maximum drift of the system's clock in microseconds; a larger one counts as a clock that was
+/// Maximum drift of the system clock in microseconds. A larger drift counts as a clock that was
 /// set.
 const MAX_CLOCK_DRIFT: Micros = 1_000_000;
-/// Pause between two checks whether the writer's thread has ended.
+/// Interval between two checks whether the writer's thread has ended.
 const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The counts that server and writer share.
+/// The state that the server and the writer's thread share.
 struct Shared {
     queue: ArrayQueue<Record>,
-    /// Records that were dropped because the queue was full; counted by the server.
-    rejected_by_queue: AtomicU64,
+    /// The number of records that the server dropped because the queue was full.
+    dropped_records: AtomicU64,
     is_stopping: AtomicBool,
-    /// The writer's counts, stored by its thread.
+    /// The counts of the writer, which its thread updates.
     missing_records: AtomicU64,
     storage_failures: AtomicU64,
 }
@@ -38,13 +38,14 @@
 /// The status of a recording.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RecorderStatus {
-    /// Missing records so far, for any reason.
+    /// The number of missing records so far, for any reason.
     pub missing_records: u64,
-    /// Failures of the storage so far.
+    /// The number of storage failures so far.
     pub storage_failures: u64,
 }
 
-/// The server's end of a recording. It owns the thread that writes; the thread owns the files.
+/// The interface of a server to its recording. It owns the writer's thread; the thread owns the
+/// files.
 pub struct Recorder {
     shared: Arc<Shared>,
     start: Instant,
@@ -61,11 +62,11 @@
 }
 
 impl Recorder {
-    /// Begins a recording. `on_error` is called from the writer's thread with errors of the
-    /// storage, and of records that cannot be written.
+    /// Begins a recording. The writer's thread calls `on_error` with errors of the storage and
+    /// errors of records that cannot be written.
     ///
     /// # Errors
-    /// Where the thread cannot be started.
+    /// If the thread cannot be started.
     pub fn start<S: Storage>(
         storage: S,
         mut config: RecorderConfig,
@@ -74,7 +75,7 @@
         config.version = config.version.clamp(1, NEWEST_VERSION);
         let shared = Arc::new(Shared {
             queue: ArrayQueue::new(config.queue_capacity.max(1)),
-            rejected_by_queue: AtomicU64::new(0),
+            dropped_records: AtomicU64::new(0),
             is_stopping: AtomicBool::new(false),
             missing_records: AtomicU64::new(0),
             storage_failures: AtomicU64::new(0),
@@ -86,7 +87,7 @@
             shared: shared.clone(),
             start,
             start_unix,
-            noted_rejections: 0,
+            noted_dropped_records: 0,
             noted_clock_change: 0,
         };
         let thread = std::thread::Builder::new()
@@ -103,24 +104,22 @@
         })
     }
 
-    /// Adds a record, or counts it as missing where the queue is full. It never blocks.
+    /// Adds a record, or counts it as missing if the queue is full. It never blocks.
     pub fn record(&self, record: Record) {
         if self.shared.queue.push(record).is_err() {
-            self.shared
-                .rejected_by_queue
-                .fetch_add(1, Ordering::Relaxed);
+            self.shared.dropped_records.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Unix time by a clock that is never set: that of the start, and the time that has passed
-    /// since.
+    /// The Unix time of an instant by a clock that is never set: the Unix time of the start, plus
+    /// the monotonic time since then.
     pub fn unix_time(&self, at: Instant) -> Micros {
         let after = at.saturating_duration_since(self.start).as_micros() as Micros;
         let before = self.start.saturating_duration_since(at).as_micros() as Micros;
         self.start_unix.saturating_add(after).saturating_sub(before)
     }
 
-    /// The status of the recording, as of the writer's last poll.
+    /// The status of the recording at the last poll of the writer's thread.
     pub fn status(&self) -> RecorderStatus {
         RecorderStatus {
             missing_records: self.shared.missing_records.load(Ordering::Relaxed),
@@ -128,8 +127,8 @@
         }
     }
 
-    /// Ends the recording and waits for its last records; false where the storage does not let it
-    /// end in time.
+    /// Ends the recording and waits until its last records are written; false if the writer's
+    /// thread does not end within the timeout, or panicked.
     pub fn finish(&self, timeout: Duration) -> bool {
         self.shared.is_stopping.store(true, Ordering::Release);
         let Some(thread) = self.thread.lock().ok().and_then(|mut thread| thread.take()) else {
@@ -153,18 +152,18 @@
     shared: Arc<Shared>,
     start: Instant,
     start_unix: Micros,
-    /// How many of the queue's rejections are noted.
-    noted_rejections: u64,
-    /// By how much the system's clock was set, as far as it is noted.
+    /// The part of [`Shared::dropped_records`] that the writer has noted.
+    noted_dropped_records: u64,
+    /// The sum of the changes of the system clock that the writer has noted.
     noted_clock_change: Micros,
 }
 
 impl<S: Storage> Worker<S> {
-    /// Polls the queue until the recording is ended.
+    /// Polls the queue until the recording ends.
     fn run(&mut self, on_error: &impl Fn(&WriteError)) {
         self.writer.start();
         loop {
-            // Read before the queue is emptied, so that the last records are written.
+            // The flag is read before the queue is emptied, so that the last records are written.
             let is_stopping = self.shared.is_stopping.load(Ordering::Acquire);
             self.poll(on_error);
             if is_stopping {
@@ -179,11 +178,11 @@
             self.writer.record(self.start.elapsed(), record);
         }
         let now = self.start.elapsed();
-        let rejections = self.shared.rejected_by_queue.load(Ordering::Relaxed);
-        if rejections > self.noted_rejections {
+        let dropped = self.shared.dropped_records.load(Ordering::Relaxed);
+        if dropped > self.noted_dropped_records {
             self.writer
-                .note_dropped(now, rejections - self.noted_rejections);
-            self.noted_rejections = rejections;
+                .note_dropped(now, dropped - self.noted_dropped_records);
+            self.noted_dropped_records = dropped;
         }
         let change =
             unix_now() - self.start_unix - now.as_micros() as Micros - self.noted_clock_change;
--- a/crates/trace/src/retention.rs
+++ b/crates/trace/src/retention.rs
@@ -1,6 +1,7 @@
 //! The rotation and retention of a recorder's files: when a block is sealed, a file opened or
-//! closed, an old file removed, a record dropped. It is a state machine without I/O and without a
-//! clock: [`Event`]s in, [`Action`]s out, and the same events give the same actions.
+//! closed, an old file removed, a record dropped. The policy is a state machine without I/O and
+//! without a clock. It takes [`Event`]s and returns [`Action`]s; the same events give the same
+//! actions.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,11 +9,12 @@
 use crate::Micros;
 use crate::metadata::GapReason;
 
-/// How many bytes a file may exceed `rotate_bytes` by: its last block, names, gaps and the index.
+/// Number of bytes by which a file may exceed `rotate_bytes`: its last block, names, gaps and the
+/// index.
 const ROTATION_SLACK_BYTES: u64 = 2 * 1024 * 1024;
 /// The part of [`ROTATION_SLACK_BYTES`] that is reserved for the index and the end mark.
 const INDEX_SLACK_BYTES: u64 = ROTATION_SLACK_BYTES / 2;
-/// Backoff after the first failure of the disk.
+/// Backoff after the first disk failure.
 const INITIAL_RETRY_BACKOFF: Duration = Duration::from_secs(1);
 /// Maximum backoff between two attempts on a failing disk.
 const MAX_RETRY_BACKOFF: Duration = Duration::from_secs(30);
@@ -35,30 +37,30 @@
 /// A file of a recording.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoredFile {
-    /// Its number; later files have higher ones.
+    /// The number of the file; later files have higher numbers.
     pub number: u64,
-    /// Its length.
+    /// The length of the file.
     pub bytes: u64,
 }
 
 /// An input of the policy.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    /// The files that were there at the start.
+    /// The files that existed at the start.
     FilesFound(Vec<StoredFile>),
-    /// A record is to be recorded.
+    /// A record was received.
     RecordReceived,
-    /// The block was sealed; the file has that many bytes now.
+    /// A block was sealed; the file now has `bytes` bytes.
     BlockWritten { bytes: u64 },
-    /// An action that writes failed; what the file does not have yet is lost.
+    /// An action that writes failed. The records that are not in the file yet are lost.
     WriteFailed,
     /// A file was closed.
     FileClosed(StoredFile),
-    /// A file that was to be removed is still there.
+    /// A file could not be removed.
     RemoveFailed { number: u64 },
     /// Records were dropped before they reached the writer.
     RecordsDropped { reason: GapReason, records: u64 },
-    /// The system's clock was set by this offset, in microseconds.
+    /// The system clock was set by an offset in microseconds.
     ClockSet { change: Micros },
     /// Time has passed.
     Tick,
@@ -66,45 +68,45 @@
     Shutdown,
 }
 
-/// An output of the policy, to be carried out in the order of the list.
+/// An output of the policy. The caller executes the actions of a list in order.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Action {
     /// Remove a file.
     RemoveFile { number: u64 },
     /// Open a new file.
     OpenFile { number: u64 },
-    /// Append the received record to the block that is buffered.
+    /// Append the received record to the buffered block.
     AppendRecord,
     /// Drop the received record.
     DropRecord,
-    /// Write a gap, of records that are missing since that time.
+    /// Write a gap for the records that have been missing since the time `since`.
     WriteGap {
         reason: GapReason,
         records: u64,
         since: Duration,
         clock_change: Micros,
     },
-    /// Seal the block that is buffered, and sync the file.
+    /// Seal the buffered block, and sync the file.
     SealBlock,
     /// Close the file.
     CloseFile { number: u64 },
 }
 
-/// Records that are missing for one reason and are not yet in the file as a gap.
+/// The missing records, or the clock change, of one reason that are not yet in the file as a gap.
 #[derive(Clone, Copy)]
-struct Missing {
+struct UnwrittenGap {
     records: u64,
     since: Duration,
     clock_change: Micros,
 }
 
-impl Missing {
+impl UnwrittenGap {
     fn is_empty(&self) -> bool {
         self.records == 0 && self.clock_change == 0
     }
 }
 
-/// A gap that was handed out to be written, until the file is known to have it.
+/// A gap of an [`Action::WriteGap`] that is not yet known to be in the file.
 struct PendingGap {
     reason: GapReason,
     records: u64,
@@ -116,27 +118,27 @@
     number: u64,
     opened: Duration,
     bytes: u64,
-    /// Records of the block that is not sealed yet.
+    /// The number of records in the buffered block.
     buffered_records: usize,
-    /// When that block is to be sealed.
+    /// When the buffered block is due to be sealed.
     seal_at: Duration,
     pending_gaps: Vec<PendingGap>,
 }
 
-/// Decides on the files of one recorder. It owns their bookkeeping; [`crate::RotatingWriter`] owns
-/// the files.
+/// Decides on the files of one recorder. The policy owns the numbers and sizes of the files;
+/// [`crate::RotatingWriter`] owns the files.
 pub(crate) struct RetentionPolicy {
     config: RetentionConfig,
-    /// Bytes of the closed files by number.
+    /// The sizes of the closed files in bytes, by number.
     closed_files: BTreeMap<u64, u64>,
     next_number: u64,
     open_file: Option<OpenFile>,
-    missing: BTreeMap<GapReason, Missing>,
+    missing: BTreeMap<GapReason, UnwrittenGap>,
     /// No file is opened before this time.
     retry_at: Duration,
     retry_backoff: Duration,
-    /// The last time at which nothing was missing.
-    complete_at: Duration,
+    /// The last time at which no record was missing.
+    last_complete_at: Duration,
     total_missing: u64,
 }
 
@@ -150,7 +152,7 @@
             missing: BTreeMap::new(),
             retry_at: Duration::ZERO,
             retry_backoff: INITIAL_RETRY_BACKOFF,
-            complete_at: Duration::ZERO,
+            last_complete_at: Duration::ZERO,
             total_missing: 0,
         }
     }
@@ -172,8 +174,8 @@
                 self.closed_files.insert(file.number, file.bytes);
             }
             Event::RemoveFailed { number } => {
-                // Its bytes do not count again: a file that cannot be removed must not cause
-                // removals in a loop.
+                // The file counts as 0 bytes from now on, so that a file that cannot be removed
+                // does not cause removals in a loop.
                 self.closed_files.entry(*number).or_insert(0);
             }
             Event::RecordsDropped { reason, records } => {
@@ -191,7 +193,7 @@
         actions
     }
 
-    /// When [`Event::Tick`] is due, if nothing happens before.
+    /// When the next [`Event::Tick`] is due, unless another event comes first.
     pub(crate) fn next_deadline(&self) -> Option<Duration> {
         let file = self.open_file.as_ref()?;
         let rotate_at = self.rotate_at(file);
@@ -202,12 +204,12 @@
         })
     }
 
-    /// Missing records so far, for any reason.
+    /// The number of missing records so far, for any reason.
     pub(crate) fn total_missing(&self) -> u64 {
         self.total_missing
     }
 
-    /// Bytes of all files together, as far as they are known.
+    /// The total size of all files in bytes, as far as it is known.
     pub(crate) fn bytes(&self) -> u64 {
         self.closed_bytes() + self.open_file.as_ref().map_or(0, |file| file.bytes)
     }
@@ -247,7 +249,7 @@
         }
     }
 
-    /// Opens a file, after enough of the oldest ones are removed for it to grow to its full size.
+    /// Opens a file, after removing enough of the oldest files for it to grow to its maximum size.
     fn open_file(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let max_file_bytes = self
             .config
@@ -279,7 +281,7 @@
         };
         (file.bytes, file.buffered_records) = (bytes, 0);
         for gap in file.pending_gaps.drain(..) {
-            // More may be missing since the gap was handed out.
+            // More records may be missing since the gap was issued.
             if let Some(missing) = self.missing.get_mut(&gap.reason) {
                 missing.records -= gap.records;
                 missing.clock_change -= gap.clock_change;
@@ -295,7 +297,7 @@
 
     fn close_file(&mut self, actions: &mut Vec<Action>) {
         if let Some(file) = self.open_file.take() {
-            // The bytes of its index are not known before it is closed.
+            // The size of the index is not known before the file is closed.
             self.closed_files
                 .insert(file.number, file.bytes.saturating_add(INDEX_SLACK_BYTES));
             actions.push(Action::CloseFile {
@@ -304,9 +306,9 @@
         }
     }
 
-    /// The disk took something in part or not at all. The file is left as it is, and another one is
-    /// opened after a backoff: a disk that is full, slow or gone must not cost an attempt for each
-    /// record. Records meanwhile are dropped.
+    /// Handles a write to the disk that failed or was incomplete. The file is left as it is, and
+    /// the next file is opened after a backoff, so that a full, slow or missing disk does not cost
+    /// an attempt for each record. Records are dropped until then.
     fn write_failed(&mut self, now: Duration) {
         if let Some(file) = self.open_file.take() {
             self.closed_files.insert(file.number, file.bytes);
@@ -329,7 +331,7 @@
             actions.push(Action::SealBlock);
         }
         if self.missing.is_empty() {
-            self.complete_at = now;
+            self.last_complete_at = now;
         }
     }
 
@@ -343,9 +345,9 @@
         if records == 0 && clock_change == 0 {
             return;
         }
-        let none = Missing {
+        let none = UnwrittenGap {
             records: 0,
-            since: self.complete_at.min(now),
+            since: self.last_complete_at.min(now),
             clock_change: 0,
         };
         let missing = self.missing.entry(reason).or_insert(none);
@@ -354,15 +356,15 @@
         self.total_missing += records;
     }
 
-    /// Has all that is missing written as gaps. It counts as missing until the file is known to
-    /// have the gap.
+    /// Issues gaps for all missing records and clock changes. Both count as missing until the file
+    /// is known to have their gap.
     fn write_gaps(&mut self, actions: &mut Vec<Action>) {
         let Some(file) = self.open_file.as_mut() else {
             return;
         };
         for (
             &reason,
-            &Missing {
+            &UnwrittenGap {
                 mut records,
                 since,
                 mut clock_change,
--- a/crates/trace/src/rewrite.rs
+++ b/crates/trace/src/rewrite.rs
@@ -1,5 +1,5 @@
-//! Shared by copying and merging: mapping dictionaries to that of the new file, recording damage as
-//! gaps, and errors.
+//! Code that copying and merging share: mapping the dictionaries of the sources to the dictionary
+//! of the new file, recording damage as gaps, and errors.
 
 use std::io::Write;
 
@@ -13,7 +13,7 @@
 /// Maximum number of records that a merge buffers of one file.
 pub(crate) const MAX_BUFFERED_RECORDS: usize = 1 << 20;
 
-/// Why a file cannot be made from others.
+/// Why a file cannot be copied or merged.
 #[derive(Debug, thiserror::Error)]
 pub enum RewriteError {
     /// A file cannot be read.
@@ -36,12 +36,12 @@
         name: String,
     },
     /// A merge is written in the newest format version only.
-    #[error("a merge is written in format {NEWEST_VERSION}")]
+    #[error("a merge can only be written in format {NEWEST_VERSION}")]
     UnsupportedVersion,
 }
 
 impl RewriteError {
-    /// The error for a file of that name.
+    /// Returns a function that adds the name of a file to an error of reading it.
     pub(crate) fn read(name: &str) -> impl Fn(TraceError) -> RewriteError {
         move |source| RewriteError::Read {
             name: name.to_owned(),
@@ -50,7 +50,7 @@
     }
 }
 
-/// Maps the indices of one dictionary to those of another.
+/// Maps the indices of one dictionary to the indices of another.
 pub(crate) struct DictionaryMapping {
     servers: Vec<u32>,
     handlers: Vec<u32>,
@@ -58,7 +58,8 @@
 }
 
 impl DictionaryMapping {
-    /// Adds to the dictionary of `out` the names that it does not have.
+    /// Creates the mapping from `names` to the dictionary of `out`, and adds the missing names to
+    /// that dictionary.
     pub(crate) fn new<W: Write>(names: &Dictionary, out: &mut Writer<W>) -> Self {
         DictionaryMapping {
             servers: names
@@ -79,19 +80,19 @@
         }
     }
 
-    /// Replaces the indices of a record. Names may have been added to the dictionary since the
-    /// mapping was made. An index that the dictionary does not have gets a name that says so, and
-    /// never that of another entry.
+    /// Replaces the indices of a record. `names` may have more entries than when the mapping was
+    /// created. An index without an entry in `names` gets a name with its number, such as
+    /// `handler-7`, and never the name of another entry.
     pub(crate) fn apply<W: Write>(
         &mut self,
         record: &mut Record,
         names: &Dictionary,
         out: &mut Writer<W>,
     ) {
-        record.server = mapped(&mut self.servers, record.server, |index| {
+        record.server = map_index(&mut self.servers, record.server, |index| {
             out.server_index(&names.server(index))
         });
-        record.handler = mapped(&mut self.handlers, record.handler, |index| {
+        record.handler = map_index(&mut self.handlers, record.handler, |index| {
             let unnamed = || HandlerInfo {
                 name: names.handler(index),
                 ..HandlerInfo::default()
@@ -100,7 +101,7 @@
             out.handler_index(&handler.unwrap_or_else(unnamed))
         });
         record.tenant = record.tenant.map(|tenant| {
-            mapped(&mut self.tenants, tenant, |index| {
+            map_index(&mut self.tenants, tenant, |index| {
                 out.tenant_index(&TenantInfo {
                     name: names.tenant(index),
                 })
@@ -109,9 +110,10 @@
     }
 }
 
-/// The mapped index; the map grows up to that index.
-fn mapped(map: &mut Vec<u32>, index: u32, mut new_index: impl FnMut(u32) -> u32) -> u32 {
-    // An index beyond all dictionaries is damage, and must not make the map that long.
+/// Maps an index. The map grows up to that index.
+fn map_index(map: &mut Vec<u32>, index: u32, mut new_index: impl FnMut(u32) -> u32) -> u32 {
+    // An index beyond the limit of a dictionary is damage, and must not grow the map to that
+    // length.
     let index = index.min(MAX_NAMES as u32);
     while map.len() <= index as usize {
         map.push(new_index(map.len() as u32));
@@ -119,7 +121,8 @@
     map[index as usize]
 }
 
-/// The gap that a file made from a damaged one notes for a loss, if records are missing by it.
+/// The gap that a copy or merge writes for a loss of its source; `None` if the loss does not mean
+/// missing records.
 pub(crate) fn gap_for_loss(loss: &Loss, server: &str) -> Option<Gap> {
     let records = match loss {
         Loss::MissingRecords { count } => Some(*count),
--- a/crates/trace/src/rotating_writer.rs
+++ b/crates/trace/src/rotating_writer.rs
@@ -1,4 +1,4 @@
-//! Writes records to a sequence of files: it carries out the actions of the retention policy on a
+//! Writes records to a sequence of files, by executing the actions of the retention policy on a
 //! storage.
 
 use std::io;
@@ -12,7 +12,7 @@
 use crate::storage::Storage;
 use crate::writer::{BlockConfig, WriteError, Writer};
 
-/// Factor of the linear congruential generator of file ids, which the caller seeds.
+/// Multiplier of the linear congruential generator of file ids, which the caller seeds.
 const FILE_ID_FACTOR: u128 = 0x2360_ED05_1FC6_5DA4_4385_DF64_9FCC_F645;
 
 /// The configuration of a recording.
@@ -26,18 +26,18 @@
     pub names: Dictionary,
     /// The limits of files.
     pub retention: RetentionConfig,
-    /// The maximum number of records that wait for the writer.
+    /// The capacity of the writer's queue, in records.
     pub queue_capacity: usize,
 }
 
-/// The counts of the writer so far.
+/// The counts of a writer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WriterCounters {
-    /// Records that were received.
+    /// The number of records that were received.
     pub received: u64,
-    /// Files that were opened.
+    /// The number of files that were opened.
     pub files: u64,
-    /// Failures of the storage.
+    /// The number of storage failures.
     pub failures: u64,
 }
 
@@ -47,12 +47,12 @@
     pub storage: S,
     /// The final counts.
     pub counters: WriterCounters,
-    /// The last error, if it was not taken before.
+    /// The last error, unless it was already taken.
     pub last_error: Option<WriteError>,
 }
 
-/// Writes the files of one server. It owns the storage and the open file. The caller passes
-/// the time since the start, so that a recording of hours can be made in seconds.
+/// Writes the files of one server. The writer owns the storage and the open file. The caller passes
+/// the time since the start, so that a recording of hours can be generated in seconds.
 pub struct RotatingWriter<S: Storage> {
     storage: S,
     config: RecorderConfig,
@@ -66,7 +66,7 @@
 }
 
 impl<S: Storage> RotatingWriter<S> {
-    /// A writer that starts at `start`, Unix time. The ids of files follow from `seed`.
+    /// Creates a writer that starts at `start`, Unix time. `seed` determines the ids of files.
     pub fn new(storage: S, config: RecorderConfig, start: Micros, seed: u128) -> Self {
         RotatingWriter {
             storage,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Lists the files that are there, so that new ones get higher numbers and the oldest can be
+    /// Lists the existing files, so that new files get higher numbers and the oldest files can be
     /// removed.
     pub fn start(&mut self) {
         match self.storage.list() {
@@ -89,18 +89,18 @@
         }
     }
 
-    /// Records an attempt. Errors are kept as [`RotatingWriter::last_error`].
+    /// Records an attempt. An error is stored as [`RotatingWriter::last_error`].
     pub fn record(&mut self, now: Duration, record: Record) {
         self.counters.received += 1;
         self.handle_event(now, Event::RecordReceived, Some(record));
     }
 
-    /// Seals and rotates what is due by now.
+    /// Seals the block and rotates the file if they are due.
     pub fn tick(&mut self, now: Duration) {
         self.handle_event(now, Event::Tick, None);
     }
 
-    /// Counts records that were dropped because the queue before the writer was full.
+    /// Counts records that were dropped because the queue of the writer was full.
     pub fn note_dropped(&mut self, now: Duration, records: u64) {
         self.handle_event(
             now,
@@ -112,22 +112,22 @@
         );
     }
 
-    /// Records that the system's clock was set by this offset, in microseconds.
+    /// Notes that the system clock was set by an offset in microseconds.
     pub fn note_clock_change(&mut self, now: Duration, change: Micros) {
         self.handle_event(now, Event::ClockSet { change }, None);
     }
 
-    /// When [`RotatingWriter::tick`] is due, if nothing happens before.
+    /// When the next call of [`RotatingWriter::tick`] is due, unless another event comes first.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.policy.next_deadline()
     }
 
-    /// Missing records so far, for any reason.
+    /// The number of missing records so far, for any reason.
     pub fn missing_records(&self) -> u64 {
         self.policy.total_missing()
     }
 
-    /// Bytes of all files together.
+    /// The total size of all files, in bytes.
     pub fn bytes(&self) -> u64 {
         self.policy.bytes()
     }
@@ -137,7 +137,7 @@
         self.counters
     }
 
-    /// The last error that was not taken.
+    /// The last error, unless it was already taken.
     pub fn last_error(&self) -> Option<&WriteError> {
         self.last_error.as_ref()
     }
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Carries out one action; `record` is the one that was received.
+    /// Executes one action. `record` is the record of the event, if it has one.
     fn execute(
         &mut self,
         now: Duration,
@@ -262,7 +262,7 @@
             return Ok(());
         };
         match writer.push(record) {
-            // The record is at fault, and not the storage.
+            // The record is invalid; the storage works.
             Err(error @ WriteError::ValueOutOfRange { .. }) => {
                 self.last_error = Some(error);
                 let dropped = Event::RecordsDropped {
--- a/crates/trace/src/storage.rs
+++ b/crates/trace/src/storage.rs
@@ -11,48 +11,49 @@
 /// Minimum number of digits of the number in a file name.
 const MIN_NUMBER_DIGITS: usize = 8;
 
-/// A storage of numbered files. Tests replace it by one in memory.
+/// A storage of numbered files. Tests use an implementation in memory.
 pub trait Storage: Send + 'static {
-    /// A file that is written.
+    /// A file that is being written.
     type File: Write + Send;
 
-    /// Lists the files that are there.
+    /// Lists the existing files.
     ///
     /// # Errors
-    /// Where they cannot be listed.
+    /// If the files cannot be listed.
     fn list(&mut self) -> io::Result<Vec<StoredFile>>;
 
     /// Creates a file, which must not exist.
     ///
     /// # Errors
-    /// Where it exists or cannot be created.
+    /// If the file exists or cannot be created.
     fn create(&mut self, number: u64) -> io::Result<Self::File>;
 
     /// Syncs a file, so that all written bytes are durable.
     ///
     /// # Errors
-    /// Where the sync fails; which bytes are durable is then unknown.
+    /// If the sync fails; which bytes are durable is then unknown.
     fn sync(&mut self, file: &mut Self::File) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// Where it is still there, or was not.
+    /// If the file does not exist or cannot be removed.
     fn remove(&mut self, number: u64) -> io::Result<()>;
 }
 
-/// A directory, for the files of one server.
+/// A directory with the files of one server.
 pub struct DirectoryStorage {
     path: PathBuf,
-    /// The name of the server as it is spelled in file names.
+    /// The name of the server as used in file names.
     server: String,
     is_synced: bool,
 }
 
 impl DirectoryStorage {
-    /// The files of `server` in that directory, which is created when it is needed. Characters of
-    /// the server's name that do not belong into a file name are replaced. With `is_synced`, what
-    /// is written survives a crash of the machine, and not only of the process.
+    /// Creates a storage for the files of `server` in the directory `path`, which is created when
+    /// it is needed. Characters of the server's name other than ASCII letters, digits, `-`, `_` and
+    /// `.` are replaced by `_` in file names. With `is_synced`, sealed blocks survive a crash of
+    /// the machine, and not only of the process.
     pub fn new(path: &Path, server: &str, is_synced: bool) -> Self {
         let file_name_char = |c: char| {
             if c.is_ascii_alphanumeric() || "-_.".contains(c) {
@@ -77,7 +78,7 @@
         ))
     }
 
-    /// The number in the name of a file; `None` where the file is not one of this storage.
+    /// The number in the name of a file; `None` if the file does not belong to this storage.
     fn file_number(&self, name: &str) -> Option<u64> {
         let digits = name
             .strip_prefix(&self.server)?
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -1,7 +1,7 @@
 //! The summary of a recording: for each handler and tenant the requests, their outcomes and
-//! reasons, the response times, and the service level, which is the priority weight answered within
-//! the latency objective divided by that of all requests. Retries count as part of their first
-//! attempt.
+//! reasons, the response times, and the service level. The service level is the priority weight
+//! that was answered within the latency objective, divided by the priority weight of all requests.
+//! Retries count as part of their first attempt.
 
 use std::collections::BTreeMap;
 
@@ -13,8 +13,9 @@
 use crate::dictionary::Dictionary;
 use crate::record::{Outcome, Record};
 
-/// Longest response time of the histogram, in microseconds; longer ones count as this.
-const MAX_RESPONSE_TIME: u64 = 3_600_000_000;
+/// Maximum response time of the histogram, in microseconds; longer response times count as the
+/// maximum.
+const MAX_RESPONSE_TIME_US: u64 = 3_600_000_000;
 /// One minute, in microseconds.
 const MINUTE: Micros = 60_000_000;
 /// The name of the tenant of records that have none.
@@ -26,9 +27,9 @@
 
 impl Default for ResponseTimes {
     fn default() -> Self {
-        // These bounds are valid, and so are three digits.
+        // The bounds and a precision of three digits are valid.
         let histogram =
-            Histogram::new_with_bounds(1, MAX_RESPONSE_TIME, 3).or_else(|_| Histogram::new(3));
+            Histogram::new_with_bounds(1, MAX_RESPONSE_TIME_US, 3).or_else(|_| Histogram::new(3));
         ResponseTimes(histogram.unwrap_or_else(|_| unreachable!("three digits are valid")))
     }
 }
@@ -44,7 +45,7 @@
     pub p99: f64,
     /// The 99.9th percentile.
     pub p999: f64,
-    /// The longest.
+    /// The longest response time.
     #[serde(rename = "most")]
     pub max: f64,
 }
@@ -56,13 +57,13 @@
     pub requests: u64,
     /// Retries that were correlated to a first attempt.
     pub retries: u64,
-    /// Retries of which the first attempt is not known.
+    /// Retries whose first attempt is not known.
     pub orphan_retries: u64,
     /// Attempts completed within their latency objective.
     pub completed_in_time: u64,
     /// Attempts completed after their latency objective.
     pub completed_late: u64,
-    /// Completed attempts of which calls were skipped.
+    /// Completed attempts with skipped calls.
     pub degraded: u64,
     /// Attempts that failed.
     pub failed: u64,
@@ -78,7 +79,7 @@
 }
 
 impl GroupStatistics {
-    /// The fraction of the requested priority weight that was answered in time; `None` where none
+    /// The fraction of the requested priority weight that was answered in time; `None` if no weight
     /// was requested.
     pub fn service_level(&self) -> Option<f64> {
         (self.requested_weight > 0.0).then(|| self.answered_weight / self.requested_weight)
@@ -89,7 +90,7 @@
         self.requests + self.retries + self.orphan_retries
     }
 
-    /// Percentiles of the response times of completed attempts; `None` where there are none.
+    /// Percentiles of the response times of completed attempts; `None` if no attempt was completed.
     pub fn percentiles(&self) -> Option<Percentiles> {
         let times = &self.response_times.0;
         let at = |quantile: f64| times.value_at_quantile(quantile) as f64 / 1e3;
@@ -138,7 +139,7 @@
             self.completed_late += 1;
         }
         self.degraded += u64::from(is_degraded);
-        // A request that was completed before is worth nothing a second time.
+        // A retry of a request that was already completed adds no weight.
         if is_in_time
             && attempt
                 != (Attempt::Retry {
@@ -166,7 +167,7 @@
     pub tenant: String,
 }
 
-/// Summarises records, which are added in the order of time. It owns the counts and the state for
+/// Summarises records, which are added in time order. The summary owns the counts and the state for
 /// correlating attempts.
 #[derive(Default)]
 pub struct Summary {
@@ -177,7 +178,7 @@
 }
 
 impl Summary {
-    /// An empty summary; with `is_by_minute` it has a row for each minute, too.
+    /// Creates an empty summary; with `is_by_minute` it also has a row for each minute.
     pub fn new(is_by_minute: bool) -> Self {
         Summary {
             is_by_minute,
@@ -245,7 +246,7 @@
     /// Retries that were correlated to a first attempt.
     #[serde(rename = "joined")]
     pub retries: u64,
-    /// Retries of which the first attempt is not known.
+    /// Retries whose first attempt is not known.
     #[serde(rename = "stray")]
     pub orphan_retries: u64,
     /// Attempts completed within their latency objective.
@@ -254,7 +255,7 @@
     /// Attempts completed after their latency objective.
     #[serde(rename = "done_late")]
     pub completed_late: u64,
-    /// Completed attempts of which calls were skipped.
+    /// Completed attempts with skipped calls.
     pub degraded: u64,
     /// Rejected attempts by the name of their reason.
     #[serde(rename = "shed")]
--- a/crates/trace/src/synthetic.rs
+++ b/crates/trace/src/synthetic.rs
@@ -1,5 +1,5 @@
 //! Generates records of synthetic load: Poisson arrivals, handlers with different work and weight,
-//! tenants with different shares, subjects by a Zipf law, a server that rejects requests which
+//! tenants with different shares, Zipf-distributed subjects, a server that rejects requests that
 //! would be late, and clients that retry. The same seed gives the same records.
 
 use std::cmp::Reverse;
@@ -17,7 +17,7 @@
 const CALLERS: u64 = 24;
 /// Number of subjects.
 const SUBJECTS: f64 = 40_000.0;
-/// Exponent of the Zipf law of subjects.
+/// Exponent of the Zipf distribution of subjects.
 const SUBJECT_EXPONENT: f64 = 1.05;
 /// Median work in milliseconds, and standard deviation of its logarithm, for each handler.
 const HANDLER_WORK: [(f64, f64); 3] = [(40.0, 0.5), (55.0, 0.6), (30.0, 0.4)];
@@ -27,7 +27,7 @@
 const CLIENT_TIMEOUTS_MS: [Micros; 3] = [1500, 2500, 6000];
 /// Index of the handler whose requests have idempotency keys.
 const KEYED_HANDLER: usize = 2;
-/// Probability with which a rejected attempt is retried, where it may be.
+/// Probability that a client retries a rejected attempt, if it may retry.
 const RETRY_PROBABILITY: f64 = 0.6;
 /// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: u32 = 4;
@@ -35,13 +35,13 @@
 /// The parameters of the load.
 #[derive(Clone, Debug)]
 pub struct SyntheticLoad {
-    /// Its duration.
+    /// The duration of the load.
     pub duration: Micros,
-    /// First attempts a second.
+    /// First attempts per second.
     pub rate: f64,
-    /// The seed of all that is random.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// When it begins, Unix time.
+    /// When the load begins, Unix time.
     pub start: Micros,
     /// The index of the server in each record.
     pub server: u32,
@@ -64,7 +64,7 @@
 }
 
 impl SyntheticLoad {
-    /// The dictionary of its records, with one server of that name.
+    /// The dictionary of the records, with one server, `server`.
     pub fn dictionary(server: &str) -> Dictionary {
         let handler = |name: &str, index: usize, priority_weight, degraded_weight| HandlerInfo {
             name: name.to_owned(),
@@ -93,11 +93,11 @@
 /// An attempt before it is served.
 struct PendingAttempt {
     record: Record,
-    /// Attempts of its request so far, this one included.
+    /// The number of attempts of the request so far, including this one.
     attempts: u32,
 }
 
-/// Things that happen at their times, and those of one time in the order of their numbers.
+/// A priority queue of values by time. Values with the same time are ordered by their numbers.
 struct Schedule<T> {
     times: BinaryHeap<Reverse<(Micros, u64)>>,
     values: BTreeMap<u64, T>,
@@ -130,7 +130,7 @@
 
 /// The random distributions of the generator.
 struct Distributions {
-    arrival_pause: Exp<f64>,
+    interarrival_time: Exp<f64>,
     subject: Zipf<f64>,
     work: [LogNormal<f64>; 3],
 }
@@ -138,7 +138,7 @@
 impl Distributions {
     fn new(rate: f64) -> Self {
         Distributions {
-            arrival_pause: Exp::new(rate.max(1e-6))
+            interarrival_time: Exp::new(rate.max(1e-6))
                 .unwrap_or_else(|_| unreachable!("the rate is above 0")),
             subject: Zipf::new(SUBJECTS, SUBJECT_EXPONENT)
                 .unwrap_or_else(|_| unreachable!("the parameters are valid")),
@@ -150,8 +150,8 @@
     }
 }
 
-/// Generates the records of a load and passes them to `out` in the order in which they are
-/// released, each with that time (Unix time).
+/// Generates the records of a load and passes them to `out` in the order in which the attempts are
+/// released, each with its release time (Unix time).
 pub fn generate_load(load: &SyntheticLoad, mut out: impl FnMut(Micros, Record)) {
     let mut random = ChaCha8Rng::seed_from_u64(load.seed);
     let distributions = Distributions::new(load.rate);
@@ -160,7 +160,8 @@
     let mut core_free_at = vec![0 as Micros; load.cores.max(1)];
     let (mut number, mut next_arrival) = (0u64, 0 as Micros);
     loop {
-        // The next first attempt, or a retry that is due sooner.
+        // The next attempt is a retry if one is due before the next first attempt, or if there are
+        // no further first attempts.
         let next_retry = retries
             .next_time()
             .filter(|&at| at < next_arrival || next_arrival >= load.duration);
@@ -171,7 +172,7 @@
             break;
         } else {
             let at = next_arrival;
-            next_arrival += (distributions.arrival_pause.sample(&mut random) * 1e6) as Micros;
+            next_arrival += (distributions.interarrival_time.sample(&mut random) * 1e6) as Micros;
             let record = first_attempt(load, &mut random, &distributions);
             (
                 at,
@@ -228,7 +229,7 @@
         _ => KEYED_HANDLER,
     };
     let work = (distributions.work[handler].sample(random) * 1e3) as Micros;
-    // Estimates are rough, in hundredths of a millisecond.
+    // Estimates differ from the work, and are in whole hundredths of a millisecond.
     let estimated_work = (work as f64 * random.random_range(0.7..1.4) / 10.0) as Micros * 10;
     let tenant = [24, 47, 65, 78, 90]
         .iter()
@@ -242,7 +243,7 @@
         tenant: Some(tenant),
         key: is_keyed.then(|| random.next_u64()),
         // The number of a subject must not reveal its popularity.
-        subject: (!is_keyed).then(|| scatter(subject_rank)),
+        subject: (!is_keyed).then(|| mix_bits(subject_rank)),
         caller: Some(random.random_range(0..CALLERS)),
         client_wait: (random.random_range(0..10) < 3)
             .then(|| CLIENT_TIMEOUTS_MS[handler] * 1000 - random.random_range(0..200) * 1000),
@@ -252,8 +253,8 @@
     }
 }
 
-/// Spreads numbers over 64 bits, one to one.
-fn scatter(value: u64) -> u64 {
+/// Maps numbers one to one to numbers that are spread over 64 bits.
+fn mix_bits(value: u64) -> u64 {
     let mixed = (value ^ value >> 31).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     (mixed ^ mixed >> 29).wrapping_mul(0xBF58_476D_1CE4_E5B9)
 }
--- a/crates/trace/src/varint.rs
+++ b/crates/trace/src/varint.rs
@@ -7,7 +7,7 @@
 /// Maximum length of an encoded 64-bit number, in bytes.
 const MAX_VARINT_BYTES: usize = 10;
 
-/// A cursor over bytes that come from a file and may hold anything.
+/// A cursor over untrusted bytes from a file.
 pub(crate) struct ByteReader<'a>(pub(crate) &'a [u8]);
 
 impl<'a> ByteReader<'a> {
@@ -35,7 +35,7 @@
         Ok(self.read_bytes(1)?[0])
     }
 
-    /// Reads that many bytes.
+    /// Reads `count` bytes.
     pub(crate) fn read_bytes(&mut self, count: usize) -> Result<&'a [u8], TraceError> {
         let (bytes, rest) = self
             .0
@@ -45,7 +45,7 @@
         Ok(bytes)
     }
 
-    /// Whether all bytes were read.
+    /// Whether no bytes are left.
     pub(crate) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -68,7 +68,7 @@
     ((value << 1) ^ (value >> 63)) as u64
 }
 
-/// The signed number whose zigzag form this is: 0, -1, 1, -2, ... for 0, 1, 2, 3, ...
+/// Converts the zigzag form of a number back to it: 0, 1, 2, 3, ... to 0, -1, 1, -2, ...
 pub fn zigzag_decode(value: u64) -> i64 {
     (value >> 1) as i64 ^ -((value & 1) as i64)
 }
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -1,5 +1,5 @@
-//! Writes a file. Records are buffered until they fill a block; a block is written completely or
-//! not at all.
+//! Writes a file. The writer buffers records until they fill a block, and encodes and writes a
+//! whole block at a time.
 
 use std::io::{self, Write};
 
@@ -23,18 +23,19 @@
     /// Writing failed. The file may end in a part of a frame.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A value does not fit its column; the record was rejected, and others can still be written.
+    /// A value does not fit its column. The record was rejected; other records can still be
+    /// written.
     #[error("{column}: {value} does not fit its column of {bits} bits")]
     ValueOutOfRange {
         /// The name of the column.
         column: &'static str,
         /// The value.
         value: i64,
-        /// The maximum width of its values in this format version, in bits.
+        /// The maximum width of the column's values in this format version, in bits.
         bits: u32,
     },
-    /// The format version is not one that can be written.
-    #[error("format {0} cannot be written: 1 and 2 can")]
+    /// The writer does not support the format version.
+    #[error("format {0} cannot be written; the supported formats are 1 and 2")]
     UnsupportedVersion(u32),
 }
 
@@ -43,8 +44,9 @@
 pub struct BlockConfig {
     /// The maximum number of records of a block.
     pub max_records: usize,
-    /// A record that lies further than this from the first one of its block begins a new block, so
-    /// that blocks stay short in time when a clock is set.
+    /// The maximum time between the first record of a block and any other record of the block. A
+    /// record beyond it begins a new block, so that a clock that is set does not cause a block with
+    /// a long time span.
     pub max_time_span: Micros,
 }
 
@@ -57,13 +59,13 @@
     }
 }
 
-/// Writes one file. It owns the output, the records that are not written yet, the dictionary and
-/// the index.
+/// Writes one file. The writer owns the output, the records that are not written yet, the
+/// dictionary and the index.
 pub struct Writer<W> {
     out: W,
     header: Header,
     dictionary: Dictionary,
-    /// How much of the dictionary is written.
+    /// The number of dictionary entries that are written.
     written_names: WrittenNames,
     config: BlockConfig,
     /// Records that are not written yet.
@@ -72,7 +74,7 @@
     gaps: Vec<Gap>,
     compressor: Compressor<'static>,
     bytes: u64,
-    /// Records that are written.
+    /// The number of records that are written.
     records: u64,
 }
 
@@ -103,7 +105,7 @@
         if !(1..=NEWEST_VERSION).contains(&header.version) {
             return Err(WriteError::UnsupportedVersion(header.version));
         }
-        out.write_all(&framing::write_prelude(header.version))?;
+        out.write_all(&framing::encode_prelude(header.version))?;
         let dictionary = header.names.clone();
         let mut writer = Writer {
             out,
@@ -146,7 +148,7 @@
         &mut self.out
     }
 
-    /// The index of a server, which is added to the dictionary if it is new.
+    /// The index of a server. A new server is added to the dictionary.
     pub fn server_index(&mut self, name: &str) -> u32 {
         index_of(
             &mut self.dictionary.servers,
@@ -155,7 +157,7 @@
         )
     }
 
-    /// The index of a handler, which is added to the dictionary if it is new.
+    /// The index of a handler. A new handler is added to the dictionary.
     pub fn handler_index(&mut self, handler: &HandlerInfo) -> u32 {
         index_of(
             &mut self.dictionary.handlers,
@@ -164,7 +166,7 @@
         )
     }
 
-    /// The index of a tenant, which is added to the dictionary if it is new.
+    /// The index of a tenant. A new tenant is added to the dictionary.
     pub fn tenant_index(&mut self, tenant: &TenantInfo) -> u32 {
         index_of(
             &mut self.dictionary.tenants,
@@ -184,14 +186,14 @@
     /// Adds a record.
     ///
     /// # Errors
-    /// [`WriteError::ValueOutOfRange`] where a value does not fit its column; the record is
-    /// rejected. [`WriteError::Io`] where a block had to be written first and that failed.
+    /// [`WriteError::ValueOutOfRange`] if a value does not fit its column; the record is rejected.
+    /// [`WriteError::Io`] if a full block had to be written first and the write failed.
     pub fn push(&mut self, record: Record) -> Result<(), WriteError> {
         let version = self.header.version;
         for column in columns::of_version(version) {
             block::check_value(column, version, (column.get)(&record))?;
         }
-        // Format 1 has one server alone: the index of another one would be lost silently.
+        // Format 1 has no column for the server, so another index than 0 would be lost silently.
         if version == 1 && record.server != 0 {
             let value = i64::from(record.server);
             return Err(WriteError::ValueOutOfRange {
@@ -232,7 +234,7 @@
             return Ok(());
         }
         self.write_names()?;
-        // Sorting by cached keys moves keys in place of whole records.
+        // Sorting by cached keys moves the keys instead of whole records.
         self.buffer.sort_by_cached_key(Record::sort_key);
         let block = BlockHeader::of(&self.buffer, self.index.len() as u64, self.records);
         let columns = block::columns_of(&self.buffer, self.header.version)?;
@@ -246,7 +248,7 @@
         Ok(())
     }
 
-    /// Ends the file, with its index where the format version has one. Returns the output and the
+    /// Ends the file, with an index if the format version has one. Returns the output and the
     /// length of the file.
     ///
     /// # Errors
@@ -297,7 +299,7 @@
     }
 }
 
-/// The position of an entry in a list, to which it is added if it is new.
+/// The position of an entry in a list. A new entry is added to the list.
 fn index_of<T>(
     known: &mut Vec<T>,
     is_same: impl Fn(&T) -> bool,
