--- a/crates/trace/benches/trace.rs
+++ b/crates/trace/benches/trace.rs
@@ -1,5 +1,5 @@
-//! What a record costs on its way into a file, and what finding a minute costs: by the index and by
-//! a plain scan.
+//! Measures the time to record a minute of records, and the time to find the blocks of a filter by
+//! the index and by a linear scan.
 
 use std::io;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// Discards all that is written.
+/// A storage that discards all writes.
 struct NullStorage;
 
 impl Storage for NullStorage {
@@ -41,7 +41,9 @@
         duration,
         ..SyntheticLoad::default()
     };
-    generate_load(&load, |over, record| all.push((over - load.start, record)));
+    generate_load(&load, |released, record| {
+        all.push((released - load.start, record))
+    });
     all
 }
 
@@ -63,20 +65,20 @@
 }
 
 fn records(c: &mut Criterion) {
-    let some = load(60 * SECOND);
+    let timed_records = load(60 * SECOND);
     let mut group = c.benchmark_group("a minute of records");
-    group.throughput(Throughput::Elements(some.len() as u64));
-    group.bench_function("gathered, packed and written", |b| {
+    group.throughput(Throughput::Elements(timed_records.len() as u64));
+    group.bench_function("buffered, encoded and written", |b| {
         b.iter_batched(
-            || some.clone(),
-            |some| {
+            || timed_records.clone(),
+            |timed_records| {
                 let mut writer = RotatingWriter::new(
                     NullStorage,
                     recording(),
                     SyntheticLoad::default().start,
                     1,
                 );
-                for (at, record) in some {
+                for (at, record) in timed_records {
                     writer.record(Duration::from_micros(at as u64), record);
                 }
                 writer.finish(Duration::from_secs(61)).counters
@@ -84,17 +86,17 @@
             BatchSize::LargeInput,
         );
     });
-    // What the server's own thread does; the queue is emptied between.
-    group.bench_function("handed over by the server", |b| {
+    // The work of the server's thread, which only adds records to the queue.
+    group.bench_function("added to the queue by the server", |b| {
         b.iter_batched(
             || {
                 (
-                    some.clone(),
+                    timed_records.clone(),
                     Recorder::start(NullStorage, recording(), |_| {}).unwrap(),
                 )
             },
-            |(some, recorder)| {
-                for (_, record) in some {
+            |(timed_records, recorder)| {
+                for (_, record) in timed_records {
                     recorder.record(record);
                 }
                 recorder
@@ -105,8 +107,8 @@
     group.finish();
 }
 
-/// Blocks of five seconds of some servers, as their files come one after another; handlers and
-/// outcomes of which one is rare.
+/// An index of blocks of five seconds, for the files of several servers in sequence. One handler
+/// and some outcomes are rare.
 fn index_of(servers: usize, hours: usize) -> Index {
     let mut index = Index::default();
     for server in 0..servers {
@@ -150,16 +152,16 @@
             ..minute.clone()
         };
         let mut group = c.benchmark_group(name);
-        for (what, filter) in [
+        for (filter_name, filter) in [
             ("a minute", minute),
             ("a rare handler", rare),
             ("both", both),
         ] {
             assert_eq!(index.find(&filter), index.scan(&filter));
-            group.bench_function(BenchmarkId::new("index", what), |b| {
+            group.bench_function(BenchmarkId::new("index", filter_name), |b| {
                 b.iter(|| index.find(&filter))
             });
-            group.bench_function(BenchmarkId::new("scan", what), |b| {
+            group.bench_function(BenchmarkId::new("scan", filter_name), |b| {
                 b.iter(|| index.scan(&filter))
             });
         }
--- a/crates/trace/tests/files/common.rs
+++ b/crates/trace/tests/files/common.rs
@@ -1,4 +1,4 @@
-//! Small files of synthetic records, from a seed.
+//! Builds small files of synthetic records from a seed, and reads files.
 
 use std::io::Cursor;
 
@@ -30,16 +30,16 @@
     header
 }
 
-/// A complete file of these records.
+/// A complete file of the given records.
 pub(crate) fn file(
     version: u32,
     id: u128,
     server: &str,
     records: &[Record],
-    block: usize,
+    block_records: usize,
 ) -> Vec<u8> {
     let blocks = BlockConfig {
-        max_records: block,
+        max_records: block_records,
         ..BlockConfig::default()
     };
     let mut writer = Writer::new(Vec::new(), header(version, id, server), blocks).unwrap();
@@ -53,13 +53,13 @@
     TraceReader::open(Cursor::new(bytes.to_vec())).unwrap()
 }
 
-/// All that comes out of a file.
+/// The whole contents of a file.
 #[derive(Debug, Default)]
 pub(crate) struct Contents {
     pub(crate) records: Vec<Record>,
     pub(crate) gaps: Vec<Gap>,
     pub(crate) losses: Vec<Loss>,
-    pub(crate) unknown: Vec<String>,
+    pub(crate) unknown_columns: Vec<String>,
     pub(crate) names: Dictionary,
 }
 
@@ -73,11 +73,11 @@
             Item::Loss(loss) => all.losses.push(loss),
         }
     }
-    (all.unknown, all.names) = (reader.unknown_columns(), reader.dictionary().clone());
+    (all.unknown_columns, all.names) = (reader.unknown_columns(), reader.dictionary().clone());
     Ok(all)
 }
 
-/// A record with the columns of format 1 alone.
+/// A record with only the columns of format 1.
 pub(crate) fn format_1_record(record: &Record) -> Record {
     let Record {
         handler,
--- a/crates/trace/tests/files/format.rs
+++ b/crates/trace/tests/files/format.rs
@@ -1,4 +1,5 @@
-//! What is written comes back, in both formats; what does not fit is an error.
+//! Records that are written in either format are read back with the same values in all columns of
+//! that format. Values that do not fit their column and newer format versions are errors.
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use tulipgap_trace::{
@@ -9,9 +10,9 @@
 use crate::common::{file, format_1_record, header, open, read_all, records, sorted};
 
 #[derive(Clone, Debug)]
-struct Any(Record);
+struct ArbitraryRecord(Record);
 
-/// Small values and the widest ones.
+/// A small value, or one of the widest values.
 fn value(g: &mut Gen) -> i64 {
     match u8::arbitrary(g) % 4 {
         0 => i64::arbitrary(g),
@@ -20,14 +21,15 @@
     }
 }
 
-impl Arbitrary for Any {
+impl Arbitrary for ArbitraryRecord {
     fn arbitrary(g: &mut Gen) -> Self {
-        let mut some = |chance: u8| (u8::arbitrary(g) % 4 < chance).then(|| value(g));
+        let mut optional = |chance: u8| (u8::arbitrary(g) % 4 < chance).then(|| value(g));
         let [read, admitted, started, first_call, answered, released] =
-            [3, 2, 2, 1, 3, 3].map(&mut some);
-        let [client_wait, estimated_work, work, retry_after] = [1, 2, 2, 1].map(&mut some);
-        let [key, subject, caller] = [1, 2, 3].map(|chance| some(chance).map(|value| value as u64));
-        Any(Record {
+            [3, 2, 2, 1, 3, 3].map(&mut optional);
+        let [client_wait, estimated_work, work, retry_after] = [1, 2, 2, 1].map(&mut optional);
+        let [key, subject, caller] =
+            [1, 2, 3].map(|chance| optional(chance).map(|value| value as u64));
+        ArbitraryRecord(Record {
             server: u32::arbitrary(g),
             handler: u32::arbitrary(g) % 5,
             tenant: Option::arbitrary(g),
@@ -58,23 +60,24 @@
 }
 
 quickcheck! {
-    fn every_record_round_trips(records: Vec<Any>, block: u8) -> bool {
+    fn every_record_round_trips(records: Vec<ArbitraryRecord>, block: u8) -> bool {
         let records: Vec<Record> = records.into_iter().map(|any| any.0).collect();
         let bytes = file(2, 1, "n1", &records, usize::from(block).max(1));
-        let back = read_all(&bytes).unwrap();
+        let contents = read_all(&bytes).unwrap();
         let indexed = open(&bytes).survey().unwrap();
-        assert!(back.losses.is_empty() && indexed.is_indexed, "{:?}", back.losses);
+        assert!(contents.losses.is_empty() && indexed.is_indexed, "{:?}", contents.losses);
         assert_eq!(indexed.index.records(), records.len() as u64);
-        // Blocks keep the order in which records came, records within a block their own.
-        sorted(back.records) == sorted(records)
+        // Blocks are in the order in which the records were written; within a block, the records
+        // are sorted by their key.
+        sorted(contents.records) == sorted(records)
     }
 
     fn index_lookup_matches_a_linear_scan(
-        places: Vec<(i16, u8, u8, u8)>,
-        asked: (Option<i16>, Option<i16>, Option<u8>, Option<u8>)
+        blocks: Vec<(i16, u8, u8, u8)>,
+        bounds: (Option<i16>, Option<i16>, Option<u8>, Option<u8>)
     ) -> bool {
         let mut index = Index::default();
-        for (from, length, handlers, outcomes) in places {
+        for (from, length, handlers, outcomes) in blocks {
             let handlers = (0..8).filter(|bit| handlers >> bit & 1 == 1).collect();
             index.add(BlockEntry {
                 offset: index.len() as u64 * 100,
@@ -87,10 +90,10 @@
             });
         }
         let wanted = Filter {
-            from: asked.0.map(i64::from),
-            to: asked.1.map(i64::from),
-            handlers: asked.2.map(|handler| [u32::from(handler % 9), 3].into()),
-            outcomes: asked.3.map(|outcome| [Outcome::ALL[usize::from(outcome % 4)]].into()),
+            from: bounds.0.map(i64::from),
+            to: bounds.1.map(i64::from),
+            handlers: bounds.2.map(|handler| [u32::from(handler % 9), 3].into()),
+            outcomes: bounds.3.map(|outcome| [Outcome::ALL[usize::from(outcome % 4)]].into()),
         };
         let scan = index.scan(&wanted);
         index.find(&wanted) == scan
@@ -101,10 +104,10 @@
 fn format_1_omits_and_names_newer_columns() {
     let recorded = records(2_000_000, 1);
     let bytes = file(1, 1, "n1", &recorded, 100);
-    let back = read_all(&bytes).unwrap();
-    assert!(back.losses.is_empty() && back.unknown.is_empty());
+    let contents = read_all(&bytes).unwrap();
+    assert!(contents.losses.is_empty() && contents.unknown_columns.is_empty());
     assert_eq!(
-        sorted(back.records),
+        sorted(contents.records),
         sorted(recorded.iter().map(format_1_record).collect())
     );
     let writer = Writer::new(Vec::new(), header(1, 1, "n1"), BlockConfig::default()).unwrap();
@@ -138,7 +141,7 @@
             .to_string()
             .starts_with("server: 1 ")
     );
-    // Other records are still taken.
+    // Other records are still accepted.
     writer.push(Record::default()).unwrap();
     assert_eq!(
         read_all(&writer.finish().unwrap().0).unwrap().records.len(),
@@ -162,14 +165,14 @@
         })
         .unwrap();
     let bytes = writer.finish().unwrap().0;
-    let back = read_all(&bytes).unwrap();
-    assert_eq!(back.names.handler(late), "late");
+    let contents = read_all(&bytes).unwrap();
+    assert_eq!(contents.names.handler(late), "late");
     let mut trace = open(&bytes);
     trace.survey().unwrap();
     assert_eq!(trace.dictionary().handler(late), "late");
 }
 
-/// A file with a column under an id that is not known here, as a later writer may make it.
+/// A later version may write a file with a column whose id this version does not know.
 #[test]
 fn an_unknown_column_is_skipped_and_named() {
     let recorded = records(1_000_000, 2);
@@ -195,20 +198,20 @@
         .for_each(|record| writer.push(record.clone()).unwrap());
     let (bytes, _) = writer.finish().unwrap();
     let patched = patch_column_id(&bytes, 24, 99);
-    let back = read_all(&patched).unwrap();
-    assert_eq!(back.unknown, ["mood"]);
+    let contents = read_all(&patched).unwrap();
+    assert_eq!(contents.unknown_columns, ["mood"]);
     let without = |record: &Record| Record {
         retry_after: None,
         ..record.clone()
     };
-    assert!(back.losses.is_empty(), "{:?}", back.losses);
+    assert!(contents.losses.is_empty(), "{:?}", contents.losses);
     assert_eq!(
-        sorted(back.records),
+        sorted(contents.records),
         sorted(recorded.iter().map(without).collect())
     );
 }
 
-/// Gives a column of each block another id, and the block a valid checksum.
+/// Changes the id of a column in each block, and updates the checksum of the block.
 fn patch_column_id(bytes: &[u8], from: u8, to: u8) -> Vec<u8> {
     let mut out = bytes[..16].to_vec();
     let mut rest = &bytes[16..];
@@ -217,7 +220,8 @@
         let (frame, after) = rest.split_at(12 + length + 4);
         let mut payload = frame[12..12 + length].to_vec();
         if frame[3] == b'B' {
-            // Its entry: id, kind (signed), presence, prediction, other column, layout.
+            // The entry of the column: id, kind (signed), presence, prediction, other column,
+            // layout.
             let at = payload
                 .windows(3)
                 .rposition(|w| w[0] == from && w[1] == 1 && w[2] == 1 && from == 24);
--- a/crates/trace/tests/files/golden.rs
+++ b/crates/trace/tests/files/golden.rs
@@ -1,10 +1,9 @@
-//! Recordings written by version 0.1.0, kept as bytes: every later version reads the same values
-//! from them.
+//! Recordings that version 0.1.0 wrote. Every later version must read the same values from them.
 //!
-//! Each `golden/NAME.tgt` stands beside `golden/NAME.jsonl`, what `tulipgap trace export` of
-//! version 0.1.0 printed of it. `format-1.tgt` is a recording of synthetic load in format 1.
-//! `format-2.tgt` is a merge of two servers' files in format 2, one of them repaired after damage,
-//! so that it has a gap.
+//! Each recording `golden/NAME.tgt` has an export `golden/NAME.jsonl`, which is the output of
+//! `tulipgap trace export` of version 0.1.0. `format-1.tgt` is a recording of synthetic load in
+//! format 1. `format-2.tgt` is a merge of the files of two servers in format 2. One of these files
+//! was repaired after damage, so the merge has gaps.
 
 use serde_json::{Map, Value, json};
 use tulipgap_trace::{
@@ -13,7 +12,7 @@
 
 use crate::common::{Contents, open, read_all};
 
-/// A record as the export of version 0.1.0 prints it, by the table of columns.
+/// A record as the export of version 0.1.0 prints it, according to the table of columns.
 fn exported(record: &Record, names: &Dictionary) -> Value {
     let mut row = Map::new();
     for column in COLUMNS {
@@ -39,29 +38,29 @@
 }
 
 fn assert_same_records(recording: &[u8], export: &str) -> Contents {
-    let back = read_all(recording).unwrap();
+    let contents = read_all(recording).unwrap();
     assert!(
-        back.losses.is_empty() && back.unknown.is_empty(),
+        contents.losses.is_empty() && contents.unknown_columns.is_empty(),
         "{:?} {:?}",
-        back.losses,
-        back.unknown
+        contents.losses,
+        contents.unknown_columns
     );
     let expected: Vec<Value> = export
         .lines()
         .map(|line| serde_json::from_str(line).unwrap())
         .collect();
-    assert_eq!(back.records.len(), expected.len());
-    for (record, expected) in back.records.iter().zip(&expected) {
-        assert_eq!(exported(record, &back.names), *expected);
+    assert_eq!(contents.records.len(), expected.len());
+    for (record, expected) in contents.records.iter().zip(&expected) {
+        assert_eq!(exported(record, &contents.names), *expected);
     }
-    back
+    contents
 }
 
 #[test]
 fn a_recording_in_format_1_of_version_0_1_0_reads_back_the_same_values() {
     let recording = include_bytes!("golden/format-1.tgt");
-    let back = assert_same_records(recording, include_str!("golden/format-1.jsonl"));
-    assert_eq!(back.names, SyntheticLoad::dictionary("south-1"));
+    let contents = assert_same_records(recording, include_str!("golden/format-1.jsonl"));
+    assert_eq!(contents.names, SyntheticLoad::dictionary("south-1"));
     let survey = open(recording).survey().unwrap();
     assert!(!survey.is_indexed, "format 1 has no index");
 }
@@ -69,27 +68,33 @@
 #[test]
 fn a_recording_in_format_2_of_version_0_1_0_reads_back_the_same_values() {
     let recording = include_bytes!("golden/format-2.tgt");
-    let back = assert_same_records(recording, include_str!("golden/format-2.jsonl"));
-    assert_eq!(back.names.servers, ["north-1", "north-2"]);
+    let contents = assert_same_records(recording, include_str!("golden/format-2.jsonl"));
+    assert_eq!(contents.names.servers, ["north-1", "north-2"]);
     assert_eq!(
-        back.names.handlers,
+        contents.names.handlers,
         SyntheticLoad::dictionary("north-1").handlers
     );
     for outcome in Outcome::ALL {
         assert!(
-            back.records.iter().any(|record| record.outcome == outcome),
+            contents
+                .records
+                .iter()
+                .any(|record| record.outcome == outcome),
             "{}",
             outcome.name()
         );
     }
     let survey = open(recording).survey().unwrap();
     assert!(survey.is_indexed);
-    assert_eq!(survey.gaps, back.gaps);
-    assert_eq!(survey.index.records() as usize, back.records.len());
-    let [bytes, counted] = &back.gaps[..] else {
-        panic!("two gaps: {:?}", back.gaps)
+    assert_eq!(survey.gaps, contents.gaps);
+    assert_eq!(survey.index.records() as usize, contents.records.len());
+    let [uncounted, counted] = &contents.gaps[..] else {
+        panic!("two gaps: {:?}", contents.gaps)
     };
-    assert_eq!((bytes.reason, bytes.records), (GapReason::Damaged, None));
+    assert_eq!(
+        (uncounted.reason, uncounted.records),
+        (GapReason::Damaged, None)
+    );
     assert_eq!(
         (counted.reason, counted.server.as_str()),
         (GapReason::Damaged, "north-1")
--- a/crates/trace/tests/files/main.rs
+++ b/crates/trace/tests/files/main.rs
@@ -1,5 +1,5 @@
-//! Recordings of both formats: complete, torn, damaged and hostile; the recorder; and files made
-//! from files.
+//! Tests of recordings in both formats: complete, torn, damaged and malicious files, the recorder,
+//! and merged, anonymised and summarised files.
 
 mod common;
 mod damage;
--- a/crates/trace/tests/files/recorder.rs
+++ b/crates/trace/tests/files/recorder.rs
@@ -1,4 +1,4 @@
-//! The recorder: limits of files, disks that fail, queues that overflow.
+//! The recorder: limits on files, disk failures and queue overflow.
 
 use std::collections::BTreeMap;
 use std::io::{self, Write};
@@ -27,18 +27,21 @@
     }
 }
 
-/// A storage in memory that can be full, slow or gone.
+/// A storage in memory that can be full or slow, or fail to remove files.
 #[derive(Clone, Default)]
 struct MemoryStorage(Arc<Mutex<State>>);
 
 #[derive(Default)]
 struct State {
     files: BTreeMap<u64, Vec<u8>>,
-    /// Bytes that it still takes; `None`: all.
+    /// The number of bytes that the storage still accepts; `None` if it has no limit.
     free_bytes: Option<usize>,
+    /// The duration of a write.
     pause: Duration,
+    /// The maximum total size of the files so far.
     max_bytes: usize,
-    stuck: Vec<u64>,
+    /// The numbers of files that cannot be removed.
+    unremovable: Vec<u64>,
 }
 
 struct MemoryFile(MemoryStorage, u64);
@@ -48,22 +51,22 @@
         let pause = self.0.0.lock().unwrap().pause;
         std::thread::sleep(pause);
         let mut state = self.0.0.lock().unwrap();
-        let taken = state
+        let accepted = state
             .free_bytes
             .map_or(bytes.len(), |free_bytes| free_bytes.min(bytes.len()));
-        if taken == 0 && !bytes.is_empty() {
+        if accepted == 0 && !bytes.is_empty() {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        state.free_bytes = state.free_bytes.map(|free_bytes| free_bytes - taken);
+        state.free_bytes = state.free_bytes.map(|free_bytes| free_bytes - accepted);
         state
             .files
             .entry(self.1)
             .or_default()
-            .extend_from_slice(&bytes[..taken]);
+            .extend_from_slice(&bytes[..accepted]);
         state.max_bytes = state
             .max_bytes
             .max(state.files.values().map(Vec::len).sum());
-        Ok(taken)
+        Ok(accepted)
     }
 
     fn flush(&mut self) -> io::Result<()> {
@@ -86,7 +89,7 @@
         let mut state = self.0.lock().unwrap();
         assert!(
             state.files.insert(number, Vec::new()).is_none(),
-            "no file is written over"
+            "no file is overwritten"
         );
         Ok(MemoryFile(self.clone(), number))
     }
@@ -97,7 +100,7 @@
 
     fn remove(&mut self, number: u64) -> io::Result<()> {
         let mut state = self.0.lock().unwrap();
-        if state.stuck.contains(&number) {
+        if state.unremovable.contains(&number) {
             return Err(io::ErrorKind::PermissionDenied.into());
         }
         state
@@ -132,9 +135,9 @@
 fn contents(storage: &MemoryStorage) -> (Vec<Record>, Vec<Gap>) {
     let (mut records, mut gaps) = (Vec::new(), Vec::new());
     for bytes in storage.0.lock().unwrap().files.values() {
-        if let Ok(back) = read_all(bytes) {
-            records.extend(back.records);
-            gaps.extend(back.gaps);
+        if let Ok(file_contents) = read_all(bytes) {
+            records.extend(file_contents.records);
+            gaps.extend(file_contents.gaps);
         }
     }
     (records, gaps)
@@ -163,7 +166,7 @@
             .values()
             .all(|bytes| read_all(bytes).unwrap().losses.is_empty())
     );
-    // The last records are left, without a gap.
+    // The last records are kept, without a gap.
     drop(state);
     let (records, gaps) = contents(&storage);
     assert!(gaps.is_empty());
@@ -185,8 +188,8 @@
     assert_eq!(contents(&storage).0.len(), 1);
 }
 
-/// The disk is full for a while. Records are dropped and counted, the disk is retried with a
-/// growing backoff instead of for each record, and the file has a gap afterwards.
+/// The disk is temporarily full. The recorder drops and counts records, retries the disk with a
+/// growing backoff instead of for each record, and writes a gap to the next file.
 #[test]
 fn records_dropped_on_a_full_disk_are_counted_and_noted_as_gaps() {
     let storage = MemoryStorage::default();
@@ -210,7 +213,7 @@
     }
     let (received, missing) = (writer.counters().received, writer.missing_records());
     assert!(full_until.is_some() && missing > 500, "{missing}");
-    // Retried with a growing backoff, not with each record.
+    // The disk is retried with a growing backoff, not for each record.
     assert!(
         writer.counters().failures < 10,
         "{}",
@@ -221,7 +224,7 @@
     assert_eq!(
         records.len() as u64 + missing,
         received,
-        "each record is there, or counted as missing"
+        "each record is stored, or counted as missing"
     );
     let noted: u64 = gaps
         .iter()
@@ -235,12 +238,12 @@
     );
 }
 
-/// An old file cannot be removed. Its bytes no longer count, so that the recording goes on instead
-/// of removing files in a loop.
+/// An old file cannot be removed. Its bytes no longer count, so that the recording continues
+/// instead of trying to remove files in a loop.
 #[test]
 fn a_file_that_cannot_be_removed_does_not_stop_the_recording() {
     let storage = MemoryStorage::default();
-    storage.0.lock().unwrap().stuck = vec![1];
+    storage.0.lock().unwrap().unremovable = vec![1];
     let mut writer = writer(&storage);
     let recorded = records(60_000_000, 1);
     for (at, record) in recorded.iter().enumerate() {
@@ -250,8 +253,8 @@
     assert!(storage.0.lock().unwrap().files.contains_key(&1));
 }
 
-/// The system's clock is set during a recording, whose times go by a clock that is never set. A gap
-/// without records marks the place.
+/// The system clock is set during a recording, whose times follow a clock that is never set. A gap
+/// without records marks the change.
 #[test]
 fn a_clock_change_is_noted_as_a_gap() {
     let storage = MemoryStorage::default();
@@ -274,8 +277,8 @@
     );
 }
 
-/// One record has a value that does not fit its column. The record is counted as missing, and the
-/// storage is not considered faulty: other records are still written.
+/// One record has a value that does not fit its column. The recorder counts the record as missing
+/// and does not treat the error as a storage failure: other records are still written.
 #[test]
 fn an_out_of_range_record_is_counted_and_others_are_kept() {
     let storage = MemoryStorage::default();
@@ -307,8 +310,8 @@
     );
 }
 
-/// A write to the disk takes 100 ms. The server must never wait for it: records go to a bounded
-/// queue, and those beyond it are dropped and counted.
+/// A write to the disk takes 100 ms. The server must never wait for it: records are added to a
+/// bounded queue, and records that do not fit into the queue are dropped and counted.
 #[test]
 fn a_slow_disk_never_blocks_the_server_and_queue_overflow_is_counted() {
     let storage = MemoryStorage::default();
@@ -321,7 +324,7 @@
     }
     // A write takes 100 ms, and none of them blocks the caller.
     assert!(start.elapsed() < ms(2000), "{:?}", start.elapsed());
-    // Once the storage is fast again, all that is missing is noted.
+    // Once the storage is fast again, the recorder writes gaps for all missing records.
     storage.0.lock().unwrap().pause = Duration::ZERO;
     let start = Instant::now();
     while recorder.status().missing_records == 0 && start.elapsed() < Duration::from_secs(30) {
@@ -338,7 +341,7 @@
     assert_eq!(records.len() as u64 + noted, recorded.len() as u64);
 }
 
-/// The process was killed and starts again on the same directory. It opens a new file with the next
+/// The process was killed and restarts with the same directory. It opens a new file with the next
 /// number, and the records of the killed process stay readable.
 #[test]
 fn recording_resumes_in_an_existing_directory() {
@@ -354,13 +357,13 @@
         writer.start();
         writer.record(ms(0), Record::default());
         writer.tick(ms(600));
-        // Dropped without an end, as when the process is killed.
+        // The writer is dropped without finishing the file, as when the process is killed.
     }
     assert!(storage().file_path(1).ends_with("n_1-00000001.tgt"));
     for number in [1, 2] {
-        let back = read_all(&std::fs::read(storage().file_path(number)).unwrap()).unwrap();
+        let file_contents = read_all(&std::fs::read(storage().file_path(number)).unwrap()).unwrap();
         assert_eq!(
-            (back.records.len(), &back.losses[..]),
+            (file_contents.records.len(), &file_contents.losses[..]),
             (1, &[Loss::MissingEnd][..])
         );
     }
@@ -369,15 +372,15 @@
 static POOL: LazyLock<Vec<Record>> = LazyLock::new(|| records(5_000_000, 7));
 
 quickcheck! {
-    /// Files stay within the limit whatever happens, in whatever order.
+    /// The files stay within the size limit for any sequence of records, ticks and disk failures.
     fn total_size_never_exceeds_the_limit(steps: Vec<(u8, u16)>, small: bool) -> bool {
         let storage = MemoryStorage::default();
         let mut writer = writer(&storage);
         let mut now = Duration::ZERO;
         let mut pool = POOL.iter().cloned().cycle();
-        for (what, span) in steps {
+        for (action, span) in steps {
             now += ms(u64::from(span) / 16);
-            match what % 8 {
+            match action % 8 {
                 0 => storage.0.lock().unwrap().free_bytes = small.then_some(usize::from(span)),
                 1 => storage.0.lock().unwrap().free_bytes = None,
                 2 => writer.tick(now),
--- a/crates/trace/tests/files/rewriting.rs
+++ b/crates/trace/tests/files/rewriting.rs
@@ -1,4 +1,4 @@
-//! Files made from files: merged, anonymised, summarised.
+//! Merged, anonymised and summarised files, and clock offsets.
 
 use std::io::Cursor;
 
@@ -32,8 +32,8 @@
         },
     )
     .unwrap();
-    let done = merge(sources, &mut out, |_, _| {}).unwrap();
-    (done, read_all(&out.finish().unwrap().0).unwrap())
+    let summary = merge(sources, &mut out, |_, _| {}).unwrap();
+    (summary, read_all(&out.finish().unwrap().0).unwrap())
 }
 
 #[test]
@@ -45,15 +45,15 @@
             source("b", &file(2, 2, "n2", &two, 77)),
         ]
     };
-    let (done, back) = merged(sources());
+    let (summary, contents) = merged(sources());
     assert_eq!(
-        (done.records as usize, done.duplicate_records),
+        (summary.records as usize, summary.duplicate_records),
         (one.len() + two.len(), 0)
     );
-    assert!(back.records.is_sorted_by_key(|record| record.reached));
+    assert!(contents.records.is_sorted_by_key(|record| record.reached));
     let of = |server: &str| -> Vec<Record> {
-        (back.records.iter())
-            .filter(|record| back.names.server(record.server) == server)
+        (contents.records.iter())
+            .filter(|record| contents.names.server(record.server) == server)
             .map(|record| Record {
                 server: 0,
                 ..record.clone()
@@ -65,8 +65,8 @@
         sorted(one.iter().map(format_1_record).collect())
     );
     assert_eq!(sorted(of("n2")), sorted(two.clone()));
-    // The merge is reproducible; equal sort keys go by the order of the files.
-    assert_eq!(merged(sources()).1.records, back.records);
+    // The merge is reproducible: records with equal sort keys are in the order of the files.
+    assert_eq!(merged(sources()).1.records, contents.records);
 }
 
 #[test]
@@ -85,44 +85,44 @@
         writer.push(mirrored).unwrap();
     }
     let (bytes, _) = writer.finish().unwrap();
-    let (_, back) = merged(vec![
+    let (_, contents) = merged(vec![
         source("a", &file(2, 1, "n1", &recorded, 50)),
         source("b", &bytes),
     ]);
-    for record in &back.records {
+    for record in &contents.records {
         let first = recorded.iter().find(|other| other.id == record.id).unwrap();
         assert_eq!(
-            back.names.handler(record.handler),
+            contents.names.handler(record.handler),
             names().handler(first.handler)
         );
         assert_eq!(
-            back.names.tenant(record.tenant.unwrap()),
+            contents.names.tenant(record.tenant.unwrap()),
             names().tenant(first.tenant.unwrap())
         );
     }
-    assert_eq!(back.names.handlers.len(), 3);
+    assert_eq!(contents.names.handlers.len(), 3);
 }
 
 #[test]
 fn a_duplicate_file_is_merged_once() {
     let recorded = records(1_000_000, 1);
     let bytes = file(2, 1, "n1", &recorded, 50);
-    let (done, back) = merged(vec![source("a", &bytes), source("a again", &bytes)]);
+    let (summary, contents) = merged(vec![source("a", &bytes), source("a again", &bytes)]);
     assert_eq!(
-        done.duplicate_files,
+        summary.duplicate_files,
         [DuplicateFile {
             name: "a again".to_owned(),
             first: "a".to_owned()
         }]
     );
-    assert_eq!(back.records.len(), recorded.len());
-    // A part of it is another file with some of the same records.
-    let (done, back) = merged(vec![
+    assert_eq!(contents.records.len(), recorded.len());
+    // A part of the file has another file id, and its records are duplicates.
+    let (summary, contents) = merged(vec![
         source("a", &bytes),
         source("cut", &file(2, 8, "n1", &recorded[..40], 50)),
     ]);
     assert_eq!(
-        (done.duplicate_records, back.records.len()),
+        (summary.duplicate_records, contents.records.len()),
         (40, recorded.len())
     );
 }
@@ -145,10 +145,11 @@
             source("b", &file(2, 2, "n2", std::slice::from_ref(&two), 50)),
         ]
     };
-    let (done, back) = merged(sources());
-    assert_eq!((done.records, done.duplicate_records), (2, 0));
+    let (summary, contents) = merged(sources());
+    assert_eq!((summary.records, summary.duplicate_records), (2, 0));
     assert_eq!(
-        back.records
+        contents
+            .records
             .iter()
             .map(|record| record.calls)
             .collect::<Vec<_>>(),
@@ -158,7 +159,7 @@
 
 #[test]
 fn merge_memory_does_not_grow_with_file_length() {
-    let held = |span: Micros| {
+    let merge_of_length = |span: Micros| {
         let sources: Vec<_> = (0..4)
             .map(|at| {
                 source(
@@ -169,7 +170,7 @@
             .collect();
         merged(sources).0
     };
-    let (short, long) = (held(60_000_000), held(240_000_000));
+    let (short, long) = (merge_of_length(60_000_000), merge_of_length(240_000_000));
     assert!(long.records > 3 * short.records);
     assert!(
         long.max_buffered_records <= short.max_buffered_records * 3 / 2,
@@ -183,19 +184,20 @@
 fn a_damaged_indexed_block_becomes_a_gap_in_the_merge() {
     let recorded = records(1_000_000, 1);
     let mut bytes = file(2, 1, "n1", &recorded, 50);
-    let place = open(&bytes).survey().unwrap().index.blocks()[1].clone();
-    bytes[place.offset as usize + 100] ^= 1;
-    let (done, back) = merged(vec![source("a", &bytes)]);
-    assert_eq!(done.losses.len(), 1);
-    assert_eq!(back.records.len(), recorded.len() - 50);
+    let block = open(&bytes).survey().unwrap().index.blocks()[1].clone();
+    bytes[block.offset as usize + 100] ^= 1;
+    let (summary, contents) = merged(vec![source("a", &bytes)]);
+    assert_eq!(summary.losses.len(), 1);
+    assert_eq!(contents.records.len(), recorded.len() - 50);
     assert!(
-        back.gaps
+        contents
+            .gaps
             .iter()
-            .any(|gap| gap.records == Some(50) && gap.from == place.from)
+            .any(|gap| gap.records == Some(50) && gap.from == block.from)
     );
 }
 
-/// Three servers of which two have clocks that are off; retries go from each to each.
+/// Two of three servers have wrong clocks. There are retries from each server to each other one.
 #[test]
 fn clock_offsets_are_estimated_from_retries_across_servers() {
     let truth = [0, 90_000_000, -2_500_000];
@@ -227,7 +229,7 @@
             "{clock:?}, {truth}"
         );
     }
-    // Retries in one direction alone bound it on one side, which is no estimate.
+    // Retries in only one direction bound the offset on one side, which gives no estimate.
     all.retain(|record| record.server != 2 || record.is_retry);
     assert_eq!(
         estimate_clock_offsets(all.into_iter(), &[0, 1, 2])[2].offset,
@@ -259,8 +261,8 @@
         out
     };
     let out = hidden(&bytes);
-    let back = read_all(&out).unwrap();
-    assert!(back.losses.is_empty() && back.records.len() == recorded.len());
+    let contents = read_all(&out).unwrap();
+    assert!(contents.losses.is_empty() && contents.records.len() == recorded.len());
     let old = |value: fn(&Record) -> Option<u64>| {
         recorded
             .iter()
@@ -275,13 +277,14 @@
     ] {
         let old = old(value);
         assert!(
-            back.records
+            contents
+                .records
                 .iter()
                 .filter_map(value)
                 .all(|value| !old.contains(&value))
         );
     }
-    // Nothing is left in the bytes either: names in the dictionary and the index, once unpacked.
+    // The bytes of the file and of the unpacked index must not contain the names either.
     let index = out
         .windows(4)
         .rposition(|w| w[..3] == [0xF7, b't', b'g'] && w[3] == b'I')
@@ -297,16 +300,16 @@
             "{text}"
         );
     }
-    // One key gives one hash, so that files made separately can be correlated.
+    // The same key gives the same hashes, so that separate copies can be correlated.
     let again = read_all(&hidden(&file(2, 2, "secret-server", &recorded, 64))).unwrap();
-    assert_eq!(sorted(again.records), sorted(back.records.clone()));
+    assert_eq!(sorted(again.records), sorted(contents.records.clone()));
     let other =
         HashKey::new(b"fedcba9876543210ffeeddccbbaa99887766554433221100cd1032547698bafe").unwrap();
     let mut out = Vec::new();
     anonymise(open(&bytes), &other, HiddenNames::default(), &mut out).unwrap();
     assert_ne!(
         sorted(read_all(&out).unwrap().records),
-        sorted(back.records)
+        sorted(contents.records)
     );
 }
 
@@ -327,7 +330,7 @@
 #[test]
 fn retries_count_as_part_of_their_first_attempt() {
     let names = names();
-    let shed = |id, key, reached| Record {
+    let rejected = |id, key, reached| Record {
         id,
         key,
         reached,
@@ -337,33 +340,33 @@
         answered: Some(100),
         ..Record::default()
     };
-    let done = |id, key, reached, answered| Record {
+    let completed = |id, key, reached, answered| Record {
         outcome: Outcome::Completed,
         reason: Reason::NONE,
         answered: Some(answered),
-        ..shed(id, key, reached)
+        ..rejected(id, key, reached)
     };
     let mut summary = Summary::new(true);
     for record in [
-        shed(1, Some(1), 0),
+        rejected(1, Some(1), 0),
         Record {
             is_retry: true,
-            ..done(2, Some(1), 200_000, 300_000)
+            ..completed(2, Some(1), 200_000, 300_000)
         },
-        // Completed a second time: worth nothing more.
+        // This retry is completed a second time, and adds no weight.
         Record {
             is_retry: true,
-            ..done(3, Some(1), 900_000, 100)
+            ..completed(3, Some(1), 900_000, 100)
         },
-        done(4, Some(2), 1_000_000, 5_000_000),
+        completed(4, Some(2), 1_000_000, 5_000_000),
         Record {
             skipped_calls: 1,
             handler: 0,
-            ..done(5, None, 61_000_000, 1000)
+            ..completed(5, None, 61_000_000, 1000)
         },
         Record {
             is_retry: true,
-            ..shed(6, None, 62_000_000)
+            ..rejected(6, None, 62_000_000)
         },
     ] {
         summary.add(&record, &names);
@@ -380,7 +383,7 @@
         (3, 2, 1, 3, 1)
     );
     assert_eq!(all.rejected_by_reason["late"], 2);
-    // 20 of 20 + 20 + 1, and 0.6 for the degraded preview.
+    // 20 of a weight of 20 + 20 + 1 is answered in time, plus 0.6 for the degraded preview.
     assert!((all.service_level().unwrap() - 20.6 / 41.0).abs() < 1e-9);
     let minutes = summary
         .rows()
