--- a/crates/trace/src/metadata.rs
+++ b/crates/trace/src/metadata.rs
@@ -36,8 +36,8 @@
 pub struct Header {
     /// The format version.
     pub version: u32,
-    /// The id of the file: 32 hex digits, new for each file, by which a merge detects a file given
-    /// twice.
+    /// The id of the file, by which a merge detects a file that is given twice: 32 hex digits, new
+    /// for each file. An anonymised copy has a hash of the id of its source instead.
     #[serde(rename = "file")]
     pub file_id: String,
     /// The server that recorded the file.
