--- a/crates/server/src/net/frontend/closing.rs
+++ b/crates/server/src/net/frontend/closing.rs
@@ -1,52 +1,57 @@
-//! When and how a connection closes, at a shutdown or in service.
+//! The decision when and how a connection closes, at a shutdown or in normal operation.
 //!
-//! The failure: a socket that is closed while bytes from its peer are unread, or before its peer
-//! has acknowledged the output, is reset, and the reset drops replies that are on their way. The
-//! edge node then sees a broken connection in place of a reply, and repeats a request that was run.
-//! The guard: a connection closes only once everything on it is answered and written, and where
-//! bytes may still cross the close, it is drained first (the write side is shut down, and input is
-//! read and dropped). The price is up to a second before its place is free; where another
-//! connection waits for it, or the server shuts down, the drain ends once the peer's system has
-//! acknowledged all output. That system keeps what it has acknowledged for its program, whatever
-//! comes behind it. Where a shutdown leaves no time for that, the drain ends once all output is
-//! sent (`ConnectionTable::drain_target`). A connection that never sent a whole message has no
-//! reply that a reset could drop, and closes at once: a crowd with half messages would otherwise
-//! keep the places of those who wait behind it.
+//! Failure: closing a socket while bytes from the peer are unread, or before the peer has
+//! acknowledged the output, can reset the connection, and the reset drops replies in transit. The
+//! edge node then sees a broken connection instead of a reply and retries a request that was run.
+//!
+//! Protection: a connection closes only once everything on it is answered and written. If the peer
+//! may still be sending, the session drains the connection first: it shuts down the write side, and
+//! reads and drops the input.
+//!
+//! Cost: the slot of the connection stays occupied for up to a second longer. If another connection
+//! needs the slot, or the server shuts down, the drain ends once the peer's system has acknowledged
+//! all output, because that system keeps acknowledged bytes for its program, whatever arrives after
+//! them. If a shutdown leaves no time for the acknowledgement, the drain ends once all output is
+//! sent (`ConnectionTable::drain_target`).
+//!
+//! A connection that never sent a whole message has no reply to lose and closes at once. Otherwise
+//! many clients with partial messages would keep the slots that connections in the backlog need.
 
-/// The inputs of the decision.
+/// The inputs of the decision to close a connection.
 pub(super) struct ConnectionState {
-    /// Nothing is open, and nothing waits to be written.
+    /// No request or health check is open, and all output is written.
     pub(super) is_done: bool,
     /// The edge node has closed its side.
     pub(super) is_read_closed: bool,
-    /// Messages are still read: no message was malformed beyond repair or took too long.
+    /// Messages are still read: the session has not stopped at malformed messages, a message
+    /// timeout or the end of a close.
     pub(super) is_readable: bool,
-    /// A whole message was read at some time, so a reply may be on its way.
+    /// A whole message was read on this connection, so a reply may be in transit.
     pub(super) has_read_message: bool,
     /// The limiter has decided to close this connection.
     pub(super) is_closing: bool,
-    /// Bytes were read that are not handled yet.
+    /// The input buffer or the socket may hold bytes that are not handled yet.
     pub(super) has_unhandled_input: bool,
 }
 
-/// How to proceed with a connection.
+/// The next step with a connection.
 #[derive(Debug, PartialEq)]
 pub(super) enum CloseStep {
     StayOpen,
-    /// Close it now: the edge node sends nothing more, or nothing that was written can be lost.
+    /// Close it now: the edge node has closed its side, or there is no reply to lose.
     Close,
-    /// Drain it, then close it: the edge node may be sending.
+    /// Drain it before closing it: the edge node may be sending.
     Drain,
-    /// Close it, after draining it if the edge node has not acknowledged all output.
+    /// Drain it before closing it if the edge node has not acknowledged all output.
     DrainUnacknowledged,
 }
 
 /// Decides whether a connection closes now.
 pub(super) fn close_step(state: &ConnectionState) -> CloseStep {
-    let has_nothing_to_lose = !state.is_readable && !state.has_read_message;
+    let has_no_reply_to_lose = !state.is_readable && !state.has_read_message;
     if !state.is_done {
         CloseStep::StayOpen
-    } else if state.is_read_closed || has_nothing_to_lose {
+    } else if state.is_read_closed || has_no_reply_to_lose {
         CloseStep::Close
     } else if !state.is_readable {
         CloseStep::Drain
--- a/crates/server/src/net/frontend/closing_tests.rs
+++ b/crates/server/src/net/frontend/closing_tests.rs
@@ -1,8 +1,8 @@
-//! The rule by which a connection closes, at each of its inputs.
+//! The decision when and how a connection closes, for each of its inputs.
 
 use super::{CloseStep, ConnectionState, close_step};
 
-/// A connection on which nothing is open, and that is asked to close.
+/// A connection that is to close and on which no request is open.
 const CLOSING: ConnectionState = ConnectionState {
     is_done: true,
     is_read_closed: false,
@@ -13,7 +13,7 @@
 };
 
 #[test]
-fn a_connection_with_something_open_stays_open() {
+fn a_connection_with_open_requests_stays_open() {
     let unfinished = ConnectionState {
         is_done: false,
         is_read_closed: true,
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_connection_that_its_edge_node_has_closed_is_closed_without_a_drain() {
+fn a_connection_closed_by_its_edge_node_closes_without_a_drain() {
     let closed = ConnectionState {
         is_read_closed: true,
         is_readable: false,
@@ -33,7 +33,8 @@
     assert_eq!(close_step(&closed), CloseStep::Close);
 }
 
-/// Without the drain, the reset of a socket with unread bytes would drop the replies before them.
+/// Guards against lost replies: closing a socket with unread bytes resets the connection, which
+/// drops the replies in transit.
 #[test]
 fn a_connection_that_is_not_readable_is_drained() {
     let malformed = ConnectionState {
@@ -45,10 +46,10 @@
     assert_eq!(close_step(&malformed), CloseStep::Drain);
 }
 
-/// Guards against a crowd with half messages that keeps its places for another second each, while
-/// connections with whole requests wait behind it.
+/// Guards against many clients with partial messages that keep each slot for another second, while
+/// connections with whole requests wait in the backlog.
 #[test]
-fn a_connection_that_never_sent_a_whole_message_is_closed_without_a_drain() {
+fn a_connection_without_a_whole_message_closes_without_a_drain() {
     let partial = ConnectionState {
         is_readable: false,
         has_read_message: false,
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn a_connection_that_closes_handles_its_input_first() {
+fn a_closing_connection_handles_its_input_first() {
     let idle = ConnectionState {
         is_closing: false,
         ..CLOSING
--- a/crates/server/src/net/frontend/codec.rs
+++ b/crates/server/src/net/frontend/codec.rs
@@ -1,6 +1,6 @@
-//! Messages of edge nodes and the replies to them, in framed strict binary Thrift. A codec without
-//! I/O. The method names and the keys of replies are spelled here alone, those of requests in
-//! `parse`.
+//! The codec, without I/O, of the messages of edge nodes and the replies to them, in framed strict
+//! binary Thrift. It defines the method names and the keys of replies; `parse` defines the keys of
+//! requests.
 
 use std::borrow::Cow;
 use std::sync::LazyLock;
@@ -12,26 +12,26 @@
 };
 use thrift::{ApplicationError, ApplicationErrorKind, TConfiguration};
 
-/// The longest frame that is read.
+/// The longest frame that is accepted, in bytes.
 pub(super) const MAX_FRAME_BYTES: usize = 16 * 1024;
-/// The bytes before a frame that give its length.
+/// The size of the length field before a frame, in bytes.
 pub(super) const FRAME_HEADER_BYTES: usize = 4;
-/// How deep unknown fields may nest, in levels. Each level takes space of a coroutine's small
-/// stack.
+/// The maximum nesting depth of unknown fields. Skipping each level takes space on a coroutine's
+/// small stack.
 const MAX_SKIP_DEPTH: i8 = 8;
-/// The fields that one request may have.
+/// The maximum number of fields of a request.
 const MAX_FIELDS: usize = 64;
 
-/// The method that has a request processed.
+/// The method that processes a request.
 pub(super) const PROCESS: &str = "process";
 /// The method of health checks.
 pub(super) const HEALTH_CHECK: &str = "probe";
-/// The method with which a caller cancels a request.
+/// The method that cancels a request.
 const CANCEL: &str = "giveUp";
 /// The method of the drain notification.
 const DRAIN_NOTIFICATION: &str = "noMore";
 
-/// The ids of the fields of structs on the wire.
+/// The field ids of structs on the wire.
 mod field_id {
     /// A request: its fields.
     pub(super) const REQUEST_FIELDS: i16 = 1;
@@ -57,7 +57,7 @@
     pub(super) const REPLY_FIELDS: i16 = 1;
 }
 
-/// Lengths in a message are checked against these before anything is allocated.
+/// The limits that lengths in a message are checked against before any allocation.
 static LIMITS: LazyLock<TConfiguration> = LazyLock::new(|| {
     let limits = TConfiguration::builder()
         .max_message_size(Some(MAX_FRAME_BYTES))
@@ -69,7 +69,7 @@
     limits.unwrap_or_default()
 });
 
-/// The fields of a request, in the order of the wire.
+/// The fields of a request, in wire order.
 pub(super) type Fields = Vec<(String, String)>;
 
 /// A field of a reply: its key and its value.
@@ -80,17 +80,17 @@
     ("signal", format!("{value:.4}"))
 }
 
-/// The field that says how long a rejected caller should stay away.
+/// The retry-after field of a rejection, in milliseconds.
 pub(super) fn retry_after_field(wait: Duration) -> ReplyField {
     ("holdoff", format!("{:.0}", wait.as_secs_f64() * 1e3))
 }
 
-/// The field that says that a rejected request should not be retried on another server.
+/// The field of a rejection that asks the caller not to retry on another server.
 pub(super) fn no_retry_other_server_field() -> ReplyField {
     ("nomore", "1".to_owned())
 }
 
-/// What an edge node calls.
+/// A call of an edge node.
 #[derive(Debug, PartialEq)]
 pub(super) enum Call {
     Process {
@@ -100,13 +100,13 @@
     HealthCheck {
         deep: bool,
     },
-    /// The caller no longer waits for the reply to the message of this sequence number.
+    /// The caller no longer waits for the reply to the message with this sequence number.
     Cancel {
         sequence: i32,
     },
 }
 
-/// Why a message is answered with an application exception.
+/// The error of a message that is answered with an application exception.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub(super) enum CallError {
     #[error("unknown method")]
@@ -117,9 +117,9 @@
     Malformed(Cow<'static, str>),
 }
 
-/// A length that no frame can have.
+/// A frame length that is not between 1 and `MAX_FRAME_BYTES`.
 #[derive(Debug, PartialEq, thiserror::Error)]
-#[error("no frame has this length")]
+#[error("invalid frame length")]
 pub(super) struct InvalidFrameLength;
 
 /// A message whose sequence number could be read.
@@ -148,7 +148,7 @@
     Exception(&'a CallError),
 }
 
-/// The length of the first frame in bytes, once the input holds all of it.
+/// The length of the first frame in bytes, or `None` while the input does not hold all of it.
 pub(super) fn frame_length(input: &[u8]) -> Result<Option<usize>, InvalidFrameLength> {
     let Some(header) = input.first_chunk::<FRAME_HEADER_BYTES>() else {
         return Ok(None);
@@ -161,7 +161,7 @@
     }
 }
 
-/// Decodes the message in a frame; `None` where not even its sequence number can be read.
+/// Decodes the message in a frame. Returns `None` if not even its sequence number can be decoded.
 pub(super) fn decode(frame: &[u8]) -> Option<Message> {
     let mut protocol = TBinaryInputProtocol::with_config(frame, true, LIMITS.clone());
     let head = protocol.read_message_begin().ok()?;
@@ -171,10 +171,10 @@
         TMessageType::Reply | TMessageType::Exception => return None,
     };
     let call = match head.name.as_str() {
-        CANCEL if is_oneway => cancel(&mut protocol),
+        CANCEL if is_oneway => decode_cancel(&mut protocol),
         _ if is_oneway => Err(CallError::InvalidMessageType),
-        PROCESS => process(&mut protocol),
-        HEALTH_CHECK => health_check(&mut protocol),
+        PROCESS => decode_process(&mut protocol),
+        HEALTH_CHECK => decode_health_check(&mut protocol),
         _ => Err(CallError::UnknownMethod),
     };
     let call = match call {
@@ -195,11 +195,11 @@
     CallError::Malformed(error.to_string().into())
 }
 
-fn process(protocol: &mut TBinaryInputProtocol<&[u8]>) -> Result<Call, CallError> {
+fn decode_process(protocol: &mut TBinaryInputProtocol<&[u8]>) -> Result<Call, CallError> {
     let (mut fields, mut body) = (None, None);
-    each_field(protocol, |protocol, id, kind| match (id, kind) {
+    read_struct_fields(protocol, |protocol, id, kind| match (id, kind) {
         (field_id::REQUEST_FIELDS, TType::Map) => {
-            fields = Some(map(protocol)?);
+            fields = Some(read_string_map(protocol)?);
             Ok(true)
         }
         (field_id::REQUEST_BODY, TType::String) => {
@@ -217,9 +217,9 @@
     }
 }
 
-fn health_check(protocol: &mut TBinaryInputProtocol<&[u8]>) -> Result<Call, CallError> {
+fn decode_health_check(protocol: &mut TBinaryInputProtocol<&[u8]>) -> Result<Call, CallError> {
     let mut deep = false;
-    each_field(protocol, |protocol, id, kind| match (id, kind) {
+    read_struct_fields(protocol, |protocol, id, kind| match (id, kind) {
         (field_id::IS_DEEP, TType::Bool) => {
             deep = protocol.read_bool()?;
             Ok(true)
@@ -229,9 +229,9 @@
     Ok(Call::HealthCheck { deep })
 }
 
-fn cancel(protocol: &mut TBinaryInputProtocol<&[u8]>) -> Result<Call, CallError> {
+fn decode_cancel(protocol: &mut TBinaryInputProtocol<&[u8]>) -> Result<Call, CallError> {
     let mut sequence = None;
-    each_field(protocol, |protocol, id, kind| match (id, kind) {
+    read_struct_fields(protocol, |protocol, id, kind| match (id, kind) {
         (field_id::CANCELLED_SEQUENCE, TType::I32) => {
             sequence = Some(protocol.read_i32()?);
             Ok(true)
@@ -242,10 +242,10 @@
     Ok(Call::Cancel { sequence })
 }
 
-/// Reads the fields of a struct; those that `take` does not know are skipped.
-fn each_field<'a>(
+/// Reads the fields of a struct, and skips the fields for which `read_field` returns false.
+fn read_struct_fields<'a>(
     protocol: &mut TBinaryInputProtocol<&'a [u8]>,
-    mut take: impl FnMut(&mut TBinaryInputProtocol<&'a [u8]>, i16, TType) -> thrift::Result<bool>,
+    mut read_field: impl FnMut(&mut TBinaryInputProtocol<&'a [u8]>, i16, TType) -> thrift::Result<bool>,
 ) -> Result<(), CallError> {
     let mut all = || -> thrift::Result<()> {
         protocol.read_struct_begin()?;
@@ -254,7 +254,7 @@
             if field.field_type == TType::Stop {
                 return protocol.read_struct_end();
             }
-            if !take(protocol, field.id.unwrap_or(-1), field.field_type)? {
+            if !read_field(protocol, field.id.unwrap_or(-1), field.field_type)? {
                 protocol.skip_till_depth(field.field_type, MAX_SKIP_DEPTH)?;
             }
         }
@@ -262,7 +262,7 @@
     all().map_err(malformed)
 }
 
-fn map(protocol: &mut TBinaryInputProtocol<&[u8]>) -> thrift::Result<Fields> {
+fn read_string_map(protocol: &mut TBinaryInputProtocol<&[u8]>) -> thrift::Result<Fields> {
     let head = protocol.read_map_begin()?;
     let strings = head.key_type == Some(TType::String) && head.value_type == Some(TType::String);
     if head.size > 0 && !strings {
@@ -273,13 +273,13 @@
         .collect()
 }
 
-/// The frame that replies to a message.
+/// Encodes the reply to a message as a frame.
 pub(super) fn encode_reply(method: &str, sequence: i32, reply: &Reply) -> Vec<u8> {
     let kind = match reply {
         Reply::Exception(_) => TMessageType::Exception,
         _ => TMessageType::Reply,
     };
-    framed(method, kind, sequence, |protocol| match reply {
+    encode_frame(method, kind, sequence, |protocol| match reply {
         Reply::Exception(error) => {
             let (kind, text) = match error {
                 CallError::UnknownMethod => (ApplicationErrorKind::UnknownMethod, "unknown method"),
@@ -296,25 +296,25 @@
             body,
             fields,
             succeeded,
-        } => result(protocol, field_id::RESULT, |protocol| {
+        } => write_result(protocol, field_id::RESULT, |protocol| {
             protocol.write_field_begin(&field(TType::String, field_id::RESULT_BODY))?;
             protocol.write_bytes(body)?;
             write_map(protocol, field_id::RESULT_FIELDS, fields)?;
             protocol.write_field_begin(&field(TType::Bool, field_id::SUCCEEDED))?;
             protocol.write_bool(*succeeded)
         }),
-        Reply::Rejected { fields } => result(protocol, field_id::REJECTED, |protocol| {
+        Reply::Rejected { fields } => write_result(protocol, field_id::REJECTED, |protocol| {
             write_map(protocol, field_id::REPLY_FIELDS, fields)
         }),
-        Reply::Failed { fields } => result(protocol, field_id::FAILED, |protocol| {
+        Reply::Failed { fields } => write_result(protocol, field_id::FAILED, |protocol| {
             write_map(protocol, field_id::REPLY_FIELDS, fields)
         }),
     })
 }
 
-/// The frame that asks an edge node to send nothing more on a connection.
+/// Encodes the drain notification, which asks an edge node to send nothing more on a connection.
 pub(super) fn encode_drain_notification(sequence: i32) -> Vec<u8> {
-    framed(
+    encode_frame(
         DRAIN_NOTIFICATION,
         TMessageType::OneWay,
         sequence,
@@ -324,7 +324,7 @@
 
 type Output<'a> = TBinaryOutputProtocol<&'a mut Vec<u8>>;
 
-fn framed(
+fn encode_frame(
     method: &str,
     kind: TMessageType,
     sequence: i32,
@@ -345,7 +345,7 @@
     TFieldIdentifier::new::<Option<String>, String, i16>(None, kind, id)
 }
 
-fn result(
+fn write_result(
     protocol: &mut Output,
     id: i16,
     write: impl FnOnce(&mut Output) -> thrift::Result<()>,
--- a/crates/server/src/net/frontend/codec_tests.rs
+++ b/crates/server/src/net/frontend/codec_tests.rs
@@ -1,10 +1,10 @@
-//! Messages that are valid, truncated, corrupted or hostile.
+//! Decoding of valid, truncated, corrupted and hostile messages, and encoding of replies.
 
 use thrift::protocol::{TMapIdentifier, TMessageType, TOutputProtocol, TType};
 
 use super::{
     Call, CallError, InvalidFrameLength, Output, Reply, decode, encode_drain_notification,
-    encode_reply, field, frame_length, framed, write_map,
+    encode_frame, encode_reply, field, frame_length, write_map,
 };
 
 fn call(
@@ -12,7 +12,7 @@
     kind: TMessageType,
     write: impl FnOnce(&mut Output) -> thrift::Result<()>,
 ) -> Vec<u8> {
-    framed(method, kind, 9, write).split_off(4)
+    encode_frame(method, kind, 9, write).split_off(4)
 }
 
 fn process(fields: &[(&'static str, String)], body: &[u8]) -> Vec<u8> {
@@ -30,9 +30,9 @@
 }
 
 quickcheck::quickcheck! {
-    /// A call is decoded as it was encoded; truncated at any byte, or with bytes behind it, it is
-    /// malformed.
-    fn a_request_is_decoded_as_written(value: String, body: Vec<u8>, cut: usize) -> bool {
+    /// A request is decoded as it was encoded. Truncated at any byte, or followed by further bytes,
+    /// it is malformed.
+    fn a_request_is_decoded_as_encoded(value: String, body: Vec<u8>, cut: usize) -> bool {
         let frame = process(&[("kind", value.clone())], &body);
         let read = decode(&frame).unwrap();
         let call = Call::Process { fields: vec![("kind".to_owned(), value)], body };
@@ -53,7 +53,7 @@
         true
     }
 
-    fn any_bytes_can_be_decoded(bytes: Vec<u8>) -> bool {
+    fn arbitrary_bytes_cause_no_panic(bytes: Vec<u8>) -> bool {
         decode(&bytes);
         !matches!(frame_length(&bytes), Ok(Some(length)) if length + 4 > bytes.len())
     }
@@ -73,7 +73,8 @@
             "{read:?}"
         );
     };
-    // A body of two gigabytes, a map of a million entries, a map of numbers, no fields at all.
+    // A body of two gigabytes, a map of a million entries, a map of numbers, no fields, and 2,000
+    // nested structs.
     malformed(|protocol| {
         protocol.write_field_begin(&field(TType::String, 2))?;
         protocol.write_i32(i32::MAX)
@@ -122,7 +123,7 @@
     assert_eq!(
         decode(b"\0\0\0\x05probe\x01\0\0\0\x01\0"),
         None,
-        "the old form is not strict"
+        "the non-strict encoding is rejected"
     );
 }
 
--- a/crates/server/src/net/frontend/connection_table.rs
+++ b/crates/server/src/net/frontend/connection_table.rs
@@ -1,9 +1,8 @@
-//! The connection table: every connection that was accepted and has not closed, and the limiter
-//! that decides on them.
+//! The connection table: every open connection, and the limiter that admits and closes them.
 //!
-//! The limiter decides and its actions are carried out under one lock. Between the two, a
-//! connection could close and its index go to another one, which would then be closed in its
-//! place. No other lock of the table is held when that of the limiter is taken.
+//! The table asks the limiter and applies its actions under one lock. Otherwise a connection could
+//! close between the two and its index be reused, and the action would close the new connection
+//! instead. No other lock of the table is held when the limiter's lock is taken.
 
 use std::net::IpAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -30,48 +29,49 @@
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Admission {
     Accept,
-    /// A connection is about to close and to leave its place, or one that was just accepted is
-    /// about to send its first message, behind which others may be closed.
+    /// A slot is about to be free: a connection is closing, or a newly accepted one is about to
+    /// send its first message, after which the limiter may evict other connections.
     WaitBriefly,
-    /// No place is free, and none is about to be.
+    /// No slot is free or about to be free.
     Wait,
 }
 
-/// A connection in the table, and the stream that serves it.
+/// A connection in the table and its stream.
 pub(super) struct Admitted {
     pub(super) stream: BufferedStream,
     pub(super) connection: Arc<Connection>,
 }
 
-/// A connection that the limiter has rejected. Its stream is unread.
+/// A connection that the limiter rejected. Its stream is unread.
 pub(super) struct Rejected {
     pub(super) stream: TcpStream,
     pub(super) reason: RejectReason,
 }
 
-/// All connections from edge nodes. It owns the limiter that decides on them.
+/// All connections from edge nodes, and the limiter that admits and closes them.
 pub(super) struct ConnectionTable {
     pub(super) connections: Mutex<Slab<Arc<Connection>>>,
     pub(super) limiter: Mutex<Limiter>,
-    /// When the limiter's clock stood at zero.
+    /// The zero point of the limiter's clock.
     started_at: Instant,
-    /// Nothing is accepted before this time of the limiter's clock.
+    /// The acceptor pauses until this time of the limiter's clock.
     accepting_paused_until: Mutex<Duration>,
-    /// The idle timeout that the limiter applies.
+    /// The idle timeout that the limiter was last given.
     idle_timeout: Mutex<Duration>,
-    /// A connection waits in the backlog for a place.
-    is_place_needed: AtomicBool,
-    /// When the server ends, from the shutdown notice on.
+    /// A connection in the backlog needs a slot.
+    is_slot_needed: AtomicBool,
+    /// When the server terminates. Set by the shutdown notice.
     ends_at: OnceLock<Instant>,
-    /// The server ends before everything in the backlog could be acknowledged.
+    /// The server terminates before clients could acknowledge the replies to everything in the
+    /// backlog.
     is_short_of_time: AtomicBool,
-    /// Wakes the accepting coroutine of a server that shuts down when a place is free. That
-    /// coroutine creates it: one that a thread creates blocks the thread.
-    place_freed: OnceLock<Arc<Blocker>>,
+    /// Wakes the accepting coroutine when a slot becomes free during a shutdown. That coroutine
+    /// creates the blocker, because a blocker that a thread creates blocks the thread.
+    slot_freed: OnceLock<Arc<Blocker>>,
 }
 
 impl ConnectionTable {
-    /// An empty table. The clock of the limiter starts now.
+    /// An empty table. The limiter's clock starts now.
     pub(super) fn new(limiter: Limiter) -> Self {
         ConnectionTable {
             connections: Mutex::new(Slab::new()),
@@ -79,29 +79,29 @@
             started_at: Instant::now(),
             accepting_paused_until: Mutex::default(),
             idle_timeout: Mutex::default(),
-            is_place_needed: AtomicBool::new(false),
+            is_slot_needed: AtomicBool::new(false),
             ends_at: OnceLock::new(),
             is_short_of_time: AtomicBool::new(false),
-            place_freed: OnceLock::new(),
+            slot_freed: OnceLock::new(),
         }
     }
 
-    /// The shutdown notice was received: from now on no connection that is not in use keeps a place
-    /// that one in the backlog needs. The server ends at `ends_at`.
+    /// Handles the shutdown notice: from now on an unused connection yields its slot to one in the
+    /// backlog. The server terminates at `ends_at`.
     pub(super) fn shutdown_notice(&self, ends_at: Instant) {
-        // A second notice changes nothing.
+        // A second notice does not change the time.
         let _ = self.ends_at.set(ends_at);
         self.notify(Event::ShutdownNotice);
         self.wake_acceptor();
     }
 
-    /// Notifies the limiter of what happened to a connection.
+    /// Notifies the limiter of an event.
     pub(super) fn notify(&self, event: Event) {
         self.decide(|limiter, now, actions| limiter.handle_event(now, event, actions));
     }
 
-    /// Asks the limiter whether another connection may be accepted. `backlog` tells how many wait,
-    /// where that is known, and is asked on a full server only.
+    /// Asks the limiter whether another connection may be accepted. `backlog` returns the length of
+    /// the backlog, if it is known. It is called on a full server only.
     pub(super) fn may_accept(&self, backlog: impl FnOnce() -> Option<usize>) -> Admission {
         self.decide(|limiter, now, actions| {
             let may_accept_at_once = limiter.may_accept_at_once();
@@ -110,10 +110,9 @@
             } else {
                 backlog()
             };
-            // Where the number is not known, one may wait.
-            let is_place_needed = backlog != Some(0);
-            self.is_place_needed
-                .store(is_place_needed, Ordering::Release);
+            // If the length is not known, a connection may be waiting.
+            let is_slot_needed = backlog != Some(0);
+            self.is_slot_needed.store(is_slot_needed, Ordering::Release);
             if let (Some(ends_at), Some(waiting)) = (self.ends_at.get(), backlog) {
                 let places = limiter.capacity();
                 let bound = Backlog { waiting, places }.acknowledged_bound();
@@ -133,44 +132,42 @@
         })
     }
 
-    /// Whether a connection waits in the backlog for a place.
-    pub(super) fn is_place_needed(&self) -> bool {
-        self.is_place_needed.load(Ordering::Acquire)
+    /// Whether a connection in the backlog needs a slot.
+    pub(super) fn is_slot_needed(&self) -> bool {
+        self.is_slot_needed.load(Ordering::Acquire)
     }
 
-    /// How far the replies on a connection that closes have to get before its place is free.
+    /// How far the output of a closing connection has to get before its socket may be closed.
     pub(super) fn drain_target(&self) -> DrainTarget {
-        let is_place_needed = self.is_place_needed();
-        if is_place_needed && self.is_short_of_time.load(Ordering::Acquire) {
+        let is_slot_needed = self.is_slot_needed();
+        if is_slot_needed && self.is_short_of_time.load(Ordering::Acquire) {
             DrainTarget::Sent
-        } else if is_place_needed || self.ends_at.get().is_some() {
+        } else if is_slot_needed || self.ends_at.get().is_some() {
             DrainTarget::Acknowledged
         } else {
             DrainTarget::PeerClosed
         }
     }
 
-    /// Blocks the accepting coroutine of a full server for that long, or until a place is free at a
-    /// shutdown.
-    pub(super) fn wait_for_place(&self, pause: Duration) {
-        let place_freed = self
-            .place_freed
-            .get_or_init(|| Arc::new(Blocker::new(true)));
-        clock::park(place_freed, Instant::now().checked_add(pause));
+    /// Blocks the accepting coroutine of a full server for `pause`, or during a shutdown until a
+    /// slot is free.
+    pub(super) fn wait_for_slot(&self, pause: Duration) {
+        let slot_freed = self.slot_freed.get_or_init(|| Arc::new(Blocker::new(true)));
+        clock::park(slot_freed, Instant::now().checked_add(pause));
     }
 
     fn wake_acceptor(&self) {
-        if let Some(place_freed) = self.place_freed.get() {
-            place_freed.unpark();
+        if let Some(slot_freed) = self.slot_freed.get() {
+            slot_freed.unpark();
         }
     }
 
-    /// The connections that there can be.
+    /// The maximum number of connections.
     pub(super) fn capacity(&self) -> usize {
         self.limiter.lock().capacity()
     }
 
-    /// Adds a connection that was accepted, unless the limiter rejects it.
+    /// Adds an accepted connection, unless the limiter rejects it.
     pub(super) fn admit(&self, stream: TcpStream, address: IpAddr) -> Result<Admitted, Rejected> {
         self.decide(|limiter, now, actions| {
             let mut connections = self.connections.lock();
@@ -205,19 +202,19 @@
         }
     }
 
-    /// Notifies the limiter of an accept that failed.
+    /// Notifies the limiter of a failed accept.
     pub(super) fn accept_failed(&self, error: AcceptError) {
         self.notify(Event::AcceptFailed { error });
     }
 
-    /// How long accepting is still paused, by the limiter's decision on failed accepts.
+    /// The rest of the pause that the limiter has imposed on the acceptor after failed accepts.
     pub(super) fn accepting_pause(&self) -> Duration {
         let paused_until = *self.accepting_paused_until.lock();
         paused_until.saturating_sub(self.started_at.elapsed())
     }
 
-    /// Lets time pass for connections: idle ones are asked to close, and those that take too long
-    /// are closed.
+    /// Has the limiter apply the timeouts of connections: it requests the close of idle connections
+    /// and closes connections whose message has timed out.
     pub(super) fn sweep(&self, idle_timeout: Duration) {
         if std::mem::replace(&mut *self.idle_timeout.lock(), idle_timeout) != idle_timeout {
             let timeout = idle_timeout;
@@ -231,7 +228,7 @@
         self.connections.lock().len()
     }
 
-    /// The number of connections on which something is open or waits to be written.
+    /// The number of connections with an open request or health check, or with unwritten output.
     pub(super) fn unfinished(&self) -> usize {
         let connections = self.connections.lock();
         let is_unfinished = |(_, connection): &(usize, &Arc<Connection>)| !connection.is_done();
@@ -268,9 +265,9 @@
                     }
                 }
                 Action::PauseAccepting { until } => *self.accepting_paused_until.lock() = until,
-                // A new connection is served or rejected where it is admitted. Timers are not set:
-                // the periodic sweep hands in `TimerExpired`, so a deadline is noticed up to one
-                // sweep late where no other event comes.
+                // `admit` handles `Serve` and `Reject`. Timers are not set: the periodic sweep
+                // hands in `TimerExpired`, so without another event a deadline is noticed up to one
+                // sweep interval late.
                 Action::Serve { .. } | Action::Reject { .. } | Action::SetTimer { .. } => {}
             }
         }
--- a/crates/server/src/net/frontend/health.rs
+++ b/crates/server/src/net/frontend/health.rs
@@ -1,5 +1,5 @@
-//! Health checks. A shallow one reports the controller's verdict; a deep one also has the executor
-//! do a piece of work, so that it notices an executor which hangs.
+//! Health checks. A shallow check reports whether the controller is healthy. A deep check also has
+//! the executor run a test job, so that it detects an executor that hangs.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,7 +14,7 @@
 use crate::net::spawn;
 use crate::requests::RequestRegistry;
 
-/// How long a deep check waits for its work.
+/// How long a deep check waits for its test job.
 const DEEP_CHECK_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Answers health checks.
@@ -22,12 +22,12 @@
     registry: Arc<RequestRegistry>,
     executor: Arc<ExecutorClient>,
     table: Arc<ConnectionTable>,
-    /// No deep check waits for its work any more.
+    /// The server is draining: deep checks no longer wait for their test jobs.
     is_draining: AtomicBool,
 }
 
 impl HealthChecks {
-    /// Health checks of the connections of `table`.
+    /// Creates the handler of health checks for the connections of `table`.
     pub(super) fn new(
         registry: Arc<RequestRegistry>,
         executor: Arc<ExecutorClient>,
@@ -41,14 +41,15 @@
         })
     }
 
-    /// The drain begins: deep checks that wait for the executor end, and their connections with
-    /// them. One that hangs would otherwise have them hold the places that requests wait for.
+    /// Starts the drain: ends deep checks that wait for the executor, so that their connections can
+    /// close. With an executor that hangs, they would otherwise occupy slots that connections in
+    /// the backlog need.
     pub(super) fn start_drain(&self) {
         self.is_draining.store(true, Ordering::Release);
         self.executor.abandon_work();
     }
 
-    /// Answers a shallow check at once, and starts a coroutine for a deep one.
+    /// Answers a shallow check at once, and starts a coroutine for a deep check.
     pub(super) fn handle(
         self: &Arc<Self>,
         connection: &Arc<Connection>,
@@ -67,7 +68,8 @@
     }
 
     fn answer(&self, connection: &Connection, sequence: i32, is_deep: bool) {
-        let is_healthy = self.registry.is_healthy() && (!is_deep || self.executor_does_work());
+        let is_healthy =
+            self.registry.is_healthy() && (!is_deep || self.executor_completes_test_job());
         let feedback = self.registry.feedback().map(codec::feedback_field);
         let fields: Vec<_> = feedback.into_iter().collect();
         let reply = Reply::Result {
@@ -84,7 +86,7 @@
         });
     }
 
-    fn executor_does_work(&self) -> bool {
+    fn executor_completes_test_job(&self) -> bool {
         !self.is_draining.load(Ordering::Acquire) && self.executor.does_work(DEEP_CHECK_TIMEOUT)
     }
 }
--- a/crates/server/src/net/frontend/listener.rs
+++ b/crates/server/src/net/frontend/listener.rs
@@ -1,9 +1,10 @@
-//! Accepting connections, and closing the listener without losing one that the system has accepted.
+//! Accepting connections, and closing the listener without losing a connection in its backlog.
 //!
-//! A connection in the backlog has completed its handshake and may hold a whole request. If the
-//! listener were closed over it, the system would reset it and the request would be lost. So at
-//! the shutdown the system first refuses new connections, and the listener closes once its backlog
-//! is accepted. The price is up to `HANDSHAKE_TIMEOUT` of the time before the termination.
+//! A connection in the backlog has completed its handshake and may carry a whole request. If the
+//! listener were closed before the accept, the system would reset the connection and the request
+//! would be lost. So at a shutdown the system first refuses new connections, and the listener
+//! closes once its backlog is empty. The cost is up to `HANDSHAKE_TIMEOUT` of the time before the
+//! termination.
 
 use std::fs::File;
 use std::io;
@@ -24,16 +25,16 @@
 use crate::log::LogLimit;
 use crate::net::connect::adopt;
 
-/// The pause before the limiter is asked again whether another connection may be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// The pause before the limiter is asked again, where there is room soon.
-const EVICTION_PAUSE: Duration = Duration::from_millis(1);
-/// How often the backlog of a listener that closes is checked.
+/// The interval at which the acceptor of a full server asks the limiter again.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// The interval at which the acceptor asks the limiter again when a slot is about to be free.
+const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(1);
+/// How often the acceptor checks the backlog of a listener that is closing.
 const BACKLOG_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// How long handshakes in progress may take to complete once the listener refuses new connections.
+/// How long handshakes in progress may take once the listener refuses new connections.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(20);
-/// An interface index that the system does not give to any interface.
-const NO_INTERFACE: Option<NonZeroU32> = NonZeroU32::new(i32::MAX as u32);
+/// An interface index that the system assigns to no interface.
+const NONEXISTENT_INTERFACE: Option<NonZeroU32> = NonZeroU32::new(i32::MAX as u32);
 
 static ACCEPT_FAILURES: LogLimit = LogLimit::new();
 static REJECTED_CONNECTIONS: LogLimit = LogLimit::new();
@@ -43,13 +44,13 @@
 struct ListenerState {
     listener: Option<Arc<TcpListener>>,
     is_closing: bool,
-    /// Once it closes: when handshakes in progress have had their time.
-    handshakes_until: Option<Instant>,
+    /// While the listener closes: the deadline of handshakes in progress.
+    handshake_deadline: Option<Instant>,
     is_closed: bool,
 }
 
 impl ListenerState {
-    /// Accepting begins. Where `close` was called before, new connections are refused at once.
+    /// Stores the listener. If `close` was called before, new connections are refused at once.
     fn open(&mut self, listener: &Arc<TcpListener>) {
         self.listener = Some(listener.clone());
         if self.is_closing {
@@ -61,14 +62,13 @@
     fn close(&mut self) {
         self.is_closing = true;
         if let Some(listener) = &self.listener {
-            self.handshakes_until
+            self.handshake_deadline
                 .get_or_insert_with(|| refuse_new_connections(listener));
             listener.waker().wakeup();
         }
     }
 
-    /// Closes the listener: the accepting coroutine hands over its reference, the only one beside
-    /// the one here.
+    /// Closes the listener. The accepting coroutine hands over its reference, the only other one.
     fn finish(&mut self, listener: Arc<TcpListener>) {
         self.listener = None;
         drop(listener);
@@ -76,18 +76,19 @@
     }
 }
 
-/// What accepts connections. It owns the listener's state and the spare descriptor.
+/// Accepts connections. Owns the listener's state and the spare descriptor.
 pub(super) struct Acceptor {
     table: Arc<ConnectionTable>,
     listener: Mutex<ListenerState>,
-    /// A descriptor that is closed to accept and close one connection when no other is left.
+    /// A descriptor in reserve. When the process has no other descriptor left, the acceptor closes
+    /// it to accept and close one connection.
     spare_descriptor: Mutex<Option<File>>,
     /// Connections beyond the limits are rejected, instead of waiting in the backlog.
     rejects_connections: bool,
 }
 
 impl Acceptor {
-    /// An acceptor for the connections of `table`. It does not accept before [`Acceptor::run`].
+    /// An acceptor for the connections of `table`. It accepts none before [`Acceptor::run`].
     pub(super) fn new(table: Arc<ConnectionTable>, rejects_connections: bool) -> Self {
         Acceptor {
             table,
@@ -97,24 +98,26 @@
         }
     }
 
-    /// Accepts connections until the listener is to be closed, and every one in the backlog then:
-    /// the system has completed their handshakes, so they may hold a whole request, which closing
-    /// the listener would lose.
+    /// Accepts connections until [`Acceptor::close`] is called, and then every connection in the
+    /// backlog: the system has completed its handshake, so it may carry a whole request, which
+    /// closing the listener would lose.
     pub(super) fn run(&self, listener: TcpListener, on_accepted: impl Fn(TcpStream, IpAddr)) {
         let listener = Arc::new(listener);
         self.listener.lock().open(&listener);
         loop {
-            // Read before the accept, so that an empty backlog behind it stays empty.
-            let handshakes_until = self.listener.lock().handshakes_until;
-            let backlog_is_final = handshakes_until.is_some_and(|until| until <= Instant::now());
+            // The deadline is read before the accept: if it has passed and the accept finds an
+            // empty backlog, the backlog stays empty.
+            let handshake_deadline = self.listener.lock().handshake_deadline;
+            let backlog_is_final =
+                handshake_deadline.is_some_and(|deadline| deadline <= Instant::now());
             match self.table.may_accept(|| waiting_connections(&listener)) {
                 Admission::Accept => {}
                 Admission::WaitBriefly => {
-                    self.table.wait_for_place(EVICTION_PAUSE);
+                    self.table.wait_for_slot(EVICTION_RETRY_INTERVAL);
                     continue;
                 }
                 Admission::Wait => {
-                    self.table.wait_for_place(ACCEPT_PAUSE);
+                    self.table.wait_for_slot(ACCEPT_RETRY_INTERVAL);
                     continue;
                 }
             }
@@ -128,7 +131,7 @@
                     if backlog_is_final {
                         break;
                     }
-                    match handshakes_until {
+                    match handshake_deadline {
                         Some(_) => clock::sleep(BACKLOG_POLL_INTERVAL),
                         None => _ = listener.wait_io(),
                     }
@@ -140,18 +143,18 @@
     }
 
     /// Has the system refuse new connections. [`Acceptor::run`] closes the listener once its
-    /// backlog is accepted.
+    /// backlog is empty.
     pub(super) fn close(&self) {
         self.listener.lock().close();
     }
 
-    /// The number of connections that wait in the backlog; none where the listener is closed or the
-    /// system does not tell.
+    /// The number of connections in the backlog, or `None` if the listener is closed or the system
+    /// does not report it.
     pub(super) fn waiting_connections(&self) -> Option<usize> {
         waiting_connections(self.listener.lock().listener.as_ref()?)
     }
 
-    /// Whether the listener is closed, and each connection that was accepted is in the table.
+    /// Whether the listener is closed and every accepted connection is in the table.
     pub(super) fn is_closed(&self) -> bool {
         self.listener.lock().is_closed
     }
@@ -168,16 +171,15 @@
         clock::sleep(self.table.accepting_pause());
     }
 
-    /// With no descriptor left, closes the spare one to accept and close a connection, so that the
-    /// edge node that opened it can go to another server at once.
+    /// Closes the spare descriptor to accept and close one connection when no other descriptor is
+    /// left, so that its client can use another server at once.
     fn reject_one_with_spare_descriptor(&self, listener: &TcpListener) {
         let Some(file) = self.spare_descriptor.lock().take() else {
             *self.spare_descriptor.lock() = open_spare_descriptor();
             return;
         };
         drop(file);
-        // A connection is in the backlog: the accept before failed for want of a descriptor, not
-        // of a connection.
+        // A connection is in the backlog: the last accept failed for lack of a descriptor.
         drop(listener.inner().accept());
         *self.spare_descriptor.lock() = open_spare_descriptor();
         if let Some(count) = REJECTED_CONNECTIONS.pass() {
@@ -186,23 +188,24 @@
     }
 }
 
-/// Logs a connection that the limiter has rejected.
+/// Logs a connection that the limiter rejected.
 pub(super) fn log_rejection(address: IpAddr, reason: RejectReason) {
     if let Some(count) = REJECTED_CONNECTIONS.pass() {
         log::warn!("connection rejected address={address} reason={reason:?} count={count}");
     }
 }
 
-/// Has the system refuse new connections while those in the backlog and handshakes in progress stay
-/// with the listener. Returns when these handshakes have had their time.
+/// Has the system refuse new connections; connections in the backlog and handshakes in progress
+/// stay with the listener. Returns the deadline of these handshakes.
 ///
-/// The listener is bound to a network interface that does not exist, so no new handshake finds it,
-/// and the system answers as for a port without a listener. A filter would drop the first packet
-/// instead, and its caller would hang until the packet is sent again. Where the system does not
-/// know the option, connections that come between the last accept and the close are reset.
+/// The function binds the listener to a network interface that does not exist. New SYN packets then
+/// match no listener, and the system answers them with a reset, as for a closed port. A packet
+/// filter would drop them instead, and the client would hang until it retransmits. If the system
+/// does not support the option, connections that arrive between the last accept and the close are
+/// reset.
 fn refuse_new_connections(listener: &TcpListener) -> Instant {
     let socket = SockRef::from(listener.inner());
-    match socket.bind_device_by_index_v4(NO_INTERFACE) {
+    match socket.bind_device_by_index_v4(NONEXISTENT_INTERFACE) {
         Ok(()) => Instant::now() + HANDSHAKE_TIMEOUT,
         Err(error) => {
             log::warn!("listener cannot refuse new connections error=\"{error}\"");
@@ -211,14 +214,14 @@
     }
 }
 
-/// Opens the descriptor that is given up when none is left. Without it, the next connection waits
-/// in the backlog instead of being rejected at once.
+/// Opens the spare descriptor. Without it, a connection for which no descriptor is left waits in
+/// the backlog instead of being rejected at once.
 fn open_spare_descriptor() -> Option<File> {
     File::open("/dev/null").ok()
 }
 
-/// The cause of a failed accept. Errors of the network that are pending on the new connection are
-/// returned by `accept` on Linux, and concern that connection only.
+/// The cause of a failed accept. On Linux, `accept` also returns network errors that are pending on
+/// the new connection; they concern that connection only.
 fn accept_error(error: &io::Error) -> AcceptError {
     match error.raw_os_error() {
         Some(libc::EMFILE) => AcceptError::ProcessDescriptorLimit,
--- a/crates/server/src/net/frontend/listener_tests.rs
+++ b/crates/server/src/net/frontend/listener_tests.rs
@@ -1,4 +1,4 @@
-//! The cause of a failed accept, by the error of the system.
+//! The cause of a failed accept for each error of the system.
 
 use std::io;
 
@@ -11,16 +11,17 @@
 }
 
 #[test]
-fn a_lack_of_descriptors_or_memory_differs_from_other_errors() {
+fn descriptor_and_memory_exhaustion_are_recognized() {
     assert_eq!(cause(libc::EMFILE), AcceptError::ProcessDescriptorLimit);
     assert_eq!(cause(libc::ENFILE), AcceptError::SystemDescriptorLimit);
     assert_eq!(cause(libc::ENOMEM), AcceptError::OutOfMemory);
     assert_eq!(cause(libc::ENOBUFS), AcceptError::OutOfMemory);
 }
 
-/// Guards against an error of the network, or of a firewall, that costs a client its connection.
+/// Guards against network or firewall errors of one connection that the server would treat as a
+/// lack of descriptors, so that other clients lose their connections.
 #[test]
-fn other_errors_are_no_lack_of_descriptors() {
+fn other_errors_are_not_descriptor_exhaustion() {
     assert_eq!(cause(libc::ENETUNREACH), AcceptError::ConnectionAborted);
     assert_eq!(cause(libc::EPROTO), AcceptError::ConnectionAborted);
     assert_eq!(cause(libc::EPERM), AcceptError::Other);
--- a/crates/server/src/net/frontend/mod.rs
+++ b/crates/server/src/net/frontend/mod.rs
@@ -1,22 +1,22 @@
 //! The frontend: connections from edge nodes, and the requests and health checks that they send.
 //!
-//! [`Frontend`] owns the parts and routes between them; a part never refers to the frontend.
+//! [`Frontend`] owns the parts below and routes between them; no part refers to the frontend.
 //!
 //! | file | job |
 //! | --- | --- |
-//! | `listener` | accepting connections, and closing the listener without losing one |
-//! | `connection_table` | all connections, and the limiter that decides on them |
-//! | `connection` | one connection, as all coroutines see it |
-//! | `session` | the coroutine of a connection: reading, writing, and its end |
-//! | `backlog` | how many connections wait, and how long they wait at a shutdown |
-//! | `closing` | the rule by which a connection closes |
-//! | `request` | the life of a request, from its registration to its response |
-//! | `pending_reply` | the reply to a request, which is sent once |
-//! | `memory` | the limit on open requests |
-//! | `parse` | the fields of a request |
+//! | `listener` | accepting connections, and closing the listener without losing a connection |
+//! | `connection_table` | all connections, and the limiter that admits and closes them |
+//! | `connection` | the state of one connection that all coroutines share |
+//! | `session` | the coroutine of a connection: reading, writing and closing |
+//! | `backlog` | the length of the accept queue, and the time to serve it at a shutdown |
+//! | `closing` | the decision when and how a connection closes |
+//! | `request` | the lifecycle of a request, from its arrival to its reply |
+//! | `pending_reply` | the reply to a request, which is sent exactly once |
+//! | `memory` | the limit on open requests by memory |
+//! | `parse` | parsing the fields of a request |
 //! | `health` | health checks |
-//! | `recent_ids` | the ids of the last requests |
-//! | `summary` | what is counted, for the log |
+//! | `recent_ids` | the ids of recent requests, to detect repeated ones |
+//! | `summary` | the counters in the log |
 //! | `codec` | the messages on the wire |
 
 mod backlog;
@@ -65,14 +65,14 @@
 
 /// Descriptors that are reserved for the executor, the log and the runtime.
 pub(crate) const RESERVED_DESCRIPTORS: usize = 16;
-/// How long a connection may take to its first message, and a message from its first byte to its
-/// last.
+/// How long a connection may take to send its first message, and a message may take from its first
+/// byte to its last.
 pub(crate) const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How much longer this server keeps an unused connection than an edge node does. An edge node may
-/// send on a connection that this server closes, so the edge node closes it first.
+/// How much longer this server keeps an idle connection than an edge node does. An edge node may
+/// send a request on a connection while this server closes it, so the edge node closes it first.
 pub(crate) const IDLE_MARGIN: Duration = Duration::from_secs(2);
 
-/// The frontend of this server. It owns the parts and routes messages to them.
+/// The frontend of this server. It owns its parts and routes messages to them.
 pub(crate) struct Frontend {
     registry: Arc<RequestRegistry>,
     table: Arc<ConnectionTable>,
@@ -82,8 +82,9 @@
 }
 
 impl Frontend {
-    /// A frontend whose open requests may take a fraction of `memory_mb` megabytes. Connections
-    /// beyond the limits wait in the backlog, or are rejected with `rejects_connections`.
+    /// Creates a frontend in a process with `memory_mb` megabytes, of which open requests may take
+    /// a fraction. Connections beyond the limits wait in the backlog, or are rejected if
+    /// `rejects_connections` is set.
     pub(crate) fn new(
         registry: Arc<RequestRegistry>,
         executor: Arc<ExecutorClient>,
@@ -122,14 +123,14 @@
 
     /// Accepts connections until [`Frontend::close`] is called and the backlog is empty.
     pub(crate) fn accept(self: Arc<Self>, listener: TcpListener) {
-        self.acceptor
-            .run(listener, |stream, address| self.accepted(stream, address));
+        self.acceptor.run(listener, |stream, address| {
+            self.handle_accepted(stream, address)
+        });
     }
 
-    /// A connection was accepted: it is added to the table and served by a coroutine of its own, or
-    /// closed unread where the limiter rejects it, so that its owner can go to another server at
-    /// once.
-    fn accepted(self: &Arc<Self>, stream: TcpStream, address: IpAddr) {
+    /// Adds an accepted connection to the table and starts its session coroutine. A connection that
+    /// the limiter rejects is closed unread, so that its client can use another server at once.
+    fn handle_accepted(self: &Arc<Self>, stream: TcpStream, address: IpAddr) {
         match self.table.admit(stream, address) {
             Ok(Admitted { stream, connection }) => {
                 let frontend = self.clone();
@@ -142,10 +143,10 @@
         }
     }
 
-    /// Serves a connection from its opening to its end.
+    /// Serves a connection until it closes.
     fn serve(&self, mut stream: BufferedStream, connection: &Arc<Connection>) {
         let end = Session::new(&self.table, self, connection, &mut stream).run();
-        // The descriptor is free before the table counts it as free.
+        // The descriptor is closed before the table counts it as free.
         drop(stream);
         self.table.remove(connection.id);
         if let Err(error) = end {
@@ -154,20 +155,20 @@
         }
     }
 
-    /// Lets time pass for connections: idle ones are asked to close, and those that take too long
-    /// are closed.
+    /// Applies the timeouts of connections: requests the close of idle connections, and closes
+    /// connections whose message has timed out.
     pub(crate) fn sweep(&self) {
         let idle_timeout = self.registry.idle_timeout().saturating_add(IDLE_MARGIN);
         self.table.sweep(idle_timeout);
     }
 
-    /// The shutdown notice was received: from now on no connection that is not in use keeps a place
-    /// that one in the backlog needs. The server ends at `ends_at`.
+    /// Handles the shutdown notice: from now on an unused connection yields its slot to one in the
+    /// backlog. The server terminates at `ends_at`.
     pub(crate) fn shutdown_notice(&self, ends_at: Instant) {
         self.table.shutdown_notice(ends_at);
     }
 
-    /// The backlog; none where the listener is closed, or the system does not tell.
+    /// The backlog, or `None` if the listener is closed or the system does not report its length.
     pub(crate) fn backlog(&self) -> Option<Backlog> {
         Some(Backlog {
             waiting: self.acceptor.waiting_connections()?,
@@ -176,33 +177,34 @@
     }
 
     /// Closes the listener once every connection in its backlog is accepted, and sends drain
-    /// notifications to all edge nodes. New connections are refused first: an edge node that is
-    /// notified connects again at once. While the accepting coroutine waits for its turn these
-    /// connections would fill the backlog, and the system would drop the first packets of others.
+    /// notifications to all edge nodes. New connections are refused before the notifications are
+    /// sent, because a notified edge node reconnects at once. Until the accepting coroutine is
+    /// scheduled, these connections would fill the backlog, and the system would drop the SYN
+    /// packets of other clients.
     pub(crate) fn close(&self) {
         self.acceptor.close();
         self.health_checks.start_drain();
         self.table.notify(Event::Drain);
     }
 
-    /// Whether no connection is open, and none can be accepted any more.
+    /// Whether no connection is open and no further connection can be accepted.
     pub(crate) fn is_over(&self) -> bool {
-        // In this order: each connection that was accepted is in the table before the listener
-        // counts as closed.
+        // The order matters: every accepted connection is in the table before the listener counts
+        // as closed.
         self.acceptor.is_closed() && self.table.len() == 0
     }
 
-    /// The number of connections that are open.
+    /// The number of open connections.
     pub(crate) fn connections(&self) -> usize {
         self.table.len()
     }
 
-    /// The number of connections on which something is open or waits to be written.
+    /// The number of connections with an open request or health check, or with unwritten output.
     pub(crate) fn unfinished_connections(&self) -> usize {
         self.table.unfinished()
     }
 
-    /// What is counted here, for the log.
+    /// The counters of the frontend, for the log.
     pub(crate) fn summary(&self) -> FrontendSummary {
         FrontendSummary {
             connections: self.connections(),
--- a/crates/server/src/net/frontend/parse.rs
+++ b/crates/server/src/net/frontend/parse.rs
@@ -1,4 +1,4 @@
-//! Reading the fields of a request. The keys of requests are spelled here and nowhere else.
+//! Parsing the fields of a request. Only this module defines the keys of requests.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -10,25 +10,25 @@
 use crate::requests::{ClassName, IdempotencyKey, IncomingRequest};
 use crate::trace::TraceContext;
 
-/// How far the timestamp of a request may lie after now, or before the earliest that its caller can
-/// have written it and still wait.
+/// The tolerance on both sides of the valid range of a request's timestamp: it may be this far in
+/// the future, or this much older than the oldest request whose caller can still be waiting.
 const TIMESTAMP_SLACK: Duration = Duration::from_secs(1);
-/// The memory that a request may ask for is below this, in kilobytes.
+/// The memory that a request states has to be below this, in kilobytes.
 const MEMORY_LIMIT_KB: f64 = 2000.0;
-/// The limit on the work that a request announces, as a multiple of its client timeout.
+/// The limit on the work estimate of a request, as a multiple of its client timeout.
 const MAX_WORK_FACTOR: f64 = 2.0;
 
-/// The digits of a request's id, which is a hexadecimal number.
+/// The number of digits of a request's id, which is a hexadecimal number.
 const ID_DIGITS: usize = 16;
-/// The base of numbers that callers write in hexadecimal digits.
+/// The radix of hexadecimal numbers.
 const HEXADECIMAL: u32 = 16;
 
-/// A level that a request states is below this.
+/// The priority level that a request states has to be below this.
 const MAX_LEVEL: f64 = 1.0;
 
 /// The key of the handler.
 const KEY_HANDLER: &str = "kind";
-/// The key of the tenant; empty where there is none.
+/// The key of the tenant; its value is empty if there is none.
 const KEY_TENANT: &str = "owner";
 /// The key of the request's id.
 const KEY_ID: &str = "req";
@@ -36,28 +36,28 @@
 const KEY_TIMESTAMP: &str = "ts";
 /// The key of the memory that the request takes while it is queued, in kilobytes.
 const KEY_MEMORY: &str = "need";
-/// The key of the work that the caller expects, in milliseconds; 0 where it expects none.
+/// The key of the caller's work estimate, in milliseconds; its value is 0 if there is none.
 const KEY_WORK: &str = "ms";
 /// The key of the priority level.
 const KEY_LEVEL: &str = "level";
-/// The key of the idempotency key; empty where there is none.
+/// The key of the idempotency key; its value is empty if there is none.
 const KEY_IDEMPOTENCY: &str = "opkey";
-/// The key of the time that the caller waits, in milliseconds.
+/// The key of the time that the caller waits for the reply, in milliseconds.
 const KEY_CLIENT_WAIT: &str = "timeout";
-/// The key that is 1 where the request is a retry.
+/// The key of the retry flag; its value is 1 if the request is a retry.
 const KEY_IS_RETRY: &str = "resent";
 /// The key of the subject, for the recording.
 const KEY_SUBJECT: &str = "subject";
 /// The key of the caller, for the recording.
 const KEY_CALLER: &str = "via";
 
-/// What the fields of a request say.
+/// The parsed fields of a request.
 pub(super) struct ParsedRequest {
     pub(super) incoming: IncomingRequest,
     pub(super) class: ClassName,
-    /// Its id as a number.
+    /// The request's id as a number.
     pub(super) number: u64,
-    /// When it arrived at the machine, since the Unix epoch.
+    /// When the request arrived at the machine, since the Unix epoch.
     pub(super) arrived: Duration,
 }
 
@@ -97,7 +97,7 @@
         }
     }
 
-    /// A time in milliseconds; none where the field is 0.
+    /// A time in milliseconds; `None` if the field is missing or 0.
     fn milliseconds(&self, name: &'static str) -> Result<Option<Duration>, CallError> {
         let Some(value) = self.number(name)?.filter(|&value| value > 0.0) else {
             return Ok(None);
@@ -112,19 +112,19 @@
     CallError::Malformed(format!("{name}: missing or senseless").into())
 }
 
-/// The number that an id of `ID_DIGITS` digits writes.
+/// Parses an id of exactly `ID_DIGITS` digits.
 fn parse_id(id: &str) -> Option<u64> {
     u64::from_str_radix(id, HEXADECIMAL)
         .ok()
         .filter(|_| id.len() == ID_DIGITS && !id.starts_with('+'))
 }
 
-/// The timestamp of a request from a connection that was accepted at `accepted_at`. The controller
-/// measures by timestamps how long requests were unread, so a caller with an impossible one could
-/// have the requests of others rejected. Such a request is malformed.
+/// Parses the timestamp of a request from a connection that was accepted at `accepted_at`. The
+/// controller derives from timestamps how long requests were unread, so a caller with an impossible
+/// timestamp could cause requests of other callers to be rejected. Such a request is malformed.
 ///
-/// Before that, the connection may have waited in the backlog of a full or paused server, with its
-/// requests on it, for as long as their caller waits.
+/// Before `accepted_at`, the connection may have waited with its requests in the backlog of a full
+/// or paused server, for up to the client timeout.
 fn parse_timestamp(
     fields: &FieldReader,
     accepted_at: Instant,
@@ -147,17 +147,17 @@
     Ok(arrived)
 }
 
-/// Parses the fields of requests. It owns the names that the settings declare.
+/// Parses the fields of requests. It owns the names of handlers and tenants in the settings.
 pub(super) struct RequestParser {
     names: Names,
-    /// How long clients wait, by handler.
+    /// The client timeouts, by handler.
     client_timeouts: Vec<Duration>,
-    /// Requests are recorded, so what only the recording needs is parsed as well.
+    /// Requests are recorded, so the fields that only the recording needs are parsed too.
     is_recording: bool,
 }
 
 impl RequestParser {
-    /// A parser for requests of these handlers and tenants.
+    /// A parser for requests of the handlers and tenants in `names`.
     pub(super) fn new(names: Names, client_timeouts: Vec<Duration>, is_recording: bool) -> Self {
         RequestParser {
             names,
@@ -169,7 +169,7 @@
     /// Parses the fields of a request from a connection that was accepted at `accepted_at`.
     ///
     /// # Errors
-    /// [`CallError::Malformed`] with the first field that is missing or invalid.
+    /// [`CallError::Malformed`] with the key of the first missing or invalid field.
     pub(super) fn parse(
         &self,
         fields: &Fields,
@@ -232,9 +232,9 @@
     }
 }
 
-/// The work that a request announces. An estimate is rough, and at times far more than any client
-/// waits for. Such a request may be rejected for it, but it is not malformed: the estimate counts
-/// for `MAX_WORK_FACTOR` client timeouts at most.
+/// Parses the work estimate of a request. Estimates are rough, and some are far longer than any
+/// client waits. Such a request may be rejected because of its estimate, but it is not malformed:
+/// the estimate is capped at `MAX_WORK_FACTOR` client timeouts.
 fn parse_work(
     fields: &FieldReader,
     client_timeout: Duration,
@@ -244,9 +244,9 @@
     Ok(work.map(|work| work.min(max_work)))
 }
 
-/// How long the caller of a request waits. No client waits longer than its handler's timeout. With
-/// a longer wait, the request would be owed an answer, and take memory, for as long as its caller
-/// likes to state.
+/// Parses how long the caller of a request waits, capped at its handler's client timeout, beyond
+/// which no client waits. Without the cap, a caller could keep a request open and in memory for any
+/// time that it states.
 fn parse_client_wait(
     fields: &FieldReader,
     client_timeout: Duration,
@@ -255,7 +255,7 @@
     Ok(wait.map(|wait| wait.min(client_timeout)))
 }
 
-/// Checks the priority level that a request states; it has no other use here.
+/// Checks the priority level of a request. The level is not used otherwise.
 fn check_level(fields: &FieldReader) -> Result<(), CallError> {
     match fields.number(KEY_LEVEL)? {
         Some(level) if level >= MAX_LEVEL => Err(invalid(KEY_LEVEL)),
--- a/crates/server/src/net/frontend/pending_reply.rs
+++ b/crates/server/src/net/frontend/pending_reply.rs
@@ -1,4 +1,4 @@
-//! The reply to a request, which is sent exactly once, whatever becomes of its handling.
+//! The reply to a request, which is sent exactly once, even if the handler panics.
 
 use std::cell::Cell;
 use std::sync::Arc;
@@ -10,8 +10,8 @@
 use super::connection_table::ConnectionTable;
 use crate::invariant;
 
-/// The reply that a request's connection waits for. The request leaves its connection's open
-/// requests once it is answered, or when this is dropped without a reply.
+/// The pending reply to an open request. The request is removed from the open requests of its
+/// connection when the reply is sent, or when this value is dropped without a reply.
 pub(super) struct PendingReply {
     table: Arc<ConnectionTable>,
     connection: Arc<Connection>,
@@ -20,7 +20,7 @@
 }
 
 impl PendingReply {
-    /// The pending reply to the open request of this sequence number.
+    /// The pending reply to the open request with this sequence number.
     pub(super) fn new(
         table: &Arc<ConnectionTable>,
         connection: &Arc<Connection>,
@@ -44,8 +44,7 @@
             .conclude(codec::PROCESS, self.sequence, reply, |open_requests| {
                 open_requests.remove(&self.sequence);
             });
-        // The reputation of a client grows with the requests that were served, and not with those
-        // that were rejected.
+        // The reputation of a client grows with served requests, and not with rejected ones.
         let is_answered = matches!(reply, Reply::Result { .. });
         self.table.notify(Event::RequestFinished {
             connection: self.connection.id,
@@ -55,8 +54,8 @@
 }
 
 impl Drop for PendingReply {
-    /// Concludes without a reply. Where its handling panics, its caller gets a failure: it would
-    /// otherwise wait until its timeout.
+    /// Removes the request without a reply. If its handler panics, the caller gets a failure
+    /// instead, because it would otherwise wait until its timeout.
     fn drop(&mut self) {
         if !self.is_concluded.get() && std::thread::panicking() {
             self.send(&Reply::Failed { fields: &[] });
--- a/crates/server/src/net/frontend/recent_ids.rs
+++ b/crates/server/src/net/frontend/recent_ids.rs
@@ -1,33 +1,36 @@
-//! The ids of the last requests that this process has read, over all connections.
+//! The ids of recent requests of this process, over all connections.
 //!
-//! An id is new with every attempt, so a request whose id was received before is malformed. The
-//! failure: a caller sends one request again and again while it is rejected. The controller would
-//! count each as an arrival, and the rejected fraction and the time unread, by which it asks
-//! callers for less traffic, would follow that one caller. The guard: a repeated id gets an
-//! exception before the controller sees it.
+//! Every attempt has a new id, so a request with a repeated id is malformed.
 //!
-//! The price is the memory for the ids, and that a client which repeats an id by mistake is treated
-//! as one that violates the protocol: it loses its reputation with the limiter, and its connection
-//! closes after some malformed messages. A duplicate that is older than the remembered ids is not
-//! recognized, and neither is one of a request that was rejected before for lack of memory, because
-//! the memory is checked first.
+//! Failure: a caller sends one request repeatedly while it is rejected. The controller would count
+//! each copy as an arrival. The rejected fraction and the time that requests are unread, from which
+//! the controller derives the feedback to all callers, would then depend on that one caller.
+//!
+//! Protection: a request with a repeated id is answered with an exception before the controller
+//! sees it.
+//!
+//! Cost: the memory for the ids. A client that repeats an id by mistake is treated as one that
+//! violates the protocol: it loses its reputation with the limiter, and its connection closes after
+//! more than `MAX_MALFORMED_MESSAGES` malformed messages. A repeated id is not detected if it is
+//! older than the remembered ids, or if the request was rejected for lack of memory, because memory
+//! is checked first.
 
 use std::collections::{HashSet, VecDeque};
 
-/// The number of ids that are remembered.
+/// The number of remembered ids.
 const MAX_RECENT_IDS: usize = 8192;
 
 /// The last ids, at most `MAX_RECENT_IDS`.
 #[derive(Default)]
 pub(super) struct RecentIds {
     known: HashSet<u64>,
-    /// The same ids, the oldest first.
+    /// The same ids, oldest first.
     order: VecDeque<u64>,
 }
 
 impl RecentIds {
-    /// Remembers an id, and returns whether it is new.
-    pub(super) fn is_new(&mut self, id: u64) -> bool {
+    /// Adds an id, and returns whether it is new.
+    pub(super) fn insert(&mut self, id: u64) -> bool {
         if !self.known.insert(id) {
             return false;
         }
--- a/crates/server/src/net/frontend/request.rs
+++ b/crates/server/src/net/frontend/request.rs
@@ -1,9 +1,10 @@
-//! The life of a request: it is parsed and registered, the commands for it are carried out, and it
-//! is answered, until its run has ended.
+//! The lifecycle of a request: the handler parses and registers it, executes the commands for it,
+//! and replies to it, until its run has ended.
 //!
-//! A request that is answered on its arrival costs no coroutine: in a flood, or at a shutdown,
-//! thousands arrive at once, and a stack for each would be mapped and unmapped for one reply. It is
-//! registered and answered by the session that has read it; only what waits gets a coroutine.
+//! A request that is answered on arrival needs no coroutine. In a flood or at a shutdown thousands
+//! arrive at once, and each would have a stack mapped and unmapped for one reply. The session that
+//! has read such a request registers and answers it; only a request that has to wait gets a
+//! coroutine.
 
 use std::hash::{BuildHasher, RandomState};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -32,18 +33,18 @@
 
 /// The longest body of a request, in bytes.
 const MAX_BODY_BYTES: usize = 2048;
-/// The fields that a reply may have.
+/// The maximum number of fields of a reply.
 const MAX_REPLY_FIELDS: usize = 3;
 
-/// A request that was read, checked and not registered yet.
+/// A request that was read and checked, but is not registered yet.
 pub(super) struct ArrivedRequest {
     sequence: i32,
     request: ParsedRequest,
     body: Bytes,
 }
 
-/// Processes requests. It owns what requests are checked against; the registry owns those that are
-/// open.
+/// Processes requests. It owns the parser, the limits and the recent ids that requests are checked
+/// against; the registry owns the open requests.
 pub(super) struct RequestHandler {
     registry: Arc<RequestRegistry>,
     executor: Arc<ExecutorClient>,
@@ -59,7 +60,7 @@
     pub(super) recent_ids: Mutex<RecentIds>,
 }
 
-/// The parts of this server by which requests are processed.
+/// The parts of this server that the request handler uses.
 pub(super) struct Services {
     pub(super) registry: Arc<RequestRegistry>,
     pub(super) executor: Arc<ExecutorClient>,
@@ -93,10 +94,10 @@
         })
     }
 
-    /// Checks a request, which is registered by [`RequestHandler::register_arrived`].
+    /// Checks a request. [`RequestHandler::register_arrived`] registers it.
     ///
     /// # Errors
-    /// [`CallError::Malformed`] where a field, the sequence number, the body or the id is invalid.
+    /// [`CallError::Malformed`] if a field, the sequence number, the body or the id is invalid.
     pub(super) fn handle(
         self: &Arc<Self>,
         connection: &Arc<Connection>,
@@ -115,7 +116,7 @@
             self.reject_without_memory(connection, sequence, &request);
             return Ok(());
         }
-        if !self.recent_ids.lock().is_new(request.number) {
+        if !self.recent_ids.lock().insert(request.number) {
             return Err(CallError::Malformed("its id came before".into()));
         }
         let open = OpenRequest {
@@ -134,13 +135,13 @@
         Ok(())
     }
 
-    /// Registers the requests of a connection that were read together, behind the cancellations
-    /// that were read with them: a request that is cancelled by then is not run. Each is answered
-    /// at once, or by a coroutine of its own.
+    /// Registers the requests of a connection that were read together, after the cancellations that
+    /// were read with them, so that a cancelled request is not run. Each request is answered at
+    /// once or gets a coroutine.
     pub(super) fn register_arrived(self: &Arc<Self>, connection: &Arc<Connection>) {
         let arrived = std::mem::take(&mut *connection.arrived_requests.lock());
         for request in arrived {
-            // A fault in its handling ends this request with a failure, and not its connection.
+            // A panic fails this request only, not its connection.
             let handled = catch_unwind(AssertUnwindSafe(|| self.process(connection, request)));
             if handled.is_err() {
                 log::error!("request handling panicked");
@@ -160,8 +161,8 @@
             log::warn!("request rejected reason=no_memory count={count}");
         }
         let fields = self.retry_after_fields();
-        // The first attempt of a duplicate may have run. A rejection says that nothing has, so the
-        // duplicate fails instead.
+        // The first attempt of a duplicate may have run. A rejection states that no attempt has
+        // run, so the reply to the duplicate is a failure.
         let reply = match self.registry.is_duplicate(&request.incoming) {
             true => Reply::Failed { fields: &[] },
             false => Reply::Rejected { fields: &fields },
@@ -169,8 +170,8 @@
         connection.reply(codec::PROCESS, sequence, &reply);
     }
 
-    /// Registers a request. It is answered here where that is decided on its arrival, and by a
-    /// coroutine of its own where it waits.
+    /// Registers a request and executes its commands: here if the request is answered on arrival,
+    /// otherwise in a new coroutine.
     fn process(self: &Arc<Self>, connection: &Arc<Connection>, arrived: ArrivedRequest) {
         let ArrivedRequest {
             sequence,
@@ -185,9 +186,9 @@
         } = request;
         let id = incoming.id.clone();
         let at_most_once = self.registry.runs_at_most_once(incoming.handler);
-        // Where the clock was set back, the age is zero.
+        // If the clock was set back, the age is zero.
         incoming.age = unix_now().saturating_sub(arrived);
-        // The client's wait is as it was when the request arrived.
+        // The wait in the request counts from its arrival.
         incoming.client_wait = incoming
             .client_wait
             .map(|wait| wait.saturating_sub(incoming.age));
@@ -211,9 +212,9 @@
             at_most_once,
         };
         if is_finished {
-            run.carry_out();
+            run.execute_commands();
         } else {
-            spawn(move || run.carry_out());
+            spawn(move || run.execute_commands());
         }
     }
 
@@ -246,11 +247,11 @@
         }
     }
 
-    /// Cancels the request of this sequence number. Where it was answered before, nothing is open
-    /// there any more, and the cancellation has no effect.
+    /// Cancels the request with this sequence number. The cancellation of a request that is already
+    /// answered has no effect.
     ///
     /// # Errors
-    /// [`CallError::InvalidMessageType`] where callers may not cancel.
+    /// [`CallError::InvalidMessageType`] if callers may not cancel.
     pub(super) fn cancel(&self, connection: &Connection, sequence: i32) -> Result<(), CallError> {
         if !self.callers_may_cancel {
             return Err(CallError::InvalidMessageType);
@@ -269,8 +270,8 @@
         Ok(())
     }
 
-    /// Reports that the callers of a connection's open requests are gone: it has failed, so no
-    /// reply can reach them.
+    /// Reports that the callers of a connection's open requests are gone: the connection has
+    /// failed, so no reply can reach them.
     pub(super) fn report_callers_gone(&self, connection: &Connection) {
         let open_requests = connection.open_requests.lock();
         let ids: Vec<RequestId> = open_requests
@@ -293,7 +294,7 @@
     }
 }
 
-/// A registered request, and the commands for it that are carried out.
+/// A registered request whose commands are executed.
 struct Run {
     handler: Arc<RequestHandler>,
     ticket: Ticket,
@@ -305,8 +306,8 @@
 }
 
 impl Run {
-    /// Carries out one command after the other until there are no more.
-    fn carry_out(self) {
+    /// Executes the commands for the request in order until [`Command::Finish`].
+    fn execute_commands(self) {
         let RequestHandler {
             registry,
             executor,
@@ -317,8 +318,7 @@
         let mut call_deadline = None;
         loop {
             let Some(command) = self.ticket.next_command(call_deadline) else {
-                // The call has timed out. It may have had its effect, unless it never left this
-                // process.
+                // The call has timed out. Unless it was never sent, it may have had its effect.
                 call_deadline = None;
                 let outcome = store.give_up(&self.id, calls);
                 registry.report(
@@ -352,7 +352,7 @@
                 Command::Finish => break,
             }
         }
-        // The run has ended while its call was in flight.
+        // The request was finished while its call was in flight.
         if call_deadline.is_some() {
             store.give_up(&self.id, calls);
         }
--- a/crates/server/src/net/frontend/session.rs
+++ b/crates/server/src/net/frontend/session.rs
@@ -1,5 +1,5 @@
-//! The session of a connection: its own coroutine, which moves bytes between the socket and the
-//! buffers, decodes messages and hands them to their handler.
+//! The session of a connection: a coroutine that moves bytes between the socket and the buffers,
+//! decodes messages and passes them to their handler.
 
 use std::io;
 use std::sync::Arc;
@@ -16,55 +16,56 @@
 use crate::log::LogLimit;
 use crate::net::stream::{BufferedStream, SendOutcome};
 
-/// Messages, and reads from the socket, after which a session pauses. An edge node that sends
-/// without a pause would otherwise keep the only worker thread from all other connections.
+/// The number of messages and reads from the socket after which a session pauses. An edge node that
+/// sends continuously would otherwise keep the only worker thread from serving other connections.
 const MAX_STEPS_PER_TURN: usize = 64;
-/// The pause of a session that has used up its turn.
+/// The pause of a session after a turn with `MAX_STEPS_PER_TURN` steps.
 const TURN_PAUSE: Duration = Duration::from_millis(1);
-/// How long a connection that is to close is still read once nothing on it is open. Its edge node
-/// was asked to send nothing more, and sends what crosses that for this long once more.
-const CLOSING_READ_TIME: Duration = Duration::from_millis(50);
-/// Malformed messages that are tolerated on a connection. With the next one, which is answered like
-/// the others, reading ends.
+/// How long a closing connection is still read once no request or health check is open. Requests
+/// that are in transit arrive in this time; the edge node has to send later ones again.
+const CLOSING_READ_TIMEOUT: Duration = Duration::from_millis(50);
+/// The number of malformed messages that are tolerated on a connection. The session answers the
+/// next one like the others and then stops reading.
 const MAX_MALFORMED_MESSAGES: usize = 8;
 
 static MESSAGE_TIMEOUTS: LogLimit = LogLimit::new();
 
-/// What handles the messages of a connection.
+/// A handler of the messages of a connection.
 pub(super) trait MessageHandler {
     /// Handles a message, and returns whether it was well-formed.
     fn handle_message(&self, connection: &Arc<Connection>, message: Message) -> bool;
 
-    /// All messages that were read together are handled.
+    /// Called after all messages that were read together have been handled.
     fn finish_messages(&self, connection: &Arc<Connection>);
 }
 
-/// A connection in the hands of its own coroutine.
+/// The state of a connection's coroutine.
 pub(super) struct Session<'a, H> {
     table: &'a ConnectionTable,
     handler: &'a H,
     connection: &'a Arc<Connection>,
     stream: &'a mut BufferedStream,
-    /// False after bytes that are no message: nothing more is read, and what is open is answered.
+    /// Whether messages are still read. False after undecodable bytes, too many malformed messages,
+    /// a message timeout or the end of a close: the session then only answers the open requests.
     is_readable: bool,
-    /// A whole message was read at some time.
+    /// A whole message was read on this connection.
     has_read_message: bool,
-    /// The limiter is notified that a message has begun.
+    /// The limiter was notified that a message has begun.
     has_begun_message: bool,
-    drain_notification_is_sent: bool,
-    /// Since when the limiter has closed it and nothing on it is open, whatever its edge node still
-    /// sends.
+    is_drain_notification_sent: bool,
+    /// The time since which the limiter has closed the connection and no request or health check is
+    /// open.
     closing_since: Option<Instant>,
-    /// The socket is read no more; whole messages that were read are still handled.
+    /// The session no longer reads the socket, but still handles whole messages in the buffer.
     has_stopped_reading: bool,
     malformed_messages: usize,
 }
 
-/// What one turn of a session has read.
+/// The progress of one turn of a session.
 struct Turn {
-    /// Messages that were handled, and reads from the socket.
+    /// The number of handled messages and reads from the socket.
     steps: usize,
-    /// The socket may have more to read, or a message that was read is still to be handled.
+    /// The socket may have more bytes, or the buffer holds a message that is not handled yet.
     has_more: bool,
 }
 
@@ -75,7 +76,7 @@
 }
 
 impl<'a, H: MessageHandler> Session<'a, H> {
-    /// The session of a connection that has read nothing yet.
+    /// The session of a new connection.
     pub(super) fn new(
         table: &'a ConnectionTable,
         handler: &'a H,
@@ -90,17 +91,18 @@
             is_readable: true,
             has_read_message: false,
             has_begun_message: false,
-            drain_notification_is_sent: false,
+            is_drain_notification_sent: false,
             closing_since: None,
             has_stopped_reading: false,
             malformed_messages: 0,
         }
     }
 
-    /// Moves bytes until the edge node has closed and everything is answered, or this side closes.
+    /// Serves the connection until the edge node has closed it and all requests are answered, or
+    /// until this side closes it.
     ///
     /// # Errors
-    /// The error with which the connection has failed.
+    /// The error with which the connection failed.
     pub(super) fn run(&mut self) -> io::Result<()> {
         loop {
             self.stream.output.begin_turn();
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Writes what waits, and reads and handles messages as far as there is room.
+    /// Writes the buffered output, and reads and handles messages as long as there is room.
     fn take_turn(&mut self) -> io::Result<Turn> {
         let mut turn = Turn {
             steps: 0,
@@ -127,25 +129,25 @@
         self.stream.flush()?;
         loop {
             self.read_messages(&mut turn)?;
-            // Behind what was read, so that the replies to it go out in the same write.
+            // The replies to the messages and the notification are written in one call.
             self.send_drain_notification();
             self.stream.flush()?;
-            // What is written has left room for more.
+            // The write may have made room for further replies.
             if !turn.has_more || !self.may_read(&turn) {
                 return Ok(turn);
             }
         }
     }
 
-    /// Sends the drain notification, once the connection is to close. Where the buffer is full, the
-    /// next turn sends it.
+    /// Sends the drain notification once the close is requested. If the buffer is full, the next
+    /// turn sends it.
     fn send_drain_notification(&mut self) {
-        if !self.drain_notification_is_sent && self.connection.close_is_requested() {
+        if !self.is_drain_notification_sent && self.connection.is_close_requested() {
             let outcome = self
                 .stream
                 .output
                 .try_send(&[&codec::encode_drain_notification(0)]);
-            self.drain_notification_is_sent = outcome == SendOutcome::Queued;
+            self.is_drain_notification_sent = outcome == SendOutcome::Queued;
         }
     }
 
@@ -153,12 +155,12 @@
         self.is_readable && self.connection.has_room() && !turn.is_used_up()
     }
 
-    /// Reads and handles messages until there are no more, or no room for them.
+    /// Reads and handles messages until none is left, or there is no room for further ones.
     fn read_messages(&mut self, turn: &mut Turn) -> io::Result<()> {
         while turn.has_more && self.may_read(turn) {
             turn.has_more = !self.has_stopped_reading && self.stream.read()?;
             turn.steps += 1;
-            // What is answered at once leaves room for more of the messages that were read.
+            // Requests that are answered on arrival make room for further messages in the buffer.
             while self.handle_frames(turn) > 0 {
                 self.handler.finish_messages(self.connection);
             }
@@ -167,7 +169,7 @@
         Ok(())
     }
 
-    /// Handles the messages that were read, as far as there is room. Returns how many there were.
+    /// Handles the messages in the buffer as long as there is room. Returns how many it handled.
     fn handle_frames(&mut self, turn: &mut Turn) -> usize {
         let steps_before = turn.steps;
         while self.may_read(turn) {
@@ -182,8 +184,8 @@
         turn.steps - steps_before
     }
 
-    /// Nothing more is read behind bytes that are no message. A message that is one and that its
-    /// handler rejects is counted there, with a line of its own.
+    /// Stops reading after bytes that cannot be decoded as a message. A decoded message that its
+    /// handler rejects is counted and logged by the handler instead.
     fn stop_at_malformed_bytes(&mut self) {
         self.is_readable = false;
         if let Some(count) = MALFORMED_MESSAGES.pass() {
@@ -211,8 +213,9 @@
         }
     }
 
-    /// Stops reading where a message takes too long, and notifies the limiter of one that has
-    /// begun. Returns whether the connection is to close.
+    /// Notifies the limiter of a message that has begun. Stops reading if a message has timed out,
+    /// or if a closing connection has only a partial message left or its `CLOSING_READ_TIMEOUT` has
+    /// passed. Returns whether the connection is to close.
     fn check_input(&mut self, turn: &Turn) -> bool {
         let has_partial_message = self.is_readable && !turn.has_more && self.stream.input.len() > 0;
         if has_partial_message && !std::mem::replace(&mut self.has_begun_message, true) {
@@ -220,26 +223,26 @@
                 connection: self.connection.id,
             });
         }
-        let is_closing = self.connection.is_closing() || self.gives_up_place();
+        let is_closing = self.connection.is_closing() || self.should_yield_slot();
         let has_timed_out = self.connection.has_timed_out();
-        let may_end = is_closing && self.connection.open() == 0;
-        self.stop_reading_in_time(may_end && self.connection.is_closing());
-        let is_read_to_the_end = self.has_stopped_reading && !turn.has_more;
-        let is_cut_short = may_end && (has_partial_message || is_read_to_the_end);
+        let may_end = is_closing && self.connection.open_count() == 0;
+        self.stop_reading_after_timeout(may_end && self.connection.is_closing());
+        let is_input_exhausted = self.has_stopped_reading && !turn.has_more;
+        let should_stop_reading = may_end && (has_partial_message || is_input_exhausted);
         if self.is_readable && has_timed_out {
             self.is_readable = false;
             if let Some(count) = MESSAGE_TIMEOUTS.pass() {
                 log::warn!("connection closing reason=message_timeout count={count}");
             }
-        } else if self.is_readable && is_cut_short {
-            // An eviction has a line of its own, and a drain closes all connections.
+        } else if self.is_readable && should_stop_reading {
+            // No log line: the connection table logs evictions, and a drain closes all connections.
             self.is_readable = false;
         }
         is_closing
     }
 
-    /// Whether a message that was read is still to be handled. Bytes that can be none count as one:
-    /// they are met where the next message is handled.
+    /// Whether the buffer holds a whole message that is not handled yet. An invalid frame length
+    /// counts as one: `handle_frames` reports it.
     fn has_complete_message(&mut self) -> bool {
         !matches!(
             codec::frame_length(self.stream.input.contiguous()),
@@ -247,26 +250,28 @@
         )
     }
 
-    /// Stops reading a connection that is to end once its edge node has had the time to learn that.
-    /// One that sends without a pause would otherwise never end.
-    fn stop_reading_in_time(&mut self, is_to_end: bool) {
-        if !is_to_end {
+    /// Stops reading a connection that is to close after `CLOSING_READ_TIMEOUT`. An edge node that
+    /// sends continuously would otherwise keep it open.
+    fn stop_reading_after_timeout(&mut self, may_close: bool) {
+        if !may_close {
             self.closing_since = None;
             return;
         }
         let since = *self.closing_since.get_or_insert_with(Instant::now);
-        self.has_stopped_reading |= since.elapsed() > CLOSING_READ_TIME;
+        self.has_stopped_reading |= since.elapsed() > CLOSING_READ_TIMEOUT;
     }
 
-    /// Whether the connection leaves its place to one that waits: its edge node was notified, and
-    /// sends nothing more. The rest of a message that has begun may be in transit.
-    fn gives_up_place(&self) -> bool {
-        self.drain_notification_is_sent
+    /// Whether the connection should yield its slot to one in the backlog: its edge node was
+    /// notified and the input buffer is empty. With a partial message in the buffer, the rest of
+    /// that message may be in transit.
+    fn should_yield_slot(&self) -> bool {
+        self.is_drain_notification_sent
             && self.stream.input.len() == 0
-            && self.table.is_place_needed()
+            && self.table.is_slot_needed()
     }
 
-    /// Whether the session ends here.
+    /// Closes the connection if it is due, after draining it if necessary. Returns whether the
+    /// session has ended.
     fn finish(&mut self, turn: &Turn, is_closing: bool) -> bool {
         let state = ConnectionState {
             is_done: self.connection.is_done(),
--- a/crates/server/src/net/frontend/summary.rs
+++ b/crates/server/src/net/frontend/summary.rs
@@ -1,14 +1,14 @@
-//! What the frontend counts, for the log.
+//! The counters of the frontend, for the log.
 
 use crate::log::LogLimit;
 
-/// Messages that could not be decoded or had invalid fields, each once, and requests whose
-/// idempotency key was known with another body.
+/// Counts messages that could not be decoded or had invalid fields, and requests whose idempotency
+/// key was used before with another body. Each message counts once.
 pub(super) static MALFORMED_MESSAGES: LogLimit = LogLimit::new();
-/// Requests that were rejected because no memory was left for them.
+/// Counts requests that were rejected because the limit on open requests was reached.
 pub(super) static REJECTED_WITHOUT_MEMORY: LogLimit = LogLimit::new();
 
-/// What the frontend has counted since the start, and the connections that are open now.
+/// The counters of the frontend since the start, and the number of open connections.
 pub(crate) struct FrontendSummary {
     pub(super) connections: usize,
     pub(super) malformed_messages: u64,
--- a/crates/server/src/net/frontend/tests.rs
+++ b/crates/server/src/net/frontend/tests.rs
@@ -1,4 +1,5 @@
-//! Replies of coroutines that panic, and connections that close while a request is answered.
+//! The drain target of closing connections, requests whose coroutine panics, and connections that
+//! close while a request is answered.
 
 use std::io::Read;
 use std::sync::Arc;
@@ -16,7 +17,7 @@
 use crate::net::stream::DrainTarget;
 use crate::requests::RequestRegistry;
 
-/// A limiter of so many connections, of which others wait in the backlog.
+/// A limiter for `max_descriptors` descriptors; further connections wait in the backlog.
 fn limiter(max_descriptors: usize) -> Limiter {
     let config = Config {
         max_descriptors,
@@ -33,7 +34,7 @@
     Limiter::new(config, 7).unwrap()
 }
 
-/// A table whose only place is taken, and the connection there.
+/// A table with a single slot, and the connection that occupies it.
 fn full_table() -> (ConnectionTable, Admitted) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -45,11 +46,10 @@
     (table, admitted)
 }
 
-/// A place is given on the sooner the more it is needed. Guards against a close that waits for an
-/// acknowledgement while there is no time for those who wait, and against one that does not wait
-/// for it although there is.
+/// Guards against a close that waits for an acknowledgement although the server has no time left
+/// for the connections in the backlog, and against a close that does not wait although it has.
 #[test]
-fn a_place_is_given_on_by_the_time_that_is_left() {
+fn drain_target_depends_on_backlog_and_remaining_time() {
     let hour = Duration::from_secs(3600);
     for (left, target_at_shutdown) in [
         (hour, DrainTarget::Acknowledged),
@@ -67,9 +67,9 @@
     }
 }
 
-/// A bug makes the coroutine of one request panic while it holds locks. Without a guard its caller
-/// would wait for ever and the locks would stay poisoned. The pending reply answers `Failed` when
-/// it is dropped, the locks are not poisoned, and the connection goes on.
+/// Guards against a bug that makes the coroutine of one request panic while it holds locks: the
+/// caller would wait indefinitely and the locks would stay poisoned. The pending reply sends
+/// `Failed` when it is dropped, the locks are not poisoned, and the connection continues to work.
 #[test]
 fn a_request_whose_coroutine_panics_is_answered() {
     let (controller_config, names) = crate::net::test_config();
@@ -80,7 +80,7 @@
     let store = StoreClient::new(None, registry.clone(), 4);
     let limiter = limiter(64);
     let frontend = Frontend::new(registry, executor, store, names, limiter, false, 48.0);
-    frontend.accepted(TcpStream::connect(address).unwrap(), address.ip());
+    frontend.handle_accepted(TcpStream::connect(address).unwrap(), address.ip());
     let connection = frontend
         .table
         .connections
@@ -112,7 +112,7 @@
             panic!("a fault that this test injects");
         }));
         assert!(failed.is_err());
-        assert_eq!(connection.open(), 0, "the request is no longer open");
+        assert_eq!(connection.open_count(), 0, "the request is no longer open");
         let answer = encode_reply("process", sequence, &Reply::Failed { fields: &[] });
         let mut received = vec![0; answer.len()];
         edge.read_exact(&mut received).unwrap();
@@ -120,16 +120,16 @@
     }
 }
 
-/// A request was removed before its answer was queued. A connection that was about to close looked
-/// done in between and closed without the answer, once in six runs of a suite. Both steps now
-/// happen under the lock of the open requests, so at any time the request is open or its answer is
-/// queued.
+/// Guards against a request that is removed before its reply is queued: in between, a closing
+/// connection counted as done and closed without the reply, in one of six runs of the test suite.
+/// Both steps are done under the lock of the open requests, so that at any time either the request
+/// is open or its reply is queued.
 #[test]
-fn a_connection_is_never_done_between_a_request_and_its_answer() {
+fn a_connection_is_not_done_between_a_request_and_its_reply() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = new_stream(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
     let connection = Connection::new(ConnectionId(0), stream.output.clone());
-    // The value is odd while an answer is due or queued.
+    // The value is odd while a reply is pending or queued.
     let step = AtomicUsize::new(0);
     std::thread::scope(|scope| {
         scope.spawn(|| {
@@ -156,7 +156,7 @@
             let after = step.load(Ordering::Acquire);
             assert!(
                 !(done && before == after && before % 2 == 1),
-                "done while an answer is due"
+                "done while a reply is pending"
             );
             if after == usize::MAX - 1 {
                 break;
