--- a/crates/server/src/net/connect.rs
+++ b/crates/server/src/net/connect.rs
@@ -1,4 +1,4 @@
-//! Opening connections from coroutines.
+//! Opening connections in coroutines.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,27 +12,28 @@
 
 use crate::clock;
 
-/// How long a connect may take.
+/// The time limit of a connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often a pending connect checks whether the connection is still wanted.
+/// How often a pending connect checks whether its connection is still wanted.
 const CONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Takes a socket over from the standard library.
+/// Converts a socket of the standard library to a stream of the coroutine runtime.
 pub(crate) fn adopt(socket: impl IntoRawFd) -> io::Result<TcpStream> {
     let fd = socket.into_raw_fd();
-    // Safe: the descriptor is owned here alone, and handed on at once. The runtime panics where the
-    // system has no memory to watch one more descriptor, and closes it; that is an error of this
-    // connection, and may not end the server.
+    // Safe: this function is the only owner of the descriptor and passes it on at once. The runtime
+    // panics and closes the descriptor if the system has no memory to watch it. That is an error of
+    // this connection only and may not end the server.
     std::panic::catch_unwind(|| unsafe { TcpStream::from_raw_fd(fd) })
         .map_err(|_| io::ErrorKind::OutOfMemory.into())
 }
 
-/// Connects, within `CONNECT_TIMEOUT` and only while the connection is wanted. The system would go
-/// on trying for two minutes: where a peer moves while a connect to its old address hangs, it would
-/// not be reached at its new one until then.
+/// Connects within `CONNECT_TIMEOUT`, and only while the connection is wanted. The system itself
+/// would try for two minutes: if a peer moved while a connect to its old address hangs, the client
+/// would not connect to the new address until then.
 ///
 /// # Errors
-/// The system's error, `TimedOut`, or an error of its own where the connection is no longer wanted.
+/// The error of the system, `TimedOut`, or an error that says that the connection is no longer
+/// wanted.
 pub(crate) fn connect(address: SocketAddr, is_wanted: impl Fn() -> bool) -> io::Result<TcpStream> {
     let stream = adopt(Socket::new(
         Domain::for_address(address),
@@ -40,7 +41,7 @@
         None,
     )?)?;
     let waker = Arc::new(stream.waker());
-    let end = Instant::now() + CONNECT_TIMEOUT;
+    let deadline = Instant::now() + CONNECT_TIMEOUT;
     loop {
         match SockRef::from(stream.inner()).connect(&address.into()) {
             Ok(()) => return Ok(stream),
@@ -53,7 +54,7 @@
         if !is_wanted() {
             return Err(io::Error::other("the connection is no longer wanted"));
         }
-        if end <= Instant::now() {
+        if deadline <= Instant::now() {
             return Err(io::ErrorKind::TimedOut.into());
         }
         clock::wake_at(Instant::now() + CONNECT_POLL_INTERVAL, &waker);
--- a/crates/server/src/net/executor/gauges.rs
+++ b/crates/server/src/net/executor/gauges.rs
@@ -1,10 +1,10 @@
-//! The executor's last reading of its gauges, for timers whose own reading is not received in time.
+//! The executor's last reading of its gauges, for timers that do not receive a new one in time.
 
 use std::time::{Duration, Instant};
 
 use crate::requests::Gauges;
 
-/// How long a reading is used in place of one that is not received.
+/// The maximum age at which a reading is used instead of a new one.
 pub(super) const MAX_GAUGES_AGE: Duration = Duration::from_millis(500);
 
 /// The last reading and when it was received.
@@ -12,18 +12,18 @@
 pub(super) struct LastGauges(Option<(Instant, Gauges)>);
 
 impl LastGauges {
-    /// Stores a reading that is received now.
+    /// Stores a reading that was received now.
     pub(super) fn set(&mut self, gauges: Gauges) {
         self.0 = Some((Instant::now(), gauges));
     }
 
-    /// The reading that counts now.
+    /// The reading that is valid now.
     pub(super) fn get(&self) -> Gauges {
         self.at(Instant::now())
     }
 
-    /// The reading that counts at `now`: none where the last one is old. While a link is broken, an
-    /// old reading of idle cores would have the controller admit more.
+    /// The reading that is valid at `now`; empty if the last one is older than `MAX_GAUGES_AGE`.
+    /// While a link is broken, an old reading of idle cores would make the controller admit more.
     pub(super) fn at(&self, now: Instant) -> Gauges {
         let recent = self
             .0
--- a/crates/server/src/net/executor/link.rs
+++ b/crates/server/src/net/executor/link.rs
@@ -1,5 +1,5 @@
-//! Links to the executor, one after the other: opening a link, reading from it, resynchronizing the
-//! runs on it, and leaving it when the executor moves.
+//! The link to the executor: opening it, reading from it, resynchronizing the runs, and replacing
+//! it after a failure or when the executor moves.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,13 +21,14 @@
 use crate::net::lines::Line;
 use crate::net::spawn;
 use crate::net::stream::{
-    BUFFER_FULL_PAUSE, BufferedStream, MAX_LINE_BUFFER_BYTES, Output, SendOutcome, protocol_error,
+    BUFFER_FULL_RETRY_INTERVAL, BufferedStream, MAX_LINE_BUFFER_BYTES, Output, SendOutcome,
+    protocol_error,
 };
 use crate::requests::{Bytes, Gauges, Outcome, RequestEvent, RequestId};
 
-/// The pause between two attempts to reach the executor.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
-/// How long a link that is left may take to confirm that everything sent over it has arrived.
+/// The pause between two attempts to open a link.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
+/// How long the executor may take, when it moves, to confirm everything sent over the old link.
 const FINAL_QUERY_TIMEOUT: Duration = Duration::from_millis(100);
 
 static REMARKS: LogLimit = LogLimit::new();
@@ -35,7 +36,7 @@
 static LINK_FAILURES: LogLimit = LogLimit::new();
 
 impl ExecutorClient {
-    /// Keeps a link open for good.
+    /// Keeps a link open; never returns.
     pub(crate) fn run(self: Arc<Self>) {
         loop {
             let address = self.address.get();
@@ -61,15 +62,14 @@
         }
     }
 
-    /// Serves a link from its opening to its end; ends without an error where the executor has
-    /// moved.
+    /// Serves a link until it ends. Returns without an error if the executor has moved.
     fn serve(self: &Arc<Self>, link: &mut BufferedStream, address: SocketAddr) -> io::Result<()> {
         let output = link.output.clone();
         let (last_notice, barrier) = {
             let mut state = self.state.lock();
             state.link = Some(output.clone());
-            // Commands on the link before may be lost with it, so the reply to this query confirms
-            // none of them.
+            // Commands that were sent over the previous link may be lost, so the reply to this
+            // query confirms none of them.
             (
                 state.notices.last(),
                 state.queries.open(Arc::new(Blocker::new(true)), false, 0),
@@ -79,11 +79,11 @@
         let mut final_query = None;
         loop {
             link.read_lines(has_body, |line| self.handle_line(line, barrier, &output))?;
-            // Nothing is sent over a link after its final query, so it is left even where the
-            // executor has moved back.
+            // No command is sent over a link after its final query, so the link is closed even if
+            // the executor has moved back.
             if final_query.is_some() || self.address.get() != address {
                 let tag = *final_query.get_or_insert_with(|| self.send_final_query(&output));
-                if tag.is_none_or(|tag| self.state.lock().queries.is_over(tag)) {
+                if tag.is_none_or(|tag| self.state.lock().queries.is_finished(tag)) {
                     return Ok(());
                 }
             }
@@ -91,9 +91,9 @@
         }
     }
 
-    /// Ends the sending over this link: commands wait for the next one. A final query for the
-    /// gauges has the executor confirm everything sent before, so that no outcome is unknown;
-    /// without a reply in time, the link is left all the same. Returns the tag of that query.
+    /// Stops sending commands over this link; they wait for the next link. A final query for the
+    /// gauges has the executor confirm everything sent before, so that no outcome is unknown. After
+    /// `FINAL_QUERY_TIMEOUT` the link is closed without the reply. Returns the tag of the query.
     fn send_final_query(self: &Arc<Self>, output: &Arc<Output>) -> Option<u64> {
         let mut state = self.state.lock();
         state.output.take()?;
@@ -112,7 +112,7 @@
         Some(tag)
     }
 
-    /// Routes a message of the executor. `barrier` is the tag of the query whose reply follows all
+    /// Handles a message of the executor. `barrier` is the tag of the query whose reply follows all
     /// missed notices.
     fn handle_line(
         self: &Arc<Self>,
@@ -122,31 +122,31 @@
     ) -> io::Result<()> {
         match Message::decode(line).map_err(protocol_error)? {
             Message::Booted(booted) => {
-                self.executor_up(&booted);
+                self.handle_booted(&booted);
                 output.send(&[Query::Gauges.encode(barrier).as_bytes()]);
             }
             Message::RunFinished(run) => {
-                if self.is_new(run.notice) {
-                    self.run_finished(run);
+                if self.record_notice(run.notice) {
+                    self.handle_run_finished(run);
                 }
             }
             Message::CallReached(call) => {
-                if self.is_new(call.notice) {
-                    self.call_reached(call);
+                if self.record_notice(call.notice) {
+                    self.handle_call_reached(call);
                 }
             }
             Message::Gauges { tag, values } => {
-                self.gauges_received(tag, values);
+                self.handle_gauges(tag, values);
                 if tag == barrier {
-                    self.barrier_passed(tag, output);
+                    self.handle_barrier_reply(tag, output);
                 }
             }
-            Message::Worked { tag, succeeded } => {
-                self.state.lock().answer(tag, Reply::Worked(succeeded));
+            Message::TestJob { tag, succeeded } => {
+                self.state.lock().answer(tag, Reply::TestJob(succeeded));
             }
-            Message::CommandRefused(refusal) => self.command_refused(&refusal, output),
+            Message::CommandRefused(refusal) => self.handle_command_refused(&refusal, output),
             Message::Remark { notice, words } => {
-                if self.is_new(notice) {
+                if self.record_notice(notice) {
                     log_remark(words);
                 }
             }
@@ -154,33 +154,34 @@
         Ok(())
     }
 
-    /// The executor is up; the first time, the controller starts.
-    fn executor_up(&self, booted: &Booted) {
+    /// Starts the controller when the executor is up for the first time.
+    fn handle_booted(&self, booted: &Booted) {
         if self.registry.start(booted.is_cold, booted.uptime) {
             let (state, uptime_ms) = (booted.state, booted.uptime.as_millis());
             log::info!("executor up state={state} uptime_ms={uptime_ms}");
         }
     }
 
-    fn gauges_received(&self, tag: u64, values: &[&str]) {
+    fn handle_gauges(&self, tag: u64, values: &[&str]) {
         let gauges = self.read_gauges(values);
         self.state.lock().answer(tag, Reply::Gauges(gauges));
     }
 
-    /// All missed notices were read: the runs are resynchronized.
-    fn barrier_passed(self: &Arc<Self>, tag: u64, output: &Arc<Output>) {
+    /// Resynchronizes the runs after all missed notices were read.
+    fn handle_barrier_reply(self: &Arc<Self>, tag: u64, output: &Arc<Output>) {
         self.state.lock().queries.close(tag);
-        // In a coroutine of its own, as this one must write what it sends.
+        // The commands are sent from a new coroutine, because this coroutine has to write them to
+        // the socket.
         let (client, output) = (self.clone(), output.clone());
         spawn(move || client.resync(&output));
     }
 
-    /// Whether a notice was not read before.
-    fn is_new(&self, notice: u64) -> bool {
-        self.state.lock().notices.is_new(notice)
+    /// Records a notice, and returns whether it was not read before.
+    fn record_notice(&self, notice: u64) -> bool {
+        self.state.lock().notices.record(notice)
     }
 
-    fn call_reached(&self, call: ReachedCall) {
+    fn handle_call_reached(&self, call: ReachedCall) {
         if let Some(run) = self.state.lock().runs.get_mut(call.id) {
             (run.delivery, run.call) = (Delivery::Confirmed, call.notice);
         }
@@ -191,7 +192,7 @@
         self.registry.report(call.id, event);
     }
 
-    fn run_finished(&self, run: FinishedRun) {
+    fn handle_run_finished(&self, run: FinishedRun) {
         let event = RequestEvent::RunFinished {
             outcome: run.outcome,
             result: run.result,
@@ -200,25 +201,25 @@
         self.end_run(run.id, event);
     }
 
-    /// Forgets a run, and reports how it has ended.
+    /// Removes a run, and reports its end.
     fn end_run(&self, id: &str, event: RequestEvent) {
         self.state.lock().runs.remove(id);
         self.registry.report(id, event);
     }
 
-    fn command_refused(&self, refusal: &Refusal, output: &Output) {
+    fn handle_command_refused(&self, refusal: &Refusal, output: &Output) {
         log_refusal(refusal.word, refusal.arguments);
         let Some(id) = refusal.id else { return };
         match refusal.command {
-            RefusedCommand::Start => self.start_refused(id),
+            RefusedCommand::Start => self.handle_start_refused(id),
             // The run still waits for its call, and no other command can resume it.
             RefusedCommand::Resume => drop(output.try_send(&[&Command::Cancel.encode(id)])),
             RefusedCommand::Other => {}
         }
     }
 
-    /// Nothing was run, so this is no failed run.
-    fn start_refused(&self, id: &str) {
+    /// Reports a run that was not started, which does not count as a failed run.
+    fn handle_start_refused(&self, id: &str) {
         let event = RequestEvent::RunFinished {
             outcome: Outcome::NotStarted,
             result: Bytes::default(),
@@ -237,8 +238,8 @@
         gauges
     }
 
-    /// Resynchronizes the runs once all missed notices were read from a link (`resync` has the
-    /// rule): reports those whose outcome is unknown, and sends commands again that may be lost.
+    /// Resynchronizes the runs once all missed notices were read from a link, as `resync` decides:
+    /// reports the runs whose outcome is unknown, and sends commands again that may be lost.
     pub(super) fn resync(&self, output: &Arc<Output>) {
         let Some(resync) = self.state.lock().activate(output) else {
             return;
@@ -262,12 +263,12 @@
     }
 
     /// Sends the last command for a run again, unless another coroutine has sent one since. Returns
-    /// false where the link has ended.
+    /// false if the link has ended.
     fn resend(&self, id: &RequestId, output: &Output) -> bool {
         loop {
-            // Under the lock, so that commands arrive in the order of their positions. A command
-            // that waits for space has no position yet: the reply to a query that overtook it would
-            // show it as arrived.
+            // The command is sent under the lock, so that commands arrive in the order of their
+            // positions. A command that waits for room has no position yet: a query could overtake
+            // it, and the reply would mark the command as arrived.
             let mut state = self.state.lock();
             let position = state.commands_sent + 1;
             let unsent = state
@@ -275,7 +276,7 @@
                 .get_mut(id)
                 .filter(|run| run.delivery == Delivery::NotSent);
             let Some(run) = unsent else { return true };
-            let (command, last_command) = run.repeated_command();
+            let (command, last_command) = run.command_to_resend();
             match output.try_send(&[&command.encode(id)]) {
                 SendOutcome::Full => {}
                 SendOutcome::Closed => return false,
@@ -286,7 +287,7 @@
                 }
             }
             drop(state);
-            clock::sleep(BUFFER_FULL_PAUSE);
+            clock::sleep(BUFFER_FULL_RETRY_INTERVAL);
         }
     }
 }
@@ -305,9 +306,9 @@
     }
 }
 
-/// The pause before the next attempt to open a link. A link that was up can be opened again at
-/// once, and so can one to an executor that has moved; after any other failure a pause keeps the
-/// attempts from taking the processor.
+/// The pause before the next attempt to open a link. After a link that was up, or a move of the
+/// executor, the next attempt follows at once. After any other failure, the pause keeps the
+/// attempts from using up the processor.
 fn reconnect_pause(was_up: bool, has_moved: bool) -> Option<Duration> {
-    (!was_up && !has_moved).then_some(RECONNECT_PAUSE)
+    (!was_up && !has_moved).then_some(RECONNECT_INTERVAL)
 }
--- a/crates/server/src/net/executor/mod.rs
+++ b/crates/server/src/net/executor/mod.rs
@@ -1,14 +1,14 @@
-//! The executor, the peer which runs requests: one link, kept open. A link that breaks is opened
-//! again from the last notice that was read; commands that may be lost are then sent again, where
-//! that is safe.
+//! The client of the executor, the peer that runs requests. It keeps one link open. After a break
+//! it opens a new link, which resumes after the last notice that was read, and sends commands again
+//! that may be lost, where that is safe.
 //!
 //! | file | job |
 //! | --- | --- |
 //! | `mod` | commands and queries |
-//! | `link` | opening a link, reading from it, and leaving it when the executor moves |
-//! | `state` | what is known of the link and of the runs on it |
-//! | `resync` | the rule by which a new link affects runs |
-//! | `notices` | the sequence of notices |
+//! | `link` | opening a link, reading from it, and closing it when the executor moves |
+//! | `state` | the state of the link and of the runs |
+//! | `resync` | the decision on each run when a new link is ready |
+//! | `notices` | the sequence numbers of notices |
 //! | `queries` | open queries |
 //! | `gauges` | the last reading of the gauges |
 //! | `protocol` | the messages on the wire |
@@ -35,18 +35,18 @@
 use self::queries::Reply;
 use self::resync::{Delivery, LastCommand, Run};
 use self::state::LinkState;
-use super::stream::{BUFFER_FULL_PAUSE, SendOutcome};
+use super::stream::{BUFFER_FULL_RETRY_INTERVAL, SendOutcome};
 use crate::clock;
 use crate::config::CurrentAddress;
 use crate::requests::{Bytes, ClassName, Gauges, RequestId, RequestRegistry};
 
-/// How long a timer waits for its gauges. While the executor hangs it sends none, and the
-/// controller learns that from a timer that is late. With a longer wait, a request could be
-/// answered after its deadline.
+/// How long a timer waits for its gauges. An executor that hangs sends none, and the controller
+/// detects that from a late timer. With a longer wait, a request could be answered after its
+/// deadline.
 const GAUGES_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// The client side of the link to the executor. It owns what was sent to the executor about each
-/// run.
+/// The client side of the link to the executor. It owns the state of each run: the last command and
+/// whether it has arrived.
 pub(crate) struct ExecutorClient {
     address: CurrentAddress<SocketAddr>,
     registry: Arc<RequestRegistry>,
@@ -57,7 +57,7 @@
 
 impl ExecutorClient {
     /// A client of the executor at `address`; [`ExecutorClient::run`] opens its link. `gauge_names`
-    /// are the gauges in the order in which the executor reports them.
+    /// are the names of the gauges in the order in which the executor reports them.
     pub(crate) fn new(
         address: SocketAddr,
         registry: Arc<RequestRegistry>,
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Moves the link to the address at which the executor listens from now on.
+    /// Moves the link to the new address of the executor.
     pub(crate) fn move_to(&self, address: SocketAddr) {
         if self.address.set(address)
             && let Some(link) = self.state.lock().link.clone()
@@ -81,20 +81,20 @@
         }
     }
 
-    /// Starts the run of a request, which may run `at_most_once` or any number of times.
+    /// Starts the run of a request. A request with `is_at_most_once` may not run a second time.
     pub(crate) fn start(
         &self,
         id: &RequestId,
         class: &ClassName,
         body: &Bytes,
-        at_most_once: bool,
+        is_at_most_once: bool,
     ) {
         self.send(id, &Command::Start { class, body }, |state, delivery| {
             let (class, body) = (class.clone(), body.clone());
             let run = Run {
                 class,
                 body,
-                at_most_once,
+                is_at_most_once,
                 last_command: LastCommand::Start,
                 delivery,
                 call: 0,
@@ -103,8 +103,8 @@
         });
     }
 
-    /// Cancels a run. The controller repeats the cancellation until the run has ended, so one that
-    /// is lost does no harm.
+    /// Cancels a run. The controller repeats the cancellation until the run has ended, so a lost
+    /// command does no harm.
     pub(crate) fn cancel(&self, id: &RequestId) {
         self.send(id, &Command::Cancel, |_, _| ());
     }
@@ -122,7 +122,7 @@
         });
     }
 
-    /// Resumes a run without the call that its notice of this number asked for.
+    /// Resumes a run without the call that the notice with this number requested.
     pub(crate) fn skip_call(&self, id: &RequestId, notice: u64) {
         self.send(id, &Command::SkipCall { notice }, |state, delivery| {
             if let Some(run) = state.runs.get_mut(id) {
@@ -131,8 +131,8 @@
         });
     }
 
-    /// The gauges now; where the executor does not answer in time, its last reading unless that is
-    /// old.
+    /// The current gauges. If the executor does not answer within `GAUGES_TIMEOUT`, its last
+    /// reading is used unless it is older than `MAX_GAUGES_AGE`.
     pub(crate) fn gauges(&self) -> Gauges {
         match self.query(Query::Gauges, GAUGES_TIMEOUT) {
             Some(Reply::Gauges(gauges)) => {
@@ -143,22 +143,26 @@
         }
     }
 
-    /// Whether the executor gets a piece of work done within that time.
-    pub(crate) fn does_work(&self, within: Duration) -> bool {
-        matches!(self.query(Query::Work, within), Some(Reply::Worked(true)))
+    /// Whether the executor completes a test job within that time.
+    pub(crate) fn completes_test_job(&self, within: Duration) -> bool {
+        matches!(
+            self.query(Query::TestJob, within),
+            Some(Reply::TestJob(true))
+        )
     }
 
-    /// Ends the waits for pieces of work: none of them counts as done.
-    pub(crate) fn abandon_work(&self) {
-        self.state.lock().queries.abandon_work();
+    /// Ends the waits for test jobs: none of them counts as completed.
+    pub(crate) fn abandon_test_jobs(&self) {
+        self.state.lock().queries.abandon_test_jobs();
     }
 
-    /// Sends a command, and has `record` note how far it has come. Without a link it is not sent;
+    /// Sends a command, and passes its delivery state to `record`. Without a link it is not sent;
     /// the next link sends it if its run is still open.
     fn send(&self, id: &str, command: &Command, record: impl FnOnce(&mut LinkState, Delivery)) {
         let bytes = command.encode(id);
         loop {
-            // Under the lock, so that commands arrive in the order of their positions.
+            // The command is sent under the lock, so that commands arrive in the order of their
+            // positions.
             let mut state = self.state.lock();
             match state
                 .output
@@ -173,7 +177,7 @@
                 }
             }
             drop(state);
-            clock::sleep(BUFFER_FULL_PAUSE);
+            clock::sleep(BUFFER_FULL_RETRY_INTERVAL);
         }
     }
 
@@ -183,11 +187,11 @@
             let mut state = self.state.lock();
             let output = state.output.clone()?;
             let commands_before = state.commands_sent;
-            let is_for_work = matches!(query, Query::Work);
+            let is_test_job = matches!(query, Query::TestJob);
             let tag = state
                 .queries
-                .open(waiter.clone(), is_for_work, commands_before);
-            // Where the buffer is full, the reply would be too late anyway.
+                .open(waiter.clone(), is_test_job, commands_before);
+            // With a full buffer, the reply would be too late anyway.
             if output.try_send(&[query.encode(tag).as_bytes()]) != SendOutcome::Queued {
                 state.queries.close(tag);
                 return None;
@@ -197,7 +201,7 @@
         let deadline = Instant::now() + within;
         loop {
             let mut state = self.state.lock();
-            if deadline <= Instant::now() || state.queries.is_over(tag) {
+            if deadline <= Instant::now() || state.queries.is_finished(tag) {
                 return state.queries.close(tag);
             }
             drop(state);
--- a/crates/server/src/net/executor/notices.rs
+++ b/crates/server/src/net/executor/notices.rs
@@ -1,12 +1,12 @@
-//! The sequence of notices: the executor numbers them from 1, keeps the last ones, and sends those
-//! again that a link has missed.
+//! The sequence of notices. The executor numbers notices from 1, keeps the most recent ones, and
+//! sends missed notices again on a new link.
 
-/// How far the notices were read.
+/// The position in the sequence of notices.
 #[derive(Default)]
 pub(super) struct NoticeSequence {
     last: u64,
-    /// A number was skipped: the executor no longer kept that notice, so a run whose end was not
-    /// read may have ended.
+    /// A number was skipped because the executor no longer kept that notice, so any run without a
+    /// notice of its end may have ended.
     has_gap: bool,
 }
 
@@ -16,15 +16,15 @@
         self.last
     }
 
-    /// Counts a notice, and returns whether it was not read before.
-    pub(super) fn is_new(&mut self, notice: u64) -> bool {
+    /// Records a notice, and returns whether it was not read before.
+    pub(super) fn record(&mut self, notice: u64) -> bool {
         let is_new = notice > self.last;
         self.has_gap |= notice > self.last + 1;
         self.last = self.last.max(notice);
         is_new
     }
 
-    /// Whether notices are missing since the last call.
+    /// Whether notices were skipped since the last call of this function.
     pub(super) fn take_gap(&mut self) -> bool {
         std::mem::take(&mut self.has_gap)
     }
--- a/crates/server/src/net/executor/protocol.rs
+++ b/crates/server/src/net/executor/protocol.rs
@@ -1,5 +1,5 @@
-//! The executor's protocol: commands as they are written, notices as they are read. The words of
-//! the protocol page appear here alone. A codec without I/O.
+//! The codec, without I/O, of the executor's protocol: it encodes commands and decodes notices.
+//! Only this module contains the words of the protocol.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 }
 
 impl Command<'_> {
-    /// The command for the run of the request `id`, as it is written.
+    /// Encodes the command for the run of the request `id`.
     pub(super) fn encode(&self, id: &str) -> Vec<u8> {
         match *self {
             Command::Start { class, body } => {
@@ -28,58 +28,58 @@
     }
 }
 
-/// The line that opens a link: notices after `last_notice` are sent again.
+/// The line that opens a link. The executor sends the notices after `last_notice` again.
 pub(super) fn open(last_notice: u64) -> String {
     line(format_args!("OPEN {last_notice}"))
 }
 
-/// A question to the executor, which it answers with the tag of the question.
+/// A query to the executor, which replies with the tag of the query.
 #[derive(Clone, Copy)]
 pub(super) enum Query {
-    /// What its gauges read.
+    /// The values of its gauges.
     Gauges,
-    /// Whether it gets a piece of work done.
-    Work,
+    /// A test job, to check that the executor works.
+    TestJob,
 }
 
 impl Query {
-    /// The query with this tag, as it is written.
+    /// Encodes the query with this tag.
     pub(super) fn encode(self, tag: u64) -> String {
         match self {
             Query::Gauges => line(format_args!("SYSINFO {tag}")),
-            Query::Work => line(format_args!("POST {tag}")),
+            Query::TestJob => line(format_args!("POST {tag}")),
         }
     }
 }
 
-/// Whether a body follows the line of these words.
+/// Whether a body follows the line with these words.
 pub(super) fn has_body(words: &[&str]) -> bool {
     matches!(words[0], "REAP" | "IOREQ")
 }
 
-/// A message of the executor. Notices are numbered; the other messages answer queries and commands.
+/// A message of the executor. Notices are numbered; other messages reply to queries or commands.
 pub(super) enum Message<'a> {
     /// The executor is up; the first message on a link.
     Booted(Booted<'a>),
     /// Notice: a run has ended.
     RunFinished(FinishedRun<'a>),
-    /// Notice: a run waits for a call.
+    /// Notice: a run waits for a dependency call.
     CallReached(ReachedCall<'a>),
     /// The reply to a query for the gauges.
     Gauges { tag: u64, values: &'a [&'a str] },
-    /// The reply to a piece of work.
-    Worked { tag: u64, succeeded: bool },
-    /// The executor has refused a command.
+    /// The reply to a test job.
+    TestJob { tag: u64, succeeded: bool },
+    /// The executor refused a command.
     CommandRefused(Refusal<'a>),
-    /// Notice: a text for the log.
+    /// Notice: a text of the executor, for the log.
     Remark { notice: u64, words: &'a [&'a str] },
 }
 
 /// The state of an executor that is up.
 pub(super) struct Booted<'a> {
-    /// It is warming up.
+    /// The executor is warming up.
     pub(super) is_cold: bool,
-    /// Its own word for its state.
+    /// Its state, as the executor names it.
     pub(super) state: &'a str,
     /// The time since its start.
     pub(super) uptime: Duration,
@@ -92,24 +92,24 @@
     /// The request.
     pub(super) id: &'a str,
     pub(super) outcome: Outcome,
-    /// How long the run took, where it is known.
+    /// How long the run took, if the executor states it.
     pub(super) work: Option<Duration>,
     pub(super) result: Bytes,
 }
 
-/// A call that a run waits for.
+/// A dependency call that a run waits for.
 pub(super) struct ReachedCall<'a> {
-    /// The number of the notice, which is also that of the call.
+    /// The number of the notice, which is also the number of the call.
     pub(super) notice: u64,
     /// The request.
     pub(super) id: &'a str,
     pub(super) body: Bytes,
 }
 
-/// A command that was refused.
+/// A command that the executor refused.
 pub(super) struct Refusal<'a> {
     pub(super) command: RefusedCommand,
-    /// The request, where the command names one.
+    /// The request, if the command names one.
     pub(super) id: Option<&'a str>,
     /// The word of the command, for the log.
     pub(super) word: &'a str,
@@ -117,27 +117,27 @@
     pub(super) arguments: &'a [&'a str],
 }
 
-/// Which command was refused, as far as that makes a difference.
+/// The kind of a refused command, as far as refusals are handled differently.
 pub(super) enum RefusedCommand {
     Start,
-    /// A reply, or a skipped call.
+    /// The reply to a call, or the skip of a call.
     Resume,
     Other,
 }
 
-/// A line that is not of the protocol.
+/// A line that is not a message of the protocol.
 #[derive(Debug, thiserror::Error)]
 #[error("no notice: {0:?}")]
-pub(super) struct NotANotice(Vec<String>);
+pub(super) struct InvalidMessage(Vec<String>);
 
 impl<'a> Message<'a> {
-    /// Decodes a message.
+    /// Decodes a line.
     ///
     /// # Errors
-    /// [`NotANotice`] where the line is not of the protocol.
-    pub(super) fn decode(line: &'a Line<'a>) -> Result<Self, NotANotice> {
+    /// [`InvalidMessage`] if the line is not a message of the protocol.
+    pub(super) fn decode(line: &'a Line<'a>) -> Result<Self, InvalidMessage> {
         Message::of(line)
-            .ok_or_else(|| NotANotice(line.words.iter().map(|&word| word.to_owned()).collect()))
+            .ok_or_else(|| InvalidMessage(line.words.iter().map(|&word| word.to_owned()).collect()))
     }
 
     fn of(line: &'a Line<'a>) -> Option<Self> {
@@ -167,7 +167,7 @@
                 tag: tag.parse().ok()?,
                 values: &line.words[2..],
             },
-            ["POSTED", tag, end] => Message::Worked {
+            ["POSTED", tag, end] => Message::TestJob {
                 tag: tag.parse().ok()?,
                 succeeded: end == "success",
             },
@@ -201,7 +201,7 @@
         "failure" => Outcome::Failed,
         "interrupted" => Outcome::Cancelled,
         "nothing" => Outcome::NotStarted,
-        // The run has ended in a way that this version does not know.
+        // The run has ended with an outcome that this version does not know.
         _ => Outcome::ConnectionLost,
     }
 }
--- a/crates/server/src/net/executor/queries.rs
+++ b/crates/server/src/net/executor/queries.rs
@@ -1,5 +1,5 @@
-//! Open queries to the executor, which it answers by their tags. A reply also shows that every
-//! command sent before its query has arrived.
+//! Open queries to the executor, which replies with the tag of the query. A reply also confirms
+//! that every command sent before the query has arrived.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,24 +8,24 @@
 
 use crate::requests::Gauges;
 
-/// What the executor replied.
+/// A reply of the executor.
 pub(super) enum Reply {
     Gauges(Gauges),
-    /// Whether a piece of work got done.
-    Worked(bool),
+    /// Whether a test job succeeded.
+    TestJob(bool),
 }
 
 struct OpenQuery {
     waiter: Arc<Blocker>,
-    /// It asks for a piece of work.
-    is_for_work: bool,
-    /// The number of commands that were sent before it.
+    /// The query is a test job.
+    is_test_job: bool,
+    /// The number of commands that were sent before the query.
     commands_before: u64,
     reply: Option<Reply>,
 }
 
-/// The open queries of one link. Each is closed by the coroutine that waits for it, or with its
-/// link.
+/// The open queries of one link. The coroutine that waits for a query closes it; all are closed
+/// when the link ends.
 #[derive(Default)]
 pub(super) struct Queries {
     open: HashMap<u64, OpenQuery>,
@@ -37,7 +37,7 @@
     pub(super) fn open(
         &mut self,
         waiter: Arc<Blocker>,
-        is_for_work: bool,
+        is_test_job: bool,
         commands_before: u64,
     ) -> u64 {
         self.last_tag += 1;
@@ -45,7 +45,7 @@
             self.last_tag,
             OpenQuery {
                 waiter,
-                is_for_work,
+                is_test_job,
                 commands_before,
                 reply: None,
             },
@@ -58,8 +58,7 @@
         self.open.remove(&tag).and_then(|query| query.reply)
     }
 
-    /// Stores a reply. Returns how many commands it shows to have arrived, unless its query is
-    /// closed.
+    /// Stores a reply. Returns the number of commands that it confirms, unless its query is closed.
     pub(super) fn answer(&mut self, tag: u64, reply: Reply) -> Option<u64> {
         let query = self.open.get_mut(&tag)?;
         query.reply = Some(reply);
@@ -67,22 +66,22 @@
         Some(query.commands_before)
     }
 
-    /// Whether a query is answered, or will not be.
-    pub(super) fn is_over(&self, tag: u64) -> bool {
+    /// Whether a query is answered or closed.
+    pub(super) fn is_finished(&self, tag: u64) -> bool {
         self.open
             .get(&tag)
             .is_none_or(|query| query.reply.is_some())
     }
 
-    /// Nobody waits any more for a piece of work to get done.
-    pub(super) fn abandon_work(&mut self) {
-        let abandoned = self.open.extract_if(|_, query| query.is_for_work);
+    /// Closes all test jobs: their coroutines stop waiting.
+    pub(super) fn abandon_test_jobs(&mut self) {
+        let abandoned = self.open.extract_if(|_, query| query.is_test_job);
         for (_, query) in abandoned {
             query.waiter.unpark();
         }
     }
 
-    /// The link has ended: none of its queries will be answered.
+    /// Closes all queries, because the link has ended and none of them will be answered.
     pub(super) fn abandon_all(&mut self) {
         for query in std::mem::take(&mut self.open).into_values() {
             query.waiter.unpark();
--- a/crates/server/src/net/executor/resync.rs
+++ b/crates/server/src/net/executor/resync.rs
@@ -1,23 +1,25 @@
-//! What becomes of each run when a link to the executor is replaced: the rule of resynchronization.
+//! Resynchronization: the decision on each run when a new link to the executor replaces the old
+//! one.
 //!
-//! The failure: a link breaks with commands and notices on their way. A command that was lost
-//! leaves its run waiting until its deadline; a command that is sent twice can run a request twice,
-//! or resume the wrong call. How it shows: requests that time out after each break of the link, and
-//! effects that happen twice.
+//! Failure: a link breaks with commands and notices in transit. A lost command leaves its run
+//! waiting until its deadline. A command that is sent twice can run a request twice, or resume the
+//! wrong call. The symptoms are requests that time out after each break of the link, and duplicate
+//! effects.
 //!
-//! The rule, once all missed notices are read:
-//! - What is known to have arrived is not sent again. A notice about a run confirms the last
-//!   command for it, and the reply to a query confirms each command before that query.
-//! - What may be lost is sent again. Starting a run that is running has no effect, and a skip names
-//!   its call. A reply could meet the next call of its run, so the call is skipped instead, which
-//!   has no effect where the reply has arrived.
-//! - Where notices are missing, because the executor keeps a limited number, a run whose end was
-//!   not read may have ended. Its outcome is unknown, and nothing is sent for it.
-//! - A run may end behind the notices that were read and before its start arrives again: it would
-//!   run a second time. For one that may run at most once and whose start was sent, the outcome is
-//!   unknown.
+//! The decision, after all missed notices are read:
+//! - A command that has arrived is not sent again. A notice about a run confirms the last command
+//!   for the run, and the reply to a query confirms all commands before the query.
+//! - A command that may be lost is sent again. Starting a run that is already running has no
+//!   effect, and the skip of a call names the call. A reply to a call could be taken as the reply
+//!   to the run's next call, so the call is skipped instead, which has no effect if the reply has
+//!   arrived.
+//! - If notices are missing, because the executor keeps a limited number, any run without a notice
+//!   of its end may have ended. Its outcome is unknown, and nothing is sent for it.
+//! - A run may end after the last notice that was read and before its start arrives again; it would
+//!   then run a second time. The outcome of a run that may run at most once and whose start may
+//!   have arrived is therefore unknown.
 //!
-//! The price: requests with an unknown outcome fail although their run may have succeeded.
+//! Cost: requests with an unknown outcome fail although their run may have succeeded.
 
 use super::protocol::Command;
 use crate::requests::{Bytes, ClassName};
@@ -27,73 +29,73 @@
     Start,
     SkipCall,
     Reply,
-    /// A reply that arrived from the store while there was no link.
+    /// A reply from the store that arrived while there was no link.
     UnsentReply(Bytes),
 }
 
-/// How far the last command for a run has come.
+/// The delivery state of the last command for a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Delivery {
     NotSent,
     /// Sent at this position among all commands.
     Sent(u64),
-    /// A notice shows that it has arrived.
+    /// A notice confirms that it has arrived.
     Confirmed,
 }
 
-/// A run that the executor was asked to start and whose end was not read.
+/// A run that was started and for which no end was read.
 pub(super) struct Run {
     pub(super) class: ClassName,
     pub(super) body: Bytes,
-    /// It may not run again, so a start that may have arrived is not sent again.
-    pub(super) at_most_once: bool,
+    /// The request may run at most once, so a start that may have arrived is not sent again.
+    pub(super) is_at_most_once: bool,
     pub(super) last_command: LastCommand,
     pub(super) delivery: Delivery,
-    /// The notice of the last call that it waited for; 0 before the first.
+    /// The notice of the last call that the run waited for; 0 before the first.
     pub(super) call: u64,
 }
 
-/// What becomes of a run when a new link is ready.
+/// The decision on a run when a new link is ready.
 #[derive(Debug, PartialEq)]
-pub(super) enum Fate {
-    /// Its last command has arrived.
+pub(super) enum ResyncDecision {
+    /// Nothing to do: its last command has arrived.
     Unchanged,
     /// Its last command is sent again.
     Resend,
-    /// It may have ended without its notice.
+    /// The run may have ended while its notice was lost, or could run a second time.
     OutcomeUnknown,
 }
 
-/// The inputs of the rule besides the run.
+/// The state of the link that the decision depends on.
 #[derive(Clone, Copy)]
-pub(super) struct ResyncFacts {
-    /// Commands up to this position are known to have arrived.
+pub(super) struct ResyncInputs {
+    /// All commands up to this position have arrived.
     pub(super) commands_arrived: u64,
-    /// Notices are missing that the executor no longer keeps.
-    pub(super) notices_are_missing: bool,
+    /// Notices are missing because the executor no longer keeps them.
+    pub(super) has_missing_notices: bool,
 }
 
 impl Run {
-    /// What becomes of this run.
-    pub(super) fn fate(&self, facts: ResyncFacts) -> Fate {
+    /// Decides on this run.
+    pub(super) fn decide(&self, inputs: ResyncInputs) -> ResyncDecision {
         let may_be_missing = matches!(
             self.delivery,
-            Delivery::Sent(position) if facts.commands_arrived < position
+            Delivery::Sent(position) if inputs.commands_arrived < position
         );
-        let start_may_run_twice =
-            may_be_missing && self.at_most_once && matches!(self.last_command, LastCommand::Start);
-        if facts.notices_are_missing || start_may_run_twice {
-            Fate::OutcomeUnknown
+        let start_may_run_twice = may_be_missing
+            && self.is_at_most_once
+            && matches!(self.last_command, LastCommand::Start);
+        if inputs.has_missing_notices || start_may_run_twice {
+            ResyncDecision::OutcomeUnknown
         } else if may_be_missing || self.delivery == Delivery::NotSent {
-            Fate::Resend
+            ResyncDecision::Resend
         } else {
-            Fate::Unchanged
+            ResyncDecision::Unchanged
         }
     }
 
-    /// The command that stands for the last one when it is sent again, and what the last command is
-    /// then.
-    pub(super) fn repeated_command(&self) -> (Command<'_>, LastCommand) {
+    /// The command that is sent to repeat the last one, and the new value of `last_command`.
+    pub(super) fn command_to_resend(&self) -> (Command<'_>, LastCommand) {
         match &self.last_command {
             LastCommand::Start => (
                 Command::Start {
--- a/crates/server/src/net/executor/resync_tests.rs
+++ b/crates/server/src/net/executor/resync_tests.rs
@@ -1,20 +1,20 @@
-//! The rule of resynchronization, at its thresholds.
+//! The decisions of resynchronization, at their thresholds.
 
-use super::{Delivery, Fate, LastCommand, ResyncFacts, Run};
+use super::{Delivery, LastCommand, ResyncDecision, ResyncInputs, Run};
 use crate::net::executor::protocol::Command;
 use crate::requests::{Bytes, ClassName};
 
-/// Commands up to the fifth have arrived, and no notice is missing.
-const FACTS: ResyncFacts = ResyncFacts {
+/// All commands up to the fifth have arrived, and no notice is missing.
+const INPUTS: ResyncInputs = ResyncInputs {
     commands_arrived: 5,
-    notices_are_missing: false,
+    has_missing_notices: false,
 };
 
-fn run(at_most_once: bool, last_command: LastCommand, delivery: Delivery) -> Run {
+fn run(is_at_most_once: bool, last_command: LastCommand, delivery: Delivery) -> Run {
     Run {
         class: ClassName::from("page"),
         body: Bytes::from(&b"run"[..]),
-        at_most_once,
+        is_at_most_once,
         last_command,
         delivery,
         call: 7,
@@ -22,50 +22,59 @@
 }
 
 #[test]
-fn a_command_is_sent_again_from_the_first_position_that_has_not_arrived() {
-    let start = |delivery| run(false, LastCommand::Start, delivery).fate(FACTS);
-    assert_eq!(start(Delivery::Confirmed), Fate::Unchanged);
-    assert_eq!(start(Delivery::Sent(5)), Fate::Unchanged);
-    assert_eq!(start(Delivery::Sent(6)), Fate::Resend);
-    assert_eq!(start(Delivery::NotSent), Fate::Resend);
+fn commands_after_the_last_confirmed_position_are_sent_again() {
+    let start = |delivery| run(false, LastCommand::Start, delivery).decide(INPUTS);
+    assert_eq!(start(Delivery::Confirmed), ResyncDecision::Unchanged);
+    assert_eq!(start(Delivery::Sent(5)), ResyncDecision::Unchanged);
+    assert_eq!(start(Delivery::Sent(6)), ResyncDecision::Resend);
+    assert_eq!(start(Delivery::NotSent), ResyncDecision::Resend);
 }
 
-/// A link that broke as such a run started had it run twice, when its start was sent again.
+/// Guards against a duplicate run: a link broke while an at-most-once run was starting, and its
+/// start was sent again.
 #[test]
-fn a_start_that_may_have_arrived_is_not_sent_again_where_its_request_runs_once() {
-    let once = |last_command, delivery| run(true, last_command, delivery).fate(FACTS);
+fn an_at_most_once_start_that_may_have_arrived_is_not_sent_again() {
+    let once = |last_command, delivery| run(true, last_command, delivery).decide(INPUTS);
     assert_eq!(
         once(LastCommand::Start, Delivery::Sent(6)),
-        Fate::OutcomeUnknown
+        ResyncDecision::OutcomeUnknown
+    );
+    assert_eq!(
+        once(LastCommand::Start, Delivery::Sent(5)),
+        ResyncDecision::Unchanged
+    );
+    assert_eq!(
+        once(LastCommand::Start, Delivery::NotSent),
+        ResyncDecision::Resend
+    );
+    assert_eq!(
+        once(LastCommand::SkipCall, Delivery::Sent(6)),
+        ResyncDecision::Resend
     );
-    assert_eq!(once(LastCommand::Start, Delivery::Sent(5)), Fate::Unchanged);
-    assert_eq!(once(LastCommand::Start, Delivery::NotSent), Fate::Resend);
-    assert_eq!(once(LastCommand::SkipCall, Delivery::Sent(6)), Fate::Resend);
 }
 
 #[test]
-fn the_outcome_of_every_run_is_unknown_where_notices_are_missing() {
-    let facts = ResyncFacts {
-        notices_are_missing: true,
-        ..FACTS
+fn missing_notices_make_the_outcome_of_every_run_unknown() {
+    let inputs = ResyncInputs {
+        has_missing_notices: true,
+        ..INPUTS
     };
     for delivery in [Delivery::NotSent, Delivery::Sent(5), Delivery::Confirmed] {
         let run = run(false, LastCommand::Reply, delivery);
-        assert_eq!(run.fate(facts), Fate::OutcomeUnknown);
+        assert_eq!(run.decide(inputs), ResyncDecision::OutcomeUnknown);
     }
 }
 
-/// Sent again, the reply could meet the next call of its run, and resume it with the reply to the
-/// call before.
+/// Guards against a reply that is sent again and taken as the reply to the run's next call.
 #[test]
-fn a_reply_that_may_have_arrived_is_replaced_by_a_skip_of_its_call() {
+fn a_reply_that_may_have_arrived_is_replaced_by_skipping_its_call() {
     let sent = run(false, LastCommand::Reply, Delivery::Sent(6));
-    let (command, last_command) = sent.repeated_command();
+    let (command, last_command) = sent.command_to_resend();
     assert!(matches!(command, Command::SkipCall { notice: 7 }));
     assert!(matches!(last_command, LastCommand::SkipCall));
     let reply = Bytes::from(&b"reply"[..]);
     let unsent = run(false, LastCommand::UnsentReply(reply), Delivery::NotSent);
-    let (command, last_command) = unsent.repeated_command();
+    let (command, last_command) = unsent.command_to_resend();
     assert!(matches!(command, Command::Reply(b"reply")));
     assert!(matches!(last_command, LastCommand::Reply));
 }
--- a/crates/server/src/net/executor/tests.rs
+++ b/crates/server/src/net/executor/tests.rs
@@ -1,4 +1,4 @@
-//! The state of the executor's link when links break, without an executor.
+//! The state of the link when links break, without an executor.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,10 +11,10 @@
 use crate::net::stream::{BufferedStream, MAX_LINE_BUFFER_BYTES};
 use crate::requests::{Bytes, ClassName, Gauges, RequestId, RequestRegistry};
 
-/// A broken link delivers no gauges, and idle cores would raise the admitted traffic. The last
-/// gauges stay in force for a while, and are unknown after that, but never idle.
+/// Guards against a broken link whose missing gauges count as idle cores, which would raise the
+/// admitted traffic. The last gauges stay valid up to `MAX_GAUGES_AGE` and are unknown after that.
 #[test]
-fn cores_are_not_idle_because_a_link_broke() {
+fn last_gauges_are_valid_up_to_their_maximum_age() {
     let (at, busy) = (
         Instant::now(),
         Gauges {
@@ -41,11 +41,11 @@
     )
 }
 
-/// The reply that completes the resynchronisation of a link may be handled after that link has
-/// ended. Commands were then sent to the dead link and lost until the next link broke. A link is
-/// now used only while it is the current one.
+/// Guards against the use of a link that has ended: the reply that completes its resynchronization
+/// may be handled after its end, and commands were then lost until the next link broke. A link is
+/// used only while it is the current one.
 #[test]
-fn a_link_that_has_ended_is_not_used() {
+fn an_ended_link_is_not_used() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let client = client(address);
@@ -76,21 +76,21 @@
     assert!(client.state.lock().output.is_none());
 }
 
-/// Commands that waited for room while a link was resynchronised already had their positions: the
-/// reply to a query that overtook them marked them as arrived, and they were never sent again. A
-/// command now gets its position when it enters the buffer. A start that may have arrived is sent
-/// again if its request is idempotent; otherwise its run counts as lost.
+/// Guards against lost commands: a command that waited for room during a resynchronization already
+/// had its position, so the reply to a query that overtook it marked it as arrived and it was never
+/// sent again. A command gets its position when it enters the buffer. A start that may have arrived
+/// is sent again if its request is idempotent; otherwise its run counts as lost.
 #[test]
-fn a_command_that_waits_for_room_has_no_position_and_an_at_most_once_start_is_not_resent() {
+fn a_command_waiting_for_room_has_no_position_and_an_at_most_once_start_is_not_resent() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let client = client(listener.local_addr().unwrap());
     let id = |at: u32| RequestId::from(format!("{at:016x}"));
-    let start = |at_most_once, delivery| {
+    let start = |is_at_most_once, delivery| {
         let (class, body) = (ClassName::from("page"), Bytes::from(&b"run"[..]));
         Run {
             class,
             body,
-            at_most_once,
+            is_at_most_once,
             last_command: LastCommand::Start,
             delivery,
             call: 0,
@@ -108,7 +108,8 @@
         let mut state = client.state.lock();
         (state.link, state.commands_sent, state.commands_arrived) =
             (Some(link.output.clone()), 7, 2);
-        // Starts that have arrived, may have arrived, were never sent, and are confirmed.
+        // Starts that have arrived, may have arrived (with and without at-most-once), were never
+        // sent, and are confirmed.
         let runs = [
             (false, Delivery::Sent(2)),
             (false, Delivery::Sent(3)),
@@ -136,7 +137,7 @@
                 buffer.consume(one);
             }
         }
-        // A command that still waits for room must not wait for ever.
+        // The close ends the wait of a command that still has no room.
         link.output
             .is_closed
             .store(true, std::sync::atomic::Ordering::Release);
@@ -152,7 +153,7 @@
         "{sent:?}"
     );
     let state = client.state.lock();
-    assert!(!state.runs.contains_key(&id(2)), "it counts as lost");
+    assert!(!state.runs.contains_key(&id(2)), "the run counts as lost");
     let deliveries = [0, 1, 3, 4].map(|at| state.runs[&id(at)].delivery);
     assert_eq!(
         deliveries,
--- a/crates/server/src/net/frontend/health.rs
+++ b/crates/server/src/net/frontend/health.rs
@@ -46,7 +46,7 @@
     /// the backlog need.
     pub(super) fn start_drain(&self) {
         self.is_draining.store(true, Ordering::Release);
-        self.executor.abandon_work();
+        self.executor.abandon_test_jobs();
     }
 
     /// Answers a shallow check at once, and starts a coroutine for a deep check.
@@ -87,6 +87,7 @@
     }
 
     fn executor_completes_test_job(&self) -> bool {
-        !self.is_draining.load(Ordering::Acquire) && self.executor.does_work(DEEP_CHECK_TIMEOUT)
+        !self.is_draining.load(Ordering::Acquire)
+            && self.executor.completes_test_job(DEEP_CHECK_TIMEOUT)
     }
 }
--- a/crates/server/src/net/frontend/request.rs
+++ b/crates/server/src/net/frontend/request.rs
@@ -185,7 +185,7 @@
             ..
         } = request;
         let id = incoming.id.clone();
-        let at_most_once = self.registry.runs_at_most_once(incoming.handler);
+        let is_at_most_once = self.registry.runs_at_most_once(incoming.handler);
         // If the clock was set back, the age is zero.
         incoming.age = unix_now().saturating_sub(arrived);
         // The wait in the request counts from its arrival.
@@ -209,7 +209,7 @@
             id,
             class,
             body,
-            at_most_once,
+            is_at_most_once,
         };
         if is_finished {
             run.execute_commands();
@@ -302,7 +302,7 @@
     id: RequestId,
     class: ClassName,
     body: Bytes,
-    at_most_once: bool,
+    is_at_most_once: bool,
 }
 
 impl Run {
@@ -320,7 +320,7 @@
             let Some(command) = self.ticket.next_command(call_deadline) else {
                 // The call has timed out. Unless it was never sent, it may have had its effect.
                 call_deadline = None;
-                let outcome = store.give_up(&self.id, calls);
+                let outcome = store.abandon_call(&self.id, calls);
                 registry.report(
                     &self.id,
                     RequestEvent::CallFinished {
@@ -332,7 +332,7 @@
             };
             match command {
                 Command::Start => {
-                    executor.start(&self.id, &self.class, &self.body, self.at_most_once);
+                    executor.start(&self.id, &self.class, &self.body, self.is_at_most_once);
                 }
                 Command::Cancel => executor.cancel(&self.id),
                 Command::StartCall { timeout, body } => {
@@ -354,7 +354,7 @@
         }
         // The request was finished while its call was in flight.
         if call_deadline.is_some() {
-            store.give_up(&self.id, calls);
+            store.abandon_call(&self.id, calls);
         }
     }
 
--- a/crates/server/src/net/lines.rs
+++ b/crates/server/src/net/lines.rs
@@ -1,10 +1,10 @@
-//! Lines of words that end in CR LF, some of them followed by a body. A codec without I/O.
+//! The codec, without I/O, of lines of words that end in CR LF; some lines are followed by a body.
 
 use std::fmt::Write;
 
-/// The bytes that end a line, and a body.
+/// The bytes that terminate a line or a body.
 const LINE_END: &[u8] = b"\r\n";
-/// The space reserved for a line that is written, in bytes; most lines are shorter.
+/// The space that is reserved to encode a line, in bytes; most lines are shorter.
 const USUAL_LINE_BYTES: usize = 64;
 /// The longest line without its body, in bytes.
 pub(crate) const MAX_LINE_BYTES: usize = 4096;
@@ -14,13 +14,13 @@
 /// Input that violates the protocol.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub(crate) enum LineError {
-    #[error("a line too long")]
+    #[error("a line is too long")]
     TooLong,
-    #[error("a line that is not text")]
+    #[error("a line is not UTF-8 text")]
     NotText,
-    #[error("an invalid length")]
+    #[error("the length of a body is invalid")]
     InvalidLength,
-    #[error("a body that does not end in CR LF")]
+    #[error("a body does not end in CR LF")]
     UnterminatedBody,
 }
 
@@ -29,15 +29,16 @@
 pub(crate) struct Line<'a> {
     pub(crate) words: Vec<&'a str>,
     pub(crate) body: &'a [u8],
-    /// The bytes of the input that line and body take.
+    /// The number of input bytes of the line and its body.
     pub(crate) used: usize,
 }
 
-/// The first line of the input, once the input holds all of it. `has_body` says, by the words of a
-/// line, whether a body follows; the last word is the body's length in bytes.
+/// Parses the first line of the input and its body. Returns `None` while the input does not hold
+/// all of it. `has_body` decides from the words of a line whether a body follows; the last word is
+/// then the length of the body in bytes.
 ///
 /// # Errors
-/// [`LineError`] where the input does not begin with a line.
+/// [`LineError`] if the input does not begin with a valid line.
 pub(crate) fn next(
     input: &[u8],
     has_body: impl Fn(&[&str]) -> bool,
@@ -85,7 +86,7 @@
     }))
 }
 
-/// A line of these words, ready to be written.
+/// Encodes a line of these words.
 pub(crate) fn line(words: std::fmt::Arguments) -> String {
     let mut text = String::with_capacity(USUAL_LINE_BYTES);
     let _ = text.write_fmt(words);
@@ -93,7 +94,7 @@
     text
 }
 
-/// A line of these words and the length of the body, followed by the body, ready to be written.
+/// Encodes a line of these words and the length of the body, followed by the body.
 pub(crate) fn line_with_body(words: std::fmt::Arguments, body: &[u8]) -> Vec<u8> {
     use std::io::Write;
 
--- a/crates/server/src/net/lines_tests.rs
+++ b/crates/server/src/net/lines_tests.rs
@@ -1,4 +1,4 @@
-//! Lines that are complete, truncated or malformed.
+//! Parsing of complete, truncated and malformed lines.
 
 use super::{LineError, MAX_LINE_BYTES, line, next};
 
@@ -7,9 +7,9 @@
 }
 
 quickcheck::quickcheck! {
-    /// A line that is truncated at any byte is incomplete; a complete one is read as it was
-    /// written, whatever follows.
-    fn a_line_is_read_completely_or_not_at_all(body: Vec<u8>, rest: Vec<u8>, cut: usize) -> bool {
+    /// A line that is truncated at any byte is incomplete. A complete line is parsed as it was
+    /// encoded, regardless of the bytes after it.
+    fn a_line_is_parsed_completely_or_not_at_all(body: Vec<u8>, rest: Vec<u8>, cut: usize) -> bool {
         let head = line(format_args!("REAP 7 9b1f success 3.5 {}", body.len()));
         let bytes = [head.as_bytes(), &body, b"\r\n"].concat();
         let part = &bytes[..cut % bytes.len()];
@@ -21,8 +21,8 @@
             && read.used == bytes.len()
     }
 
-    /// Any other bytes are rejected or incomplete, and nothing beyond them is read.
-    fn any_bytes_can_be_read(bytes: Vec<u8>) -> bool {
+    /// Arbitrary bytes are rejected, incomplete, or a line that ends within them.
+    fn arbitrary_bytes_cause_no_panic(bytes: Vec<u8>) -> bool {
         match next(&bytes, |_| true) {
             Ok(Some(read)) => read.used <= bytes.len(),
             _ => true,
--- a/crates/server/src/net/mod.rs
+++ b/crates/server/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Peers over sockets, a module each, and what they share.
+//! Connections to peers over sockets: a module for each peer, and shared modules.
 
 pub(crate) mod connect;
 pub(crate) mod executor;
@@ -13,13 +13,13 @@
 
 /// Starts a coroutine.
 pub(crate) fn spawn(body: impl FnOnce() + Send + 'static) {
-    // Safe where the body uses no thread-local storage across a switch and keeps to its stack, as
-    // all of ours do: buffers are on the heap, and nothing recurses but the bounded skipping of
-    // unknown fields.
+    // Safe if the body uses no thread-local storage across a switch and does not overflow its
+    // stack. All bodies in this program comply: buffers are on the heap, and the only recursion is
+    // the bounded skipping of unknown fields.
     drop(unsafe { coroutine::spawn(body) });
 }
 
-/// A small configuration for unit tests.
+/// A minimal configuration for unit tests.
 #[cfg(test)]
 pub(crate) fn test_config() -> (tulipgap::Config, tulipgap_settings::Names) {
     let settings = r#"{"classes":[{"name":"page","objective":1e3,"deadline":2e3,"worth":1.0,"effect":"pure"}],
--- a/crates/server/src/net/registration.rs
+++ b/crates/server/src/net/registration.rs
@@ -1,9 +1,9 @@
-//! Registration with the service registry, from which edge nodes learn of this backend.
+//! Registration with the service registry, which announces this backend to edge nodes.
 //!
-//! A datagram may be lost, and is not repeated by itself. A heartbeat that is lost is made good by
-//! the next one, sent every `HEARTBEAT_INTERVAL`; a deregistration has none that follows it, so it
-//! is sent `DEREGISTRATION_ATTEMPTS` times. Without either, edge nodes would not send to a backend
-//! that serves, or go on sending to one that has left.
+//! Datagrams may be lost, and no protocol layer repeats them. A lost heartbeat is compensated by
+//! the next one, which follows after `HEARTBEAT_INTERVAL`. No datagram follows a deregistration, so
+//! it is sent `DEREGISTRATION_ATTEMPTS` times. Without this redundancy, edge nodes would send no
+//! requests to a backend that serves, or continue to send requests to one that has left.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,17 +16,17 @@
 use crate::log::LogLimit;
 
 /// The interval of heartbeats. The service registry removes a backend 3 s after its last heartbeat.
-/// With a quarter of the datagrams lost, all 19 within 3 s are lost with a probability of 10^-11;
-/// at an interval of 700 ms it would be one in 256.
+/// If a quarter of the datagrams are lost, the probability that all 19 within 3 s are lost is
+/// 10^-11; at an interval of 700 ms it would be 1 in 256.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 /// How many times the deregistration is sent.
 const DEREGISTRATION_ATTEMPTS: usize = 3;
 
 static SEND_FAILURES: LogLimit = LogLimit::new();
 
-/// What the service registry is to be notified of.
+/// The registration state that this backend announces.
 pub(crate) enum Registration {
-    /// The executor has not started: nothing is sent.
+    /// The executor has not started: no datagram is sent.
     NotYet,
     /// This backend serves: heartbeats are sent.
     Serving,
@@ -34,8 +34,8 @@
     Deregister,
 }
 
-/// Sends heartbeats while `registration` returns [`Registration::Serving`]; deregisters once this
-/// backend drains, and returns.
+/// Sends heartbeats while `registration` returns [`Registration::Serving`]. Deregisters this
+/// backend and returns when it returns [`Registration::Deregister`].
 pub(crate) fn run(
     address: &CurrentAddress<Option<SocketAddr>>,
     name: &str,
@@ -67,7 +67,7 @@
     format!("announce {name} false")
 }
 
-/// Sends one datagram. A socket that fails is replaced with the next one.
+/// Sends one datagram. After a failure, the next call opens a new socket.
 fn send(socket: &mut Option<UdpSocket>, address: SocketAddr, text: &str) {
     let any: SocketAddr = if address.is_ipv4() {
         ([0, 0, 0, 0], 0).into()
@@ -79,7 +79,7 @@
         None => UdpSocket::bind(any)
             .and_then(|new| socket.insert(new).send_to(text.as_bytes(), address)),
     };
-    // `ConnectionRefused` says that the datagram before found no listener.
+    // `ConnectionRefused` means that an earlier datagram found no listener.
     if let Err(error) = sent
         && error.kind() != io::ErrorKind::ConnectionRefused
     {
--- a/crates/server/src/net/ring_buffer.rs
+++ b/crates/server/src/net/ring_buffer.rs
@@ -1,9 +1,9 @@
 //! The buffer of one direction of a connection. It grows as needed up to its bound, and frees its
-//! memory once it is empty.
+//! memory when it is empty.
 
 use std::io::{self, IoSlice, Read, Write};
 
-/// The smallest capacity of a buffer, in bytes.
+/// The minimum capacity of a buffer, in bytes. An empty buffer of this size is kept.
 const MIN_CAPACITY: usize = 4096;
 
 /// A bounded queue of bytes.
@@ -25,12 +25,12 @@
         }
     }
 
-    /// The number of bytes that it holds.
+    /// The number of bytes in the buffer.
     pub(crate) fn len(&self) -> usize {
         self.len
     }
 
-    /// Adds all parts; where they do not fit, adds nothing and returns false.
+    /// Adds all parts. If they do not fit, adds nothing and returns false.
     pub(crate) fn push(&mut self, parts: &[&[u8]]) -> bool {
         let more: usize = parts.iter().map(|part| part.len()).sum();
         if self.len + more > self.max_bytes {
@@ -47,7 +47,7 @@
         true
     }
 
-    /// Reads once from `source`; `None` means that there is no room.
+    /// Reads once from `source`. Returns `None` if there is no room.
     pub(crate) fn read_from(&mut self, source: &mut impl Read) -> io::Result<Option<usize>> {
         if self.len == self.bytes.len() {
             if self.len >= self.max_bytes {
@@ -66,7 +66,7 @@
         Ok(Some(read))
     }
 
-    /// Writes once to `sink`, in one call even where the bytes wrap around.
+    /// Writes to `sink` in one call, even if the bytes wrap around.
     pub(crate) fn write_to(&mut self, sink: &mut impl Write) -> io::Result<usize> {
         let first = self.len.min(self.bytes.len() - self.head);
         let parts = [
@@ -78,7 +78,7 @@
         Ok(written)
     }
 
-    /// All bytes, in one piece.
+    /// All bytes as one contiguous slice.
     pub(crate) fn contiguous(&mut self) -> &[u8] {
         if self.head + self.len > self.bytes.len() {
             self.bytes.rotate_left(self.head);
@@ -87,7 +87,7 @@
         &self.bytes[self.head..self.head + self.len]
     }
 
-    /// Drops this many bytes from the front, or all where there are fewer.
+    /// Drops `count` bytes from the front, or all if there are fewer.
     pub(crate) fn consume(&mut self, count: usize) {
         let count = count.min(self.len);
         self.len -= count;
--- a/crates/server/src/net/ring_buffer_tests.rs
+++ b/crates/server/src/net/ring_buffer_tests.rs
@@ -1,4 +1,4 @@
-//! The ring buffer compared with a plain queue.
+//! Comparison of the ring buffer with a plain queue.
 
 use std::collections::VecDeque;
 
--- a/crates/server/src/net/store/connection.rs
+++ b/crates/server/src/net/store/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the store, from its opening to its end.
+//! The coroutine of one connection to the store.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,20 +16,20 @@
 use crate::net::stream::{BufferedStream, protocol_error};
 use crate::requests::Bytes;
 
-/// The buffers of a connection, in bytes each way: one call, or one reply, and as much again for
-/// stray replies.
+/// The buffer of a connection in each direction, in bytes: one call or one reply, and the same size
+/// again for stray replies.
 const MAX_BUFFER_BYTES: usize = 2 * (MAX_LINE_BYTES + MAX_BODY_BYTES);
-/// Stray replies in a row that are ignored; with one more the connection closes.
+/// The number of consecutive stray replies that are ignored; the next one closes the connection.
 const MAX_STRAY_REPLIES: usize = 8;
 
 static CONNECTION_FAILURES: LogLimit = LogLimit::new();
 static STRAY_REPLIES: LogLimit = LogLimit::new();
 
 impl StoreClient {
-    /// Opens the connection with this id, serves its calls until it ends, and reports a call that
-    /// is lost with it.
+    /// Opens the connection with this id, serves its calls until it ends, and then reports a call
+    /// that was lost.
     pub(super) fn run(self: &Arc<Self>, address: SocketAddr, id: ConnectionId) {
-        // The connection is no longer wanted once its call is given up or the store has moved.
+        // The connection is no longer wanted once its call is abandoned or the store has moved.
         let is_wanted = || self.pool.lock().is_wanted(id) && self.address.get() == Some(address);
         let stream = connect(address, is_wanted);
         match &stream {
@@ -41,9 +41,9 @@
         let failed_call = {
             let mut pool = self.pool.lock();
             let failed_call = pool.remove(id);
-            // Its place in the pool is free for a call that is queued.
+            // The pool has room for another connection: open one for a queued call.
             if let Some(address) = self.address.get()
-                && let Some(call) = pool.next_waiting()
+                && let Some(call) = pool.pop_queued()
             {
                 self.open(&mut pool, address, call);
             }
@@ -61,7 +61,7 @@
 
     fn serve(&self, stream: TcpStream, id: ConnectionId) -> io::Result<()> {
         let mut link = BufferedStream::new(stream, MAX_BUFFER_BYTES, MAX_BUFFER_BYTES);
-        self.pool.lock().opened(id, &link.output);
+        self.pool.lock().handle_opened(id, &link.output);
         let mut stray_replies = 0;
         loop {
             let end = link.read_lines(has_body, |line| {
@@ -72,7 +72,11 @@
                 return Ok(());
             }
             if let Err(error) = end {
-                return if pool.failed(id) { Ok(()) } else { Err(error) };
+                return if pool.mark_failed(id) {
+                    Ok(())
+                } else {
+                    Err(error)
+                };
             }
             drop(pool);
             link.wait();
@@ -85,9 +89,12 @@
         id: ConnectionId,
         stray_replies: &mut usize,
     ) -> io::Result<()> {
-        let (request, outcome) = protocol::reply(line).map_err(protocol_error)?;
-        let received = self.pool.lock().received(id, request, self.address.get());
-        match received {
+        let (request, outcome) = protocol::decode_reply(line).map_err(protocol_error)?;
+        let ended_request = self
+            .pool
+            .lock()
+            .handle_reply(id, request, self.address.get());
+        match ended_request {
             Some(request) => {
                 *stray_replies = 0;
                 self.report(&request, outcome, Bytes::from(line.body));
--- a/crates/server/src/net/store/mod.rs
+++ b/crates/server/src/net/store/mod.rs
@@ -1,10 +1,10 @@
-//! The store, the dependency that runs call: a bounded pool of connections, each with one open call
-//! at a time. Idle connections are closed before the store closes them.
+//! The client of the store, the dependency that requests call while they run. It has a bounded pool
+//! of connections with one open call each, and closes idle connections before the store does.
 //!
 //! | file | job |
 //! | --- | --- |
-//! | `mod` | calls, and moving when the store moves |
-//! | `pool` | placing calls on connections |
+//! | `mod` | calls, and following the store to a new address |
+//! | `pool` | assigning calls to connections |
 //! | `connection` | the coroutine of one connection |
 //! | `protocol` | the messages on the wire |
 
@@ -27,16 +27,16 @@
 
 static CALL_TIMEOUTS: LogLimit = LogLimit::new();
 
-/// The client side of the store. It owns the connection pool; the end of each call is reported to
-/// the registry.
+/// The client of the store. It owns the connection pool, and reports the end of each call to the
+/// registry.
 pub(crate) struct StoreClient {
     address: CurrentAddress<Option<SocketAddr>>,
     registry: Arc<RequestRegistry>,
     max_connections: usize,
     pool: Mutex<ConnectionPool>,
-    /// Connections refused in a row.
+    /// The number of consecutive refused connections.
     refused_in_a_row: AtomicU32,
-    /// The zone's prober reports that the store is down: no call is attempted.
+    /// The prober of the zone reports that the store is down, so calls are not attempted.
     is_suspended: AtomicBool,
 }
 
@@ -62,23 +62,23 @@
         self.max_connections
     }
 
-    /// The address of the store; none without a store.
+    /// The address of the store, or `None` without a store.
     pub(crate) fn address(&self) -> Option<SocketAddr> {
         self.address.get()
     }
 
-    /// The number of connections that were refused in a row.
+    /// The number of consecutive refused connections.
     pub(crate) fn refused_in_a_row(&self) -> u32 {
         self.refused_in_a_row.load(Ordering::Relaxed)
     }
 
-    /// A health check has found the store listening.
+    /// Resets the count of refused connections after a successful connect or health check.
     pub(crate) fn health_check_succeeded(&self) {
         self.refused_in_a_row.store(0, Ordering::Relaxed);
     }
 
-    /// Suspends calls while the store is down, or resumes them. A suspended call fails without
-    /// being attempted.
+    /// Suspends calls while the store is down, or resumes them. While suspended, a call fails
+    /// without being attempted.
     pub(crate) fn set_suspended(&self, is_down: bool) {
         if self.is_suspended.swap(is_down, Ordering::AcqRel) != is_down {
             if is_down {
@@ -89,22 +89,22 @@
         }
     }
 
-    /// Moves to the address at which the store listens from now on: open calls get their replies
-    /// where they were made, and new ones go to the new address.
+    /// Moves to the new address of the store. Open calls get their replies on their connections,
+    /// and new calls go to the new address.
     pub(crate) fn move_to(&self, address: Option<SocketAddr>) {
         if self.address.set(address) {
             self.sweep();
         }
-        // Without a store, calls that wait for a connection fail.
+        // Without a store, queued calls fail.
         if address.is_none() {
-            let waiting = self.pool.lock().take_waiting();
-            for call in waiting {
+            let queued_calls = self.pool.lock().take_queued();
+            for call in queued_calls {
                 self.report(&call.request, Outcome::Unreachable, Bytes::default());
             }
         }
     }
 
-    /// Makes the call of this number of a request.
+    /// Makes a call of a request, whose position among the request's calls is `number`.
     pub(crate) fn call(
         self: &Arc<Self>,
         id: &RequestId,
@@ -122,7 +122,7 @@
         let call = Call {
             request: id.clone(),
             number,
-            bytes: protocol::call(id, timeout, body),
+            bytes: protocol::encode_call(id, timeout, body),
         };
         let mut pool = self.pool.lock();
         pool.close_idle(Some(address));
@@ -139,11 +139,11 @@
         spawn(move || client.run(address, connection));
     }
 
-    /// Gives up the call of this number of a request, and returns its outcome as far as it is
-    /// known. Its connection is closed, which cancels the call at the store, and keeps a late reply
-    /// from being taken for the reply to another call.
-    pub(crate) fn give_up(&self, id: &RequestId, number: usize) -> Outcome {
-        let outcome = self.pool.lock().give_up(id, number);
+    /// Abandons the call of a request with this number, and returns its outcome as far as it is
+    /// known. Closes the connection of the call: this cancels the call at the store, and a late
+    /// reply cannot be taken as the reply to another call.
+    pub(crate) fn abandon_call(&self, id: &RequestId, number: usize) -> Outcome {
+        let outcome = self.pool.lock().abandon_call(id, number);
         if outcome == pool::AbandonedCall::Unanswered
             && let Some(count) = CALL_TIMEOUTS.pass()
         {
@@ -152,7 +152,8 @@
         outcome.into()
     }
 
-    /// Closes connections that are idle for long, or that lead to an earlier address of the store.
+    /// Closes connections that have been idle for `IDLE_TIMEOUT`, and idle connections to an
+    /// earlier address of the store.
     pub(crate) fn sweep(&self) {
         let address = self.address.get();
         self.pool.lock().close_idle(address);
--- a/crates/server/src/net/store/pool.rs
+++ b/crates/server/src/net/store/pool.rs
@@ -1,9 +1,9 @@
-//! The pool: which connections are open, idle or busy with which call, and which calls wait.
+//! The connection pool: open, idle and busy connections, and queued calls.
 //!
-//! Each connection carries one call at a time, so that a malformed reply costs its own call only.
-//! Calls are placed by one rule, [`ConnectionPool::place`]: on the idle connection that was used
-//! last, or else on a new one while the pool has fewer than its limit, or else in the queue. A
-//! connection never carries two calls of the same request in a row ([`may_carry`]).
+//! Each connection carries one call at a time, so that a malformed reply affects only its own call.
+//! [`ConnectionPool::place`] assigns a call to the most recently used idle connection; without one,
+//! to a new connection while the pool is below its limit; otherwise the call is queued. A
+//! connection never carries two consecutive calls of the same request ([`may_carry`]).
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -13,30 +13,30 @@
 use crate::net::stream::{Output, SendOutcome};
 use crate::requests::{Outcome, RequestId};
 
-/// How long an idle connection is kept. The store closes connections that are idle for 10 s, or
-/// sooner, and a call that crosses such a close is lost; so they are closed here first.
+/// How long an idle connection is kept. The store closes connections that are idle for 10 s or
+/// less, and a call that crosses such a close is lost, so the pool closes them first.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The number of a connection; numbers are not reused.
+/// The id of a connection; ids are not reused.
 pub(super) type ConnectionId = u64;
 
-/// A call of a request. Its number is its position among all calls of that request.
+/// A call of a request. Its number is its position among the calls of the request.
 pub(super) struct Call {
     pub(super) request: RequestId,
     pub(super) number: usize,
     pub(super) bytes: Vec<u8>,
 }
 
-/// One connection, as the pool sees it; its coroutine owns the stream.
+/// The state of a connection in the pool; its coroutine owns the stream.
 struct PooledConnection {
-    /// Its output, once it is open.
+    /// Its output; `None` until the connection is open.
     output: Option<Arc<Output>>,
     address: SocketAddr,
     call: Option<Call>,
     /// The request of its last call.
     last_request: Option<RequestId>,
     last_used: Instant,
-    /// It is to close: its call was given up, it was idle, or the store has moved.
+    /// The connection is to close: its call was abandoned, it was idle, or the store has moved.
     is_closing: bool,
 }
 
@@ -49,39 +49,39 @@
     }
 }
 
-/// How far a call had come when it was given up.
+/// The state of a call when it was abandoned.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum AbandonedCall {
-    /// It had not left this process.
+    /// The call was not sent.
     NotSent,
-    /// It was sent and not answered.
+    /// The call was sent and not answered.
     Unanswered,
-    /// It was over.
-    Over,
+    /// The call had already ended.
+    Ended,
 }
 
 impl From<AbandonedCall> for Outcome {
     fn from(abandoned: AbandonedCall) -> Self {
         match abandoned {
             AbandonedCall::NotSent => Outcome::Unreachable,
-            AbandonedCall::Unanswered | AbandonedCall::Over => Outcome::TimedOut,
+            AbandonedCall::Unanswered | AbandonedCall::Ended => Outcome::TimedOut,
         }
     }
 }
 
 /// Where a call is placed.
 pub(super) enum Placement {
-    /// On this connection, which is open and idle.
+    /// On this open and idle connection.
     Idle(ConnectionId),
-    /// On a connection that is to be opened.
+    /// On a new connection.
     NewConnection,
     /// In the queue, until a connection is free.
     Queue,
 }
 
-/// Whether a connection may carry a call of `request`. A store that sends the reply to a call twice
-/// would otherwise have the second one taken for the reply to the next call of the same request:
-/// replies are told apart by the request alone. The price is another connection for that call.
+/// Whether a connection may carry a call of `request`. Replies carry only the id of the request. If
+/// the store sent the reply to a call twice, the second one would otherwise be taken as the reply
+/// to the next call of the same request. The cost is another connection for that call.
 fn may_carry(last_request: Option<&RequestId>, request: &RequestId) -> bool {
     last_request != Some(request)
 }
@@ -90,13 +90,13 @@
 #[derive(Default)]
 pub(super) struct ConnectionPool {
     connections: HashMap<ConnectionId, PooledConnection>,
-    /// Connections without a call, the one used last at the end.
+    /// Connections without a call, the most recently used one last.
     idle: Vec<ConnectionId>,
-    /// The connection on which a request's call is open.
+    /// The connection that carries a request's open call.
     open_calls: HashMap<RequestId, ConnectionId>,
     /// Calls for which no connection was free. Each open request has one call at a time, so the
     /// limit on open requests bounds the queue.
-    waiting: VecDeque<Call>,
+    queued: VecDeque<Call>,
     last_id: ConnectionId,
 }
 
@@ -117,8 +117,8 @@
         self.last_id
     }
 
-    /// Decides where a call of `request` is placed, in a pool of at most `max_connections`. A
-    /// connection that is chosen is no longer idle.
+    /// Decides where a call of `request` is placed, in a pool of at most `max_connections`. An idle
+    /// connection that is returned is removed from the idle ones.
     pub(super) fn place(&mut self, request: &RequestId, max_connections: usize) -> Placement {
         if let Some(connection) = self.take_idle(request) {
             Placement::Idle(connection)
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Takes the connection that was used last of those that may carry a call of `request`.
+    /// Takes the most recently used idle connection that may carry a call of `request`.
     fn take_idle(&mut self, request: &RequestId) -> Option<ConnectionId> {
         let is_suitable = |id: &ConnectionId| {
             let connection = &self.connections[id];
@@ -139,7 +139,7 @@
         Some(self.idle.remove(position))
     }
 
-    /// Gives an open connection without a call its next call.
+    /// Assigns a call to an open connection without a call.
     pub(super) fn assign(&mut self, id: ConnectionId, call: Call) {
         self.open_calls.insert(call.request.clone(), id);
         let Some(connection) = self.connections.get_mut(&id) else {
@@ -150,7 +150,8 @@
             .as_ref()
             .map(|output| output.try_send(&[&call.bytes]));
         connection.call = Some(call);
-        // Where the connection has ended or its buffer is full, its end reports the call as lost.
+        // If the connection has ended or its buffer is full, the call is reported as lost when the
+        // connection is removed.
         if added != Some(SendOutcome::Queued) {
             connection.close();
         }
@@ -158,32 +159,32 @@
 
     /// Queues a call until a connection is free.
     pub(super) fn enqueue(&mut self, call: Call) {
-        self.waiting.push_back(call);
+        self.queued.push_back(call);
     }
 
-    /// The call that waits longest.
-    pub(super) fn next_waiting(&mut self) -> Option<Call> {
-        self.waiting.pop_front()
+    /// Takes the call that has been queued longest.
+    pub(super) fn pop_queued(&mut self) -> Option<Call> {
+        self.queued.pop_front()
     }
 
-    /// All calls that wait.
-    pub(super) fn take_waiting(&mut self) -> VecDeque<Call> {
-        std::mem::take(&mut self.waiting)
+    /// Takes all queued calls.
+    pub(super) fn take_queued(&mut self) -> VecDeque<Call> {
+        std::mem::take(&mut self.queued)
     }
 
-    /// Gives up the call of this number of a request, and closes its connection.
-    pub(super) fn give_up(&mut self, request: &RequestId, number: usize) -> AbandonedCall {
-        let is_it = |call: &Call| call.request == *request && call.number == number;
-        if let Some(position) = self.waiting.iter().position(is_it) {
-            self.waiting.remove(position);
+    /// Abandons the call of a request with this number, and closes its connection.
+    pub(super) fn abandon_call(&mut self, request: &RequestId, number: usize) -> AbandonedCall {
+        let is_this_call = |call: &Call| call.request == *request && call.number == number;
+        if let Some(position) = self.queued.iter().position(is_this_call) {
+            self.queued.remove(position);
             return AbandonedCall::NotSent;
         }
         let id = self.open_calls.get(request).copied();
         let connection = id.and_then(|id| self.connections.get_mut(&id));
         let Some(connection) =
-            connection.filter(|connection| connection.call.as_ref().is_some_and(is_it))
+            connection.filter(|connection| connection.call.as_ref().is_some_and(is_this_call))
         else {
-            return AbandonedCall::Over;
+            return AbandonedCall::Ended;
         };
         connection.call = None;
         connection.close();
@@ -196,8 +197,8 @@
         }
     }
 
-    /// Closes connections that were idle for `IDLE_TIMEOUT`, and idle ones to another address than
-    /// `address`.
+    /// Closes connections that have been idle for `IDLE_TIMEOUT`, and idle connections to other
+    /// addresses than `address`.
     pub(super) fn close_idle(&mut self, address: Option<SocketAddr>) {
         let ConnectionPool {
             connections, idle, ..
@@ -222,8 +223,8 @@
             .is_some_and(|connection| !connection.is_closing)
     }
 
-    /// A connection is open: its first call is sent.
-    pub(super) fn opened(&mut self, id: ConnectionId, output: &Arc<Output>) {
+    /// Stores the output of a connection that has opened, and sends its first call.
+    pub(super) fn handle_opened(&mut self, id: ConnectionId, output: &Arc<Output>) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
@@ -233,19 +234,19 @@
         }
     }
 
-    /// The link of a connection has failed: nothing is given to it any more. Returns whether it was
-    /// idle; an idle one may be closed by the store at any time.
-    pub(super) fn failed(&mut self, id: ConnectionId) -> bool {
+    /// Marks a connection as failed, so that it gets no further call. Returns whether it was idle;
+    /// the store may close an idle connection at any time.
+    pub(super) fn mark_failed(&mut self, id: ConnectionId) -> bool {
         self.idle.retain(|&other| other != id);
         self.connections
             .get(&id)
             .is_none_or(|connection| connection.call.is_none())
     }
 
-    /// Takes a reply for a request on a connection, and gives the connection its next call.
-    /// `current` is the store's address now. Returns the request whose call the reply ends; none
-    /// where the reply is a duplicate, or no call is open for it.
-    pub(super) fn received(
+    /// Handles a reply on a connection, and assigns the connection its next call. `current` is the
+    /// current address of the store. Returns the request whose call has ended, or `None` if the
+    /// reply is a duplicate or belongs to no open call of this connection.
+    pub(super) fn handle_reply(
         &mut self,
         id: ConnectionId,
         request: &str,
@@ -256,17 +257,17 @@
         connection.last_used = Instant::now();
         connection.last_request = Some(call.request.clone());
         let stays = Some(connection.address) == current;
-        // The store has moved. The end of this connection opens a new one for a call that waits.
+        // The store has moved. When this connection ends, a new one is opened for a queued call.
         if !stays {
             connection.close();
         }
         self.open_calls.remove(&call.request);
         let next = self
-            .waiting
+            .queued
             .iter()
             .position(|next| may_carry(Some(&call.request), &next.request))
             .filter(|_| stays);
-        match next.and_then(|position| self.waiting.remove(position)) {
+        match next.and_then(|position| self.queued.remove(position)) {
             Some(next) => self.assign(id, next),
             None if stays => self.idle.push(id),
             None => {}
@@ -274,8 +275,8 @@
         Some(call.request)
     }
 
-    /// Removes a connection that has ended. Returns the request whose call is lost with it, and its
-    /// outcome.
+    /// Removes a connection that has ended. Returns the request whose call was lost, and the
+    /// outcome of the call.
     pub(super) fn remove(&mut self, id: ConnectionId) -> Option<(RequestId, Outcome)> {
         let connection = self.connections.remove(&id)?;
         let call = connection.call?;
--- a/crates/server/src/net/store/pool_tests.rs
+++ b/crates/server/src/net/store/pool_tests.rs
@@ -1,4 +1,4 @@
-//! Placing calls on the connections of the pool.
+//! Assigning calls to the connections of the pool.
 
 use std::net::SocketAddr;
 
@@ -21,13 +21,13 @@
 fn pool_with_idle_connection() -> ConnectionPool {
     let mut pool = ConnectionPool::default();
     let connection = pool.insert(address(), call("first"));
-    let received = pool.received(connection, "first", Some(address()));
-    assert_eq!(received.as_deref(), Some("first"));
+    let ended_request = pool.handle_reply(connection, "first", Some(address()));
+    assert_eq!(ended_request.as_deref(), Some("first"));
     pool
 }
 
 #[test]
-fn a_call_goes_to_an_idle_connection_then_to_a_new_one_then_to_the_queue() {
+fn a_call_uses_an_idle_connection_then_a_new_one_then_the_queue() {
     let mut pool = pool_with_idle_connection();
     let second = RequestId::from("second");
     assert!(matches!(pool.place(&second, 2), Placement::Idle(1)));
@@ -35,10 +35,10 @@
     assert!(matches!(pool.place(&second, 1), Placement::Queue));
 }
 
-/// Where the store sends a reply twice, the second one would be taken for the reply to the next
-/// call of its request.
+/// Guards against a store that sends a reply twice: the second one would be taken as the reply to
+/// the next call of the same request.
 #[test]
-fn a_connection_carries_no_two_calls_of_one_request_in_a_row() {
+fn a_connection_carries_no_consecutive_calls_of_one_request() {
     let mut pool = pool_with_idle_connection();
     let first = RequestId::from("first");
     assert!(matches!(pool.place(&first, 2), Placement::NewConnection));
@@ -48,8 +48,8 @@
     let connection = pool.insert(address(), call("first"));
     pool.enqueue(call("first"));
     pool.enqueue(call("second"));
-    pool.received(connection, "first", Some(address()));
-    let waiting = pool.take_waiting();
-    assert_eq!(waiting.len(), 1);
-    assert_eq!(&*waiting[0].request, "first");
+    pool.handle_reply(connection, "first", Some(address()));
+    let queued_calls = pool.take_queued();
+    assert_eq!(queued_calls.len(), 1);
+    assert_eq!(&*queued_calls[0].request, "first");
 }
--- a/crates/server/src/net/store/protocol.rs
+++ b/crates/server/src/net/store/protocol.rs
@@ -1,36 +1,36 @@
-//! The store's protocol: a call as it is written, a reply as it is read. A codec, no I/O.
+//! The codec, without I/O, of the store's protocol: it encodes calls and decodes replies.
 
 use std::time::Duration;
 
 use crate::net::lines::{Line, line_with_body};
 use crate::requests::Outcome;
 
-/// The line and body of a call.
-pub(super) fn call(id: &str, timeout: Duration, body: &[u8]) -> Vec<u8> {
+/// Encodes a call: its line and its body.
+pub(super) fn encode_call(id: &str, timeout: Duration, body: &[u8]) -> Vec<u8> {
     line_with_body(
         format_args!("CALL {id} {}", timeout.as_millis().max(1)),
         body,
     )
 }
 
-/// Whether a body follows the line of these words.
+/// Whether a body follows the line with these words.
 pub(super) fn has_body(words: &[&str]) -> bool {
     words.get(1) == Some(&"OK")
 }
 
-/// A line that is not of the protocol.
+/// A line that is not a reply of the protocol.
 #[derive(Debug, thiserror::Error)]
 #[error("no reply: {0:?}")]
-pub(super) struct NotAReply(Vec<String>);
+pub(super) struct InvalidReply(Vec<String>);
 
-/// The request that a reply is for, and how its call ended.
-pub(super) fn reply<'a>(line: &Line<'a>) -> Result<(&'a str, Outcome), NotAReply> {
+/// Decodes a reply: the request that it is for, and the outcome of its call.
+pub(super) fn decode_reply<'a>(line: &Line<'a>) -> Result<(&'a str, Outcome), InvalidReply> {
     match line.words[..] {
         [id, "OK", _] => Ok((id, Outcome::Succeeded)),
         [id, "BUSY" | "VOID"] => Ok((id, Outcome::Rejected)),
         [id, "ERR"] => Ok((id, Outcome::Failed)),
         [id, "LATE"] => Ok((id, Outcome::TimedOut)),
-        _ => Err(NotAReply(
+        _ => Err(InvalidReply(
             line.words.iter().map(|&word| word.to_owned()).collect(),
         )),
     }
--- a/crates/server/src/net/stream.rs
+++ b/crates/server/src/net/stream.rs
@@ -1,4 +1,4 @@
-//! A connection with a bounded buffer each way. All peers of a backend are connected by it.
+//! A connection with a bounded buffer in each direction, as used for all peers over TCP.
 
 use std::io;
 use std::net::Shutdown;
@@ -15,33 +15,36 @@
 use super::ring_buffer::RingBuffer;
 use crate::clock;
 
-/// The buffers of a peer whose protocol is lines, in bytes each way.
+/// The buffer of a connection with a line protocol in each direction, in bytes.
 pub(crate) const MAX_LINE_BUFFER_BYTES: usize = 256 * 1024;
-/// The pause of a coroutine that finds a full output buffer.
-pub(crate) const BUFFER_FULL_PAUSE: Duration = Duration::from_millis(5);
-/// How many times a connection that drains is checked for its peer's close: 1 s in all.
+/// The interval at which a coroutine tries again to add to a full output buffer.
+pub(crate) const BUFFER_FULL_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+/// How many times a draining connection is checked for the close of its peer: 1 s in total.
 const MAX_DRAIN_POLLS: usize = 200;
 /// The pause between two of these checks.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How many times a connection is checked whose output need only be sent: 20 ms in all.
+/// How many times a draining connection is checked if its output only has to be sent: 20 ms in
+/// total.
 const MAX_SEND_POLLS: usize = 4;
-/// What the FIN counts as among the bytes that are not acknowledged.
+/// The number of unacknowledged or unsent bytes that the FIN counts as.
 const FIN_BYTES: libc::c_int = 1;
 /// The request for the number of bytes that the system has not sent yet (linux/sockios.h).
 const SIOCOUTQNSD: libc::Ioctl = 0x894B;
-/// Reads of up to 4 KB whose bytes are dropped while a connection drains.
+/// The maximum number of reads, of up to 4 KB each, whose bytes are dropped while a connection
+/// drains.
 const MAX_DRAIN_READS: usize = 256;
-/// Reads after one check. The others wait until the peer has had time to read.
+/// The maximum number of reads between two checks, so that the peer has time to read replies before
+/// all reads are used up.
 const MAX_READS_PER_DRAIN_POLL: usize = MAX_DRAIN_READS / 8;
 
-/// The output of a connection. Any coroutine may add to it; the connection's own coroutine writes
-/// the bytes, so that what several add is written in one system call.
+/// The output of a connection. Any coroutine may add bytes; the connection's coroutine writes them,
+/// so that one system call writes the bytes of several coroutines.
 pub(crate) struct Output {
     pub(super) buffer: Mutex<RingBuffer>,
     waker: WaitIoWaker,
-    /// The connection's own coroutine runs and will write what is added, so it need not be woken.
+    /// The connection's coroutine is running and will write added bytes, so it need not be woken.
     is_in_turn: AtomicBool,
-    /// Bytes were added since that coroutine wrote last.
+    /// Bytes were added since the connection's coroutine last wrote.
     has_new_bytes: AtomicBool,
     pub(super) is_closed: AtomicBool,
 }
@@ -49,19 +52,18 @@
 /// How far the output of a connection has to get before its socket may be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DrainTarget {
-    /// The peer has closed its side, so that its program has read everything, or it has had a
-    /// second for that.
+    /// The peer has closed its side, so its program has read everything, or one second has passed.
     PeerClosed,
-    /// The peer's system has acknowledged everything: it keeps that for its program, whatever comes
-    /// behind it.
+    /// The peer's system has acknowledged everything. It keeps the bytes for its program, whatever
+    /// arrives after them.
     Acknowledged,
-    /// Everything is sent, or has waited for room at the peer for 20 ms. The system sends the rest,
-    /// and sends again what is lost on the way, unless the peer sends something behind the close:
-    /// the reset that answers it ends that.
+    /// Everything is sent, or has waited for room at the peer for 20 ms. After the close, the
+    /// system still sends the rest and retransmits lost packets, unless the peer sends further
+    /// bytes: the system then resets the connection and drops the rest.
     Sent,
 }
 
-/// What became of bytes that were to be sent.
+/// The result of adding bytes to an output buffer.
 #[derive(PartialEq)]
 pub(crate) enum SendOutcome {
     Queued,
@@ -85,56 +87,57 @@
         SendOutcome::Queued
     }
 
-    /// Queues all parts, waiting while there is no room; false once the connection has closed.
+    /// Queues all parts, and waits while there is no room. Returns false if the connection has
+    /// closed.
     pub(crate) fn send(&self, parts: &[&[u8]]) -> bool {
         loop {
             match self.try_send(parts) {
-                SendOutcome::Full => clock::sleep(BUFFER_FULL_PAUSE),
+                SendOutcome::Full => clock::sleep(BUFFER_FULL_RETRY_INTERVAL),
                 outcome => return outcome == SendOutcome::Queued,
             }
         }
     }
 
-    /// The connection's own coroutine begins a turn: until its end it is not woken for bytes that
-    /// are added. One that wakes itself by its replies would never wait, and the worker polls the
-    /// other sockets only once nothing runs.
+    /// Begins a turn of the connection's coroutine: until the end of the turn, added bytes do not
+    /// wake it. A coroutine that wakes itself with its own replies would never wait, and the worker
+    /// thread polls other sockets only when no coroutine is ready to run.
     pub(crate) fn begin_turn(&self) {
         self.is_in_turn.store(true, Ordering::SeqCst);
     }
 
-    /// The turn ends. Returns whether bytes were added that were not written yet: nobody was woken
-    /// for them.
+    /// Ends the turn. Returns whether bytes were added that are not written yet; the coroutine was
+    /// not woken for these bytes.
     pub(crate) fn end_turn(&self) -> bool {
         self.is_in_turn.store(false, Ordering::SeqCst);
         self.has_new_bytes.load(Ordering::SeqCst)
     }
 
-    /// Wakes the connection's own coroutine.
+    /// Wakes the connection's coroutine.
     pub(crate) fn wake(&self) {
         self.waker.wakeup();
     }
 
-    /// Bytes that wait to be written.
+    /// The number of bytes that are not written yet.
     pub(crate) fn buffered_bytes(&self) -> usize {
         self.buffer.lock().len()
     }
 }
 
-/// A connection, as its own coroutine sees it.
+/// A connection and its buffers, owned by its coroutine.
 pub(crate) struct BufferedStream {
     stream: TcpStream,
-    /// What is to be written; shared with other coroutines.
+    /// The output buffer, shared with other coroutines.
     pub(crate) output: Arc<Output>,
-    /// What was read and not consumed.
+    /// The bytes that were read and not consumed.
     pub(crate) input: RingBuffer,
-    /// The peer has sent everything that it will.
+    /// The peer has closed its side: it sends nothing more.
     pub(crate) is_read_closed: bool,
 }
 
 impl BufferedStream {
     /// A stream with buffers of at most these sizes, in bytes.
     pub(crate) fn new(stream: TcpStream, max_input_bytes: usize, max_output_bytes: usize) -> Self {
-        // A socket without this option works, with longer delays.
+        // Without this option the socket works, but with longer delays.
         let _ = stream.set_nodelay(true);
         let output = Output {
             buffer: Mutex::new(RingBuffer::new(max_output_bytes)),
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Writes what waits, as far as the socket takes it without blocking.
+    /// Writes the buffered output, as far as the socket accepts it without blocking.
     pub(crate) fn flush(&mut self) -> io::Result<()> {
         let mut buffer = self.output.buffer.lock();
         self.output.has_new_bytes.store(false, Ordering::SeqCst);
@@ -167,7 +170,7 @@
         Ok(())
     }
 
-    /// Reads once, and returns whether there may be more to read at once.
+    /// Reads once, and returns whether more bytes may be available at once.
     pub(crate) fn read(&mut self) -> io::Result<bool> {
         if self.is_read_closed {
             return Ok(false);
@@ -185,15 +188,15 @@
         }
     }
 
-    /// Writes what waits, and hands all lines that were received to `take`.
+    /// Writes the buffered output, and passes all received lines to `handle_line`.
     ///
     /// # Errors
-    /// The first error of the connection, its protocol or `take`; `UnexpectedEof` once the peer has
-    /// closed.
+    /// The first error of the connection, the protocol or `handle_line`; `UnexpectedEof` once the
+    /// peer has closed its side.
     pub(crate) fn read_lines(
         &mut self,
         has_body: impl Fn(&[&str]) -> bool,
-        mut take: impl FnMut(&Line) -> io::Result<()>,
+        mut handle_line: impl FnMut(&Line) -> io::Result<()>,
     ) -> io::Result<()> {
         self.flush()?;
         while self.read()? {
@@ -201,7 +204,7 @@
                 lines::next(self.input.contiguous(), &has_body).map_err(protocol_error)?
             {
                 let used = line.used;
-                take(&line)?;
+                handle_line(&line)?;
                 self.input.consume(used);
             }
         }
@@ -212,34 +215,33 @@
         }
     }
 
-    /// Whether the peer's system has not acknowledged all that was written: a reset would drop the
-    /// rest. False where the system does not tell.
+    /// Whether the peer's system has not acknowledged all written bytes; a reset would drop the
+    /// rest. False if the system does not report it.
     pub(crate) fn has_unacknowledged_output(&self) -> bool {
         self.unacknowledged_bytes().is_some_and(|bytes| bytes > 0)
     }
 
-    /// The bytes written that the peer's system has not acknowledged; none where the system does
-    /// not tell.
+    /// The number of written bytes that the peer's system has not acknowledged, or `None` if the
+    /// system does not report it.
     fn unacknowledged_bytes(&self) -> Option<libc::c_int> {
         self.output_bytes(libc::TIOCOUTQ)
     }
 
-    /// The bytes written that the system has not sent, as the peer has no room for them; none where
-    /// the system does not tell.
+    /// The number of written bytes that the system has not sent because the peer has no room for
+    /// them, or `None` if the system does not report it.
     fn unsent_bytes(&self) -> Option<libc::c_int> {
         self.output_bytes(SIOCOUTQNSD)
     }
 
     fn output_bytes(&self, request: libc::Ioctl) -> Option<libc::c_int> {
         let mut bytes: libc::c_int = 0;
-        // Safe: the descriptor is open as long as the stream is, and the call writes that one
-        // integer.
+        // Safe: the descriptor is open as long as the stream is, and the call writes one integer.
         let result = unsafe { libc::ioctl(self.stream.as_raw_fd(), request, &mut bytes) };
         (result == 0).then_some(bytes)
     }
 
-    /// Whether the output has got so far, with the FIN behind it. False where the system does not
-    /// tell.
+    /// Whether the output, except for the FIN after it, has reached the target. False if the system
+    /// does not report it.
     fn has_reached(&self, target: DrainTarget) -> bool {
         let left = match target {
             DrainTarget::PeerClosed => None,
@@ -249,10 +251,9 @@
         left.is_some_and(|bytes| bytes <= FIN_BYTES)
     }
 
-    /// Lets the peer get all that was written before this side closes: what it still sends is read
-    /// and dropped, because the system resets a socket that is closed with bytes unread, and the
-    /// reset drops replies on their way. `target` tells how far they have to get, and is asked
-    /// again after each pause.
+    /// Waits until the written bytes have reached `target`, before this side closes. Input of the
+    /// peer is read and dropped, because the system resets a connection that is closed with unread
+    /// input, and the reset drops replies in transit. `target` is called again after each pause.
     pub(crate) fn drain_before_close(&mut self, target: impl Fn() -> DrainTarget) {
         let _ = self.stream.shutdown(Shutdown::Write);
         let mut reads = 0;
@@ -269,8 +270,9 @@
             if self.is_read_closed {
                 return;
             }
-            // A peer that goes on sending has had time to read. What is left unread of it resets
-            // the socket, which drops all that its system has not acknowledged.
+            // A peer that still sends after `MAX_DRAIN_READS` reads has had time to read its
+            // replies. Its unread input causes a reset at the close, which drops all output that
+            // its system has not acknowledged.
             let target = match reads >= MAX_DRAIN_READS {
                 true => DrainTarget::Acknowledged,
                 false => target(),
@@ -292,16 +294,16 @@
 impl Drop for BufferedStream {
     fn drop(&mut self) {
         self.output.is_closed.store(true, Ordering::Release);
-        // An error says that it is closed already.
+        // An error means that the socket is already closed.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
 
-/// The error of a peer that violates its protocol.
+/// The error of a connection whose peer violates the protocol.
 pub(crate) fn protocol_error(
-    what: impl Into<Box<dyn std::error::Error + Send + Sync>>,
+    error: impl Into<Box<dyn std::error::Error + Send + Sync>>,
 ) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, what)
+    io::Error::new(io::ErrorKind::InvalidData, error)
 }
 
 #[cfg(test)]
