--- a/crates/server/src/net/frontend/backlog.rs
+++ b/crates/server/src/net/frontend/backlog.rs
@@ -6,7 +6,7 @@
 //! program has a whole core and no run occupies a slot:
 //!
 //! - With enough time, a connection keeps its slot until the peer's system has acknowledged all
-//!   replies, which takes up to [`SLOT_TURNOVER_TIME`] for each round of the slots.
+//!   replies, within [`SLOT_TURNOVER_TIME`] for each round of the slots.
 //! - Otherwise it keeps its slot until all replies are sent. The time to read and to answer
 //!   remains: [`CONNECTION_TIME`] for each connection and [`REQUEST_TIME`] for each request. The
 //!   number of requests in the backlog is not known; the bound assumes the maximum for each
--- a/crates/server/src/requests/idempotency.rs
+++ b/crates/server/src/requests/idempotency.rs
@@ -1,12 +1,16 @@
-//! Idempotency keys: with which response duplicates of a keyed request are answered, and for how
-//! long.
+//! Idempotency keys: the response that duplicates of a keyed request get, and the time for which a
+//! key is remembered.
 //!
-//! The failure: a caller whose reply is lost sends its request again, and the request has its
-//! effect twice. The guard: the controller has a key remembered for a retention; a request with
-//! that key that reached the machine within it is a duplicate, and gets the response of the first.
-//! A request may be read up to the longest client timeout after it reached the machine, so the
-//! entry is kept that much longer. The price is the memory for keys and results. The controller's
-//! memory rule counts a key only until its retention is over, not for that longer time.
+//! Failure: a caller whose reply is lost sends its request again, and the request has its effect
+//! twice.
+//!
+//! Protection: the controller has the registry remember a key for a retention time. A request with
+//! that key that reached the machine within the retention is a duplicate, and gets the response to
+//! the first one. A request may be read up to the longest client timeout after it reached the
+//! machine, so the entry is kept for that much longer.
+//!
+//! Cost: the memory for keys and results. The controller's memory limit counts a key only until the
+//! end of its retention, although the entry is kept longer.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -16,51 +20,53 @@
 
 /// One remembered key.
 struct KeyEntry {
-    /// A request that reaches the machine later is no duplicate.
-    window_ends_at: Duration,
-    /// When the entry may be removed: after the window by the longest delay of a read.
+    /// The end of the retention. A request that reaches the machine later is not a duplicate.
+    retention_ends_at: Duration,
+    /// When the entry may be removed: `max_read_delay` after the end of the retention.
     expires_at: Duration,
     /// The hash of the body of the request that holds the key.
     body_hash: u64,
-    /// The request that holds the key, while it is open.
+    /// The request that owns the key, while it is open.
     owner: Option<usize>,
     response: Option<Response>,
-    /// Open duplicates that wait for the response.
+    /// Open duplicates that wait for the response to the owner.
     coalesced: Vec<usize>,
 }
 
 impl KeyEntry {
-    /// Whether a request that reached the machine at that time is a duplicate. While a request of
-    /// this key is open, every further one is.
+    /// Whether a request that reached the machine at `arrived_at` is a duplicate. While a request
+    /// with this key is open, every further one is a duplicate.
     fn covers(&self, arrived_at: Duration) -> bool {
-        arrived_at < self.window_ends_at || self.owner.is_some() || !self.coalesced.is_empty()
+        arrived_at < self.retention_ends_at || self.owner.is_some() || !self.coalesced.is_empty()
     }
 }
 
-/// The keys that are remembered. Their number is bounded by the requests that the controller admits
-/// within a retention; every entry expires.
+/// The remembered keys. Every entry expires, so their number is bounded by the requests that the
+/// controller admits within a retention.
 pub(super) struct IdempotencyKeys {
     entries: HashMap<IdempotencyKey, KeyEntry>,
-    /// The expiries in their order, so that expiring visits due entries only.
+    /// The keys in the order of their expiry, so that `expire` visits only keys that are due.
     expiries: BTreeSet<(Duration, IdempotencyKey)>,
-    /// How long after it reached the machine a request may be read and still be run.
+    /// How long after its arrival at the machine a request may be read and still be run.
     max_read_delay: Duration,
-    /// Keys whose coalesced requests are to be answered, if there is a response.
-    settled: Vec<IdempotencyKey>,
+    /// Keys whose coalesced requests can be answered if the key has a response.
+    keys_to_answer: Vec<IdempotencyKey>,
 }
 
 impl IdempotencyKeys {
-    /// No keys. A request may be read up to `max_read_delay` after it reached the machine.
+    /// Creates an empty set of keys. A request may be read up to `max_read_delay` after it reached
+    /// the machine.
     pub(super) fn new(max_read_delay: Duration) -> Self {
         IdempotencyKeys {
             entries: HashMap::new(),
             expiries: BTreeSet::new(),
             max_read_delay,
-            settled: Vec::new(),
+            keys_to_answer: Vec::new(),
         }
     }
 
-    /// The body hash of the remembered request that a request with this key duplicates, if it does.
+    /// The body hash of the first request with this key, if a request that reached the machine at
+    /// `arrived_at` is a duplicate of it.
     pub(super) fn duplicated_body(
         &self,
         key: Option<&IdempotencyKey>,
@@ -72,7 +78,7 @@
             .map(|entry| entry.body_hash)
     }
 
-    /// Remembers a key for `retention` from now; `owner` is the request that holds it.
+    /// Remembers the key of the request `owner` for `retention` from now.
     pub(super) fn remember(
         &mut self,
         key: IdempotencyKey,
@@ -81,11 +87,11 @@
         now: Duration,
         retention: Duration,
     ) {
-        let window_ends_at = now.saturating_add(retention);
-        let expires_at = window_ends_at.saturating_add(self.max_read_delay);
+        let retention_ends_at = now.saturating_add(retention);
+        let expires_at = retention_ends_at.saturating_add(self.max_read_delay);
         self.expiries.insert((expires_at, key.clone()));
         let entry = KeyEntry {
-            window_ends_at,
+            retention_ends_at,
             expires_at,
             body_hash,
             owner: Some(owner),
@@ -99,43 +105,44 @@
         );
     }
 
-    /// Lets a duplicate wait for the response to the request that holds the key.
+    /// Adds a duplicate that waits for the response to the owner of the key.
     pub(super) fn coalesce(&mut self, key: IdempotencyKey, duplicate: usize) {
         let entry = self.entries.get_mut(&key);
         invariant!(entry.is_some(), "a coalesced request has a remembered key");
         if let Some(entry) = entry {
             entry.coalesced.push(duplicate);
-            self.settled.push(key);
+            self.keys_to_answer.push(key);
         }
     }
 
-    /// The request that holds the key has ended: its duplicates get the same response.
-    pub(super) fn settle(&mut self, key: &IdempotencyKey, owner: usize, response: Response) {
+    /// Stores the response to the owner of the key, which has ended. Its duplicates get the same
+    /// response.
+    pub(super) fn complete(&mut self, key: &IdempotencyKey, owner: usize, response: Response) {
         if let Some(entry) = self.owned_by(key, owner) {
             entry.owner = None;
             entry.response = Some(response);
-            self.settled.push(key.clone());
+            self.keys_to_answer.push(key.clone());
         }
     }
 
-    /// The request that holds the key has not run and will not. Duplicates that already wait are
-    /// answered before the key is removed.
+    /// Forgets the key of a request that has not run and will not run. Duplicates that already wait
+    /// are answered before the key is removed.
     pub(super) fn forget(&mut self, key: &IdempotencyKey, owner: usize) {
         if let Some(entry) = self.owned_by(key, owner) {
-            (entry.window_ends_at, entry.expires_at) = (Duration::ZERO, Duration::ZERO);
+            (entry.retention_ends_at, entry.expires_at) = (Duration::ZERO, Duration::ZERO);
             self.expiries.insert((Duration::ZERO, key.clone()));
         }
     }
 
-    /// A duplicate no longer waits. Its index may be reused by a request that is no duplicate.
-    pub(super) fn leave(&mut self, key: &IdempotencyKey, duplicate: usize) {
+    /// Removes a duplicate that no longer waits, because its index may be reused by a request that
+    /// is not a duplicate.
+    pub(super) fn remove_duplicate(&mut self, key: &IdempotencyKey, duplicate: usize) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.coalesced.retain(|&other| other != duplicate);
         }
     }
 
-    /// Removes the keys that have expired. A key with waiting duplicates is removed once they are
-    /// answered.
+    /// Removes expired keys. A key with waiting duplicates is removed once they are answered.
     pub(super) fn expire(&mut self, now: Duration) {
         while self
             .expiries
@@ -145,17 +152,18 @@
             let Some((_, key)) = self.expiries.pop_first() else {
                 return;
             };
-            let is_over = |entry: &KeyEntry| entry.expires_at <= now && entry.coalesced.is_empty();
-            if self.entries.get(&key).is_some_and(is_over) {
+            let is_expired =
+                |entry: &KeyEntry| entry.expires_at <= now && entry.coalesced.is_empty();
+            if self.entries.get(&key).is_some_and(is_expired) {
                 self.entries.remove(&key);
             }
         }
     }
 
-    /// Duplicates that have a response now, in the order of their indices for each key.
+    /// Takes the duplicates whose response is available, sorted by index for each key.
     pub(super) fn take_answered(&mut self, now: Duration) -> Vec<(usize, Response)> {
         let mut answered = Vec::new();
-        for key in std::mem::take(&mut self.settled) {
+        for key in std::mem::take(&mut self.keys_to_answer) {
             let Some(entry) = self.entries.get_mut(&key) else {
                 continue;
             };
@@ -185,6 +193,10 @@
     /// The sizes of the three collections, for tests of their bounds.
     #[cfg(test)]
     pub(super) fn sizes(&self) -> (usize, usize, usize) {
-        (self.entries.len(), self.expiries.len(), self.settled.len())
+        (
+            self.entries.len(),
+            self.expiries.len(),
+            self.keys_to_answer.len(),
+        )
     }
 }
--- a/crates/server/src/requests/messages.rs
+++ b/crates/server/src/requests/messages.rs
@@ -1,4 +1,5 @@
-//! What connections, the executor link and the store client exchange with the registry.
+//! The messages that connections, the executor link and the store client exchange with the
+//! registry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,44 +8,44 @@
 
 use crate::trace::TraceContext;
 
-/// The id of a request, as its caller chose it.
+/// The id of a request, assigned by its caller.
 pub(crate) type RequestId = Arc<str>;
 
-/// The name of a handler, as callers and the executor know it.
+/// The name of a handler in the protocols of callers and the executor.
 pub(crate) type ClassName = Arc<str>;
 
-/// An idempotency key: as its caller chose it, or [within its tenant and
+/// An idempotency key: either as assigned by its caller, or [scoped to its tenant and
 /// handler](IncomingRequest::scoped_key).
 pub(crate) type IdempotencyKey = Arc<str>;
 
-/// A body, a result or a reply, shared without a copy.
+/// A body, a result or a reply that is shared without copying.
 pub(crate) type Bytes = Arc<[u8]>;
 
-/// A request as it was read.
+/// A parsed request that is not registered yet.
 pub(crate) struct IncomingRequest {
     pub(crate) id: RequestId,
     pub(crate) handler: HandlerIndex,
     pub(crate) tenant: Option<TenantIndex>,
-    /// How long ago it reached the machine.
+    /// The time since the request reached the machine.
     pub(crate) age: Duration,
-    /// How long its caller still waits, where the request states it.
+    /// How long its caller still waits, if the request states it.
     pub(crate) client_wait: Option<Duration>,
-    /// The work that its caller expects, where the request states it.
+    /// The caller's work estimate, if the request states it.
     pub(crate) estimated_work: Option<Duration>,
-    /// The memory that it takes while it is queued, in kilobytes.
+    /// The memory that the request takes while it is queued, in kilobytes.
     pub(crate) queued_kb: f64,
     pub(crate) is_retry: bool,
-    /// The idempotency key that its caller chose.
+    /// The idempotency key, as assigned by its caller.
     pub(crate) idempotency_key: Option<IdempotencyKey>,
-    /// The hash of its body; that of a duplicate is equal.
+    /// The hash of its body. Duplicates have the same hash.
     pub(crate) body_hash: u64,
-    /// What only a recording needs, where there is one.
+    /// The fields that only the recording needs; `None` without a recording.
     pub(crate) trace: Option<TraceContext>,
 }
 
 impl IncomingRequest {
-    /// The idempotency key within its tenant and handler. Callers choose keys, so two tenants may
-    /// choose the same, and neither may get the other's result.
+    /// The idempotency key, scoped to the tenant and the handler. Callers choose keys, so two
+    /// tenants may choose the same key, and neither may get the other's result.
     pub(super) fn scoped_key(&self) -> Option<IdempotencyKey> {
         let key = self.idempotency_key.as_ref()?;
         Some(match self.tenant {
@@ -54,37 +55,37 @@
     }
 }
 
-/// What a request's coroutine is to do next.
+/// A command for a request's coroutine.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Command {
-    /// Start its run.
+    /// Start the run of the request.
     Start,
-    /// Cancel its run.
+    /// Cancel the run.
     Cancel,
-    /// Make the dependency call that it waits for.
+    /// Make the dependency call that the run waits for.
     StartCall {
         /// The time limit of the call.
         timeout: Duration,
-        /// What is sent to the dependency.
+        /// The body of the call.
         body: Bytes,
     },
-    /// Resume its run with the reply to its call.
+    /// Resume the run with the reply to its call.
     Resume {
-        /// What the dependency replied.
+        /// The reply of the dependency.
         reply: Bytes,
     },
-    /// Resume its run without the call of this number.
+    /// Resume the run without the call with this number.
     SkipCall {
         /// The number of the call within the run.
         call: u64,
     },
-    /// Send its final response.
+    /// Send the final response to the caller.
     Respond(Response),
-    /// Nothing: there are no further commands.
+    /// End the coroutine: there are no further commands.
     Finish,
 }
 
-/// The one final response to a request.
+/// The final response to a request. Each request gets exactly one.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Response {
     Completed(Bytes),
@@ -95,13 +96,13 @@
     Failed,
 }
 
-/// What became of a request's run or call.
+/// An event of an open request: of its run, its dependency call or its caller.
 #[derive(Debug)]
 pub(crate) enum RequestEvent {
     RunFinished {
         outcome: Outcome,
         result: Bytes,
-        /// How long the run took, where the executor states it.
+        /// How long the run took, if the executor states it.
         work: Option<Duration>,
     },
     CallReached {
@@ -116,16 +117,16 @@
     CallerGone,
 }
 
-/// Why a request could not be registered.
+/// The reason why a request cannot be registered.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub(crate) enum RegisterError {
     /// A request with the same id is open.
     #[error("its id is open")]
     DuplicateId,
-    /// Its idempotency key is remembered with another body.
+    /// Its idempotency key was used before with another body.
     #[error("its key came with another body")]
     KeyReused,
-    /// The executor was never up.
+    /// The executor has not been up yet.
     #[error("the executor has not started")]
     NotStarted,
 }
--- a/crates/server/src/requests/metrics.rs
+++ b/crates/server/src/requests/metrics.rs
@@ -1,26 +1,26 @@
-//! Counts of requests by their outcome, and the longest delays of their stages.
+//! Counts of requests by outcome, and the longest delays of their stages.
 
 use std::time::Duration;
 
-/// The requests since the start, by their outcome.
+/// The numbers of requests since the start, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct RequestCounts {
     pub(super) received: u64,
     pub(super) completed: u64,
     pub(super) rejected: u64,
     pub(super) failed: u64,
-    /// Those whose callers were gone before their final response.
+    /// Requests whose callers were gone before the final response.
     pub(super) abandoned: u64,
     pub(super) open: usize,
 }
 
-/// How a request counts once it has its final response.
+/// The outcome by which a request is counted once it has its final response.
 #[derive(Clone, Copy)]
 pub(super) enum FinalOutcome {
     Completed,
     Rejected,
     Failed,
-    /// Its caller was gone before.
+    /// The caller was gone before the final response.
     Abandoned,
 }
 
@@ -53,8 +53,8 @@
     }
 }
 
-/// The longest delay of each stage of a request. It tells whether requests wait for a core of this
-/// server, or for the executor.
+/// The longest delay of each stage of a request. The delays show whether requests wait in the queue
+/// of this server or for the executor.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct LongestDelays {
     /// From the registration of a request to the start of its run.
--- a/crates/server/src/requests/mod.rs
+++ b/crates/server/src/requests/mod.rs
@@ -1,11 +1,12 @@
-//! The requests that are open on this server. [`RequestRegistry`] hosts the overload controller: it
-//! is the only place that sees the controller's events and actions, and knows no protocol. Whether
-//! a request is admitted, queued, run or rejected is the controller's decision; the registry itself
-//! turns away only what must not reach it: an id that is open, a key with another body.
+//! The open requests of this server. [`RequestRegistry`] hosts the overload controller: only the
+//! registry handles the controller's events and actions, and it knows no protocol. The controller
+//! decides whether a request is admitted, queued, run or rejected. The registry itself rejects only
+//! requests that must not reach the controller: a request whose id is open, or whose idempotency
+//! key was used with another body.
 //!
-//! A request is [registered](RequestRegistry::register) when it is read. Its coroutine then takes
-//! one [`Command`] after another from its [`Ticket`] and carries it out, while the links to the
-//! executor and to the store report what became of runs and calls as [`RequestEvent`]s.
+//! A request is [registered](RequestRegistry::register) after it was read. Its coroutine then takes
+//! each [`Command`] from its [`Ticket`] and executes it, while the executor link and the store
+//! client report the progress of runs and calls as [`RequestEvent`]s.
 
 mod idempotency;
 mod messages;
--- a/crates/server/src/requests/open_request.rs
+++ b/crates/server/src/requests/open_request.rs
@@ -1,5 +1,5 @@
-//! One open request. It owns how far the request has come, the commands for its coroutine and its
-//! recording; the registry's state changes a request only by these methods.
+//! The state of one open request: its progress, the commands for its coroutine and its trace
+//! record. The registry's state changes these only with the methods below.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -18,30 +18,31 @@
     pub(super) id: RequestId,
     commands: VecDeque<Command>,
     waiter: Arc<Blocker>,
-    /// Its final response is queued among its commands, or was.
+    /// The request has its final response, which was queued as a command or, without a caller,
+    /// dropped.
     pub(super) is_answered: bool,
     pub(super) is_caller_gone: bool,
     registered_at: Instant,
-    /// When its run was started; `None` before, and once it has ended.
+    /// When the run was started; `None` before the start and after the end.
     run_started_at: Option<Instant>,
-    /// A run of it was started.
+    /// A run of the request was started.
     pub(super) is_started: bool,
-    /// The controller has released it.
+    /// The controller has released the request.
     pub(super) is_released: bool,
-    /// Its coroutine has ended before it was released.
+    /// The coroutine has ended before the request was released.
     pub(super) is_detached: bool,
-    /// The call that its run waits for: the number of the call within the run, and its body.
+    /// The call that the run waits for: the number of the call within the run, and its body.
     call: Option<(u64, Bytes)>,
     /// The call is in flight.
     is_calling: bool,
-    /// Its idempotency key within its tenant and handler.
+    /// The idempotency key, scoped to the tenant and the handler.
     pub(super) key: Option<IdempotencyKey>,
     pub(super) body_hash: u64,
     pub(super) trace: Option<Box<RequestTrace>>,
 }
 
 impl OpenRequest {
-    /// A request that is registered now; `waiter` wakes its coroutine.
+    /// A request that is registered now. `waiter` wakes its coroutine.
     pub(super) fn new(
         incoming: &IncomingRequest,
         key: Option<IdempotencyKey>,
@@ -72,33 +73,33 @@
         self.commands.pop_front()
     }
 
-    /// Notes in the recording that it is admitted, where the controller has not answered it on
-    /// arrival.
+    /// Records the admission, unless the controller has answered the request on arrival.
     pub(super) fn record_admission(&mut self, now: Option<Instant>) {
         if let Some(trace) = self.trace.as_mut().filter(|_| !self.is_answered) {
             trace.admitted = now;
         }
     }
 
-    /// Starts its run, or starts it again. Returns how long it was queued before the first start.
+    /// Starts the run, or starts it again. On the first start, returns how long the request was
+    /// queued.
     pub(super) fn start_run(&mut self, now: Instant) -> Option<Duration> {
         let is_first_start = !std::mem::replace(&mut self.is_started, true);
         self.run_started_at = Some(now);
         if let Some(trace) = &mut self.trace {
             trace.started = trace.started.or(Some(now));
         }
-        self.send(Command::Start);
+        self.queue_command(Command::Start);
         is_first_start.then(|| now.saturating_duration_since(self.registered_at))
     }
 
-    /// Its run has ended. Returns how long it took; `None` where its end was seen before.
+    /// Ends the run. Returns how long it took, or `None` if its end was reported before.
     pub(super) fn finish_run(&mut self, now: Instant) -> Option<Duration> {
         let started_at = self.run_started_at.take()?;
         Some(now.saturating_duration_since(started_at))
     }
 
-    /// Its run has reached a call. Returns false where the run waits for a call already: it makes
-    /// one at a time, so this notice is a duplicate.
+    /// Stores the call that the run has reached. Returns false if the run already waits for a call:
+    /// a run makes one call at a time, so this notice is a duplicate.
     pub(super) fn reach_call(&mut self, call: u64, body: Bytes) -> bool {
         if self.call.is_some() {
             return false;
@@ -108,7 +109,7 @@
         true
     }
 
-    /// Makes the call that its run waits for, or makes it again.
+    /// Makes the call that the run waits for, or makes it again.
     pub(super) fn start_call(&mut self, timeout: Duration, now: Option<Instant>) {
         if let Some(trace) = &mut self.trace {
             trace.called = trace.called.or(now);
@@ -116,42 +117,42 @@
         }
         if let Some((_, body)) = self.call.clone() {
             self.is_calling = true;
-            self.send(Command::StartCall { timeout, body });
+            self.queue_command(Command::StartCall { timeout, body });
         }
     }
 
-    /// Its call has ended; a reply resumes its run. Returns false where no call is in flight: a
-    /// reply that was received after its call had ended is ignored.
+    /// Ends the call; a successful one resumes the run with its reply. Returns false if no call is
+    /// in flight: a reply that is received after the end of its call is ignored.
     pub(super) fn finish_call(&mut self, outcome: Outcome, reply: Bytes) -> bool {
         if !std::mem::take(&mut self.is_calling) {
             return false;
         }
         if outcome == Outcome::Succeeded {
             self.call = None;
-            self.send(Command::Resume { reply });
+            self.queue_command(Command::Resume { reply });
         }
         true
     }
 
-    /// Resumes its run without the call that it waits for.
+    /// Resumes the run without the call that it waits for.
     pub(super) fn skip_call(&mut self) {
         if let Some(trace) = &mut self.trace {
             trace.skipped_calls += 1;
         }
         if let Some((call, _)) = self.call.take() {
-            self.send(Command::SkipCall { call });
+            self.queue_command(Command::SkipCall { call });
         }
     }
 
-    /// Notes in the recording how long its run took.
+    /// Records how long the run took.
     pub(super) fn record_work(&mut self, work: Option<Duration>) {
         if let Some(trace) = &mut self.trace {
             trace.work = work;
         }
     }
 
-    /// Answers it, and returns how it counts; none where it has a final response already. Nothing
-    /// is sent where its caller is gone.
+    /// Answers the request and returns the outcome by which it is counted, or `None` if it already
+    /// has a final response. Sends no response if the caller is gone.
     pub(super) fn answer(
         &mut self,
         response: Response,
@@ -173,13 +174,14 @@
             Response::Rejected { .. } => FinalOutcome::Rejected,
             Response::Failed => FinalOutcome::Failed,
         };
-        self.send(Command::Respond(response));
+        self.queue_command(Command::Respond(response));
         Some(outcome)
     }
 
     /// Queues a command and wakes the request's coroutine.
-    pub(super) fn send(&mut self, command: Command) {
-        // The controller repeats a cancellation until the run has ended.
+    pub(super) fn queue_command(&mut self, command: Command) {
+        // The controller repeats a cancellation until the run has ended, so one queued cancellation
+        // is enough.
         if command != Command::Cancel || !self.commands.contains(&command) {
             self.commands.push_back(command);
             self.waiter.unpark();
--- a/crates/server/src/requests/registry.rs
+++ b/crates/server/src/requests/registry.rs
@@ -1,5 +1,5 @@
-//! The interface of the registry, which connections, the executor link, the store client and the
-//! clock call.
+//! The interface of the registry for connections, the executor link, the store client and the
+//! timers.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,10 +17,10 @@
 use crate::clock;
 use crate::trace::{RequestTrace, Tracer};
 
-/// How often it is checked whether the controller has started.
-const NOT_STARTED_PAUSE: Duration = Duration::from_millis(20);
+/// How often `tick` checks whether the controller has started.
+const START_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Owner of all open requests and of the controller, behind one lock.
+/// Owns all open requests and the controller, behind one lock.
 pub(crate) struct RequestRegistry {
     config: Config,
     seed: u64,
@@ -29,8 +29,8 @@
 }
 
 impl RequestRegistry {
-    /// A registry whose controller starts with [`RequestRegistry::start`], with random draws from
-    /// `seed`.
+    /// A registry whose controller is started by [`RequestRegistry::start`]. `seed` is the seed of
+    /// the controller's random numbers.
     pub(crate) fn new(config: Config, seed: u64, tracer: Option<Arc<Tracer>>) -> Self {
         let state = RegistryState::new(&config, tracer.clone());
         RequestRegistry {
@@ -41,10 +41,11 @@
         }
     }
 
-    /// Starts the controller: the executor is up since `uptime`. Only the first call has an effect,
-    /// and returns true. Where the executor is cold, the controller's clock starts with the
-    /// executor, so that the controller knows how warm it is. Where it is warm, the clock starts
-    /// now, because the controller learns in its first seconds how fast the machine is.
+    /// Starts the controller, when the executor has been up for `uptime`. Only the first call has
+    /// an effect and returns true. With a cold executor, the controller's clock starts at the start
+    /// of the executor, so that the controller knows how far the executor has warmed up. With a
+    /// warm executor, the clock starts now, because the controller learns the speed of the machine
+    /// in its first seconds.
     pub(crate) fn start(&self, starts_cold: bool, uptime: Duration) -> bool {
         let mut state = self.state.lock();
         if state.is_started() {
@@ -69,12 +70,11 @@
         true
     }
 
-    /// Registers a request that was read. Its ticket yields its commands, the final response among
-    /// them.
+    /// Registers a request. Its ticket returns the commands for it, including the final response.
     ///
     /// # Errors
-    /// [`RegisterError`] where the controller has not started, or the request is a copy of another
-    /// one. Nothing is registered then.
+    /// [`RegisterError`] if the controller has not started, if the id of the request is open, or if
+    /// its idempotency key was used with another body. The request is then not registered.
     pub(crate) fn register(&self, incoming: IncomingRequest) -> Result<Ticket, RegisterError> {
         let mut state = self.state.lock();
         if !state.is_started() {
@@ -87,15 +87,15 @@
         let key = incoming.scoped_key();
         state.expire_keys();
         let duplicated_body = state.duplicated_body(key.as_ref(), incoming.age);
-        // A key that is sent with another body was copied or made up, and its sender may not get
-        // the result of the caller that chose it.
+        // A key with another body was copied or forged, and its sender must not get the result of
+        // the caller that assigned the key.
         if duplicated_body.is_some_and(|body_hash| body_hash != incoming.body_hash) {
             return Err(RegisterError::KeyReused);
         }
         let waiter = Arc::new(Blocker::new(true));
-        let trace = self.trace_of(&incoming);
+        let trace = self.new_trace(&incoming);
         let index = state.insert(OpenRequest::new(&incoming, key, waiter.clone(), trace));
-        state.decide(Event::Arrived(Arrival {
+        state.notify_controller(Event::Arrived(Arrival {
             request: index,
             handler: incoming.handler,
             tenant: incoming.tenant,
@@ -115,8 +115,8 @@
         })
     }
 
-    /// Whether an attempt of the same keyed request is open or has run. Such a duplicate may not be
-    /// rejected.
+    /// Whether another attempt of the same keyed request is open or has run. Such a duplicate must
+    /// not be rejected.
     pub(crate) fn is_duplicate(&self, incoming: &IncomingRequest) -> bool {
         self.state
             .lock()
@@ -124,8 +124,7 @@
             .is_some()
     }
 
-    /// Reports what became of a request's run or call. Events for a request that is not open are
-    /// ignored.
+    /// Reports an event of a request. Events of a request that is not open are ignored.
     pub(crate) fn report(&self, id: &str, event: RequestEvent) {
         let mut state = self.state.lock();
         if let Some(index) = state.index_of(id) {
@@ -133,13 +132,14 @@
         }
     }
 
-    /// Blocks until the next timer is due, and fires it with the gauges of that moment.
+    /// Fires the timers that are due, with the current gauges; if none is due, blocks until the
+    /// next one is.
     pub(crate) fn tick(&self, gauges: impl FnOnce() -> Gauges) {
         let left = self
             .state
             .lock()
             .until_next_timer()
-            .unwrap_or(NOT_STARTED_PAUSE);
+            .unwrap_or(START_POLL_INTERVAL);
         if left.is_zero() {
             self.fire_timers(gauges());
         } else {
@@ -152,28 +152,29 @@
         self.state.lock().fire_timers(gauges);
     }
 
-    /// Passes on the shutdown notice that was received at `notice`. The process is terminated
-    /// `termination` after it.
+    /// Notifies the controller of the shutdown notice that was received at `notice`. The process is
+    /// terminated `termination` after the notice.
     pub(crate) fn shutdown_notice(&self, notice: Instant, termination: Duration) {
         self.state.lock().shutdown_notice(notice, termination);
     }
 
-    /// Whether the controller has started: the executor was up once.
+    /// Whether the controller has started, which happens when the executor is up for the first
+    /// time.
     pub(crate) fn is_started(&self) -> bool {
         self.state.lock().is_started()
     }
 
-    /// The feedback value that every answer carries.
+    /// The feedback value that every reply carries.
     pub(crate) fn feedback(&self) -> Option<f64> {
         self.state.lock().feedback()
     }
 
-    /// The time after which edge nodes are to close unused connections.
+    /// The time after which edge nodes are to close idle connections.
     pub(crate) fn idle_timeout(&self) -> Duration {
         self.state.lock().idle_timeout()
     }
 
-    /// What health checks report.
+    /// Whether health checks report this server as healthy.
     pub(crate) fn is_healthy(&self) -> bool {
         self.state.lock().is_healthy()
     }
@@ -183,22 +184,22 @@
         self.state.lock().open()
     }
 
-    /// The requests since the start, by their outcome.
+    /// The numbers of requests since the start, by outcome.
     pub(crate) fn counts(&self) -> RequestCounts {
         self.state.lock().counts()
     }
 
-    /// The longest delays since this was last asked.
+    /// The longest delays since the last call of this function.
     pub(crate) fn take_longest_delays(&self) -> LongestDelays {
         self.state.lock().take_longest_delays()
     }
 
-    /// The longest `retry_after` that a caller may be given; none where callers are not given one.
+    /// The maximum `retry_after` of a rejection; `None` if rejections carry none.
     pub(crate) fn max_retry_after(&self) -> Option<Duration> {
         self.config.max_retry_after
     }
 
-    /// How long clients wait, by handler.
+    /// The client timeouts, by handler.
     pub(crate) fn client_timeouts(&self) -> Vec<Duration> {
         let handlers = self.config.handlers.iter();
         handlers.map(|handler| handler.client_timeout).collect()
@@ -210,21 +211,21 @@
         handler.is_none_or(|handler| handler.idempotency != Idempotency::Idempotent)
     }
 
-    /// The recording, where there is one.
+    /// The tracer, if requests are recorded.
     pub(crate) fn tracer(&self) -> Option<&Arc<Tracer>> {
         self.tracer.as_ref()
     }
 
     /// Records a request that was rejected before it was registered.
     pub(crate) fn record_unregistered(&self, incoming: &IncomingRequest, reason: Reason) {
-        if let (Some(mut trace), Some(tracer)) = (self.trace_of(incoming), &self.tracer) {
+        if let (Some(mut trace), Some(tracer)) = (self.new_trace(incoming), &self.tracer) {
             let now = Instant::now();
             trace.rejected(reason, now);
             tracer.record(&trace, now);
         }
     }
 
-    fn trace_of(&self, incoming: &IncomingRequest) -> Option<Box<RequestTrace>> {
+    fn new_trace(&self, incoming: &IncomingRequest) -> Option<Box<RequestTrace>> {
         let context = incoming.trace.filter(|_| self.tracer.is_some())?;
         Some(Box::new(RequestTrace::new(context, incoming)))
     }
--- a/crates/server/src/requests/state/actions.rs
+++ b/crates/server/src/requests/state/actions.rs
@@ -11,7 +11,7 @@
 use crate::trace::recorded_reason;
 
 impl RegistryState {
-    /// Applies one action; `now` is the time on the controller's clock at which it was decided.
+    /// Applies one action. `now` is the time of the decision on the controller's clock.
     pub(super) fn apply(&mut self, action: Action, now: Duration) {
         match action {
             Action::Start { request } => self.start_run(request),
@@ -30,7 +30,7 @@
             Action::Fail { request, reason } => {
                 self.respond_once(request, Response::Failed, recorded_reason(reason));
             }
-            Action::Cancel { request } => self.requests[request].send(Command::Cancel),
+            Action::Cancel { request } => self.requests[request].queue_command(Command::Cancel),
             Action::Coalesce { request } => self.coalesce(request),
             Action::RememberKey { request, retention } => {
                 self.remember_key(request, now, retention);
@@ -57,7 +57,7 @@
         self.requests[index].start_call(timeout, now);
     }
 
-    /// Sends the final response that the controller has decided on. Each request gets one.
+    /// Sends a final response of the controller, which decides on one response for each request.
     fn respond_once(&mut self, index: usize, response: Response, reason: Reason) {
         invariant!(
             !self.requests[index].is_answered,
@@ -66,7 +66,7 @@
         self.respond(index, response, reason);
     }
 
-    /// Sends a final response, unless the request has one.
+    /// Sends a final response, unless the request already has one.
     pub(super) fn respond(&mut self, index: usize, response: Response, reason: Reason) {
         let (now, feedback) = (self.trace_time(), self.feedback);
         let request = &mut self.requests[index];
@@ -75,24 +75,25 @@
         }
     }
 
-    /// Ends a request: no event of it is taken any more, and its index is free once its coroutine
-    /// has ended, too.
+    /// Ends a request: its further events are ignored, and its index is free once its coroutine has
+    /// ended too.
     fn release(&mut self, index: usize) {
-        // The run has ended without a result, and the controller has left the request unanswered.
+        // A request that the controller has left unanswered fails: its run has ended without a
+        // result.
         self.respond(index, Response::Failed, Reason::CANCELLED);
         self.record_trace(index);
-        self.settle_key(index, Response::Failed);
-        self.leave_key(index);
+        self.complete_key(index, Response::Failed);
+        self.stop_waiting_for_key(index);
         let request = &mut self.requests[index];
         request.is_released = true;
-        request.send(Command::Finish);
+        request.queue_command(Command::Finish);
         self.indices.remove(&request.id);
         if request.is_detached {
             self.requests.remove(index);
         }
     }
 
-    /// Hands the recording of a request to the tracer, where there is one.
+    /// Passes the trace record of a request to the tracer, if requests are recorded.
     fn record_trace(&mut self, index: usize) {
         if let (Some(trace), Some(tracer)) = (self.requests[index].trace.take(), &self.tracer) {
             tracer.record(&trace, Instant::now());
--- a/crates/server/src/requests/state/events.rs
+++ b/crates/server/src/requests/state/events.rs
@@ -1,8 +1,8 @@
-//! What an event of an open request changes, and what the controller decides on it.
+//! Handles the events of open requests, and notifies the controller of them.
 //!
-//! The links to the executor and to the store report events; a ticket that is dropped reports that
-//! the caller is gone. Events of a request that is released, of a run that was not started, and of
-//! a call that the run does not wait for are ignored.
+//! The executor link and the store client report events of runs and calls. Connections, and tickets
+//! that are dropped, report that the caller is gone. Events of a released request, of a run that
+//! was not started, and of a call that the run does not wait for are ignored.
 
 use std::time::Instant;
 
@@ -14,17 +14,17 @@
 use crate::requests::open_request::OpenRequest;
 
 impl RegistryState {
-    /// Handles an event of an open request, and passes it to the controller.
+    /// Handles an event of an open request, and notifies the controller of it.
     pub(in crate::requests) fn handle_event(&mut self, index: usize, event: RequestEvent) {
         let request = self.requests.get(index);
         if !request.is_some_and(|request| is_handled(request, &event)) {
             return;
         }
         match event {
-            RequestEvent::CallerGone => self.caller_gone(index),
-            RequestEvent::CallReached { call, body } => self.call_reached(index, call, body),
+            RequestEvent::CallerGone => self.handle_caller_gone(index),
+            RequestEvent::CallReached { call, body } => self.handle_call_reached(index, call, body),
             RequestEvent::CallFinished { outcome, reply } => {
-                self.call_finished(index, outcome, reply);
+                self.handle_call_finished(index, outcome, reply);
             }
             RequestEvent::RunFinished {
                 outcome,
@@ -32,32 +32,32 @@
                 work,
             } => {
                 self.requests[index].record_work(work);
-                self.run_finished(index, outcome, result);
+                self.handle_run_finished(index, outcome, result);
             }
         }
     }
 
-    fn caller_gone(&mut self, index: usize) {
+    fn handle_caller_gone(&mut self, index: usize) {
         self.requests[index].is_caller_gone = true;
-        self.decide(Event::CallerGone { request: index });
+        self.notify_controller(Event::CallerGone { request: index });
     }
 
-    fn call_reached(&mut self, index: usize, call: u64, body: Bytes) {
+    fn handle_call_reached(&mut self, index: usize, call: u64, body: Bytes) {
         if self.requests[index].reach_call(call, body) {
-            self.decide(Event::ReachedCall { request: index });
+            self.notify_controller(Event::ReachedCall { request: index });
         }
     }
 
-    fn call_finished(&mut self, index: usize, outcome: Outcome, reply: Bytes) {
+    fn handle_call_finished(&mut self, index: usize, outcome: Outcome, reply: Bytes) {
         if self.requests[index].finish_call(outcome, reply) {
-            self.decide(Event::CallFinished {
+            self.notify_controller(Event::CallFinished {
                 request: index,
                 outcome,
             });
         }
     }
 
-    fn run_finished(&mut self, index: usize, outcome: Outcome, result: Bytes) {
+    fn handle_run_finished(&mut self, index: usize, outcome: Outcome, result: Bytes) {
         if let Some(delay) = self.requests[index].finish_run(Instant::now()) {
             self.longest_delays.record_run(delay);
         }
@@ -68,19 +68,20 @@
         match outcome {
             Outcome::Succeeded => self.respond(index, response.clone(), Reason::NONE),
             Outcome::Failed => self.respond(index, response.clone(), Reason::RUN_FAILED),
-            // Nothing ran, so a request with its key is no duplicate.
+            // The request has not run, so another request with its key is not a duplicate.
             Outcome::NotStarted => self.forget_key(index),
             _ => {}
         }
-        self.settle_key(index, response);
-        self.decide(Event::Finished {
+        self.complete_key(index, response);
+        self.notify_controller(Event::Finished {
             request: index,
             outcome,
         });
     }
 
-    /// Lets the controller decide on what happened, and on what its actions bring about in turn.
-    pub(in crate::requests) fn decide(&mut self, event: Event) {
+    /// Notifies the controller of an event, applies its actions, and repeats this for the events
+    /// that the actions cause.
+    pub(in crate::requests) fn notify_controller(&mut self, event: Event) {
         let mut events = vec![event];
         while !events.is_empty() {
             let now = self.now();
@@ -98,8 +99,8 @@
     }
 }
 
-/// Whether an event of a request is handled: none is after its release, and those of a run are only
-/// where a run was started.
+/// Whether an event of a request is handled. Events after the release of the request are ignored,
+/// and so are events of a run or call before a run was started.
 fn is_handled(request: &OpenRequest, event: &RequestEvent) -> bool {
     if request.is_released {
         return false;
--- a/crates/server/src/requests/state/key_actions.rs
+++ b/crates/server/src/requests/state/key_actions.rs
@@ -1,5 +1,5 @@
-//! The idempotency keys of the open requests: `IdempotencyKeys` has the rule, and this relates it
-//! to the requests by their indices.
+//! The idempotency keys of open requests. `IdempotencyKeys` implements the rules; this module
+//! applies them to requests by their indices.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 use crate::requests::open_request::OpenRequest;
 
 impl RegistryState {
-    /// Removes the idempotency keys that have expired.
+    /// Removes expired idempotency keys.
     pub(in crate::requests) fn expire_keys(&mut self) {
         self.keys.expire(self.now());
     }
 
-    /// The body hash of the remembered request that a request with this key duplicates; none where
-    /// it is no duplicate. `age` is how long ago the request reached the machine.
+    /// The body hash of the first request with this key, if a request that reached the machine
+    /// `age` ago is a duplicate of it.
     pub(in crate::requests) fn duplicated_body(
         &self,
         key: Option<&IdempotencyKey>,
@@ -27,7 +27,7 @@
             .duplicated_body(key, self.now().saturating_sub(age))
     }
 
-    /// Remembers the key of a request, where it has one, for `retention` from `now`.
+    /// Remembers the key of a request, if it has one, for `retention` from `now`.
     pub(super) fn remember_key(&mut self, index: usize, now: Duration, retention: Duration) {
         let OpenRequest { key, body_hash, .. } = &self.requests[index];
         if let Some(key) = key.clone() {
@@ -35,41 +35,43 @@
         }
     }
 
-    /// Lets a duplicate wait for the response to the first request with its key.
+    /// Coalesces a duplicate: it waits for the response to the first request with its key.
     pub(super) fn coalesce(&mut self, index: usize) {
         let key = self.requests[index].key.clone().unwrap_or_default();
         self.keys.coalesce(key, index);
     }
 
-    /// Forgets the key of a request before its time, and fails the duplicates that wait for it.
+    /// Forgets the key of a request before the end of its retention, and fails the duplicates that
+    /// wait for it.
     pub(super) fn forget_key_and_fail_duplicates(&mut self, index: usize) {
         self.forget_key(index);
-        self.settle_key(index, Response::Failed);
+        self.complete_key(index, Response::Failed);
     }
 
-    /// The duplicates of a request get this response, where it holds its key.
-    pub(super) fn settle_key(&mut self, index: usize, response: Response) {
+    /// Stores the response for the duplicates of a request, if the request owns its key.
+    pub(super) fn complete_key(&mut self, index: usize, response: Response) {
         if let Some(key) = &self.requests[index].key {
-            self.keys.settle(key, index, response);
+            self.keys.complete(key, index, response);
         }
     }
 
-    /// Requests with the key of this one are no duplicates any more.
+    /// Forgets the key of a request: further requests with this key are not duplicates.
     pub(super) fn forget_key(&mut self, index: usize) {
         if let Some(key) = &self.requests[index].key {
             self.keys.forget(key, index);
         }
     }
 
-    /// A request no longer waits for the response to the first one with its key.
-    pub(super) fn leave_key(&mut self, index: usize) {
+    /// Removes a request from the duplicates that wait for the response to the first request with
+    /// its key.
+    pub(super) fn stop_waiting_for_key(&mut self, index: usize) {
         if let Some(key) = &self.requests[index].key {
-            self.keys.leave(key, index);
+            self.keys.remove_duplicate(key, index);
         }
     }
 
-    /// Answers coalesced requests whose first attempt has ended, and returns the events of their
-    /// ends.
+    /// Answers coalesced requests whose first attempt has ended, and returns their events for the
+    /// controller.
     pub(super) fn answer_coalesced(&mut self) -> Vec<Event> {
         let now = self.now();
         let mut events = Vec::new();
--- a/crates/server/src/requests/state/mod.rs
+++ b/crates/server/src/requests/state/mod.rs
@@ -1,8 +1,8 @@
-//! The state behind the registry's lock: open requests, and the controller whose actions are
+//! The state under the registry's lock: the open requests, and the controller whose actions are
 //! applied to them.
 //!
-//! - [`events`]: what happens to a request, and the controller's decision on it.
-//! - [`actions`]: applies what the controller has decided.
+//! - [`events`]: handles events of requests and notifies the controller.
+//! - [`actions`]: applies the controller's actions.
 //! - [`key_actions`]: remembers idempotency keys and answers coalesced requests.
 //! - [`schedule`]: the controller's clock and timers, and the shutdown notice.
 
@@ -26,38 +26,38 @@
 use super::timers::Timers;
 use crate::trace::Tracer;
 
-/// The controller, from the moment that the executor is up.
+/// A controller that has started.
 struct RunningController {
     controller: Controller,
-    /// When the controller's clock stood at zero.
+    /// The zero point of the controller's clock.
     started_at: Instant,
 }
 
-/// The state of all open requests. The registry and the tickets share it behind one lock.
+/// The state of all open requests. The registry and the tickets share it under one lock.
 pub(super) struct RegistryState {
-    /// None until the executor is up.
+    /// `None` until the executor is up.
     running: Option<RunningController>,
     shutdown: Option<ShutdownNotice>,
-    /// The open requests, by the index that the controller knows them by.
+    /// The open requests, by the index by which the controller identifies them.
     requests: Slab<OpenRequest>,
     indices: HashMap<RequestId, usize>,
     keys: IdempotencyKeys,
     timers: Timers,
-    /// The feedback value for replies, as the controller has set it last.
+    /// The feedback value for replies that the controller set last.
     feedback: Option<f64>,
-    /// How long edge nodes may keep unused connections, as the controller has set it last.
+    /// How long edge nodes may keep idle connections, as the controller set it last.
     idle_timeout: Duration,
-    /// What health checks report, as the controller has set it last.
+    /// Whether health checks report this server as healthy, as the controller set it last.
     is_healthy: bool,
     counts: RequestCounts,
-    /// Since they were last taken.
+    /// The longest delays since they were last taken.
     longest_delays: LongestDelays,
-    /// The recording, where there is one.
+    /// The tracer, if requests are recorded.
     tracer: Option<Arc<Tracer>>,
 }
 
 impl RegistryState {
-    /// No open requests, and a controller that has not started.
+    /// Creates a state without open requests, whose controller has not started.
     pub(super) fn new(config: &Config, tracer: Option<Arc<Tracer>>) -> Self {
         let client_timeouts = config.handlers.iter().map(|handler| handler.client_timeout);
         RegistryState {
@@ -76,16 +76,16 @@
         }
     }
 
-    /// Starts the controller, whose clock stood at zero at `started_at`.
+    /// Starts the controller. The zero point of its clock is `started_at`.
     pub(super) fn start(&mut self, controller: Controller, started_at: Instant) {
         self.running = Some(RunningController {
             controller,
             started_at,
         });
-        self.decide(Event::Started);
-        // The notice may be received before the executor is up. Without it, the controller would
-        // admit requests that arrive long after the drain has begun.
-        self.pass_on_shutdown_notice();
+        self.notify_controller(Event::Started);
+        // A shutdown notice may have been received before the executor was up. Without it, the
+        // controller would admit requests that arrive long after the drain has begun.
+        self.forward_shutdown_notice();
     }
 
     /// Whether the controller has started.
@@ -108,7 +108,7 @@
         self.requests.len()
     }
 
-    /// The requests since the start, by their outcome.
+    /// The numbers of requests since the start, by outcome.
     pub(super) fn counts(&self) -> RequestCounts {
         RequestCounts {
             open: self.requests.len(),
@@ -116,27 +116,27 @@
         }
     }
 
-    /// The longest delays since this was last asked.
+    /// The longest delays since the last call of this function.
     pub(super) fn take_longest_delays(&mut self) -> LongestDelays {
         std::mem::take(&mut self.longest_delays)
     }
 
-    /// The feedback value that every reply carries; none before the controller has set it.
+    /// The feedback value that every reply carries; `None` before the controller has set one.
     pub(super) fn feedback(&self) -> Option<f64> {
         self.feedback
     }
 
-    /// How long edge nodes may keep unused connections.
+    /// How long edge nodes may keep idle connections.
     pub(super) fn idle_timeout(&self) -> Duration {
         self.idle_timeout
     }
 
-    /// What health checks report.
+    /// Whether health checks report this server as healthy.
     pub(super) fn is_healthy(&self) -> bool {
         self.is_healthy
     }
 
-    /// The time now, read only where there is a recording.
+    /// The current time; `None` if requests are not recorded.
     fn trace_time(&self) -> Option<Instant> {
         self.tracer.as_ref().map(|_| Instant::now())
     }
@@ -150,8 +150,7 @@
         index
     }
 
-    /// Notes the admission of a request in its recording: it is admitted where the controller has
-    /// not answered it on arrival.
+    /// Records the admission of a request, unless the controller has answered it on arrival.
     pub(super) fn record_admission(&mut self, index: usize) {
         let now = self.trace_time();
         if let Some(request) = self.requests.get_mut(index) {
@@ -159,7 +158,7 @@
         }
     }
 
-    /// Whether the controller has released a request: no command is added to those that it has.
+    /// Whether the controller has released a request, so that no command is added to it.
     pub(super) fn is_released(&self, index: usize) -> bool {
         self.requests[index].is_released
     }
@@ -169,7 +168,7 @@
         self.requests[index].next_command()
     }
 
-    /// The coroutine of a request has ended. Returns false where the request is still open.
+    /// Handles the end of a request's coroutine. Returns false if the request is still open.
     pub(super) fn detach(&mut self, index: usize) -> bool {
         let request = &mut self.requests[index];
         request.is_detached = true;
@@ -180,9 +179,9 @@
         is_released
     }
 
-    /// Moves the controller's clock on, without waiting.
+    /// Advances the controller's clock without waiting.
     #[cfg(test)]
-    pub(super) fn skip_time(&mut self, span: Duration) {
+    pub(super) fn advance_clock(&mut self, span: Duration) {
         let running = self.running.as_mut().expect("the controller has started");
         let earlier = running.started_at.checked_sub(span);
         running.started_at = earlier.expect("the machine is up for long enough");
--- a/crates/server/src/requests/state/schedule.rs
+++ b/crates/server/src/requests/state/schedule.rs
@@ -6,7 +6,7 @@
 
 use super::RegistryState;
 
-/// A shutdown notice: when it was received, and how long after it the process is terminated.
+/// A shutdown notice: the time of its receipt, and the time from then to the termination.
 #[derive(Clone, Copy)]
 pub(super) struct ShutdownNotice {
     received_at: Instant,
@@ -14,8 +14,8 @@
 }
 
 impl ShutdownNotice {
-    /// The event for the controller. The drain grace counts from the notice, however late the
-    /// controller is notified.
+    /// The event for the controller. The drain grace counts from the receipt of the notice, even if
+    /// the controller is notified later.
     fn event(self) -> Event {
         let since = self.received_at.elapsed();
         Event::ShutdownNotice {
@@ -33,20 +33,20 @@
             .map_or(Duration::ZERO, |running| running.started_at.elapsed())
     }
 
-    /// The time until the next timer is due; none before the controller has started.
+    /// The time until the next timer is due; `None` before the controller has started.
     pub(in crate::requests) fn until_next_timer(&self) -> Option<Duration> {
         self.timers.until_next(self.now())
     }
 
-    /// Notifies the controller where a timer is due.
+    /// Notifies the controller if a timer is due.
     pub(in crate::requests) fn fire_timers(&mut self, gauges: Gauges) {
         let now = self.now();
         if self.timers.take_due(now) {
-            self.decide(Event::TimerFired { gauges });
+            self.notify_controller(Event::TimerFired { gauges });
         }
     }
 
-    /// Stores the shutdown notice, and notifies the controller once it has started.
+    /// Stores the shutdown notice, and notifies the controller now or when it starts.
     pub(in crate::requests) fn shutdown_notice(
         &mut self,
         received_at: Instant,
@@ -56,13 +56,13 @@
             received_at,
             termination,
         });
-        self.pass_on_shutdown_notice();
+        self.forward_shutdown_notice();
     }
 
-    /// Notifies the controller, if it has started and there was a notice.
-    pub(super) fn pass_on_shutdown_notice(&mut self) {
+    /// Notifies the controller of the shutdown notice, if it has started and there was one.
+    pub(super) fn forward_shutdown_notice(&mut self) {
         if let Some(notice) = self.shutdown {
-            self.decide(notice.event());
+            self.notify_controller(notice.event());
         }
     }
 }
--- a/crates/server/src/requests/tests/idempotency.rs
+++ b/crates/server/src/requests/tests/idempotency.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys: which requests are duplicates, what they get, and when a key is free.
+//! Idempotency keys: which requests are duplicates, which response they get, and when a key is free
+//! again.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,16 +7,17 @@
 use tulipgap::Idempotency;
 
 use super::common::{config, ms};
-use super::{TIMEOUT, WINDOW, bytes, incoming, next_command, registry, registry_at_capacity};
+use super::{
+    CLIENT_TIMEOUT, RETENTION, bytes, incoming, next_command, registry, registry_at_capacity,
+};
 use crate::requests::{
     Command, IncomingRequest, Outcome, RegisterError, RequestEvent, RequestRegistry, Response,
 };
 
-/// A duplicate that arrives while the first attempt runs is not run, and gets the first one's
-/// result. So does one that arrives later within the retention window; after the window a duplicate
-/// is run.
+/// A duplicate that arrives while the first attempt runs, or later within the retention, is not run
+/// and gets the result of the first attempt. After the retention, a request with the key is run.
 #[test]
-fn duplicates_are_coalesced_and_answered_alike() {
+fn duplicates_within_the_retention_get_the_first_result() {
     let registry = registry();
     let first = registry.register(incoming("a", 1, Some("k"))).unwrap();
     assert_eq!(next_command(&first), Some(Command::Start));
@@ -33,21 +35,21 @@
         next_command(&second),
         Some(Command::Respond(Response::Completed(bytes("page"))))
     );
-    // A duplicate that arrives after the first has finished gets its result too, until the window
-    // has passed.
-    registry.pass_time(ms(WINDOW - 100));
+    // A duplicate that arrives after the end of the first attempt gets its result too, until the
+    // retention has passed.
+    registry.advance_time(ms(RETENTION - 100));
     let third = registry.register(incoming("c", 1, Some("k"))).unwrap();
     assert_eq!(
         next_command(&third),
         Some(Command::Respond(Response::Completed(bytes("page"))))
     );
-    registry.pass_time(ms(500));
+    registry.advance_time(ms(500));
     let fourth = registry.register(incoming("d", 1, Some("k"))).unwrap();
     assert_eq!(next_command(&fourth), Some(Command::Start));
 }
 
-/// A coalesced request whose caller is gone frees its index, and a new request reuses it. The new
-/// request must not be answered with the result that the old one waited for.
+/// Guards against a request that gets another request's result: a coalesced request whose caller is
+/// gone frees its index, and a new request reuses the index.
 #[test]
 fn a_reused_index_is_not_taken_for_a_coalesced_request() {
     let registry = registry();
@@ -66,14 +68,14 @@
             work: None,
         },
     );
-    assert_eq!(next_command(&third), None, "it is coalesced with nothing");
+    assert_eq!(next_command(&third), None, "the request is not coalesced");
 }
 
-/// Keys would fill the memory without an expiry. A key is kept for its window and a client timeout,
-/// because a duplicate that arrived within the window may be read that much later; then nothing of
-/// it is left.
+/// Guards against keys that accumulate in memory. A key is kept for its retention and a client
+/// timeout, because a duplicate that arrived within the retention may be read that much later.
+/// After that it is removed completely.
 #[test]
-fn keys_are_forgotten_when_they_expire() {
+fn expired_keys_are_removed() {
     let registry = registry();
     for at in 0..5 {
         let ticket = registry
@@ -90,23 +92,23 @@
         drop(ticket);
     }
     assert_eq!(registry.state.lock().key_sizes().0, 5);
-    // What arrived within the window can still be read and run until its client has timed out.
-    registry.pass_time(ms(WINDOW + 500));
+    // A request that arrived within the retention may still be read until its client times out.
+    registry.advance_time(ms(RETENTION + 500));
     drop(registry.register(incoming("between", 0, None)).unwrap());
     assert_eq!(registry.state.lock().key_sizes().0, 5);
-    registry.pass_time(ms(TIMEOUT));
+    registry.advance_time(ms(CLIENT_TIMEOUT));
     drop(registry.register(incoming("last", 0, None)).unwrap());
     assert_eq!(registry.state.lock().key_sizes(), (0, 0, 0));
 }
 
-/// Callers choose their keys. The map was looked up by the key alone: a request of another tenant,
-/// or for another handler, got a result that was not its own, and never ran. A key is now scoped to
-/// its tenant and handler.
+/// Guards against a lookup by the key alone: callers choose their keys, and a request of another
+/// tenant or for another handler got a result of a different request and never ran. A key is scoped
+/// to its tenant and handler.
 #[test]
 fn a_key_is_scoped_to_its_tenant_and_handler() {
     let mut config = config();
     config.handlers[0].idempotency = Idempotency::Keyed;
-    config.handlers[0].key_retention = ms(WINDOW);
+    config.handlers[0].key_retention = ms(RETENTION);
     let registry = Arc::new(RequestRegistry::new(config, 7, None));
     assert!(registry.start(false, Duration::ZERO));
     let of = |id: &str, handler, tenant| IncomingRequest {
@@ -123,7 +125,7 @@
         assert_eq!(
             next_command(&ticket),
             Some(Command::Start),
-            "{id} is its own"
+            "{id} is not a duplicate"
         );
         registry.report(
             id,
@@ -142,16 +144,16 @@
         assert_eq!(
             next_command(&ticket),
             Some(Command::Respond(Response::Completed(bytes(id)))),
-            "and known again"
+            "the repeated request is a duplicate"
         );
     }
 }
 
-/// The window counts by the arrival of an attempt at the machine. One that arrived within it and
-/// was read after its end, as after a pause of the process, was taken for a new request and ran a
-/// second time. The key is now kept a client timeout longer than its window.
+/// Guards against a duplicate run: a duplicate that arrived at the machine within the retention,
+/// but was read after its end because the process was paused, was taken as a new request and run.
+/// The key is kept for a client timeout longer than its retention.
 #[test]
-fn a_duplicate_that_arrived_in_its_window_and_is_read_after_it_is_not_run() {
+fn a_duplicate_that_arrived_within_the_retention_and_is_read_later_is_not_run() {
     let registry = registry();
     let first = registry.register(incoming("a", 1, Some("k"))).unwrap();
     assert_eq!(next_command(&first), Some(Command::Start));
@@ -163,7 +165,7 @@
             work: None,
         },
     );
-    registry.pass_time(ms(WINDOW + 1000));
+    registry.advance_time(ms(RETENTION + 1000));
     let late = registry
         .register(IncomingRequest {
             age: ms(1500),
@@ -183,17 +185,17 @@
     assert_eq!(next_command(&next), Some(Command::Start));
 }
 
-/// A queued request was dropped with its broken connection, but its key stayed: all further
-/// attempts failed for the whole window, though nothing had run. The key is now forgotten together
-/// with a request that never ran.
+/// Guards against a key without a run: a queued request was dropped with its broken connection, but
+/// its key was kept, and all further attempts failed for the whole retention. The key of a request
+/// that never ran is removed with the request.
 #[test]
-fn a_key_is_forgotten_with_its_request_that_never_ran() {
+fn the_key_of_a_request_that_never_ran_is_removed() {
     let (registry, running) = registry_at_capacity();
     let first = registry.register(incoming("a", 1, Some("k"))).unwrap();
     assert_eq!(next_command(&first), None, "queued");
     registry.report("a", RequestEvent::CallerGone);
     let again = registry.register(incoming("b", 1, Some("k"))).unwrap();
-    assert_eq!(next_command(&again), None, "queued in its place");
+    assert_eq!(next_command(&again), None, "queued instead");
     for at in 0..running.len() {
         let id = format!("full{at}");
         registry.report(
@@ -208,8 +210,8 @@
     assert_eq!(next_command(&again), Some(Command::Start));
 }
 
-/// Malicious clients sent a known key with a body of their own, and got the first request's result.
-/// A known key with another body is now an error, and nothing is run.
+/// Guards against malicious clients that send a known key with another body to get the result of
+/// the first request. Such a request is an error and is not run.
 #[test]
 fn a_known_key_with_another_body_gets_no_result() {
     let registry = registry();
@@ -221,7 +223,7 @@
     assert_eq!(
         registry.register(other("b")).err(),
         Some(RegisterError::KeyReused),
-        "while it runs"
+        "while the first request runs"
     );
     registry.report(
         "a",
@@ -234,7 +236,7 @@
     assert_eq!(
         registry.register(other("b")).err(),
         Some(RegisterError::KeyReused),
-        "and when it is over"
+        "after it has ended"
     );
     drop(first);
     let repeat = registry.register(incoming("c", 1, Some("k"))).unwrap();
@@ -244,19 +246,19 @@
     );
 }
 
-/// A forged request comes first with somebody else's key, and the executor does not know its id.
-/// The owner's attempts failed for the window. A run that never started now frees its key, and the
-/// owner is served.
+/// Guards against a forged request that arrives first with the key of another client. The executor
+/// does not start its run, because it does not know the id, but all attempts of the key's owner
+/// failed for the whole retention. A run that never started frees its key, and the owner is served.
 #[test]
-fn a_key_of_a_run_that_never_started_is_free() {
+fn the_key_of_a_run_that_never_started_is_free() {
     let registry = registry();
-    let made_up = registry
+    let forged = registry
         .register(IncomingRequest {
             body_hash: 1,
             ..incoming("a", 1, Some("k"))
         })
         .unwrap();
-    assert_eq!(next_command(&made_up), Some(Command::Start));
+    assert_eq!(next_command(&forged), Some(Command::Start));
     registry.report(
         "a",
         RequestEvent::RunFinished {
@@ -266,9 +268,9 @@
         },
     );
     assert_eq!(
-        next_command(&made_up),
+        next_command(&forged),
         Some(Command::Respond(Response::Failed))
     );
-    let own = registry.register(incoming("b", 1, Some("k"))).unwrap();
-    assert_eq!(next_command(&own), Some(Command::Start));
+    let owner = registry.register(incoming("b", 1, Some("k"))).unwrap();
+    assert_eq!(next_command(&owner), Some(Command::Start));
 }
--- a/crates/server/src/requests/tests/lifecycle.rs
+++ b/crates/server/src/requests/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of one request: its commands, its deadline, and a coroutine that ends early.
+//! The lifecycle of one request: its commands, its deadline, and a coroutine that ends early.
 
 use std::time::{Duration, Instant};
 
@@ -6,7 +6,7 @@
 use super::{bytes, incoming, next_command, registry, registry_at_capacity};
 use crate::requests::{Command, Outcome, RegisterError, RequestEvent, RequestRegistry, Response};
 
-/// The ordinary life of a request: it is started, makes a call and gets its reply, has a second
+/// The normal lifecycle of a request: it is started, makes a call and gets the reply, has a second
 /// call skipped, and completes. A second reply to the same call is ignored.
 #[test]
 fn a_request_runs_makes_calls_and_completes() {
@@ -85,30 +85,33 @@
     assert_eq!(registry.open(), 0);
 }
 
-/// A start is warm or cold, as the executor reports it, and happens once. After a cold start the
-/// clock begins at the executor's age.
+/// The executor reports whether it starts warm or cold; only the first report has an effect. After
+/// a cold start, the clock starts at the uptime of the executor.
 #[test]
-fn a_warm_start_begins_the_clock_and_a_cold_one_takes_its_age() {
-    for (cold, age) in [(false, Duration::ZERO), (true, ms(4000))] {
+fn the_clock_starts_at_zero_when_warm_and_at_the_uptime_when_cold() {
+    for (cold, uptime) in [(false, Duration::ZERO), (true, ms(4000))] {
         let registry = RequestRegistry::new(config(), 7, None);
         assert!(!registry.is_started() && !registry.is_healthy());
         assert!(registry.start(cold, ms(4000)));
-        assert!(!registry.start(cold, ms(9000)), "only once");
+        assert!(
+            !registry.start(cold, ms(9000)),
+            "the second report has no effect"
+        );
         assert!(registry.is_healthy());
         let now = registry.state.lock().now();
-        assert!(now >= age && now < age + ms(3000));
+        assert!(now >= uptime && now < uptime + ms(3000));
     }
 }
 
-/// A coroutine ends while its request runs. The run goes on until the executor reports its end, and
-/// until then the request counts as open.
+/// A coroutine ends while its request runs. The run continues until the executor reports its end,
+/// and until then the request counts as open.
 #[test]
-fn a_coroutine_that_ends_abandons_its_request() {
+fn a_request_without_its_coroutine_is_open_until_its_run_ends() {
     let registry = registry();
     let ticket = registry.register(incoming("a", 0, None)).unwrap();
     assert_eq!(next_command(&ticket), Some(Command::Start));
     drop(ticket);
-    assert_eq!(registry.open(), 1, "its run goes on");
+    assert_eq!(registry.open(), 1, "the run continues");
     registry.report(
         "a",
         RequestEvent::RunFinished {
@@ -120,9 +123,9 @@
     assert_eq!(registry.open(), 0);
 }
 
-/// A coroutine whose deadline had passed by less than a millisecond waited for ever: calls were
-/// never given up, and timers stopped for good when the executor's link broke during a query. A
-/// wait now ends at once where its deadline has passed.
+/// Guards against a coroutine that waits indefinitely because its deadline has passed by less than
+/// a millisecond: calls were never abandoned, and timers stopped permanently when the executor link
+/// broke during a query. A wait ends at once if its deadline has passed.
 #[test]
 fn a_ticket_waits_no_longer_than_its_deadline() {
     let (commands, received) = std::sync::mpsc::channel();
@@ -140,10 +143,10 @@
     }
 }
 
-/// Tells a request that waits for a core from one that waits for the executor: where a client was
-/// held up for seconds, nothing did.
+/// The longest delays distinguish a request that waits in the queue from one that waits for the
+/// executor. Without them, no log line showed where a request was delayed for seconds.
 #[test]
-fn the_longest_delays_tell_the_queue_from_the_run() {
+fn longest_delays_distinguish_queue_time_from_run_time() {
     let (registry, mut running) = registry_at_capacity();
     let queued = registry.register(incoming("queued", 0, None)).unwrap();
     assert_eq!(next_command(&queued), None);
--- a/crates/server/src/requests/tests/mod.rs
+++ b/crates/server/src/requests/tests/mod.rs
@@ -1,5 +1,5 @@
-//! Tests of the request registry with the controller behind it. Whatever peers report, and in
-//! whatever order, each request gets one response, and no effect happens twice.
+//! Tests of the request registry with its controller: for any reports of peers, in any order, each
+//! request gets exactly one response, and no effect happens twice.
 
 mod idempotency;
 mod lifecycle;
@@ -18,10 +18,10 @@
 
 use super::{Bytes, Command, Gauges, IdempotencyKey, IncomingRequest, RequestRegistry, Ticket};
 
-/// Retention of a keyed result, in milliseconds.
-const WINDOW: u64 = 2000;
+/// The retention of a key, in milliseconds.
+const RETENTION: u64 = 2000;
 /// The client timeout of the shared configuration, in milliseconds.
-const TIMEOUT: u64 = 3000;
+const CLIENT_TIMEOUT: u64 = 3000;
 
 fn registry() -> Arc<RequestRegistry> {
     let registry = Arc::new(RequestRegistry::new(config(), 7, None));
@@ -30,9 +30,9 @@
 }
 
 impl RequestRegistry {
-    /// Moves the clock on without waiting, and fires the timers.
-    fn pass_time(&self, span: Duration) {
-        self.state.lock().skip_time(span);
+    /// Advances the clock without waiting, and fires the timers.
+    fn advance_time(&self, span: Duration) {
+        self.state.lock().advance_clock(span);
         self.fire_timers(Gauges::default());
     }
 }
@@ -57,12 +57,12 @@
     text.as_bytes().into()
 }
 
-/// The next command, if there is one now.
+/// The next command, if one is queued.
 fn next_command(ticket: &Ticket) -> Option<Command> {
     ticket.next_command(Some(Instant::now()))
 }
 
-/// A registry with every core taken, so that the next request is queued.
+/// A registry with a run on every core, so that the next request is queued.
 fn registry_at_capacity() -> (Arc<RequestRegistry>, Vec<Ticket>) {
     let registry = registry();
     let running = (0..config().cores)
--- a/crates/server/src/requests/tests/model.rs
+++ b/crates/server/src/requests/tests/model.rs
@@ -1,5 +1,5 @@
-//! A plain model of the rules: it takes commands as coroutines do and checks each against what is
-//! allowed.
+//! A reference model of the registry: it takes commands as coroutines do, and checks each command
+//! against the rules for runs and responses.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use tulipgap::Idempotency;
 
 use super::common::ms;
-use super::{WINDOW, bytes, incoming, next_command};
+use super::{RETENTION, bytes, incoming, next_command};
 use crate::requests::{Command, Outcome, RequestEvent, RequestRegistry, Response, Ticket};
 
 /// The idempotency of each handler of the shared configuration.
@@ -18,7 +18,7 @@
     Idempotency::NonIdempotent,
 ];
 
-/// A request as the model sees it.
+/// The state of a request in the model.
 pub(super) struct ModelRequest {
     pub(super) ticket: Ticket,
     pub(super) id: String,
@@ -36,9 +36,10 @@
 pub(super) struct Model {
     pub(super) requests: Vec<ModelRequest>,
     pub(super) now: Duration,
-    /// By key: when the request that ran last with it arrived, and its id.
+    /// By key: the arrival time and the id of the last request that ran with the key.
     pub(super) ran: HashMap<String, (Duration, String)>,
-    /// Keys and ids of requests that are proven never to have run.
+    /// Keys and ids of requests that have not run, because the executor reported that they were not
+    /// started.
     pub(super) never_ran: Vec<(String, String)>,
 }
 
@@ -102,8 +103,8 @@
                 }
             }
         };
-        // The executor has not started it: where the registry still listens, that takes the run
-        // back.
+        // If the registry still handles events of the request, the report that its run was not
+        // started means that it has not run.
         let state = registry.state.lock();
         let open = state.request(&request.id);
         let never_ran = matches!(
@@ -129,29 +130,32 @@
         let Some(command) = next_command(&request.ticket) else {
             return false;
         };
-        assert!(!request.is_finished, "a command after the last one");
+        assert!(
+            !request.is_finished,
+            "a command after the end of the request"
+        );
         match command {
             Command::Start => {
                 request.runs += 1;
-                assert_eq!(request.runs, 1, "run once");
-                // Its start was commanded, but by now it is proven never to have run: that is no
-                // run.
-                let proven =
+                assert_eq!(request.runs, 1, "a request runs once");
+                // A start command does not count as a run if the executor has reported in the
+                // meantime that the run was not started.
+                let has_never_run =
                     |key: &String| self.never_ran.contains(&(key.clone(), request.id.clone()));
-                if let Some(key) = request.key.as_ref().filter(|key| !proven(key)) {
+                if let Some(key) = request.key.as_ref().filter(|key| !has_never_run(key)) {
                     let last = self
                         .ran
                         .insert(key.clone(), (request.arrived_at, request.id.clone()));
                     let again =
                         last.filter(|(_, id)| !self.never_ran.contains(&(key.clone(), id.clone())));
                     assert!(
-                        again.is_none_or(|last| request.arrived_at.abs_diff(last.0) >= ms(WINDOW)),
-                        "once in its window"
+                        again.is_none_or(|last| request.arrived_at.abs_diff(last.0) >= ms(RETENTION)),
+                        "a keyed request runs once within the retention"
                     );
                 }
             }
             Command::Respond(answer) => {
-                assert_eq!(request.answer, None, "answered once");
+                assert_eq!(request.answer, None, "a request is answered once");
                 let is_rejected = matches!(answer, Response::Rejected { .. });
                 assert!(
                     !is_rejected
@@ -159,19 +163,19 @@
                         || request.idempotency == Idempotency::Idempotent,
                     "rejected after a run"
                 );
-                // No other attempt of what ran within the window is rejected either.
+                // No other attempt of a request that ran within the retention is rejected either.
                 if let Some(key) = request.key.as_ref().filter(|_| is_rejected) {
-                    let proven = |id: &String| self.never_ran.contains(&(key.clone(), id.clone()));
-                    // One that arrived before the one that ran was rejected before it, or the other
-                    // would have been coalesced with it: its command is only taken late, and it is
-                    // no duplicate.
-                    let came = |id: &str| id[1..].parse::<usize>().unwrap();
-                    let ran = self
-                        .ran
-                        .get(key)
-                        .filter(|(_, id)| !proven(id) && came(id) < came(&request.id));
+                    let has_never_run =
+                        |id: &String| self.never_ran.contains(&(key.clone(), id.clone()));
+                    // An attempt that arrived before the one that ran was rejected earlier;
+                    // otherwise the other one would have been coalesced with it. It is not a
+                    // duplicate, and only its command is taken late.
+                    let arrival_order = |id: &str| id[1..].parse::<usize>().unwrap();
+                    let ran = self.ran.get(key).filter(|(_, id)| {
+                        !has_never_run(id) && arrival_order(id) < arrival_order(&request.id)
+                    });
                     assert!(
-                        ran.is_none_or(|ran| request.arrived_at >= ran.0 + ms(WINDOW)),
+                        ran.is_none_or(|ran| request.arrived_at >= ran.0 + ms(RETENTION)),
                         "a duplicate is rejected after a run"
                     );
                 }
@@ -189,7 +193,7 @@
         true
     }
 
-    /// Takes all commands that there are now.
+    /// Takes all queued commands.
     pub(super) fn take_all_commands(&mut self) {
         for request_index in 0..self.requests.len() {
             while self.take_command(request_index) {}
--- a/crates/server/src/requests/tests/model_based.rs
+++ b/crates/server/src/requests/tests/model_based.rs
@@ -1,4 +1,4 @@
-//! Random and exhaustive orders of events, checked against the model.
+//! Random and exhaustive sequences of events, checked against the model.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -7,7 +7,7 @@
 
 use super::common::ms;
 use super::model::{Model, ModelRequest};
-use super::{TIMEOUT, WINDOW, bytes, registry, registry_at_capacity};
+use super::{CLIENT_TIMEOUT, RETENTION, bytes, registry, registry_at_capacity};
 use crate::requests::{Outcome, RequestEvent, RequestRegistry, Response};
 
 #[derive(Clone, Debug)]
@@ -16,7 +16,7 @@
         handler: usize,
         key: usize,
     },
-    /// An event is reported for one of the requests, whether or not it fits.
+    /// An event is reported for one of the requests, even if it is not valid in its state.
     Report {
         request_index: usize,
         event_index: usize,
@@ -53,11 +53,12 @@
     }
 }
 
-/// A case that a random run of CI found. The executor has not started the first request, so its key
-/// is free and a second one runs; only then does the first one's coroutine take its start command.
-/// The model took that for a second run within the window.
+/// Guards against a false alarm of the model, found by a random run: the executor has not started
+/// the first request, so its key is free and a second request runs. The first request's coroutine
+/// takes its start command only after that, and the model counted it as a second run within the
+/// retention.
 #[test]
-fn a_command_taken_late_counts_as_no_second_run() {
+fn a_start_command_that_is_taken_late_is_not_a_second_run() {
     let (registry, mut model) = (registry(), Model::default());
     model.register(&registry, 1, 0);
     model.report(&registry, 0, 615);
@@ -75,7 +76,7 @@
 }
 
 quickcheck! {
-    fn each_request_gets_one_response_whatever_is_reported(steps: Vec<Step>) -> bool {
+    fn each_request_gets_one_response_for_random_events(steps: Vec<Step>) -> bool {
         let registry = registry();
         let mut model = Model::default();
         for step in steps {
@@ -83,33 +84,33 @@
                 Step::Register { handler, key } => model.register(&registry, handler, key),
                 Step::Report { request_index, event_index } => model.report(&registry, request_index, event_index),
                 Step::PassTime { span } => {
-                    registry.pass_time(ms(span));
+                    registry.advance_time(ms(span));
                     model.now += ms(span);
                 }
                 Step::TakeCommand { request_index } => drop(model.take_command(request_index)),
                 Step::ShutdownNotice => registry.shutdown_notice(Instant::now(), ms(2000)),
             }
         }
-        // By its timeout each has its response, whatever has not ended.
-        for _ in 0..TIMEOUT / 20 + 5 {
-            registry.pass_time(ms(20));
+        // Each request has its response by its timeout, even if its run has not ended.
+        for _ in 0..CLIENT_TIMEOUT / 20 + 5 {
+            registry.advance_time(ms(20));
         }
         model.take_all_commands();
-        assert!(model.requests.iter().all(|request| request.answer.is_some()), "lost");
-        // Once all runs have ended no request is open.
+        assert!(model.requests.iter().all(|request| request.answer.is_some()), "a request has no response");
+        // No request is open once all runs have ended.
         for request in &model.requests {
             registry.report(&request.id, RequestEvent::RunFinished { outcome: Outcome::Cancelled, result: bytes(""), work: None });
         }
         model.take_all_commands();
-        assert!(model.requests.iter().all(|request| request.is_finished), "open for ever");
+        assert!(model.requests.iter().all(|request| request.is_finished), "a request stays open");
         model.requests.clear();
         registry.open() == 0
     }
 }
 
-/// Plays one of the events around a key: an attempt, an end or a cancellation of the oldest run, a
-/// caller gone, time.
-fn play_event(
+/// Applies one of the events of a key: an attempt, the end or the cancellation of the oldest run, a
+/// caller that is gone, or the passing of time.
+fn apply_event(
     registry: &Arc<RequestRegistry>,
     model: &mut Model,
     gone: &mut Vec<String>,
@@ -121,7 +122,7 @@
         .requests
         .iter()
         .find(|request| request.runs > 0 && !request.is_finished)
-        .map(|s| s.id.clone());
+        .map(|request| request.id.clone());
     let end = |outcome| RequestEvent::RunFinished {
         outcome,
         result: bytes("page"),
@@ -141,18 +142,18 @@
             registry.report(&id, RequestEvent::CallerGone);
         }
         (6, ..) => {
-            registry.pass_time(ms(WINDOW / 2 + 200));
-            model.now += ms(WINDOW / 2 + 200);
+            registry.advance_time(ms(RETENTION / 2 + 200));
+            model.now += ms(RETENTION / 2 + 200);
         }
         _ => {}
     }
 }
 
-/// Plays every order of a few events around one key: attempts, the end of a run, its cancellation,
-/// callers that are gone, and the end of the window. Each attempt gets one response, one runs
-/// within the window, and none is rejected after that.
+/// Runs every sequence of five events of one key: attempts, the end or the cancellation of a run,
+/// callers that are gone, and the end of the retention. Each attempt gets one response, at most one
+/// attempt runs within the retention, and no attempt is rejected after that run.
 #[test]
-fn every_order_of_attempts_ends_and_losses_around_a_key() {
+fn each_key_runs_at_most_once_in_all_event_sequences() {
     const EVENTS: usize = 7;
     const LENGTH: u32 = 5;
     let mut coalesced = 0;
@@ -166,7 +167,7 @@
             let mut model = Model::default();
             let (mut left, mut gone) = (order, Vec::new());
             for _ in 0..LENGTH {
-                play_event(&registry, &mut model, &mut gone, left % EVENTS);
+                apply_event(&registry, &mut model, &mut gone, left % EVENTS);
                 left /= EVENTS;
                 model.take_all_commands();
             }
@@ -182,8 +183,8 @@
                 );
             }
             model.take_all_commands();
-            for _ in 0..TIMEOUT / 100 + 2 {
-                registry.pass_time(ms(100));
+            for _ in 0..CLIENT_TIMEOUT / 100 + 2 {
+                registry.advance_time(ms(100));
                 model.now += ms(100);
                 model.take_all_commands();
             }
@@ -191,17 +192,19 @@
                 |request: &ModelRequest| request.answer.is_some() || gone.contains(&request.id);
             assert!(
                 model.requests.iter().all(answered),
-                "lost in order {order}, queued {queued}"
+                "a request has no response: order {order}, queued {queued}"
             );
             coalesced += model
                 .requests
                 .iter()
-                .filter(|s| s.runs == 0 && matches!(s.answer, Some(Response::Completed(_))))
+                .filter(|request| {
+                    request.runs == 0 && matches!(request.answer, Some(Response::Completed(_)))
+                })
                 .count();
         }
     }
     assert!(
         coalesced > 1000,
-        "only {coalesced} duplicates were answered with a first one's result"
+        "only {coalesced} duplicates got the result of a first attempt"
     );
 }
--- a/crates/server/src/requests/tests/shutdown.rs
+++ b/crates/server/src/requests/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The shutdown notice, before and after the start.
+//! The shutdown notice, before and after the start of the controller.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -7,11 +7,11 @@
 use super::{incoming, next_command, registry};
 use crate::requests::{Command, IncomingRequest, RequestRegistry, Response};
 
-/// A shutdown notice that came before the executor was up was dropped: once it was up, requests
-/// were admitted and run until the termination. The notice is now kept and passed on right after
-/// the start.
+/// Guards against a shutdown notice that is dropped because the executor is not up yet: once the
+/// executor was up, requests were admitted and run until the termination. The registry keeps the
+/// notice and notifies the controller right after the start.
 #[test]
-fn a_shutdown_notice_before_the_start_takes_effect_after_it() {
+fn a_shutdown_notice_before_the_start_takes_effect_at_the_start() {
     let registry = Arc::new(RequestRegistry::new(config(), 7, None));
     registry.shutdown_notice(Instant::now(), ms(9000));
     assert!(registry.start(false, Duration::ZERO));
@@ -20,26 +20,27 @@
     assert_eq!(
         next_command(&ticket),
         Some(Command::Start),
-        "within the grace"
+        "the request arrived within the drain grace"
     );
-    registry.pass_time(config().drain_grace + ms(50));
+    registry.advance_time(config().drain_grace + ms(50));
     let ticket = registry.register(incoming("b", 0, None)).unwrap();
     assert!(
         matches!(
             next_command(&ticket),
             Some(Command::Respond(Response::Rejected { .. }))
         ),
-        "behind it"
+        "the request arrived after the drain grace"
     );
 }
 
-/// The grace counted from when the controller learned of the notice: where it learned late,
-/// requests ran that had arrived after the grace. It now counts from the signal itself.
+/// Guards against a drain grace that counts from the notification of the controller: if the
+/// controller was notified late, requests ran that had arrived after the grace. The grace counts
+/// from the receipt of the shutdown notice.
 #[test]
-fn the_drain_grace_counts_from_the_notice_however_late_it_is_passed_on() {
+fn drain_grace_counts_from_the_receipt_of_the_notice() {
     let registry = registry();
     let grace = config().drain_grace;
-    registry.pass_time(grace * 4);
+    registry.advance_time(grace * 4);
     let Some(notice) = Instant::now().checked_sub(grace) else {
         return;
     };
@@ -65,6 +66,6 @@
     assert_eq!(
         next_command(&ticket),
         Some(Command::Start),
-        "it came within the grace"
+        "the request arrived within the drain grace"
     );
 }
--- a/crates/server/src/requests/ticket.rs
+++ b/crates/server/src/requests/ticket.rs
@@ -1,4 +1,4 @@
-//! The handle with which a request's coroutine takes its commands.
+//! The handle by which a request's coroutine takes its commands.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -10,23 +10,24 @@
 use super::state::RegistryState;
 use crate::clock;
 
-/// The handle of one registered request. Where it is dropped before the request is finished, the
-/// request's caller counts as gone: its coroutine has ended, and nothing can answer it.
+/// The handle of one registered request. If it is dropped before the request is finished, the
+/// caller counts as gone, because the coroutine that could answer the request has ended.
 pub(crate) struct Ticket {
     pub(super) state: Arc<Mutex<RegistryState>>,
     pub(super) index: usize,
     pub(super) waiter: Arc<Blocker>,
-    /// The controller has answered and released it on its arrival.
+    /// The controller has answered and released the request on arrival.
     pub(super) is_finished_on_arrival: bool,
 }
 
 impl Ticket {
-    /// Whether all commands that there will ever be are queued, so that none blocks.
+    /// Whether all commands for the request are already queued, so that `next_command` does not
+    /// block.
     pub(crate) fn is_finished_on_arrival(&self) -> bool {
         self.is_finished_on_arrival
     }
 
-    /// Blocks until there is a command; `None` once `deadline` has passed without one.
+    /// Blocks until there is a command. Returns `None` if `deadline` passes without one.
     pub(crate) fn next_command(&self, deadline: Option<Instant>) -> Option<Command> {
         loop {
             if let Some(command) = self.state.lock().next_command(self.index) {
