--- a/crates/server/src/net/executor/mod.rs
+++ b/crates/server/src/net/executor/mod.rs
@@ -1,6 +1,6 @@
 //! The client of the executor, the peer that runs requests. It keeps one link open. After a break
-//! it opens a new link, which resumes after the last notice that was read, and sends commands again
-//! that may be lost, where that is safe.
+//! it opens a new link, which resumes after the last notice that was read. It then sends commands
+//! again that may be lost, unless this could cause a second run or resume the wrong call.
 //!
 //! | file | job |
 //! | --- | --- |
--- a/crates/server/src/net/executor/protocol.rs
+++ b/crates/server/src/net/executor/protocol.rs
@@ -136,11 +136,11 @@
     /// # Errors
     /// [`InvalidMessage`] if the line is not a message of the protocol.
     pub(super) fn decode(line: &'a Line<'a>) -> Result<Self, InvalidMessage> {
-        Message::of(line)
+        Message::parse_line(line)
             .ok_or_else(|| InvalidMessage(line.words.iter().map(|&word| word.to_owned()).collect()))
     }
 
-    fn of(line: &'a Line<'a>) -> Option<Self> {
+    fn parse_line(line: &'a Line<'a>) -> Option<Self> {
         let body = || Bytes::from(line.body);
         let message = match line.words[..] {
             ["BOOTED", state, uptime] => {
--- a/crates/server/src/net/frontend/connection_table.rs
+++ b/crates/server/src/net/frontend/connection_table.rs
@@ -97,13 +97,13 @@
 
     /// Notifies the limiter of an event.
     pub(super) fn notify(&self, event: Event) {
-        self.decide(|limiter, now, actions| limiter.handle_event(now, event, actions));
+        self.update_limiter(|limiter, now, actions| limiter.handle_event(now, event, actions));
     }
 
     /// Asks the limiter whether another connection may be accepted. `backlog` returns the length of
     /// the backlog, if it is known. It is called on a full server only.
     pub(super) fn may_accept(&self, backlog: impl FnOnce() -> Option<usize>) -> Admission {
-        self.decide(|limiter, now, actions| {
+        self.update_limiter(|limiter, now, actions| {
             let may_accept_at_once = limiter.may_accept_at_once();
             let backlog = if may_accept_at_once {
                 Some(0)
@@ -169,7 +169,7 @@
 
     /// Adds an accepted connection, unless the limiter rejects it.
     pub(super) fn admit(&self, stream: TcpStream, address: IpAddr) -> Result<Admitted, Rejected> {
-        self.decide(|limiter, now, actions| {
+        self.update_limiter(|limiter, now, actions| {
             let mut connections = self.connections.lock();
             let id = ConnectionId(connections.vacant_key());
             let accepted = Event::Accepted {
@@ -193,7 +193,7 @@
 
     /// Removes a connection whose stream is closed.
     pub(super) fn remove(&self, id: ConnectionId) {
-        self.decide(|limiter, now, actions| {
+        self.update_limiter(|limiter, now, actions| {
             limiter.handle_event(now, Event::Closed { connection: id }, actions);
             self.connections.lock().remove(id.0);
         });
@@ -235,14 +235,17 @@
         connections.iter().filter(is_unfinished).count()
     }
 
-    fn decide<T>(&self, decide: impl FnOnce(&mut Limiter, Duration, &mut Vec<Action>) -> T) -> T {
+    fn update_limiter<T>(
+        &self,
+        update: impl FnOnce(&mut Limiter, Duration, &mut Vec<Action>) -> T,
+    ) -> T {
         let mut limiter = self.limiter.lock();
         let mut actions = Vec::new();
-        let decision = decide(&mut limiter, self.started_at.elapsed(), &mut actions);
+        let result = update(&mut limiter, self.started_at.elapsed(), &mut actions);
         if !actions.is_empty() {
             self.apply(&actions);
         }
-        decision
+        result
     }
 
     fn apply(&self, actions: &[Action]) {
--- a/crates/server/src/net/frontend/parse.rs
+++ b/crates/server/src/net/frontend/parse.rs
@@ -14,7 +14,7 @@
 /// the future, or this much older than the oldest request whose caller can still be waiting.
 const TIMESTAMP_SLACK: Duration = Duration::from_secs(1);
 /// The memory that a request states has to be below this, in kilobytes.
-const MEMORY_LIMIT_KB: f64 = 2000.0;
+const MAX_QUEUED_KB: f64 = 2000.0;
 /// The limit on the work estimate of a request, as a multiple of its client timeout.
 const MAX_WORK_FACTOR: f64 = 2.0;
 
@@ -185,7 +185,7 @@
         let arrived = parse_timestamp(&fields, accepted_at, client_timeout)?;
         let queued_kb = fields
             .number(KEY_MEMORY)?
-            .filter(|&kb| kb > 0.0 && kb < MEMORY_LIMIT_KB);
+            .filter(|&kb| kb > 0.0 && kb < MAX_QUEUED_KB);
         let estimated_work = parse_work(&fields, client_timeout)?;
         check_level(&fields)?;
         let idempotency_key = fields.non_empty(KEY_IDEMPOTENCY).map(IdempotencyKey::from);
--- a/crates/server/src/net/store/connection.rs
+++ b/crates/server/src/net/store/connection.rs
@@ -105,7 +105,7 @@
                     log::warn!("store reply ignored reason=no_such_call count={count}");
                 }
                 if *stray_replies > MAX_STRAY_REPLIES {
-                    return Err(protocol_error("too many replies to no call"));
+                    return Err(protocol_error("too many stray replies"));
                 }
             }
         }
