--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -22,7 +22,7 @@
     Outside,
     /// The voter's directory is an older copy, or its state was found invalid while it ran. It no
     /// longer votes. Its [`Notice`](crate::Notice) tells which of the two happened.
-    RolledBack,
+    Stopped,
     /// The host ended the voter after a failed write.
     Ended,
 }
@@ -35,7 +35,7 @@
             VoterPhase::Waiting => "waiting",
             VoterPhase::Voting => "voting",
             VoterPhase::Outside => "outside",
-            VoterPhase::RolledBack => "set back",
+            VoterPhase::Stopped => "set back",
             VoterPhase::Ended => "ended",
         })
     }
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -195,7 +195,7 @@
         self.now = now.max(self.now);
         let mut proposals = Vec::new();
         for event in events {
-            if self.phase == Phase::RolledBack {
+            if self.phase == Phase::Stopped {
                 break;
             }
             self.handle_event(event, &mut proposals, &mut actions);
@@ -268,7 +268,7 @@
                 }
                 self.advance_membership_change();
             }
-            Phase::RolledBack => {}
+            Phase::Stopped => {}
         }
         self.phase = self.phase.after_tick(self.now);
     }
@@ -447,11 +447,11 @@
     /// Stops the consensus permanently after a rollback or an invalid state was detected, since the
     /// voter could no longer take part safely.
     ///
-    /// The phase is `RolledBack` (`set back` on the control socket) in both cases. Only the notice
+    /// The phase is `Stopped` (`set back` on the control socket) in both cases. Only the notice
     /// distinguishes them: [`Notice::RolledBack`] after a rollback, [`Notice::InvalidData`] after
     /// an invalid state.
     fn stop_node(&mut self) {
-        self.phase = Phase::RolledBack;
+        self.phase = Phase::Stopped;
         self.node = None;
     }
 
--- a/crates/consensus/src/voter/phase.rs
+++ b/crates/consensus/src/voter/phase.rs
@@ -27,8 +27,8 @@
     },
     Voting,
     Outside,
-    /// Stopped, since a rollback or an invalid state was detected.
-    RolledBack,
+    /// A rollback or an invalid state was detected.
+    Stopped,
 }
 
 impl Phase {
@@ -62,7 +62,7 @@
             Phase::Waiting { .. } => VoterPhase::Waiting,
             Phase::Voting => VoterPhase::Voting,
             Phase::Outside => VoterPhase::Outside,
-            Phase::RolledBack => VoterPhase::RolledBack,
+            Phase::Stopped => VoterPhase::Stopped,
         }
     }
 }
--- a/crates/consensus/src/voter/ready.rs
+++ b/crates/consensus/src/voter/ready.rs
@@ -165,7 +165,7 @@
         } = proposal;
         let response = self.state.leases.apply(&command);
         self.expiry
-            .command_applied(self.now, command.lease(), &self.state.leases);
+            .handle_applied_command(self.now, command.lease(), &self.state.leases);
         if !self.is_leader() {
             return;
         }
@@ -186,7 +186,7 @@
         let Some(node) = &self.node else { return };
         match self.leadership.update(node.role()) {
             Some(LeadershipChange::Began { term }) => {
-                self.state.leases.leader_changed();
+                self.state.leases.handle_leader_change();
                 self.expiry.start_leading(self.now, &self.state.leases);
                 actions.push(Action::Notice(Notice::BecameLeader { term }));
             }
@@ -246,7 +246,7 @@
 
     /// Requests a timer if the next tick or expiry check is due before the requested one.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
-        if self.phase == Phase::RolledBack {
+        if self.phase == Phase::Stopped {
             return;
         }
         let next_check_at = self.expiry.next_check_at();
--- a/crates/consensus/src/voter/tests/golden_transcripts.rs
+++ b/crates/consensus/src/voter/tests/golden_transcripts.rs
@@ -37,7 +37,7 @@
 ];
 /// Words of the library that were renamed since the checksums were recorded: each present word, and
 /// the recorded word that replaces it in a transcript.
-const RENAMED_WORDS: &[(&str, &str)] = &[];
+const RENAMED_WORDS: &[(&str, &str)] = &[("Stopped", "RolledBack")];
 const DURATION: Duration = Duration::from_secs(60);
 /// Recorded as the kind of an action when a voter panics. [`ALL_KINDS`] does not contain it, so the
 /// test fails.
--- a/crates/consensus/src/voter/tests/restart.rs
+++ b/crates/consensus/src/voter/tests/restart.rs
@@ -131,7 +131,7 @@
     assert_eq!(waiting.after_reply(&others, &others), Phase::Voting);
     assert_eq!(waiting.after_tick(until - Duration::from_nanos(1)), waiting);
     assert_eq!(waiting.after_tick(until), Phase::Voting);
-    for phase in [Phase::Bootstrapping, Phase::Outside, Phase::RolledBack] {
+    for phase in [Phase::Bootstrapping, Phase::Outside, Phase::Stopped] {
         assert_eq!(phase.after_reply(&others, &others), phase);
         assert_eq!(phase.after_tick(until), phase);
     }
--- a/crates/consensus/tests/rollback_batch.rs
+++ b/crates/consensus/tests/rollback_batch.rs
@@ -55,7 +55,7 @@
     let reports_rollback =
         |action: &Action| matches!(action, Action::Notice(Notice::RolledBack { .. }));
     assert!(actions.iter().any(reports_rollback), "{actions:?}");
-    assert_eq!(voter.voter().status().phase, VoterPhase::RolledBack);
+    assert_eq!(voter.voter().status().phase, VoterPhase::Stopped);
     let (actions, _) = voter.handle_events(now, vec![propose(3)]);
     assert!(actions.is_empty(), "{actions:?}");
 }
--- a/crates/fault-injection/src/lease_simulation/clients.rs
+++ b/crates/fault-injection/src/lease_simulation/clients.rs
@@ -47,7 +47,7 @@
             ttl: Duration::from_secs_f64(lease.ttl),
             capacity: lease.capacity,
         },
-        max_step: Duration::from_secs_f64(lease.max_operation),
+        max_operation: Duration::from_secs_f64(lease.max_operation),
         wait: true,
     }
 }
--- a/crates/leases/src/client.rs
+++ b/crates/leases/src/client.rs
@@ -104,10 +104,10 @@
             Event::Acquire {
                 lease,
                 spec,
-                max_step,
+                max_operation,
                 wait,
             } => {
-                self.add_wanted_lease(lease, spec, max_step, wait, &mut actions);
+                self.add_wanted_lease(lease, spec, max_operation, wait, &mut actions);
             }
             Event::Release { lease } => self.handle_release(&lease, &mut actions),
             // A later leader may apply a request of an earlier run of this process, whose id may
@@ -158,17 +158,17 @@
         }
     }
 
-    /// Adds a lease that the host wants. A lease that is already wanted keeps its spec, step and
-    /// `wait`.
+    /// Adds a lease that the host wants. A lease that is already wanted keeps its spec,
+    /// `max_operation` and `wait`.
     fn add_wanted_lease(
         &mut self,
         lease: Name,
         spec: LeaseSpec,
-        max_step: Duration,
+        max_operation: Duration,
         wait: bool,
         actions: &mut Vec<Action>,
     ) {
-        if let Err(reason) = self.check_wanted(&lease, spec, max_step) {
+        if let Err(reason) = self.check_wanted(&lease, spec, max_operation) {
             actions.push(Action::Rejected { lease, reason });
             return;
         }
@@ -176,7 +176,7 @@
         let wanted = self
             .leases
             .entry(lease)
-            .or_insert_with(|| WantedLease::new(spec, max_step, wait, now));
+            .or_insert_with(|| WantedLease::new(spec, max_operation, wait, now));
         wanted.is_released = false;
     }
 
@@ -184,11 +184,11 @@
         &self,
         lease: &Name,
         spec: LeaseSpec,
-        max_step: Duration,
+        max_operation: Duration,
     ) -> Result<(), RejectReason> {
         if !is_valid_name(lease)
             || !spec.is_valid()
-            || !self.schedule.allows_step(spec.ttl, max_step)
+            || !self.schedule.allows_operation(spec.ttl, max_operation)
         {
             return Err(RejectReason::Invalid);
         }
@@ -266,7 +266,7 @@
             sent_at
         };
         let usable_ttl = self.schedule.usable_ttl(wanted.spec.ttl);
-        let valid_until = counted_from + usable_ttl.saturating_sub(wanted.max_step);
+        let valid_until = counted_from + usable_ttl.saturating_sub(wanted.max_operation);
         let accepts_released = self.bug.is_on(InjectedBug::ReusedReleasedToken);
         let grant = Grant {
             token,
@@ -409,7 +409,7 @@
             self.add_wanted_lease(
                 lease.clone(),
                 wanted.spec,
-                wanted.max_step,
+                wanted.max_operation,
                 wanted.wait,
                 actions,
             );
--- a/crates/leases/src/client/event.rs
+++ b/crates/leases/src/client/event.rs
@@ -26,8 +26,8 @@
         lease: Name,
         /// The TTL and capacity, on which all requests for the lease must agree.
         spec: LeaseSpec,
-        /// Maximum duration of a step under a guard. Guards become stale that much earlier.
-        max_step: Duration,
+        /// Maximum duration of an operation under a guard. Guards become stale that much earlier.
+        max_operation: Duration,
         /// Whether to queue if no slot is free.
         wait: bool,
     },
--- a/crates/leases/src/client/guard.rs
+++ b/crates/leases/src/client/guard.rs
@@ -1,4 +1,4 @@
-//! Guards: the permission to act under a lease, checked before each step.
+//! Guards: the permission to act under a lease, checked before each operation.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     token: FencingToken,
 }
 
-/// The lease is not held, or no longer held: no step may begin under it.
+/// The lease is not held, or no longer held: no operation may begin under it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the lease is not held any more")]
 pub struct StaleGuard;
@@ -39,8 +39,8 @@
         Ok(LeaseGuard { lease: name, token })
     }
 
-    /// Returns the fencing token for one step that begins now. A process that was paused since its
-    /// last step finds out here that its lease has ended.
+    /// Returns the fencing token for one operation that begins now. A process that was paused since
+    /// its last operation finds out here that its lease has ended.
     ///
     /// # Errors
     /// [`StaleGuard`] if the lease has ended or was granted anew since the guard was acquired.
--- a/crates/leases/src/client/renewal.rs
+++ b/crates/leases/src/client/renewal.rs
@@ -52,10 +52,10 @@
         ttl * (PERMILLE - self.config.max_clock_drift_permille) / PERMILLE
     }
 
-    /// Whether a step may take up to `max_step`: the renewal must be due before the guard becomes
-    /// stale.
-    pub(super) fn allows_step(&self, ttl: Duration, max_step: Duration) -> bool {
-        max_step <= self.usable_ttl(ttl) / RENEWALS_PER_TTL
+    /// Whether an operation may take up to `max_operation`: the renewal must be due before the
+    /// guard becomes stale.
+    pub(super) fn allows_operation(&self, ttl: Duration, max_operation: Duration) -> bool {
+        max_operation <= self.usable_ttl(ttl) / RENEWALS_PER_TTL
     }
 
     /// When to renew a lease whose TTL is counted from `counted_from`.
--- a/crates/leases/src/client/tests.rs
+++ b/crates/leases/src/client/tests.rs
@@ -128,8 +128,8 @@
         schedule.renew_at(millis(100), TTL),
         millis(100) + millis(1900) / 3
     );
-    assert!(schedule.allows_step(TTL, millis(1900) / 3));
-    assert!(!schedule.allows_step(TTL, millis(1900) / 3 + Duration::from_nanos(1)));
+    assert!(schedule.allows_operation(TTL, millis(1900) / 3));
+    assert!(!schedule.allows_operation(TTL, millis(1900) / 3 + Duration::from_nanos(1)));
     assert_eq!(schedule.retry_interval(TTL), TTL / 6);
     assert_eq!(schedule.retry_interval(millis(3001)), millis(500));
     assert_eq!(schedule.queue_poll_interval(TTL), millis(500));
--- a/crates/leases/src/client/wanted_lease.rs
+++ b/crates/leases/src/client/wanted_lease.rs
@@ -77,8 +77,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct WantedLease {
     pub(super) spec: LeaseSpec,
-    /// Maximum duration of a step under a guard.
-    pub(super) max_step: Duration,
+    /// Maximum duration of an operation under a guard.
+    pub(super) max_operation: Duration,
     /// Whether to queue if no slot is free.
     pub(super) wait: bool,
     pub(super) status: LeaseStatus,
@@ -94,10 +94,10 @@
 }
 
 impl WantedLease {
-    pub(super) fn new(spec: LeaseSpec, max_step: Duration, wait: bool, now: Duration) -> Self {
+    pub(super) fn new(spec: LeaseSpec, max_operation: Duration, wait: bool, now: Duration) -> Self {
         WantedLease {
             spec,
-            max_step,
+            max_operation,
             wait,
             status: LeaseStatus::Requested,
             pending: Vec::new(),
--- a/crates/leases/src/expiry.rs
+++ b/crates/leases/src/expiry.rs
@@ -101,7 +101,12 @@
     }
 
     /// Updates the deadlines of a lease after a command about it was applied.
-    pub fn command_applied(&mut self, now: Duration, lease: &Name, state: &LeaseStateMachine) {
+    pub fn handle_applied_command(
+        &mut self,
+        now: Duration,
+        lease: &Name,
+        state: &LeaseStateMachine,
+    ) {
         if self.is_leading {
             self.read_clock(now);
             self.track(lease, state);
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -37,9 +37,9 @@
 //! let mut state_machine = LeaseStateMachine::default();
 //!
 //! let spec = LeaseSpec { ttl: Duration::from_secs(2), capacity: 1 };
-//! let max_step = Duration::from_millis(100);
+//! let max_operation = Duration::from_millis(100);
 //! let now = Duration::ZERO;
-//! let acquire = Event::Acquire { lease: "prober".into(), spec, max_step, wait: true };
+//! let acquire = Event::Acquire { lease: "prober".into(), spec, max_operation, wait: true };
 //! for action in client.handle_event(now, acquire) {
 //!     if let Action::Send { request, command, .. } = action {
 //!         let response = state_machine.apply(&command);
--- a/crates/leases/src/protocol.rs
+++ b/crates/leases/src/protocol.rs
@@ -218,7 +218,7 @@
         /// The capacity of the existing lease.
         capacity: u32,
     },
-    /// A name, TTL, capacity or step is outside its limits.
+    /// A name, TTL, capacity or `max_operation` is outside its limits.
     #[error(
         "names have 1 to {MAX_NAME_BYTES} bytes, TTLs are {MIN_LEASE_TTL:?} to {MAX_LEASE_TTL:?}, \
          capacities 1 to {MAX_CAPACITY}, and a step is short against its TTL"
--- a/crates/leases/src/state_machine.rs
+++ b/crates/leases/src/state_machine.rs
@@ -54,7 +54,7 @@
 
     /// Handles a change of leader. It changes the state only with
     /// [`InjectedBug::VolatileTokens`].
-    pub fn leader_changed(&mut self) {
+    pub fn handle_leader_change(&mut self) {
         if self.bug.is_on(InjectedBug::VolatileTokens) {
             self.last_token = FencingToken::default();
         }
--- a/crates/leases/tests/client.rs
+++ b/crates/leases/tests/client.rs
@@ -27,7 +27,7 @@
     let event = Event::Acquire {
         lease: lease.into(),
         spec,
-        max_step: Duration::ZERO,
+        max_operation: Duration::ZERO,
         wait: true,
     };
     sent_requests(&client.handle_event(Duration::ZERO, event))[0].1
@@ -125,16 +125,16 @@
 #[test]
 fn names_ttls_and_capacities_outside_their_limits_are_rejected() {
     let mut client = client(1);
-    let mut is_rejected = |lease: &str, ttl_ms: u64, capacity: u32, max_step_ms: u64| {
+    let mut is_rejected = |lease: &str, ttl_ms: u64, capacity: u32, max_operation_ms: u64| {
         let spec = LeaseSpec {
             ttl: Duration::from_millis(ttl_ms),
             capacity,
         };
-        let max_step = Duration::from_millis(max_step_ms);
+        let max_operation = Duration::from_millis(max_operation_ms);
         let event = Event::Acquire {
             lease: lease.into(),
             spec,
-            max_step,
+            max_operation,
             wait: true,
         };
         matches!(
--- a/crates/leases/tests/exhaustive.rs
+++ b/crates/leases/tests/exhaustive.rs
@@ -94,7 +94,7 @@
     Event::Acquire {
         lease: Arc::from(lease),
         spec: SPEC,
-        max_step: Duration::ZERO,
+        max_operation: Duration::ZERO,
         wait: false,
     }
 }
@@ -199,7 +199,7 @@
         let response = world.state.apply(&command);
         world
             .expiry
-            .command_applied(now, command.lease(), &world.state);
+            .handle_applied_command(now, command.lease(), &world.state);
         if let Some((to, request)) = requested
             && world.network.len() < self.max_in_flight
         {
@@ -220,7 +220,7 @@
                 .for_each(|(_, requested)| *requested = None),
             false => world.proposed.clear(),
         }
-        world.state.leader_changed();
+        world.state.handle_leader_change();
         let now = self.leader_clock(world);
         world.expiry.start_leading(now, &world.state);
     }
--- a/crates/leases/tests/expiry.rs
+++ b/crates/leases/tests/expiry.rs
@@ -37,7 +37,7 @@
             capacity: 1,
             wait: true,
         });
-        self.expiry.command_applied(now, &lease, &self.state);
+        self.expiry.handle_applied_command(now, &lease, &self.state);
     }
 
     /// Reads the clock often enough for all time to count. Returns the owners whose expiry is due
--- a/crates/leases/tests/golden_transcripts.rs
+++ b/crates/leases/tests/golden_transcripts.rs
@@ -280,7 +280,7 @@
     fn apply(&mut self, command: &Command) -> Response {
         let response = self.leases.apply(command);
         self.expiry
-            .command_applied(self.now, command.lease(), &self.leases);
+            .handle_applied_command(self.now, command.lease(), &self.leases);
         let next: Vec<Owner> = self.leases.next_owners(command.lease()).cloned().collect();
         self.record(&format!("{command:?} {response:?} {next:?}"));
         for owner in next {
@@ -379,7 +379,7 @@
             ttl: Duration::from_millis(if has_other_ttl { 7000 } else { 2000 }),
             capacity: if &*lease == "lease-1" { 2 } else { 1 },
         };
-        let max_step = Duration::from_millis(if self.random.u32(0..40) == 0 {
+        let max_operation = Duration::from_millis(if self.random.u32(0..40) == 0 {
             900
         } else {
             100
@@ -390,7 +390,7 @@
             Event::Acquire {
                 lease,
                 spec,
-                max_step,
+                max_operation,
                 wait,
             },
         );
--- a/crates/leases/tests/invalid_messages.rs
+++ b/crates/leases/tests/invalid_messages.rs
@@ -117,7 +117,7 @@
                     ttl: self.duration(),
                     capacity: self.capacity(),
                 },
-                max_step: self.duration(),
+                max_operation: self.duration(),
                 wait: self.rng.bool(),
             },
             1 => Event::Release { lease: self.name() },
--- a/crates/server/src/cluster/admin.rs
+++ b/crates/server/src/cluster/admin.rs
@@ -115,7 +115,7 @@
     /// Acquires the drain lease of this process's zone.
     fn acquire_drain_lease(&self, node: &mut LocalNode) -> AdminResult {
         let drain = self.drain.as_ref().ok_or(AdminError::NoDrainLease)?;
-        acquire_lease(node, drain.name(), drain.spec(), drain.max_step())
+        acquire_lease(node, drain.name(), drain.spec(), drain.max_operation())
     }
 
     /// Sends the request to all voters; the leader carries it out.
@@ -206,9 +206,9 @@
     node: &mut LocalNode,
     lease: &str,
     spec: LeaseSpec,
-    max_step: Duration,
+    max_operation: Duration,
 ) -> AdminResult {
-    node.acquire_lease(lease, spec, max_step)?;
+    node.acquire_lease(lease, spec, max_operation)?;
     Ok(AdminResponse::acquiring(lease))
 }
 
--- a/crates/server/src/cluster/drain.rs
+++ b/crates/server/src/cluster/drain.rs
@@ -13,7 +13,7 @@
 /// The TTL of the lease: how long a process that has died still counts as draining.
 const DRAIN_LEASE_TTL: Duration = Duration::from_secs(3);
 /// The longest operation under the lease. The drain carries out no operations that check the lease.
-const MAX_DRAIN_STEP: Duration = Duration::from_millis(100);
+const MAX_DRAIN_OPERATION: Duration = Duration::from_millis(100);
 
 /// The drain lease of this process's zone.
 #[derive(Clone)]
@@ -46,12 +46,12 @@
     }
 
     /// The longest operation under the lease.
-    pub(crate) fn max_step(&self) -> Duration {
-        MAX_DRAIN_STEP
+    pub(crate) fn max_operation(&self) -> Duration {
+        MAX_DRAIN_OPERATION
     }
 
     /// Acquires the lease and keeps it until the process ends.
     pub(crate) fn acquire(&self, leases: &LeaseHandle) {
-        leases.acquire(&self.name, self.spec(), self.max_step());
+        leases.acquire(&self.name, self.spec(), self.max_operation());
     }
 }
--- a/crates/server/src/cluster/lease_handle.rs
+++ b/crates/server/src/cluster/lease_handle.rs
@@ -46,12 +46,12 @@
     }
 
     /// Acquires a lease and keeps it until it is released. If no slot is free, the request is
-    /// queued. No operation of the task under the lease may take longer than `max_step`.
-    pub(crate) fn acquire(&self, lease: &str, spec: LeaseSpec, max_step: Duration) {
+    /// queued. No operation of the task under the lease may take longer than `max_operation`.
+    pub(crate) fn acquire(&self, lease: &str, spec: LeaseSpec, max_operation: Duration) {
         self.handle_event(Event::Acquire {
             lease: lease.into(),
             spec,
-            max_step,
+            max_operation,
             wait: true,
         });
     }
--- a/crates/server/src/cluster/local_node.rs
+++ b/crates/server/src/cluster/local_node.rs
@@ -252,12 +252,12 @@
         &mut self,
         lease: &str,
         spec: LeaseSpec,
-        max_step: Duration,
+        max_operation: Duration,
     ) -> Result<(), RejectReason> {
         let event = LeaseEvent::Acquire {
             lease: lease.into(),
             spec,
-            max_step,
+            max_operation,
             wait: true,
         };
         let actions = self
--- a/crates/server/src/cluster/tests.rs
+++ b/crates/server/src/cluster/tests.rs
@@ -199,7 +199,7 @@
         term: 3,
         leader: None,
         applied_index: 8,
-        phase: VoterPhase::RolledBack,
+        phase: VoterPhase::Stopped,
         voters: [(VoterId(9), "a".into())].into(),
     };
     let own = OwnStatus {
