--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -28,7 +28,7 @@
 };
 
 pub use schema::Settings;
-use schema::{Class, DependencyKind, Effect, Halt, Say};
+use schema::{CancellationKind, Class, DependencyKind, Effect, FeedbackKind};
 
 /// Why settings cannot be used, with the key at fault.
 #[derive(Debug, thiserror::Error)]
@@ -155,9 +155,9 @@
                 self.family_info.endpoint_list_follows_health,
                 self.family_info.feedback,
             ) {
-                (true, Say::None) => Steering::EndpointList,
+                (true, FeedbackKind::None) => Steering::EndpointList,
                 (true, _) => Steering::Both,
-                (false, Say::None) => Steering::RetryAfterOnly,
+                (false, FeedbackKind::None) => Steering::RetryAfterOnly,
                 (false, _) => Steering::FeedbackValue,
             },
         )
@@ -217,15 +217,15 @@
             drain_grace: milliseconds("rules.drain_grace", self.rules.drain_grace_ms)?,
             dependency: self.dependency()?,
             cancellation: match info.cancellation {
-                Halt::Unsupported => Cancellation::Unsupported,
-                Halt::DiscardsProgress => Cancellation::DiscardsProgress,
-                Halt::KeepsProgress => Cancellation::KeepsProgress,
+                CancellationKind::Unsupported => Cancellation::Unsupported,
+                CancellationKind::DiscardsProgress => Cancellation::DiscardsProgress,
+                CancellationKind::KeepsProgress => Cancellation::KeepsProgress,
             },
             feedback: match info.feedback {
-                Say::PriorityThreshold => CallerFeedback::PriorityThreshold,
-                Say::ConcurrencyCredit => CallerFeedback::ConcurrencyCredit,
-                Say::TrafficWeight => CallerFeedback::TrafficWeight,
-                Say::None => CallerFeedback::None,
+                FeedbackKind::PriorityThreshold => CallerFeedback::PriorityThreshold,
+                FeedbackKind::ConcurrencyCredit => CallerFeedback::ConcurrencyCredit,
+                FeedbackKind::TrafficWeight => CallerFeedback::TrafficWeight,
+                FeedbackKind::None => CallerFeedback::None,
             },
             max_retry_after: match self.limits.sends_retry_after {
                 true => Some(milliseconds(
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -25,7 +25,7 @@
 
 /// How a server can stop a run.
 #[derive(Clone, Copy, Deserialize)]
-pub(crate) enum Halt {
+pub(crate) enum CancellationKind {
     #[serde(rename = "silent")]
     Unsupported,
     #[serde(rename = "drop")]
@@ -36,7 +36,7 @@
 
 /// How callers interpret the feedback value.
 #[derive(Clone, Copy, Deserialize)]
-pub(crate) enum Say {
+pub(crate) enum FeedbackKind {
     #[serde(rename = "level")]
     PriorityThreshold,
     #[serde(rename = "credit")]
@@ -67,7 +67,7 @@
 }
 
 #[derive(Deserialize)]
-pub(crate) struct FamilyInfo {
+pub(crate) struct ServerInfo {
     #[serde(rename = "below")]
     pub(crate) dependency: DependencyKind,
     #[serde(rename = "blowup")]
@@ -86,13 +86,13 @@
     #[serde(default, rename = "entry_kb")]
     pub(crate) key_kb: f64,
     #[serde(rename = "halt")]
-    pub(crate) cancellation: Halt,
+    pub(crate) cancellation: CancellationKind,
     #[serde(rename = "idle")]
     pub(crate) idle_timeout_ms: f64,
     #[serde(rename = "mem_limit_kb")]
     pub(crate) memory_kb: f64,
     #[serde(rename = "say")]
-    pub(crate) feedback: Say,
+    pub(crate) feedback: FeedbackKind,
     #[serde(default, rename = "own_stats")]
     pub(crate) gauge_names: Vec<String>,
     #[serde(default, rename = "share_span")]
@@ -164,7 +164,7 @@
     pub(crate) classes: Vec<Class>,
     #[serde(default)]
     pub(crate) clients: Clients,
-    pub(crate) family_info: FamilyInfo,
+    pub(crate) family_info: ServerInfo,
     /// The number of backends of this tier on the endpoint list when this one started.
     #[serde(default)]
     pub(crate) fleet_size: u32,
