--- a/crates/config/src/fault_injection.rs
+++ b/crates/config/src/fault_injection.rs
@@ -32,9 +32,11 @@
     #[serde(default = "exact_clock_rate")]
     #[garde(range(min = 0.5, max = 2.0))]
     pub clock_rate: f64,
-    /// A directory in which a file named `full` or `fails` makes the disk full or makes syncs fail.
+    /// A folder whose files inject faults: `full` makes the disk full, `fails` makes the next sync
+    /// fail, and `pause_at` names the step of an operation at which the process pauses.
+    #[serde(rename = "disk_trouble")]
     #[garde(skip)]
-    pub disk_trouble: Option<PathBuf>,
+    pub fault_folder: Option<PathBuf>,
 }
 
 impl Default for FaultInjectionConfig {
@@ -45,7 +47,7 @@
             leases: Vec::new(),
             routes: Vec::new(),
             clock_rate: EXACT_CLOCK_RATE,
-            disk_trouble: None,
+            fault_folder: None,
         }
     }
 }
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -306,7 +306,7 @@
             path: folder.into(),
             source,
         })?;
-        let disk = FaultyDisk::new(disk, self.faults.disk_trouble.clone());
+        let disk = FaultyDisk::new(disk, self.faults.fault_folder.clone());
         DurableVoter::open(
             config,
             &self.local_name,
@@ -347,7 +347,7 @@
                 lease,
                 self.local_name.clone(),
                 recorder,
-                self.faults.disk_trouble.clone(),
+                self.faults.fault_folder.clone(),
             );
             spawn_thread("trial", move || worker.run()).map_err(ClusterError::SpawnThread)?;
         }
