--- a/crates/server/src/cluster/peer_links.rs
+++ b/crates/server/src/cluster/peer_links.rs
@@ -302,13 +302,13 @@
 }
 
 fn log_rejected_frame(from: SocketAddr, error: &FrameError) {
-    if let Some(count) = REJECTED_FRAMES.pass() {
+    if let Some(count) = REJECTED_FRAMES.count_event() {
         log::warn!("peer frame rejected from={from} count={count} error=\"{error}\"");
     }
 }
 
 fn log_failed_stream(to: SocketAddr, error: &io::Error) {
-    if let Some(count) = FAILED_STREAMS.pass() {
+    if let Some(count) = FAILED_STREAMS.count_event() {
         log::info!("peer stream failed to={to} count={count} error=\"{error}\"");
     }
 }
--- a/crates/server/src/cluster/store_probe.rs
+++ b/crates/server/src/cluster/store_probe.rs
@@ -79,7 +79,7 @@
     pub(crate) fn run(mut self) {
         loop {
             std::thread::sleep(UPDATE_INTERVAL);
-            let is_store_reachable = self.store.refused_in_a_row() == 0;
+            let is_store_reachable = self.store.consecutive_refusals() == 0;
             if is_store_reachable && !self.wants_lease {
                 continue;
             }
@@ -93,7 +93,7 @@
         let verdicts = self.read_verdicts()?;
         let has_lease = self.check_lease();
         let input = ProbeInput {
-            consecutive_refusals: self.store.refused_in_a_row(),
+            consecutive_refusals: self.store.consecutive_refusals(),
             has_lease,
             probe_outcome: self.last_outcome.take(),
             verdicts: &verdicts,
--- a/crates/server/src/invariant.rs
+++ b/crates/server/src/invariant.rs
@@ -18,7 +18,7 @@
 #[cold]
 pub(crate) fn violated(what: &str) {
     debug_assert!(false, "invariant violated: {what}");
-    if VIOLATIONS.pass().is_some() {
+    if VIOLATIONS.count_event().is_some() {
         log::error!("invariant violated condition=\"{what}\"");
     }
 }
--- a/crates/server/src/log.rs
+++ b/crates/server/src/log.rs
@@ -107,7 +107,7 @@
     }
 
     /// Counts an event, and returns the count if the event is to be logged.
-    pub(crate) fn pass(&self) -> Option<u64> {
+    pub(crate) fn count_event(&self) -> Option<u64> {
         let count = self.0.fetch_add(1, Ordering::Relaxed) + 1;
         (count <= LogLimit::INITIAL_LINES || count.is_multiple_of(LogLimit::EVENTS_PER_LINE))
             .then_some(count)
--- a/crates/server/src/net/executor/link.rs
+++ b/crates/server/src/net/executor/link.rs
@@ -50,7 +50,7 @@
             match end {
                 Ok(()) => log::info!("executor link moving address={}", self.address.get()),
                 Err(error) => {
-                    if let Some(count) = LINK_FAILURES.pass() {
+                    if let Some(count) = LINK_FAILURES.count_event() {
                         log::warn!("executor link failed error=\"{error}\" count={count}");
                     }
                     let has_moved = self.address.get() != address;
@@ -293,14 +293,14 @@
 }
 
 fn log_refusal(word: &str, arguments: &[&str]) {
-    if let Some(count) = REFUSALS.pass() {
+    if let Some(count) = REFUSALS.count_event() {
         let arguments = arguments.join(" ");
         log::warn!("executor refused command={word} arguments=\"{arguments}\" count={count}");
     }
 }
 
 fn log_remark(words: &[&str]) {
-    if let Some(count) = REMARKS.pass() {
+    if let Some(count) = REMARKS.count_event() {
         let text = words.join(" ");
         log::info!("executor remark text=\"{text}\" count={count}");
     }
--- a/crates/server/src/net/frontend/backlog.rs
+++ b/crates/server/src/net/frontend/backlog.rs
@@ -38,7 +38,7 @@
     /// The number of connections that wait to be accepted.
     pub(crate) waiting: usize,
     /// The maximum number of open connections.
-    pub(crate) places: usize,
+    pub(crate) slots: usize,
 }
 
 impl Backlog {
@@ -53,7 +53,7 @@
     /// acknowledged: one turnover of all slots for each round of connections in the backlog, and
     /// one for the last requests.
     pub(crate) fn acknowledged_bound(&self) -> Duration {
-        match self.waiting.div_ceil(self.places.max(1)) {
+        match self.waiting.div_ceil(self.slots.max(1)) {
             0 => Duration::ZERO,
             rounds => times(SLOT_TURNOVER_TIME, rounds.saturating_add(1))
                 .saturating_add(self.answer_bound()),
--- a/crates/server/src/net/frontend/backlog_tests.rs
+++ b/crates/server/src/net/frontend/backlog_tests.rs
@@ -7,8 +7,8 @@
 
 use super::{Backlog, CONNECTION_TIME, REQUEST_TIME, SLOT_TURNOVER_TIME, waiting_connections};
 
-fn backlog(waiting: usize, places: usize) -> Backlog {
-    Backlog { waiting, places }
+fn backlog(waiting: usize, slots: usize) -> Backlog {
+    Backlog { waiting, slots }
 }
 
 #[test]
@@ -21,8 +21,8 @@
 
 #[test]
 fn acknowledged_bound_adds_a_turnover_for_each_round_of_slots_and_one_more() {
-    let turnovers = |waiting, places| {
-        let backlog = backlog(waiting, places);
+    let turnovers = |waiting, slots| {
+        let backlog = backlog(waiting, slots);
         backlog.acknowledged_bound() - backlog.answer_bound()
     };
     assert_eq!(turnovers(0, 96), Duration::ZERO);
--- a/crates/server/src/net/frontend/connection_table.rs
+++ b/crates/server/src/net/frontend/connection_table.rs
@@ -114,8 +114,8 @@
             let is_slot_needed = backlog != Some(0);
             self.is_slot_needed.store(is_slot_needed, Ordering::Release);
             if let (Some(ends_at), Some(waiting)) = (self.ends_at.get(), backlog) {
-                let places = limiter.capacity();
-                let bound = Backlog { waiting, places }.acknowledged_bound();
+                let slots = limiter.capacity();
+                let bound = Backlog { waiting, slots }.acknowledged_bound();
                 let left = ends_at.saturating_duration_since(Instant::now());
                 self.is_short_of_time.store(bound > left, Ordering::Release);
             }
@@ -262,7 +262,7 @@
                         connection.close(reason);
                     }
                     if reason == CloseReason::Evicted
-                        && let Some(count) = EVICTIONS.pass()
+                        && let Some(count) = EVICTIONS.count_event()
                     {
                         log::warn!("connection closing reason=evicted count={count}");
                     }
--- a/crates/server/src/net/frontend/listener.rs
+++ b/crates/server/src/net/frontend/listener.rs
@@ -160,7 +160,7 @@
     }
 
     fn accept_failed(&self, error: &io::Error, listener: &TcpListener) {
-        if let Some(count) = ACCEPT_FAILURES.pass() {
+        if let Some(count) = ACCEPT_FAILURES.count_event() {
             log::warn!("accept failed error=\"{error}\" count={count}");
         }
         let error = accept_error(error);
@@ -182,7 +182,7 @@
         // A connection is in the backlog: the last accept failed for lack of a descriptor.
         drop(listener.inner().accept());
         *self.spare_descriptor.lock() = open_spare_descriptor();
-        if let Some(count) = REJECTED_CONNECTIONS.pass() {
+        if let Some(count) = REJECTED_CONNECTIONS.count_event() {
             log::warn!("connection rejected reason=no_descriptor count={count}");
         }
     }
@@ -190,7 +190,7 @@
 
 /// Logs a connection that the limiter rejected.
 pub(super) fn log_rejection(address: IpAddr, reason: RejectReason) {
-    if let Some(count) = REJECTED_CONNECTIONS.pass() {
+    if let Some(count) = REJECTED_CONNECTIONS.count_event() {
         log::warn!("connection rejected address={address} reason={reason:?} count={count}");
     }
 }
--- a/crates/server/src/net/frontend/mod.rs
+++ b/crates/server/src/net/frontend/mod.rs
@@ -172,7 +172,7 @@
     pub(crate) fn backlog(&self) -> Option<Backlog> {
         Some(Backlog {
             waiting: self.acceptor.waiting_connections()?,
-            places: self.table.capacity(),
+            slots: self.table.capacity(),
         })
     }
 
@@ -188,7 +188,7 @@
     }
 
     /// Whether no connection is open and no further connection can be accepted.
-    pub(crate) fn is_over(&self) -> bool {
+    pub(crate) fn is_drained(&self) -> bool {
         // The order matters: every accepted connection is in the table before the listener counts
         // as closed.
         self.acceptor.is_closed() && self.table.len() == 0
@@ -235,7 +235,7 @@
             Err(error) => Err(error),
         };
         let Err(error) = handled else { return true };
-        if let Some(count) = MALFORMED_MESSAGES.pass() {
+        if let Some(count) = MALFORMED_MESSAGES.count_event() {
             log::warn!("message rejected method={method:?} error=\"{error}\" count={count}");
         }
         self.table.notify(Event::ProtocolViolation {
--- a/crates/server/src/net/frontend/request.rs
+++ b/crates/server/src/net/frontend/request.rs
@@ -112,7 +112,7 @@
         if body.len() > MAX_BODY_BYTES {
             return Err(CallError::Malformed("a body too long".into()));
         }
-        if !self.memory_limit.admits(self.registry.open()) {
+        if !self.memory_limit.admits(self.registry.open_count()) {
             self.reject_without_memory(connection, sequence, &request);
             return Ok(());
         }
@@ -157,7 +157,7 @@
     ) {
         self.registry
             .record_unregistered(&request.incoming, Reason::NO_CAPACITY);
-        if let Some(count) = REJECTED_WITHOUT_MEMORY.pass() {
+        if let Some(count) = REJECTED_WITHOUT_MEMORY.count_event() {
             log::warn!("request rejected reason=no_memory count={count}");
         }
         let fields = self.retry_after_fields();
@@ -234,7 +234,7 @@
                 )));
             }
             RegisterError::KeyReused => {
-                if let Some(count) = MALFORMED_MESSAGES.pass() {
+                if let Some(count) = MALFORMED_MESSAGES.count_event() {
                     log::warn!("request rejected reason=key_reused count={count}");
                 }
                 self.table.notify(Event::ProtocolViolation {
--- a/crates/server/src/net/frontend/session.rs
+++ b/crates/server/src/net/frontend/session.rs
@@ -188,7 +188,7 @@
     /// handler rejects is counted and logged by the handler instead.
     fn stop_at_malformed_bytes(&mut self) {
         self.is_readable = false;
-        if let Some(count) = MALFORMED_MESSAGES.pass() {
+        if let Some(count) = MALFORMED_MESSAGES.count_event() {
             log::warn!("connection closing reason=malformed_message count={count}");
         }
     }
@@ -231,7 +231,7 @@
         let should_stop_reading = may_end && (has_partial_message || is_input_exhausted);
         if self.is_readable && has_timed_out {
             self.is_readable = false;
-            if let Some(count) = MESSAGE_TIMEOUTS.pass() {
+            if let Some(count) = MESSAGE_TIMEOUTS.count_event() {
                 log::warn!("connection closing reason=message_timeout count={count}");
             }
         } else if self.is_readable && should_stop_reading {
--- a/crates/server/src/net/registration.rs
+++ b/crates/server/src/net/registration.rs
@@ -27,7 +27,7 @@
 /// The registration state that this backend announces.
 pub(crate) enum Registration {
     /// The executor has not started: no datagram is sent.
-    NotYet,
+    NotStarted,
     /// This backend serves: heartbeats are sent.
     Serving,
     /// This backend drains: the deregistration is sent.
@@ -53,7 +53,7 @@
                 }
                 return;
             }
-            (None, _) | (_, Registration::NotYet) => {}
+            (None, _) | (_, Registration::NotStarted) => {}
         }
         clock::sleep(HEARTBEAT_INTERVAL);
     }
@@ -84,7 +84,7 @@
         && error.kind() != io::ErrorKind::ConnectionRefused
     {
         *socket = None;
-        if let Some(count) = SEND_FAILURES.pass() {
+        if let Some(count) = SEND_FAILURES.count_event() {
             log::warn!("registration send failed error=\"{error}\" count={count}");
         }
     }
--- a/crates/server/src/net/store/connection.rs
+++ b/crates/server/src/net/store/connection.rs
@@ -34,7 +34,7 @@
         let stream = connect(address, is_wanted);
         match &stream {
             Ok(_) => self.health_check_succeeded(),
-            Err(_) if is_wanted() => _ = self.refused_in_a_row.fetch_add(1, Ordering::Relaxed),
+            Err(_) if is_wanted() => _ = self.consecutive_refusals.fetch_add(1, Ordering::Relaxed),
             Err(_) => {}
         }
         let end = stream.and_then(|stream| self.serve(stream, id));
@@ -53,7 +53,7 @@
             self.report(&request, outcome, Bytes::default());
         }
         if let Err(error) = end
-            && let Some(count) = CONNECTION_FAILURES.pass()
+            && let Some(count) = CONNECTION_FAILURES.count_event()
         {
             log::warn!("store connection failed error=\"{error}\" count={count}");
         }
@@ -101,7 +101,7 @@
             }
             None => {
                 *stray_replies += 1;
-                if let Some(count) = STRAY_REPLIES.pass() {
+                if let Some(count) = STRAY_REPLIES.count_event() {
                     log::warn!("store reply ignored reason=no_such_call count={count}");
                 }
                 if *stray_replies > MAX_STRAY_REPLIES {
--- a/crates/server/src/net/store/mod.rs
+++ b/crates/server/src/net/store/mod.rs
@@ -35,7 +35,7 @@
     max_connections: usize,
     pool: Mutex<ConnectionPool>,
     /// The number of consecutive refused connections.
-    refused_in_a_row: AtomicU32,
+    consecutive_refusals: AtomicU32,
     /// The prober of the zone reports that the store is down, so calls are not attempted.
     is_suspended: AtomicBool,
 }
@@ -52,7 +52,7 @@
             registry,
             max_connections,
             pool: Mutex::default(),
-            refused_in_a_row: AtomicU32::new(0),
+            consecutive_refusals: AtomicU32::new(0),
             is_suspended: AtomicBool::new(false),
         })
     }
@@ -68,13 +68,13 @@
     }
 
     /// The number of consecutive refused connections.
-    pub(crate) fn refused_in_a_row(&self) -> u32 {
-        self.refused_in_a_row.load(Ordering::Relaxed)
+    pub(crate) fn consecutive_refusals(&self) -> u32 {
+        self.consecutive_refusals.load(Ordering::Relaxed)
     }
 
     /// Resets the count of refused connections after a successful connect or health check.
     pub(crate) fn health_check_succeeded(&self) {
-        self.refused_in_a_row.store(0, Ordering::Relaxed);
+        self.consecutive_refusals.store(0, Ordering::Relaxed);
     }
 
     /// Suspends calls while the store is down, or resumes them. While suspended, a call fails
@@ -145,7 +145,7 @@
     pub(crate) fn abandon_call(&self, id: &RequestId, number: usize) -> Outcome {
         let outcome = self.pool.lock().abandon_call(id, number);
         if outcome == pool::AbandonedCall::Unanswered
-            && let Some(count) = CALL_TIMEOUTS.pass()
+            && let Some(count) = CALL_TIMEOUTS.count_event()
         {
             log::warn!("store call timed out count={count}");
         }
--- a/crates/server/src/requests/open_request.rs
+++ b/crates/server/src/requests/open_request.rs
@@ -112,7 +112,7 @@
     /// Makes the call that the run waits for, or makes it again.
     pub(super) fn start_call(&mut self, timeout: Duration, now: Option<Instant>) {
         if let Some(trace) = &mut self.trace {
-            trace.called = trace.called.or(now);
+            trace.first_call_at = trace.first_call_at.or(now);
             trace.calls += 1;
         }
         if let Some((_, body)) = self.call.clone() {
@@ -164,7 +164,7 @@
             return None;
         }
         if let Some(trace) = &mut self.trace {
-            trace.answered(&response, self.is_caller_gone, reason, feedback, now);
+            trace.record_response(&response, self.is_caller_gone, reason, feedback, now);
         }
         if self.is_caller_gone {
             return Some(FinalOutcome::Abandoned);
--- a/crates/server/src/requests/registry.rs
+++ b/crates/server/src/requests/registry.rs
@@ -180,8 +180,8 @@
     }
 
     /// The number of open requests.
-    pub(crate) fn open(&self) -> usize {
-        self.state.lock().open()
+    pub(crate) fn open_count(&self) -> usize {
+        self.state.lock().open_count()
     }
 
     /// The numbers of requests since the start, by outcome.
@@ -220,7 +220,7 @@
     pub(crate) fn record_unregistered(&self, incoming: &IncomingRequest, reason: Reason) {
         if let (Some(mut trace), Some(tracer)) = (self.new_trace(incoming), &self.tracer) {
             let now = Instant::now();
-            trace.rejected(reason, now);
+            trace.record_rejection(reason, now);
             tracer.record(&trace, now);
         }
     }
--- a/crates/server/src/requests/state/mod.rs
+++ b/crates/server/src/requests/state/mod.rs
@@ -104,7 +104,7 @@
     }
 
     /// The number of open requests.
-    pub(super) fn open(&self) -> usize {
+    pub(super) fn open_count(&self) -> usize {
         self.requests.len()
     }
 
--- a/crates/server/src/requests/tests/lifecycle.rs
+++ b/crates/server/src/requests/tests/lifecycle.rs
@@ -82,7 +82,7 @@
     );
     assert_eq!(next_command(&ticket), Some(Command::Finish));
     drop(ticket);
-    assert_eq!(registry.open(), 0);
+    assert_eq!(registry.open_count(), 0);
 }
 
 /// The executor reports whether it starts warm or cold; only the first report has an effect. After
@@ -111,7 +111,7 @@
     let ticket = registry.register(incoming("a", 0, None)).unwrap();
     assert_eq!(next_command(&ticket), Some(Command::Start));
     drop(ticket);
-    assert_eq!(registry.open(), 1, "the run continues");
+    assert_eq!(registry.open_count(), 1, "the run continues");
     registry.report(
         "a",
         RequestEvent::RunFinished {
@@ -120,7 +120,7 @@
             work: None,
         },
     );
-    assert_eq!(registry.open(), 0);
+    assert_eq!(registry.open_count(), 0);
 }
 
 /// Guards against a coroutine that waits indefinitely because its deadline has passed by less than
--- a/crates/server/src/requests/tests/model_based.rs
+++ b/crates/server/src/requests/tests/model_based.rs
@@ -104,7 +104,7 @@
         model.take_all_commands();
         assert!(model.requests.iter().all(|request| request.is_finished), "a request stays open");
         model.requests.clear();
-        registry.open() == 0
+        registry.open_count() == 0
     }
 }
 
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -158,7 +158,7 @@
         } else if self.registry.is_started() {
             Registration::Serving
         } else {
-            Registration::NotYet
+            Registration::NotStarted
         }
     }
 
@@ -180,7 +180,7 @@
             ::log::warn!(
                 "backlog may not be answered waiting={} places={} bound_ms={} left_ms={}",
                 backlog.waiting,
-                backlog.places,
+                backlog.slots,
                 bound.as_millis(),
                 left.as_millis()
             );
@@ -194,7 +194,7 @@
             self.frontend.backlog().map_or(0, |backlog| backlog.waiting),
             self.frontend.connections(),
             self.frontend.unfinished_connections(),
-            self.registry.open()
+            self.registry.open_count()
         );
     }
 
@@ -220,7 +220,7 @@
             self.termination.saturating_sub(CLUSTER_SHUTDOWN_MARGIN),
         );
         let mut leaving = None;
-        while !self.is_over() && Instant::now() < ends_at {
+        while !self.is_drained() && Instant::now() < ends_at {
             if Instant::now() >= leave_at {
                 leaving = leaving.or_else(|| leave(cluster.take()?, ends_at));
             }
@@ -229,7 +229,7 @@
                 self.frontend.sweep();
             }
         }
-        if !self.is_over() {
+        if !self.is_drained() {
             self.log_cut_short();
         }
         let leaving = leaving.or_else(|| leave(cluster.take()?, ends_at));
@@ -243,8 +243,8 @@
     }
 
     /// Whether all requests are answered and all connections closed.
-    fn is_over(&self) -> bool {
-        self.frontend.is_over() && self.registry.open() == 0
+    fn is_drained(&self) -> bool {
+        self.frontend.is_drained() && self.registry.open_count() == 0
     }
 }
 
--- a/crates/server/src/trace.rs
+++ b/crates/server/src/trace.rs
@@ -47,7 +47,7 @@
     age: Duration,
     pub(crate) admitted: Option<Instant>,
     pub(crate) started: Option<Instant>,
-    pub(crate) called: Option<Instant>,
+    pub(crate) first_call_at: Option<Instant>,
     answered: Option<Instant>,
     pub(crate) work: Option<Duration>,
     outcome: Outcome,
@@ -73,7 +73,7 @@
             age: incoming.age,
             admitted: None,
             started: None,
-            called: None,
+            first_call_at: None,
             answered: None,
             work: None,
             outcome: Outcome::Failed,
@@ -87,12 +87,12 @@
     }
 
     /// Records a rejection that was made before the controller decided on the request.
-    pub(crate) fn rejected(&mut self, reason: Reason, now: Instant) {
+    pub(crate) fn record_rejection(&mut self, reason: Reason, now: Instant) {
         (self.outcome, self.reason, self.answered) = (Outcome::Rejected, reason, Some(now));
     }
 
     /// Records the final response, which is not sent if the caller is gone.
-    pub(crate) fn answered(
+    pub(crate) fn record_response(
         &mut self,
         response: &Response,
         is_caller_gone: bool,
@@ -162,7 +162,7 @@
         };
         let storage = DirectoryStorage::new(Path::new(&tracing.folder), server, tracing.sync);
         let recorder = Recorder::start(storage, recording, |error| {
-            if let Some(count) = DISK_FAILURES.pass() {
+            if let Some(count) = DISK_FAILURES.count_event() {
                 log::warn!("recording failed error=\"{error}\" count={count}");
             }
         })?;
@@ -213,7 +213,7 @@
         read: Some(since(trace.context.read)),
         admitted: trace.admitted.map(since),
         started: trace.started.map(since),
-        first_call: trace.called.map(since),
+        first_call: trace.first_call_at.map(since),
         answered: trace.answered.map(since),
         released: Some(since(released)),
         client_wait: trace.client_wait.map(micros),
