--- a/crates/cli/src/trace/synthesize.rs
+++ b/crates/cli/src/trace/synthesize.rs
@@ -17,7 +17,7 @@
 use crate::output::Output;
 use crate::times::format_span;
 
-/// A storage with a single file, the output of the command.
+/// A storage with a single file, the output of the command. It lists, syncs and removes nothing.
 struct SingleFileStorage(SharedOutput);
 
 /// The output; `None` after [`SharedOutput::take`].
--- a/crates/consensus/src/notice.rs
+++ b/crates/consensus/src/notice.rs
@@ -3,8 +3,8 @@
 use crate::error::LoadError;
 use crate::peer_message::LogPosition;
 
-/// A change of a voter's state that operators should know of. The text is a predicate whose subject
-/// is the voter.
+/// What operators should know of a voter: a change of its state, or data that it can't use. The
+/// text is a predicate whose subject is the voter.
 #[derive(Debug, thiserror::Error)]
 pub enum Notice {
     /// The initial voters have agreed on their set.
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -86,8 +86,8 @@
 
 impl Voter {
     /// Creates a voter from the content of its directory. `initial_voter_names` are the configured
-    /// ones, which may or may not include this voter. The clock of the later events must be near
-    /// zero now; see [`Self::handle_events`].
+    /// ones, which may or may not include this voter. The host's clock, which times the later
+    /// events, must be near zero now; see [`Self::handle_events`].
     pub(crate) fn load(
         config: Config,
         name: &str,
@@ -182,10 +182,10 @@
         self.state.voters.get(&leader_id).cloned()
     }
 
-    /// Handles a batch of events and returns the actions to perform, in order. All proposals of the
-    /// batch become one entry. After it has detected a rollback or an invalid state, the voter
-    /// handles no events: if an event of the batch reveals a rollback, the voter drops the later
-    /// events and rejects the earlier proposals.
+    /// Handles a batch of events and returns the actions to perform, in order. All
+    /// [`Event::Propose`] of the batch become one entry. After it has detected a rollback or an
+    /// invalid state, the voter handles no events: if an event of the batch reveals a rollback, the
+    /// voter drops the later events and rejects the earlier proposals.
     ///
     /// `now` is the host's clock, which must be near zero when the voter is opened: a restarted
     /// voter waits until the clock shows `election_ticks` ticks. If the clock is already past that,
@@ -507,7 +507,9 @@
         }
     }
 
-    /// Proposes the next step of a membership change in progress.
+    /// Proposes the next step of a membership change in progress, if this voter leads. If the step
+    /// removes this voter, it transfers the leadership instead, and the next leader proposes the
+    /// step.
     fn advance_membership_change(&mut self) {
         let Some(node) = self.node.as_mut().filter(|node| node.is_leader()) else {
             return;
--- a/crates/leases/src/client.rs
+++ b/crates/leases/src/client.rs
@@ -463,8 +463,8 @@
     }
 }
 
-/// Reports the end of a grant that was announced to the host; `token` is `None` for any other
-/// grant.
+/// Reports the end of a grant to the host, if the grant was announced to it. `token` is the token
+/// of an announced grant, and `None` if the grant was not announced or if there was none.
 fn report_ended(
     lease: &Name,
     token: Option<FencingToken>,
--- a/crates/leases/src/client/event.rs
+++ b/crates/leases/src/client/event.rs
@@ -41,14 +41,14 @@
         /// The run of this process that sent the request. The voters may apply a request of an
         /// earlier run only now.
         incarnation: Incarnation,
-        /// The request.
+        /// The id of the request.
         request: RequestId,
-        /// Its result.
+        /// The result of the request.
         response: Response,
     },
     /// A voter that does not lead rejected a request.
     NotLeader {
-        /// The request.
+        /// The id of the request.
         request: RequestId,
         /// The leader, if the voter knows it.
         leader: Option<Name>,
--- a/crates/server/src/net/executor/link.rs
+++ b/crates/server/src/net/executor/link.rs
@@ -218,7 +218,8 @@
         }
     }
 
-    /// Reports a run that was not started, which does not count as a failed run.
+    /// Ends a run whose start the executor refused. Its outcome is [`Outcome::NotStarted`], which
+    /// the controller does not count as a failed run.
     fn handle_start_refused(&self, id: &str) {
         let event = RequestEvent::RunFinished {
             outcome: Outcome::NotStarted,
--- a/crates/server/src/net/executor/mod.rs
+++ b/crates/server/src/net/executor/mod.rs
@@ -1,6 +1,7 @@
 //! The client of the executor, the peer that runs requests. It keeps one link open. After a break
-//! it opens a new link, which resumes after the last notice that was read. It then sends commands
-//! again that may be lost, unless this could cause a second run or resume the wrong call.
+//! it opens a new link, over which the executor sends the notices after the last one that was read.
+//! The client then sends each command again that may be lost, unless the command could then run a
+//! request twice, or resume a run with the reply to another call.
 //!
 //! | file | job |
 //! | --- | --- |
--- a/crates/server/src/net/frontend/codec.rs
+++ b/crates/server/src/net/frontend/codec.rs
@@ -324,6 +324,8 @@
 
 type Output<'a> = TBinaryOutputProtocol<&'a mut Vec<u8>>;
 
+/// Encodes a message as one frame of Thrift's framed transport: the length of the message, and the
+/// message. `write` writes what follows the head of the message.
 fn encode_frame(
     method: &str,
     kind: TMessageType,
--- a/crates/server/src/net/frontend/connection_table.rs
+++ b/crates/server/src/net/frontend/connection_table.rs
@@ -29,8 +29,9 @@
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Admission {
     Accept,
-    /// A slot is about to be free: a connection is closing, or a newly accepted one is about to
-    /// send its first message, after which the limiter may evict other connections.
+    /// A slot is about to be free: a connection is closing, a newly accepted one is about to send
+    /// its first message, after which the limiter may evict other connections, or the server is
+    /// shutting down and connections yield their slots.
     WaitBriefly,
     /// No slot is free or about to be free.
     Wait,
@@ -101,7 +102,7 @@
     }
 
     /// Asks the limiter whether another connection may be accepted. `backlog` returns the length of
-    /// the backlog, if it is known. It is called on a full server only.
+    /// the backlog, if that is known, and is called only if the server is full.
     pub(super) fn may_accept(&self, backlog: impl FnOnce() -> Option<usize>) -> Admission {
         self.update_limiter(|limiter, now, actions| {
             let may_accept_at_once = limiter.may_accept_at_once();
@@ -149,8 +150,8 @@
         }
     }
 
-    /// Blocks the accepting coroutine of a full server for `pause`, or during a shutdown until a
-    /// slot is free.
+    /// Blocks the accepting coroutine of a full server for `pause`. During a shutdown, a slot that
+    /// becomes free ends the pause early.
     pub(super) fn wait_for_slot(&self, pause: Duration) {
         let slot_freed = self.slot_freed.get_or_init(|| Arc::new(Blocker::new(true)));
         clock::park(slot_freed, Instant::now().checked_add(pause));
@@ -269,8 +270,8 @@
                 }
                 Action::PauseAccepting { until } => *self.accepting_paused_until.lock() = until,
                 // `admit` handles `Serve` and `Reject`. Timers are not set: the periodic sweep
-                // hands in `TimerExpired`, so without another event a deadline is noticed up to one
-                // sweep interval late.
+                // notifies the limiter of `TimerExpired`, so without another event the limiter
+                // handles a deadline up to one sweep interval late.
                 Action::Serve { .. } | Action::Reject { .. } | Action::SetTimer { .. } => {}
             }
         }
--- a/crates/server/src/net/frontend/parse.rs
+++ b/crates/server/src/net/frontend/parse.rs
@@ -1,4 +1,5 @@
-//! Parsing the fields of a request. Only this module defines the keys of requests.
+//! Parsing the fields of a request, which the edge node sends as a map of strings. Only this module
+//! defines the keys of the map.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -26,29 +27,31 @@
 /// The priority level that a request states has to be below this.
 const MAX_LEVEL: f64 = 1.0;
 
-/// The key of the handler.
+/// The key of the field that names the handler.
 const KEY_HANDLER: &str = "kind";
-/// The key of the tenant; its value is empty if there is none.
+/// The key of the field that names the tenant; its value is empty if there is none.
 const KEY_TENANT: &str = "owner";
-/// The key of the request's id.
+/// The key of the field with the request's id.
 const KEY_ID: &str = "req";
-/// The key of the time at which the request reached the machine, in Unix milliseconds.
+/// The key of the field with the time at which the request reached the machine, in Unix
+/// milliseconds.
 const KEY_TIMESTAMP: &str = "ts";
-/// The key of the memory that the request takes while it is queued, in kilobytes.
+/// The key of the field with the memory that the request takes while it is queued, in kilobytes.
 const KEY_MEMORY: &str = "need";
-/// The key of the caller's work estimate, in milliseconds; its value is 0 if there is none.
+/// The key of the field with the caller's work estimate, in milliseconds; its value is 0 if there
+/// is none.
 const KEY_WORK: &str = "ms";
-/// The key of the priority level.
+/// The key of the field with the priority level.
 const KEY_LEVEL: &str = "level";
-/// The key of the idempotency key; its value is empty if there is none.
+/// The key of the field with the idempotency key; its value is empty if there is none.
 const KEY_IDEMPOTENCY: &str = "opkey";
-/// The key of the time that the caller waits for the reply, in milliseconds.
+/// The key of the field with the time that the caller waits for the reply, in milliseconds.
 const KEY_CLIENT_WAIT: &str = "timeout";
-/// The key of the retry flag; its value is 1 if the request is a retry.
+/// The key of the field with the retry flag; its value is 1 if the request is a retry.
 const KEY_IS_RETRY: &str = "resent";
-/// The key of the subject, for the recording.
+/// The key of the field with the subject, for the recording.
 const KEY_SUBJECT: &str = "subject";
-/// The key of the caller, for the recording.
+/// The key of the field with the caller, for the recording.
 const KEY_CALLER: &str = "via";
 
 /// The parsed fields of a request.
--- a/crates/server/src/net/frontend/session.rs
+++ b/crates/server/src/net/frontend/session.rs
@@ -25,7 +25,8 @@
 /// that are in transit arrive in this time; the edge node has to send later ones again.
 const CLOSING_READ_TIMEOUT: Duration = Duration::from_millis(50);
 /// The number of malformed messages that are tolerated on a connection. The session answers the
-/// next one like the others and then stops reading.
+/// next one like the others and then stops reading. It stops at once after a malformed one-way
+/// message, which it cannot answer.
 const MAX_MALFORMED_MESSAGES: usize = 8;
 
 static MESSAGE_TIMEOUTS: LogLimit = LogLimit::new();
@@ -45,16 +46,17 @@
     handler: &'a H,
     connection: &'a Arc<Connection>,
     stream: &'a mut BufferedStream,
-    /// Whether messages are still read. False after undecodable bytes, too many malformed messages,
-    /// a message timeout or the end of a close: the session then only answers the open requests.
+    /// Whether messages are still read. False after undecodable bytes, a malformed one-way message,
+    /// too many malformed messages or a message timeout, and on a closing connection with no whole
+    /// message left: the session then only answers the open requests.
     is_readable: bool,
     /// A whole message was read on this connection.
     has_read_message: bool,
     /// The limiter was notified that a message has begun.
     has_begun_message: bool,
     is_drain_notification_sent: bool,
-    /// The time since which the limiter has closed the connection and no request or health check is
-    /// open.
+    /// The time since which the limiter wants the connection closed and no request or health check
+    /// is open on it.
     closing_since: Option<Instant>,
     /// The session no longer reads the socket, but still handles whole messages in the buffer.
     has_stopped_reading: bool,
@@ -120,7 +122,8 @@
         }
     }
 
-    /// Writes the buffered output, and reads and handles messages as long as there is room.
+    /// Writes the buffered output, and reads and handles messages as long as the connection has
+    /// room for another one ([`Connection::has_room`]).
     fn take_turn(&mut self) -> io::Result<Turn> {
         let mut turn = Turn {
             steps: 0,
@@ -213,9 +216,10 @@
         }
     }
 
-    /// Notifies the limiter of a message that has begun. Stops reading if a message has timed out,
-    /// or if a closing connection has only a partial message left or its `CLOSING_READ_TIMEOUT` has
-    /// passed. Returns whether the connection is to close.
+    /// Notifies the limiter of a message that has begun. Stops reading if a message has timed out.
+    /// On a closing connection without an open request or health check, it also stops reading if
+    /// only a partial message is left, or if `CLOSING_READ_TIMEOUT` has passed and no message is
+    /// left. Returns whether the connection is to close.
     fn check_input(&mut self, turn: &Turn) -> bool {
         let has_partial_message = self.is_readable && !turn.has_more && self.stream.input.len() > 0;
         if has_partial_message && !std::mem::replace(&mut self.has_begun_message, true) {
@@ -235,7 +239,8 @@
                 log::warn!("connection closing reason=message_timeout count={count}");
             }
         } else if self.is_readable && should_stop_reading {
-            // No log line: the connection table logs evictions, and a drain closes all connections.
+            // No log line: the connection table logs evictions, and a server that drains closes all
+            // connections.
             self.is_readable = false;
         }
         is_closing
@@ -270,8 +275,8 @@
             && self.table.is_slot_needed()
     }
 
-    /// Closes the connection if it is due, after draining it if necessary. Returns whether the
-    /// session has ended.
+    /// Decides whether the connection closes now, and if so, drains it first if necessary. Returns
+    /// whether the session has ended.
     fn finish(&mut self, turn: &Turn, is_closing: bool) -> bool {
         let state = ConnectionState {
             is_done: self.connection.is_done(),
--- a/crates/server/src/requests/state/events.rs
+++ b/crates/server/src/requests/state/events.rs
@@ -1,8 +1,10 @@
 //! Handles the events of open requests, and notifies the controller of them.
 //!
-//! The executor link and the store client report events of runs and calls. Connections, and tickets
-//! that are dropped, report that the caller is gone. Events of a released request, of a run that
-//! was not started, and of a call that the run does not wait for are ignored.
+//! The executor link and the store client report events of runs and calls. A connection reports
+//! that a caller is gone, and so does a ticket that is dropped. The registry ignores the events of
+//! a released request, the events of a run or call before the controller has started a run of the
+//! request, the end of a call while no call is in flight, and a call that is reached while the run
+//! already waits for one.
 
 use std::time::Instant;
 
--- a/crates/server/src/requests/state/schedule.rs
+++ b/crates/server/src/requests/state/schedule.rs
@@ -1,4 +1,4 @@
-//! The controller's clock, its timers, and the shutdown notice.
+//! The controller's clock and its timers, and how the controller learns of the shutdown notice.
 
 use std::time::{Duration, Instant};
 
@@ -59,7 +59,8 @@
         self.forward_shutdown_notice();
     }
 
-    /// Notifies the controller of the shutdown notice, if it has started and there was one.
+    /// Notifies the controller of the shutdown notice, if one was received and the controller has
+    /// started.
     pub(super) fn forward_shutdown_notice(&mut self) {
         if let Some(notice) = self.shutdown {
             self.notify_controller(notice.event());
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -23,7 +23,7 @@
 use crate::requests::RequestRegistry;
 use crate::trace::Tracer;
 
-/// The store client gets at most the descriptors divided by this number.
+/// The store client opens at most the configured number of sockets divided by this number.
 const STORE_DESCRIPTOR_DIVISOR: usize = 8;
 /// How often the server checks connections for idleness and timeouts.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
@@ -33,18 +33,21 @@
 const MIN_CLOSE_TIME: Duration = Duration::from_secs(1);
 /// The time before the termination at which a drain ends, even if requests are still open: the
 /// process then writes the last lines of the log, and the operating system closes the connections.
-/// For a short termination, [`MAX_TERMINATION_MARGIN_DIVISOR`] bounds this time.
+/// If the termination soon follows the notice, [`MAX_TERMINATION_MARGIN_DIVISOR`] bounds this time.
 const TERMINATION_MARGIN: Duration = Duration::from_millis(50);
-/// The margin is at most the termination divided by this number; the drain has the rest.
+/// The margin is at most the time from the shutdown notice to the termination divided by this
+/// number; the drain has the rest.
 const MAX_TERMINATION_MARGIN_DIVISOR: u32 = 4;
 /// The time before the termination at which the process begins to leave the cluster, even if the
 /// drain is not over. It has until the end of the drain to leave.
 const CLUSTER_SHUTDOWN_MARGIN: Duration = Duration::from_millis(100);
-/// Replaces a termination that an [`Instant`] cannot represent.
+/// Replaces a time between the shutdown notice and the termination that is too long for an
+/// [`Instant`].
 const MAX_TERMINATION: Duration = Duration::from_secs(365 * 24 * 3600);
-/// During this time before the end of a drain, the server closes connections that edge nodes leave
-/// open as soon as it may close them. Until then the periodic sweep closes them, so that fewer
-/// requests cross a close and have to be sent again.
+/// During this time before the end of a drain, the server checks connections for idleness and
+/// timeouts every [`DRAIN_POLL_INTERVAL`], so that it soon closes those that edge nodes leave open.
+/// Until then only the periodic sweep closes them, so that fewer requests cross a close and have to
+/// be sent again.
 const PROMPT_CLOSE_TIME: Duration = Duration::from_millis(200);
 /// How often a drain checks whether all requests are answered and all connections closed.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -58,7 +61,9 @@
     frontend: Arc<Frontend>,
     service_registry: CurrentAddress<Option<SocketAddr>>,
     is_draining: AtomicBool,
+    /// How long after the shutdown notice the controller still admits requests.
     drain_grace: Duration,
+    /// How long after the shutdown notice the process is terminated.
     termination: Duration,
 }
 
--- a/crates/server/tests/program/harness/edge_node.rs
+++ b/crates/server/tests/program/harness/edge_node.rs
@@ -48,7 +48,8 @@
     pub(crate) stream: TcpStream,
 }
 
-/// Encodes a string as its length and its bytes.
+/// Encodes a string for Thrift's binary protocol: its length as four bytes, the highest first, and
+/// its bytes.
 pub(crate) fn encode_string(bytes: &[u8]) -> Vec<u8> {
     [&(bytes.len() as u32).to_be_bytes(), bytes].concat()
 }
--- a/crates/server/tests/program/soak/checks.rs
+++ b/crates/server/tests/program/soak/checks.rs
@@ -11,7 +11,8 @@
 /// An edge node retries a request that it sent within this time before the end of its connection
 /// (PROTOCOL.md). The checks add the delay of the test itself.
 const MAX_CROSSING_TIME: Duration = Duration::from_millis(50);
-/// Allowance that PROTOCOL.md adds to each time limit of the rules on sockets.
+/// PROTOCOL.md adds this time to each time limit in its rules on sockets. The checks add it to the
+/// drain grace.
 const TIME_LIMIT_SLACK: Duration = Duration::from_millis(50);
 
 /// The record of a run.
--- a/crates/trace/src/block/mod.rs
+++ b/crates/trace/src/block/mod.rs
@@ -73,9 +73,9 @@
     pub(crate) records_before: u64,
     /// The number of records in the block.
     pub(crate) records: usize,
-    /// The earliest `reached`.
+    /// The earliest `reached` of the records in the block.
     pub(crate) from: Micros,
-    /// The latest `reached`.
+    /// The latest `reached` of the records in the block.
     pub(crate) to: Micros,
     /// The handlers that occur in the block.
     pub(crate) handlers: BTreeSet<u32>,
--- a/src/admission/memory.rs
+++ b/src/admission/memory.rs
@@ -82,36 +82,36 @@
         queued_kb * (self.running_factor - 1.0)
     }
 
-    /// Counts a request that was read.
+    /// Counts the memory of a request that was read.
     pub(crate) fn add_queued(&mut self, queued_kb: f64) {
         self.used_kb += queued_kb;
         self.queued_kb += queued_kb;
     }
 
-    /// Subtracts a request that was released without having run.
+    /// Subtracts the memory of a request that is released without having run.
     pub(crate) fn remove_queued(&mut self, queued_kb: f64) {
         self.queued_kb -= queued_kb;
         self.used_kb -= queued_kb;
     }
 
-    /// Counts a queued request as running.
+    /// Counts a queued request as running, with the memory of a running request.
     pub(crate) fn start_running(&mut self, queued_kb: f64) {
         self.used_kb += self.running_extra_kb(queued_kb);
         self.queued_kb -= queued_kb;
     }
 
-    /// Subtracts a request that was released after it had run.
+    /// Subtracts the memory of a running request, when the request is released after its run.
     pub(crate) fn remove_running(&mut self, queued_kb: f64) {
         self.used_kb -= queued_kb * self.running_factor;
     }
 
-    /// Counts a key that is remembered until `expires_at`.
+    /// Counts the memory of a key that is remembered until `expires_at`.
     pub(crate) fn remember_key(&mut self, expires_at: Duration) {
         self.key_expiries.push(expires_at);
         self.used_kb += self.key_kb;
     }
 
-    /// Subtracts a key that is forgotten before it expires.
+    /// Subtracts the memory of a key that is forgotten before it expires.
     pub(crate) fn forget_key(&mut self, expires_at: Duration) {
         let position = self
             .key_expiries
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Subtracts the keys that have expired.
+    /// Removes the keys that have expired, and subtracts their memory.
     pub(crate) fn expire_keys(&mut self, now: Duration) {
         let before = self.key_expiries.len();
         self.key_expiries.retain(|&expires_at| expires_at > now);
--- a/src/brownout/admitted_fraction.rs
+++ b/src/brownout/admitted_fraction.rs
@@ -77,10 +77,10 @@
 
     /// Whether a request is admitted; `uniform_sample` is a random number from 0 to 1.
     ///
-    /// The fraction of all arrivals is admitted, starting with the higher levels. The remainder
-    /// belongs to the level of the request, and the request is admitted with a probability of the
-    /// remainder divided by the arrivals at its level: always if the remainder covers all of them,
-    /// never if nothing remains.
+    /// The loop admits its fraction of all arrivals, and first counts all arrivals at the levels
+    /// above that of the request. The level of the request gets the remainder, and the request is
+    /// admitted with a probability of the remainder divided by the arrivals at its level: always if
+    /// the remainder covers all of them, never if nothing remains.
     pub(crate) fn admits(&self, arrivals: &LevelArrivals, uniform_sample: f64) -> bool {
         uniform_sample * arrivals.own < self.value * arrivals.all - arrivals.higher
     }
--- a/src/brownout/mod.rs
+++ b/src/brownout/mod.rs
@@ -28,7 +28,7 @@
 /// that grows with the work of a request (`objective_stretch`).
 const SETPOINT_FRACTION: f64 = 0.6;
 
-/// The input of one step of both loops.
+/// The input of one control step of the dimmer and of the admitted fraction.
 pub(crate) struct ResponseTimeSample {
     /// Mean response time of recently completed requests; `None` where none completed.
     mean_seconds: Option<f64>,
@@ -82,7 +82,8 @@
         &self.admitted_fraction
     }
 
-    /// One step of both loops.
+    /// Runs one control step of the dimmer and of the admitted fraction, and raises the ceiling of
+    /// the dimmer by one step of its recovery.
     pub(crate) fn update(&mut self, mean_response_seconds: Option<f64>, cores_are_busy: bool) {
         let sample = ResponseTimeSample {
             mean_seconds: mean_response_seconds,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -275,7 +275,8 @@
         )
     }
 
-    /// Whether this server does worse than it should, so that another server would do better.
+    /// Whether this server drains, many of its recent runs fail, or it is far slower than usual, so
+    /// that another server would do better.
     fn is_degraded(&self) -> bool {
         is_degraded(
             self.drain.has_started(),
--- a/src/event.rs
+++ b/src/event.rs
@@ -53,7 +53,7 @@
     ConnectionLost,
     /// A run that was cancelled.
     Cancelled,
-    /// No run was started, because the request had already ended.
+    /// No run was started: the request had already ended, or the start was refused.
     NotStarted,
 }
 
--- a/src/requests/deadlines.rs
+++ b/src/requests/deadlines.rs
@@ -22,11 +22,11 @@
 
 /// When a request arrived, and how long its caller waits.
 pub(crate) struct ArrivalTimes {
-    /// The time since the start of the process.
+    /// The present time, since the start of the process.
     pub(crate) now: Duration,
-    /// When it reached the machine.
+    /// When it reached the machine, since the start of the process.
     pub(crate) arrived_at: Duration,
-    /// How long its caller still waits, if the caller states it.
+    /// How long its caller waits from `now` on, if the caller states it.
     pub(crate) client_wait: Option<Duration>,
 }
 
