--- a/src/action.rs
+++ b/src/action.rs
@@ -4,10 +4,10 @@
 
 use crate::event::RequestIndex;
 
-/// Why a request was rejected or failed by the controller.
+/// Why the controller rejected a request or answered it with an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// No memory is left to queue it.
+    /// No memory is left to queue the request.
     MemoryLimit,
     /// Runs on this server fail so often that other servers are likely to do better.
     HighFailureRate,
@@ -16,14 +16,14 @@
     AdmissionControl,
     /// It was not expected to meet its latency objective.
     PredictedLate,
-    /// As `PredictedLate`, but after it had been queued, because requests of higher priority were
-    /// ahead of it.
+    /// It was queued and then no longer expected to meet its latency objective, for example because
+    /// requests that arrived later precede it in the queue.
     Overtaken,
-    /// Its latency objective passed while it was queued or running.
+    /// Its latency objective passed before its run was completed.
     ObjectiveMissed,
     /// Its client is about to stop waiting.
     DeadlineNear,
-    /// It arrived after the drain grace, or too close to the termination of the process.
+    /// It arrived after the drain grace, or was read too close to the termination of the process.
     Draining,
     /// The process is about to be terminated.
     Terminating,
@@ -65,19 +65,19 @@
         /// The request whose run is cancelled.
         request: RequestIndex,
     },
-    /// Answer it with the result of the request that it duplicates.
+    /// Answer a duplicate with the result of the request that it duplicates.
     Coalesce {
         /// The duplicate.
         request: RequestIndex,
     },
-    /// Remember its idempotency key, so that duplicates are recognised.
+    /// Remember the idempotency key of a request, so that duplicates are recognised.
     RememberKey {
         /// The request that carries the key.
         request: RequestIndex,
         /// How long the key is kept.
         retention: Duration,
     },
-    /// Forget its idempotency key before its time.
+    /// Forget the idempotency key of a request before its retention is over.
     ForgetKey {
         /// The request that carries the key.
         request: RequestIndex,
@@ -112,7 +112,7 @@
     },
     /// Send [`Event::TimerFired`](crate::Event::TimerFired) at this time.
     SetTimer {
-        /// The time since the start.
+        /// The time since the start of the process.
         at: Duration,
     },
     /// The controller no longer refers to this request; the host may reuse its index.
--- a/src/admission/memory.rs
+++ b/src/admission/memory.rs
@@ -29,7 +29,8 @@
 /// is rejected all the same, and the sums stay finite.
 const MAX_REQUEST_FACTOR: f64 = 2.0;
 
-/// Memory in use, in kilobytes. All sums are of sizes that [`Memory::countable_kb`] returned.
+/// Memory in use, in kilobytes. Each request is counted with the size that
+/// [`Memory::countable_kb`] returned.
 pub(crate) struct Memory {
     limit_kb: f64,
     used_kb: f64,
--- a/src/admission/quota.rs
+++ b/src/admission/quota.rs
@@ -2,9 +2,9 @@
 //!
 //! A tenant that sends far more requests than agreed would otherwise fill the queue, and the
 //! requests of other tenants would be late. Each tenant has a token bucket, which every admitted
-//! request fills by the tenant's fraction of all quotas and which the tenant's own requests empty.
-//! The bucket counts fractions of the admitted requests and not a rate, because one server may
-//! receive far more of a tenant's traffic than other servers do.
+//! request fills by the tenant's fraction of all quotas. Each admitted request of the tenant itself
+//! takes one token out. The bucket counts fractions of the admitted requests and not a rate,
+//! because one server may receive far more of a tenant's traffic than other servers do.
 //!
 //! The level of a token bucket follows a random walk, so an empty bucket alone proves nothing.
 //! While arrivals stay within the quotas of all tenants for one server, no tenant is over quota,
@@ -36,7 +36,7 @@
 /// Shortest window over which a rate is computed, on a server that has just started.
 const MIN_RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// A tenant's quota on this server.
+/// The token bucket of a tenant on this server.
 struct TokenBucket {
     /// The tenant's fraction of all quotas.
     fraction: f64,
@@ -105,8 +105,9 @@
             .is_some_and(|bucket| bucket.tokens < self.threshold_tokens(arrivals))
     }
 
-    /// The tokens below which a tenant is over its quota: the lowest level of a bucket while
-    /// arrivals stay within the quotas, and more the further arrivals exceed the quotas.
+    /// The number of tokens below which a tenant is over its quota. While arrivals stay within the
+    /// quotas, this is the lowest level of a bucket, so no tenant is below it. It rises the further
+    /// arrivals exceed the quotas.
     ///
     /// Bucket levels are assumed to be spread evenly from `-BURST_TOKENS` to `BURST_TOKENS`. The
     /// part of them below a threshold `t` is then `(t + BURST_TOKENS) / (2 * BURST_TOKENS)`. This
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -99,7 +99,8 @@
     for _ in 0..100 {
         quotas.charge(Some(1));
     }
-    // Two servers share 40 requests a second: 100 in five seconds are within the quota of one.
+    // Two servers share 40 requests a second, so 100 requests in five seconds are within the quotas
+    // for one server.
     assert!(!quotas.is_over_quota(Some(1), &arrivals(100.0, 0.0)));
     assert!(!quotas.is_over_quota(Some(1), &arrivals(150.0, 50.0)));
     assert!(quotas.is_over_quota(Some(1), &arrivals(101.0, 0.0)));
--- a/src/brownout/admitted_fraction.rs
+++ b/src/brownout/admitted_fraction.rs
@@ -7,8 +7,8 @@
 //! slow dependency, and fewer requests would not make them faster.
 //!
 //! Requests differ in priority, so the fraction is allotted to the highest priority levels first,
-//! and random sampling decides only within the marginal level. The cost is that a level far below
-//! the margin gets nothing while the loop cuts.
+//! and random sampling decides only within the level at which the fraction is used up. The cost is
+//! that requests at the levels below that one are all rejected while the loop cuts.
 
 use super::ResponseTimeSample;
 
--- a/src/brownout/dimmer.rs
+++ b/src/brownout/dimmer.rs
@@ -22,7 +22,8 @@
 /// Minimum estimate of the slope, as a fraction of the setpoint.
 const MIN_SLOPE_SETPOINT_FRACTION: f64 = 0.1;
 
-/// Minimum of the slope as a divisor, in seconds.
+/// Minimum of the slope by which the gain is divided, in seconds, so that the gain stays finite at
+/// a tiny setpoint.
 const MIN_SLOPE_SECONDS: f64 = 1e-3;
 
 /// Value up to which the dimmer counts as zero.
--- a/src/caller_feedback/feedback_value.rs
+++ b/src/caller_feedback/feedback_value.rs
@@ -7,10 +7,10 @@
 //! rejections, each of which costs the server a read. The value is rounded, so that small changes
 //! are not sent. The cost is that callers send less to a server that is permanently slow.
 //!
-//! A concurrency credit is zero only on a failing server: a draining server still grants
-//! [`MIN_CREDIT_PER_CORE`] to all callers together. While the wanted traffic is less than the usual
-//! traffic, the credit of the cores is divided by the number of callers. Otherwise it is not
-//! divided: each caller may have as many outstanding requests as the whole server survives when
+//! Before it is rounded, a concurrency credit is zero only on a failing server: a draining server
+//! still grants [`MIN_CREDIT_PER_CORE`] for each core to all callers together. While the fraction
+//! is below 1, the credit of all cores is divided by the number of callers. Otherwise the credit is
+//! not divided: each caller may have as many outstanding requests as the whole server survives when
 //! warm, and only the server's own limits bound their sum.
 
 use crate::config::{CallerFeedback, Config};
@@ -21,7 +21,7 @@
 /// Additional outstanding requests per core that are granted for all of the usual traffic.
 const EXTRA_CREDIT_PER_CORE: f64 = 3.5;
 
-/// Number of steps per unit to which a value is rounded.
+/// Number of steps into which a unit of the value is divided; a value is rounded to a whole step.
 const STEPS_PER_UNIT: f64 = 20.0;
 
 /// Initial value, which is never sent, so that the first computed value always differs.
@@ -33,7 +33,8 @@
     pub(crate) is_draining: bool,
     /// Runs on this server fail often.
     pub(crate) is_failing: bool,
-    /// The fraction of the usual traffic that a server this slow serves as quickly as usual.
+    /// The fraction of the usual traffic that a server of this slowdown asks for; at least 1 while
+    /// the server is not far slower than usual.
     pub(crate) slowdown_traffic_fraction: f64,
     /// The fraction of the usual traffic that is wanted.
     pub(crate) wanted_traffic_fraction: f64,
--- a/src/caller_feedback/retry_after.rs
+++ b/src/caller_feedback/retry_after.rs
@@ -13,7 +13,7 @@
 
 use crate::duration::duration_from_seconds;
 
-/// The input of the wait.
+/// The input of the retry-after.
 pub(crate) struct RetryAfterInput {
     /// The longest wait that callers honour; `None` where answers cannot carry one.
     pub(crate) max_retry_after: Option<Duration>,
--- a/src/caller_feedback/retry_other_server.rs
+++ b/src/caller_feedback/retry_other_server.rs
@@ -11,10 +11,10 @@
 //! predicted response time, and to queued requests that were overtaken. For all other rejections
 //! the controller has a fixed answer:
 //!
-//! - An arrival that a draining server may no longer run is referred to another server, whatever
-//!   its quota, its time left and its attempts.
+//! - An arrival that a draining server may no longer run is referred to another server, even if its
+//!   tenant is over its quota, it has little time left or it is a retry.
 //! - A request that has missed its objective, that is answered just before its deadline or the
-//!   termination, or whose call failed, is not.
+//!   termination of the process, or whose call failed, is not referred to another server.
 //!
 //! Compare the retry budgets in "Handling Overload" of Google's "Site Reliability Engineering".
 
@@ -39,9 +39,9 @@
     pub(crate) is_over_quota: bool,
     /// It is marked as a retry or a hedged request.
     pub(crate) is_retry: bool,
-    /// Its latency objective, from its arrival.
+    /// Its latency objective, counted from its arrival.
     pub(crate) objective: Duration,
-    /// The time that is left until then.
+    /// The time that is left until its latency objective.
     pub(crate) time_left: Duration,
 }
 
@@ -51,7 +51,7 @@
     pub(crate) is_draining: bool,
     /// Runs on this server fail often.
     pub(crate) is_failing: bool,
-    /// Another server would do better, for these or other reasons.
+    /// The server is draining, failing or far slower than usual, so another would do better.
     pub(crate) is_degraded: bool,
 }
 
--- a/src/caller_feedback/tests.rs
+++ b/src/caller_feedback/tests.rs
@@ -96,7 +96,8 @@
         traffic.update(&traffic_input(0.0, rejected_fraction));
         traffic.fraction()
     };
-    // A tenth of the cores reads requests: 4% of the cores are wasted at 0.4, and 8% at 0.8.
+    // A tenth of the cores reads requests: 4% of the cores are wasted if the rejected fraction is
+    // 0.4, and 8% if it is 0.8.
     assert_eq!(fraction_after(CallerFeedback::None, 0.39), 1.0);
     assert_eq!(fraction_after(CallerFeedback::None, 0.41), 0.9);
     assert_eq!(fraction_after(CallerFeedback::TrafficWeight, 0.79), 1.0);
--- a/src/caller_feedback/wanted_traffic.rs
+++ b/src/caller_feedback/wanted_traffic.rs
@@ -1,12 +1,13 @@
 //! The fraction of the usual traffic that this server asks for.
 //!
 //! A server cannot reject a request that it has not read, and reading takes the cores from requests
-//! that can still be in time, so only callers that send less help. The rule applies in a flood,
-//! under an uneven load from callers, and on a server that has become slow. The overload shows as
-//! requests that are old when they are read, or as cores that read requests which are then
-//! rejected. The fraction falls in proportion to the unread time, or by a small factor if reading
-//! is wasted, and recovers in even steps. The cost is that callers which were asked to send less do
-//! so for some steps after the flood.
+//! that can still be in time. The overload therefore ends only if callers send less. The rule
+//! applies in a flood, under an uneven load from callers, and on a server that has become slow. The
+//! overload shows as requests that are old when they are read, or as cores that read requests which
+//! are then rejected. The longer requests wait unread, the more a control step cuts the fraction,
+//! but at most to half. If only reading is wasted, a control step cuts the fraction by a tenth.
+//! Otherwise the fraction recovers in even steps. The cost is that callers which were asked to send
+//! less do so for some steps after the flood.
 //!
 //! This is additive increase, multiplicative decrease (AIMD): D. Chiu, R. Jain, "Analysis of the
 //! increase and decrease algorithms for congestion avoidance in computer networks" (1989).
@@ -23,7 +24,8 @@
 /// Fraction of the cores spent on reading rejected requests, above which the wanted traffic is cut.
 const MAX_WASTED_CORE_FRACTION: f64 = 0.04;
 
-/// The same fraction for a traffic weight, which ignores priorities and is therefore cut later.
+/// The same fraction if callers receive a traffic weight: it also holds back requests of high
+/// priority, so the wanted traffic is cut later.
 const MAX_WASTED_CORE_FRACTION_BY_WEIGHT: f64 = 0.08;
 
 /// Factor by which one control step cuts the wanted traffic because of wasted reading.
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -25,7 +25,8 @@
 /// interval follows from the configured response slack.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Ticks within the response slack, the time after its deadline in which an answer still counts.
+/// Number of ticks within the response slack, which is the time after the deadline of a request in
+/// which an answer still counts.
 const TICKS_PER_RESPONSE_SLACK: u32 = 2;
 
 /// Tick intervals by which a tick must be late for the process to count as stalled.
--- a/src/concurrency/core_limit.rs
+++ b/src/concurrency/core_limit.rs
@@ -4,10 +4,11 @@
 //! compete with reading starve it: requests then wait unread until they are late, and the server
 //! answers none in time. Runs are therefore limited to the cores that reading leaves, but to no
 //! less than 0.34 of the cores. With a backlog of unread requests, runs get only the cores that
-//! reading leaves, which may be none, because requests that are read then are already late until
-//! reading has caught up. If nothing completes for a whole window, reading does not catch up, and
-//! runs get their 0.34 again. The rule has no effect while reading leaves enough cores. The cost is
-//! that connections or health checks which demand a core for long count as reading.
+//! reading leaves, which may be none, because until reading has caught up, requests are already
+//! late when they are read. If no request completes within the measurement window (2 s), reading
+//! does not catch up, and runs get 0.34 of the cores again. The rule has no effect while reading
+//! leaves enough cores. The cost is that connections or health checks which demand a core for long
+//! count as reading.
 //!
 //! Compare: J. Mogul, K. Ramakrishnan, "Eliminating receive livelock in an interrupt-driven kernel"
 //! (1997).
--- a/src/concurrency/cores.rs
+++ b/src/concurrency/cores.rs
@@ -25,7 +25,8 @@
         }
     }
 
-    /// Stores new readings. If the host has none, the cores count as busy once runs fill them.
+    /// Stores the readings of a tick. If the host measures no busy fraction, the cores count as
+    /// busy once runs fill them.
     pub(crate) fn update(&mut self, gauges: &Gauges, running: f64) {
         let runs_fill_cores = running >= self.cores;
         self.busy_fraction =
--- a/src/concurrency/survivable.rs
+++ b/src/concurrency/survivable.rs
@@ -9,8 +9,8 @@
 //! start). The cost is that a cold server leaves requests queued which a warm server would start.
 //!
 //! One request per core of the survivable concurrency does not depend on the speed of a cold
-//! server; only the part beyond it does. Even at the slowest speed, the limit is thus the number of
-//! cores, less the margin.
+//! server; only the part beyond it does. Even at the slowest speed, the limit is thus at least the
+//! number of cores, less the margin.
 
 use std::time::Duration;
 
--- a/src/config.rs
+++ b/src/config.rs
@@ -64,8 +64,8 @@
 pub struct HandlerConfig {
     /// An answer within this time counts with the full priority weight.
     pub latency_objective: Duration,
-    /// The latency objective grows by this multiple of a request's own work, up to the client
-    /// timeout.
+    /// The latency objective grows by this multiple of a request's own work, but never beyond the
+    /// deadline of the request.
     pub objective_stretch: f64,
     /// How long a client waits.
     pub client_timeout: Duration,
@@ -109,7 +109,7 @@
     pub key_kb: f64,
     /// Whether the process was just started, and is slow until it has warmed up.
     pub starts_cold: bool,
-    /// A cold server starts at this fraction of its speed, or faster.
+    /// A cold server starts at this fraction of its warm speed, or faster.
     pub cold_speed: f64,
     /// The longest time until a cold server is warm.
     pub warm_up: Duration,
@@ -163,7 +163,8 @@
     Tenant(TenantIndex),
 }
 
-/// The longest averaging window of a shared dependency; the sliding window is sized by it.
+/// The longest averaging window of a shared dependency, which bounds the size of the sliding window
+/// of the metrics.
 const MAX_DEPENDENCY_WINDOW: Duration = Duration::from_secs(600);
 
 impl Config {
--- a/src/controller/dependency_calls.rs
+++ b/src/controller/dependency_calls.rs
@@ -40,7 +40,7 @@
 
     /// Makes or skips the call for which a request waits, or leaves the request waiting.
     fn try_call(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
-        // Each attempt takes a random sample, but only the sample of the first attempt counts.
+        // A random sample is taken each time, but only the first sample of a request counts.
         let uniform_sample = self.rng.f64();
         let dimmer = self.brownout.dimmer();
         let is_sampled = *self.requests[request]
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -267,7 +267,7 @@
         }
     }
 
-    /// The fraction of recent runs that failed if it is high, and 0 otherwise.
+    /// The fraction of recent runs that failed, or 0 if that fraction is not high.
     fn high_failure_fraction(&self) -> f64 {
         high_failure_fraction(
             self.metrics.recent(Metric::Failed),
--- a/src/controller/request_end.rs
+++ b/src/controller/request_end.rs
@@ -83,8 +83,9 @@
         self.abandon(request, out);
     }
 
-    /// Answers the requests whose deadline is near, that the termination would cut off, or that can
-    /// no longer be in time.
+    /// Answers the requests that `early_answer.rs` gives up: their deadline is near, the
+    /// termination of the process would cut them off, or they have missed their latency objective.
+    /// Also repeats the cancellation of runs whose request was answered before.
     pub(super) fn give_up_late_requests(&mut self, out: &mut Vec<Action>) {
         let times = TickTimes {
             now: self.clock.now(),
@@ -114,8 +115,8 @@
         }
     }
 
-    /// Immediately answers a request that can no longer be served, and cancels its run where that
-    /// is possible.
+    /// Answers a request at once with a rejection or a failure, and cancels its run where that is
+    /// possible.
     pub(super) fn finish_early(
         &mut self,
         request: RequestIndex,
@@ -182,7 +183,8 @@
     fn abandon(&mut self, request: RequestIndex, out: &mut Vec<Action>) {
         let entry = &self.requests[request];
         let stage = entry.stage;
-        // The request never ran, so a later duplicate counts as a first request.
+        // The request never ran, so its key is forgotten and a later duplicate counts as a first
+        // request.
         if stage == Stage::Queued
             && let Some(expires_at) = entry.key_expires_at
         {
--- a/src/controller/request_start.rs
+++ b/src/controller/request_start.rs
@@ -71,8 +71,8 @@
         Some(if heads.short_is_first() { short } else { long })
     }
 
-    /// Rejects queued requests that are no longer likely to be in time, because of requests that
-    /// arrived since.
+    /// Rejects queued requests that are no longer likely to be in time, for example because
+    /// requests that arrived later precede them in the queue.
     pub(super) fn reject_overtaken(&mut self, out: &mut Vec<Action>) {
         if self.queue.is_empty() {
             return;
--- a/src/dependency/call_budget.rs
+++ b/src/dependency/call_budget.rs
@@ -9,11 +9,11 @@
 //! dependency can tie up. The cost is that calls which return early leave some of the share unused
 //! until they have returned.
 //!
-//! A call whose timeout is not above one tick is not made either, whatever the budget: the timeout
-//! would pass between two ticks and could not be enforced. An optional call is then skipped, and a
-//! request with a mandatory call waits, in most cases until it is given up. The cost shows if a
-//! share is so small that [`CallBudget::max_call_seconds`] is not above one tick: then no call is
-//! made.
+//! A call whose timeout is not above one tick interval is not made either, whatever the budget: the
+//! timeout would pass between two ticks and could not be enforced. An optional call is then
+//! skipped, and a request with a mandatory call waits, in most cases until it is given up. The cost
+//! shows if a share is so small that [`CallBudget::max_call_seconds`] is not above one tick
+//! interval: then no call is made.
 //!
 //! An optional call leaves budget for a mandatory call. Otherwise mandatory calls would wait while
 //! optional calls spend the budget, and would all be made at once when budget becomes free again.
@@ -47,7 +47,7 @@
 pub(crate) struct DependencyLoad {
     /// The time since the start of the process.
     pub(crate) now: Duration,
-    /// The number of calls in flight.
+    /// The number of calls in flight, without abandoned calls.
     pub(crate) calls_in_flight: usize,
     /// Call-seconds in flight over the past [`CallBudget::window`].
     pub(crate) past_call_seconds: f64,
@@ -117,12 +117,12 @@
             .push(now.saturating_add(self.linger));
     }
 
-    /// Forgets abandoned calls whose linger time was over by then.
+    /// Forgets the abandoned calls whose linger time was over at the time `by`.
     pub(crate) fn forget_ended_calls(&mut self, by: Duration) {
         self.abandoned_call_ends.retain(|&end| end > by);
     }
 
-    /// The longest time of one call in seconds, if a share is stated.
+    /// The longest timeout of one call, in seconds, if a share is stated.
     pub(crate) fn max_call_seconds(&self) -> Option<f64> {
         self.budget_seconds
             .map(|budget| budget / LONGEST_CALLS_PER_BUDGET)
--- a/src/dependency/call_decision.rs
+++ b/src/dependency/call_decision.rs
@@ -32,7 +32,7 @@
     Make,
     /// The request continues without the call.
     Skip,
-    /// The request waits until the budget allows it.
+    /// The request waits until the budget allows the call.
     Wait,
 }
 
--- a/src/dependency/call_retry.rs
+++ b/src/dependency/call_retry.rs
@@ -2,10 +2,10 @@
 //!
 //! A call whose reply was lost may have had its effect, so it is retried only if the request is
 //! idempotent or the call certainly never ran. An optional call is retried only if its connection
-//! or its reply was lost: a dependency that rejects calls is full, and retries would keep it full
-//! (a retry storm). A missing reply counts as lost only while missing replies are rare, because
-//! slow replies look the same. The cost is that an optional call which failed otherwise is skipped
-//! at once.
+//! failed or its reply was lost: a dependency that rejects calls is full, and retries would keep it
+//! full (a retry storm). A missing reply counts as lost only while missing replies are rare,
+//! because slow replies look the same. The cost is that an optional call which failed for another
+//! reason is skipped at once.
 
 use crate::event::Outcome;
 
--- a/src/dependency/call_timeout.rs
+++ b/src/dependency/call_timeout.rs
@@ -37,7 +37,7 @@
     pub(crate) mean_call_seconds: f64,
     /// Calls without a reply are rare.
     pub(crate) lost_calls_are_rare: bool,
-    /// Seconds that the budget allows for one call, where there is one.
+    /// Seconds that the budget allows for one call, if a share of the dependency is stated.
     pub(crate) max_call_seconds: Option<f64>,
 }
 
--- a/src/dependency/usual_call_time.rs
+++ b/src/dependency/usual_call_time.rs
@@ -1,10 +1,10 @@
 //! The usual time of a dependency call, and whether a call was slow.
 //!
 //! A slow call shows that the dependency is past its knee, long before the mean response time does.
-//! The usual time is an exponentially weighted moving average of the successful calls. A slow call
-//! moves it far less, so that a fault does not become usual while it lasts. The usual time is known
-//! only after some calls. The cost is that, if calls become slower permanently, each call counts as
-//! slow until the usual time has followed.
+//! The usual time is an exponentially weighted moving average of the times of successful calls. A
+//! slow call moves it far less, so that a fault does not become usual while it lasts. No call
+//! counts as slow before some calls have succeeded. The cost is that, if calls become slower
+//! permanently, each call counts as slow until the usual time has followed.
 
 use crate::event::Outcome;
 
--- a/src/drain.rs
+++ b/src/drain.rs
@@ -4,10 +4,10 @@
 //! The process is terminated some time after the notice, and requests that are unanswered then are
 //! lost. A request that arrives later than the grace after the notice is therefore not run, and all
 //! requests are answered some time before the termination, so that a stall does not delay an answer
-//! past it. Callers are asked to leave at the notice. If the server is busy, the whole fleet is
-//! likely to be busy and the other servers could not take over its traffic, so callers are asked to
-//! leave only shortly before the grace is over. The cost is that in a large fleet some callers then
-//! find the listener closed.
+//! past the termination. Callers are asked to leave at the notice. If the server is busy, the whole
+//! fleet is likely to be busy and the other servers could not take over its traffic, so callers are
+//! asked to leave only shortly before the grace is over. The cost is that in a large fleet some
+//! callers then find the listener closed.
 
 #[cfg(test)]
 mod tests;
@@ -105,8 +105,8 @@
         now >= self.answer_by()
     }
 
-    /// When all requests must be answered because the process is terminated; [`Duration::MAX`]
-    /// while the server is not draining.
+    /// The time by which all requests must be answered, because the process is terminated soon
+    /// after it; [`Duration::MAX`] while the server is not draining.
     pub(crate) fn answer_by(&self) -> Duration {
         self.0
             .as_ref()
--- a/src/drain/tests.rs
+++ b/src/drain/tests.rs
@@ -48,7 +48,7 @@
         drain.callers_should_leave(ms(now))
     };
     assert!(leave(0.69, 10_000));
-    // Responses take 0.3 s, and the grace is over at 10.9 s.
+    // The response time setpoint is 0.3 s, and the grace is over at 10.9 s.
     assert!(!leave(0.7, 10_599));
     assert!(leave(0.7, 10_600));
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -47,18 +47,18 @@
     Rejected,
     /// No result came within its time limit; it may still have had its effect.
     TimedOut,
-    /// The dependency could not be reached: it never ran.
+    /// The dependency could not be reached, so the call never ran.
     Unreachable,
     /// Its connection was lost; it may still have had its effect.
     ConnectionLost,
-    /// A run that was cancelled.
+    /// The run was cancelled.
     Cancelled,
     /// No run was started: the request had already ended, or the start was refused.
     NotStarted,
 }
 
 impl Outcome {
-    /// Whether it certainly had no effect at the dependency.
+    /// Whether the call certainly had no effect at the dependency.
     pub(crate) fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::Unreachable)
     }
--- a/src/health/failure_rate.rs
+++ b/src/health/failure_rate.rs
@@ -16,7 +16,7 @@
 /// among few runs proves nothing.
 const MIN_FAILURES: f64 = 3.0;
 
-/// The fraction of recent runs that failed if it is high, and 0 otherwise.
+/// The fraction of recent runs that failed, or 0 if that fraction is not high.
 pub(crate) fn high_failure_fraction(failed_runs: f64, completed_runs: f64) -> f64 {
     let fraction = failed_runs / (failed_runs + completed_runs).max(1.0);
     if failed_runs >= MIN_FAILURES && fraction > HIGH_FAILURE_FRACTION {
@@ -26,8 +26,8 @@
     }
 }
 
-/// Whether an arrival is rejected because runs fail, with the fraction of failed runs as its
-/// probability. No random number is taken while the fraction is 0.
+/// Whether an arrival is rejected because runs fail. The probability of a rejection is
+/// `high_failure_fraction`; no random number is taken while that is 0.
 pub(crate) fn is_shed_for_failures(high_failure_fraction: f64, rng: &mut fastrand::Rng) -> bool {
     high_failure_fraction > 0.0 && rng.f64() < high_failure_fraction
 }
--- a/src/health/slowdown.rs
+++ b/src/health/slowdown.rs
@@ -7,9 +7,9 @@
 //!
 //! A few requests with rough estimates show little: on a server with two cores, two long requests
 //! would make it look degraded, and it would reject requests while its cores are idle. The usual
-//! slowdown therefore counts like several additional requests. Once nothing runs, only the usual
-//! slowdown counts, because a server that hung would otherwise reject requests indefinitely. The
-//! cost is that a slow server is detected later.
+//! slowdown therefore counts like several additional requests. While no run is on a core and none
+//! has ended recently, only the usual slowdown counts, because a server that hung would otherwise
+//! reject requests indefinitely. The cost is that a slow server is detected later.
 
 use std::time::Duration;
 
@@ -26,9 +26,9 @@
 const PRIOR_REQUESTS: f64 = 6.0;
 
 /// Fraction by which a tick moves the usual slowdown while the measured one is better, or while the
-/// server still learns the speed of its machine. A tick is 5 to 25 ms, depending on the configured
-/// response slack (`clock.rs`), so the time in which the usual slowdown follows 63 percent of a
-/// change (50 ticks) also depends on it: 0.25 to 1.25 s.
+/// server still learns the speed of its machine. The usual slowdown follows 63 percent of a change
+/// in 50 ticks, which is 0.25 to 1.25 s: the tick interval is 5 to 25 ms, depending on the
+/// configured response slack (`clock.rs`).
 const USUAL_SLOWDOWN_GAIN: f64 = 0.02;
 
 /// Fraction by which a tick moves the usual slowdown while the measured one is worse: a fault must
@@ -42,7 +42,7 @@
 /// Multiple of the usual slowdown above which a server is degraded.
 const DEGRADED_FACTOR: f64 = 1.7;
 
-/// Time on a core, and the completed or expected work in that time.
+/// Time on a core and expected work, of one run or summed over several runs.
 pub(crate) struct RunTimes {
     /// Seconds on a core.
     pub(crate) core_seconds: f64,
@@ -121,8 +121,8 @@
         self.measured > DEGRADED_FACTOR * self.usual
     }
 
-    /// The fraction of the usual traffic that a server of this slowdown serves as quickly as usual;
-    /// at least 1 while it is not degraded.
+    /// The fraction of the usual traffic that a server of this slowdown asks for; at least 1 while
+    /// the server is not far slower than usual.
     pub(crate) fn traffic_fraction(&self) -> f64 {
         DEGRADED_FACTOR * self.usual / self.measured
     }
--- a/src/idle_timeout.rs
+++ b/src/idle_timeout.rs
@@ -3,7 +3,7 @@
 //! Many callers that rarely send requests leave connections open, which exclude other callers and
 //! cost core time. While open connections saturate the connection table, the idle timeout falls at
 //! each control step, and it recovers afterwards. In a retry storm the idle timeout rises instead,
-//! until the table is full: opening a connection costs more than the request on it. A full table
+//! so that the table fills: opening a connection costs more than the request on it. A full table
 //! refuses connections at no cost, while a half-full table refuses none and costs core time. The
 //! table stays full until it leaves the cores without enough work, which shows that the full table
 //! now costs more than the storm. The cost of the rule is that callers reopen connections that they
--- a/src/metrics/sliding_window.rs
+++ b/src/metrics/sliding_window.rs
@@ -28,11 +28,12 @@
     ArrivedWork,
     /// Arrivals that are marked as retries.
     Retries,
-    /// Seconds that arrivals waited unread.
+    /// Seconds that arrivals waited unread, without the time for which the process was stalled.
     UnreadTime,
     /// Cores in demand for anything but runs, one reading per tick.
     ReadingCores,
-    /// Requests that were rejected on arrival.
+    /// Requests that were rejected on arrival, except those that a draining server may no longer
+    /// run.
     Rejected,
     /// Dependency calls that timed out.
     CallsTimedOut,
@@ -107,8 +108,9 @@
     }
 
     /// The sum over the current bucket and the full buckets before it that `span` needs, which
-    /// cover from `span` to `span` plus one bucket width. A sum that is divided by `span` gives a
-    /// rate that is too high by up to that part. The sum never covers more than the retained span.
+    /// cover from `span` to `span` plus one bucket width. A rate computed as the sum divided by
+    /// `span` is therefore too high by up to the fraction `bucket_width / span`. The sum never
+    /// covers more than the retained buckets.
     pub(crate) fn sum(&self, metric: Metric, span: Duration) -> f64 {
         let length = self.buckets.len() as u64;
         let wanted = span.as_millis().div_ceil(self.bucket_width.as_millis()) as u64 + 1;
--- a/src/queue/prediction.rs
+++ b/src/queue/prediction.rs
@@ -1,15 +1,16 @@
 //! Whether a request is likely to be answered within its latency objective.
 //!
 //! The rule applies on arrival, where a request that would be late is rejected while its caller can
-//! still try another server, and on each tick, where queued requests are rejected that others have
-//! overtaken. Without it, an overloaded server works through a queue of requests that are all late:
-//! every core is busy and no answer counts. The predicted response time is the age of the request,
-//! the work that precedes it, its own work and its dependency calls.
+//! still try another server, and on each tick, where a queued request is rejected once it is likely
+//! to be late. Without it, an overloaded server works through a queue of requests that are all
+//! late: every core is busy and no answer counts. The predicted response time is the sum of the age
+//! of the request, its wait for the work that precedes it, its own work and its dependency calls.
 //!
 //! Requests of higher priority that arrive while the request waits also precede it. That part is
 //! estimated from recent arrivals, so that requests of low priority are rejected on arrival and not
-//! after a wait. If a core is free, an attempt delays no other request, so the prediction may be
-//! wrong by a factor. The cost is that a request may be rejected which would have been in time.
+//! after a wait. If a core is free and no queued work precedes the request, its run delays no other
+//! request, so the predicted response time may exceed its limit by a factor. The cost is that a
+//! request may be rejected which would have been in time.
 
 use std::time::Duration;
 
@@ -60,7 +61,7 @@
     pub(crate) work_seconds: f64,
     /// Seconds of queued work that precedes it.
     pub(crate) work_seconds_ahead: f64,
-    /// Recent arrivals of higher priority.
+    /// The number of recent arrivals at higher priority levels.
     pub(crate) higher_arrivals: f64,
     /// The number of dependency calls that it is expected to make.
     pub(crate) expected_calls: f64,
@@ -99,7 +100,8 @@
         response_seconds <= request.objective.as_secs_f64() * fraction
     }
 
-    /// Seconds until a request enters a core; 0 where one is free.
+    /// Seconds until a request enters a core; 0 if a core is free and no queued work precedes the
+    /// request.
     fn wait_seconds(&self, request: &RequestForecast) -> f64 {
         if self.running < self.running_limit && request.work_seconds_ahead == 0.0 {
             return 0.0;
