--- a/src/brownout/dimmer.rs
+++ b/src/brownout/dimmer.rs
@@ -22,8 +22,8 @@
 /// Minimum estimate of the slope, as a fraction of the setpoint.
 const MIN_SLOPE_SETPOINT_FRACTION: f64 = 0.1;
 
-/// Minimum of the slope by which the gain is divided, in seconds, so that the gain stays finite at
-/// a tiny setpoint.
+/// Minimum of the slope from which the gain is computed, in seconds, so that a tiny setpoint does
+/// not make the gain very large.
 const MIN_SLOPE_SECONDS: f64 = 1e-3;
 
 /// Value up to which the dimmer counts as zero.
--- a/src/controller/request_start.rs
+++ b/src/controller/request_start.rs
@@ -1,4 +1,5 @@
-//! The start of queued requests: which request is next, and whether a core is free for it.
+//! The start of queued requests: which request is next, and whether a core and memory are free for
+//! it.
 
 use super::Controller;
 use super::request_end::RetryAdvice;
--- a/src/dependency/tests.rs
+++ b/src/dependency/tests.rs
@@ -299,7 +299,7 @@
         window: ms(5_000),
         linger: ms(200),
     };
-    // Two calls of 0.2 s with their linger time leave 0.1 s of the 0.9 s budget.
+    // Two calls of 0.2 s with their linger time leave 0.1 s of the 0.9 s budget as the reserve.
     let allows =
         |past| budget(&config).allows_call(&call(200, true), &load(past), std::iter::empty());
     assert!(allows(0.399));
--- a/src/handlers.rs
+++ b/src/handlers.rs
@@ -4,10 +4,10 @@
 //! Predictions need the work of a request and the number of its dependency calls. Without learnt
 //! figures, all requests without an estimate would look alike: long requests would be admitted as
 //! if their work were average, and would be answered too late. Each successful run therefore moves
-//! the means of its handler by a small step. Work is measured in seconds on an average
-//! core (the time on a core, divided by the slowdown of this server), so that a slow server raises
-//! its slowdown and not the work. The cost is that a learnt figure describes the handler and not
-//! the individual request.
+//! the means of its handler by a small step. Work is measured in seconds on an average core (the
+//! time on a core, divided by the slowdown of this server), so that a slow server raises its
+//! slowdown and not the work. The cost is that a learnt figure describes the handler and not the
+//! individual request.
 
 #[cfg(test)]
 mod tests;
--- a/src/health/slowdown.rs
+++ b/src/health/slowdown.rs
@@ -8,8 +8,8 @@
 //! A few requests with rough estimates show little: on a server with two cores, two long requests
 //! would make it look degraded, and it would reject requests while its cores are idle. The usual
 //! slowdown therefore counts like several additional requests. While no run is on a core and none
-//! has ended recently, only the usual slowdown counts, because a server that hung would otherwise
-//! reject requests indefinitely. The cost is that a slow server is detected later.
+//! has succeeded recently, only the usual slowdown counts, because a server that hung would
+//! otherwise reject requests indefinitely. The cost is that a slow server is detected later.
 
 use std::time::Duration;
 
--- a/src/metrics/sliding_window.rs
+++ b/src/metrics/sliding_window.rs
@@ -10,9 +10,9 @@
     /// Response times of completed requests, in seconds, without the time for which the process was
     /// stalled.
     ResponseTime,
-    /// Seconds on a core of runs that succeeded.
+    /// The time on a core of runs that succeeded, in seconds.
     CoreTime,
-    /// The work of runs that succeeded.
+    /// The expected work of runs that succeeded, in seconds on an average core.
     Work,
     /// Runs that failed.
     Failed,
@@ -24,7 +24,7 @@
     CallsInFlight,
     /// Requests that arrived.
     Arrived,
-    /// The work of requests that arrived.
+    /// The expected work of requests that arrived, in seconds on an average core.
     ArrivedWork,
     /// Arrivals that are marked as retries.
     Retries,
--- a/src/requests/request.rs
+++ b/src/requests/request.rs
@@ -47,13 +47,13 @@
     pub(crate) objective_at: Duration,
     /// Its client waits until then.
     pub(crate) deadline: Duration,
-    /// Seconds that the process had been stalled before it arrived.
+    /// Seconds for which the process had been stalled before the request arrived.
     pub(crate) stalled_before_seconds: f64,
     /// Its stage.
     pub(crate) stage: Stage,
     /// Seconds on a core before it last entered one.
     pub(crate) core_seconds: f64,
-    /// When it last entered a core, in seconds that the process was awake.
+    /// When it last entered a core, in seconds for which the process was not stalled.
     pub(crate) on_core_since_seconds: f64,
     /// When its present or last call was made.
     pub(crate) call_started_at: Duration,
@@ -74,7 +74,8 @@
 }
 
 impl Request {
-    /// Seconds on a core so far, while it runs; `awake_seconds` is how long the process was awake.
+    /// Seconds on a core so far, while the request runs; `awake_seconds` are the seconds for which
+    /// the process was not stalled so far.
     pub(crate) fn core_seconds_so_far(&self, awake_seconds: f64) -> f64 {
         self.core_seconds + awake_seconds - self.on_core_since_seconds
     }
--- a/src/requests/table.rs
+++ b/src/requests/table.rs
@@ -84,7 +84,8 @@
         &self.awaiting_call
     }
 
-    /// Puts a request on the cores; `awake_seconds` is how long the process was awake so far.
+    /// Puts a request on the cores; `awake_seconds` are the seconds for which the process was not
+    /// stalled so far.
     pub(crate) fn enter_core(&mut self, request: RequestIndex, awake_seconds: f64) {
         let entry = &mut self[request];
         entry.stage = Stage::Running;
