--- a/src/controller/request_start.rs
+++ b/src/controller/request_start.rs
@@ -1,4 +1,5 @@
-//! The start of queued requests: which request is next, and whether a core is free for it.
+//! The start of queued requests: which request is next, and whether a core and memory are free for
+//! it.
 
 use super::Controller;
 use super::request_end::RetryAdvice;
@@ -71,8 +72,8 @@
         Some(if heads.short_is_first() { short } else { long })
     }
 
-    /// Rejects queued requests that are no longer likely to be in time, because of requests that
-    /// arrived since.
+    /// Rejects queued requests that are no longer likely to be in time, for example because
+    /// requests that arrived later precede them in the queue.
     pub(super) fn reject_overtaken(&mut self, out: &mut Vec<Action>) {
         if self.queue.is_empty() {
             return;
