--- a/crates/server/src/net/connect.rs
+++ b/crates/server/src/net/connect.rs
@@ -28,8 +28,8 @@
 }
 
 /// Connects within `CONNECT_TIMEOUT`, and only while the connection is wanted. The system itself
-/// would try for two minutes: if a peer moved while a connect to its old address hangs, the client
-/// would not connect to the new address until then.
+/// would try for two minutes. If a peer moved while a connect to its old address hung, the client
+/// would not connect to the new address before the end of these two minutes.
 ///
 /// # Errors
 /// The error of the system, `TimedOut`, or an error that says that the connection is no longer
--- a/crates/server/src/net/executor/gauges.rs
+++ b/crates/server/src/net/executor/gauges.rs
@@ -4,7 +4,7 @@
 
 use crate::requests::Gauges;
 
-/// The maximum age at which a reading is used instead of a new one.
+/// A reading is used instead of a new one only while it is younger than this.
 pub(super) const MAX_GAUGES_AGE: Duration = Duration::from_millis(500);
 
 /// The last reading and when it was received.
@@ -22,8 +22,8 @@
         self.at(Instant::now())
     }
 
-    /// The reading that is valid at `now`; empty if the last one is older than `MAX_GAUGES_AGE`.
-    /// While a link is broken, an old reading of idle cores would make the controller admit more.
+    /// The reading that is valid at `now`; empty once the last one is `MAX_GAUGES_AGE` old. While a
+    /// link is broken, an old reading of idle cores would make the controller admit more.
     pub(super) fn at(&self, now: Instant) -> Gauges {
         let recent = self
             .0
--- a/crates/server/src/net/executor/link.rs
+++ b/crates/server/src/net/executor/link.rs
@@ -93,7 +93,8 @@
 
     /// Stops sending commands over this link; they wait for the next link. A final query for the
     /// gauges has the executor confirm everything sent before, so that no outcome is unknown. After
-    /// `FINAL_QUERY_TIMEOUT` the link is closed without the reply. Returns the tag of the query.
+    /// `FINAL_QUERY_TIMEOUT` the link is closed without the reply. Returns the tag of the query, or
+    /// `None` if no commands were allowed over this link yet.
     fn send_final_query(self: &Arc<Self>, output: &Arc<Output>) -> Option<u64> {
         let mut state = self.state.lock();
         state.output.take()?;
@@ -239,8 +240,9 @@
         gauges
     }
 
-    /// Resynchronizes the runs once all missed notices were read from a link, as `resync` decides:
-    /// reports the runs whose outcome is unknown, and sends commands again that may be lost.
+    /// Resynchronizes the runs once all missed notices were read from a link, as the module
+    /// `resync` decides: reports the runs whose outcome is unknown, and sends commands again that
+    /// may be lost.
     pub(super) fn resync(&self, output: &Arc<Output>) {
         let Some(resync) = self.state.lock().activate(output) else {
             return;
--- a/crates/server/src/net/executor/mod.rs
+++ b/crates/server/src/net/executor/mod.rs
@@ -41,9 +41,9 @@
 use crate::config::CurrentAddress;
 use crate::requests::{Bytes, ClassName, Gauges, RequestId, RequestRegistry};
 
-/// How long a timer waits for its gauges. An executor that hangs sends none, and the controller
-/// detects that from a late timer. With a longer wait, a request could be answered after its
-/// deadline.
+/// How long a timer of the controller waits for the gauges. An executor that hangs sends none, and
+/// the controller detects that from a late timer. With a longer wait, a request could be answered
+/// after its deadline.
 const GAUGES_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// The client side of the link to the executor. It owns the state of each run: the last command and
@@ -157,8 +157,9 @@
         self.state.lock().queries.abandon_test_jobs();
     }
 
-    /// Sends a command, and passes its delivery state to `record`. Without a link it is not sent;
-    /// the next link sends it if its run is still open.
+    /// Sends a command, and passes its delivery state to `record`. Without a link, the command is
+    /// not sent; if `record` stores it as the last command for a run, it is sent over the next link
+    /// while the run is open.
     fn send(&self, id: &str, command: &Command, record: impl FnOnce(&mut LinkState, Delivery)) {
         let bytes = command.encode(id);
         loop {
--- a/crates/server/src/net/executor/protocol.rs
+++ b/crates/server/src/net/executor/protocol.rs
@@ -1,5 +1,5 @@
-//! The codec, without I/O, of the executor's protocol: it encodes commands and decodes notices.
-//! Only this module contains the words of the protocol.
+//! The codec, without I/O, of the executor's protocol: it encodes commands and queries, and decodes
+//! the messages of the executor. Only this module contains the words of the protocol.
 
 use std::time::Duration;
 
--- a/crates/server/src/net/executor/resync.rs
+++ b/crates/server/src/net/executor/resync.rs
@@ -2,9 +2,9 @@
 //! one.
 //!
 //! Failure: a link breaks with commands and notices in transit. A lost command leaves its run
-//! waiting until its deadline. A command that is sent twice can run a request twice, or resume the
-//! wrong call. The symptoms are requests that time out after each break of the link, and duplicate
-//! effects.
+//! waiting until its deadline. A command that is sent twice can run a request twice, or resume a
+//! run with the reply to another call. The symptoms are requests that time out after each break of
+//! the link, and duplicate effects.
 //!
 //! The decision, after all missed notices are read:
 //! - A command that has arrived is not sent again. A notice about a run confirms the last command
@@ -51,7 +51,7 @@
     pub(super) is_at_most_once: bool,
     pub(super) last_command: LastCommand,
     pub(super) delivery: Delivery,
-    /// The notice of the last call that the run waited for; 0 before the first.
+    /// The number of the notice of the last call that the run waited for; 0 before the first.
     pub(super) call: u64,
 }
 
--- a/crates/server/src/net/executor/state.rs
+++ b/crates/server/src/net/executor/state.rs
@@ -16,7 +16,7 @@
 pub(super) struct LinkState {
     /// The link over which commands are sent, once all missed notices were read from it.
     pub(super) output: Option<Arc<Output>>,
-    /// The open link.
+    /// The open link, from its opening on; commands are sent only over `output`.
     pub(super) link: Option<Arc<Output>>,
     pub(super) notices: NoticeSequence,
     /// Runs that were started and for which no end was read.
--- a/crates/server/src/net/executor/tests.rs
+++ b/crates/server/src/net/executor/tests.rs
@@ -12,7 +12,8 @@
 use crate::requests::{Bytes, ClassName, Gauges, RequestId, RequestRegistry};
 
 /// Guards against a broken link whose missing gauges count as idle cores, which would raise the
-/// admitted traffic. The last gauges stay valid up to `MAX_GAUGES_AGE` and are unknown after that.
+/// admitted traffic. The last gauges are valid until they are `MAX_GAUGES_AGE` old, and unknown
+/// from then on.
 #[test]
 fn last_gauges_are_valid_up_to_their_maximum_age() {
     let (at, busy) = (
@@ -108,7 +109,7 @@
         let mut state = client.state.lock();
         (state.link, state.commands_sent, state.commands_arrived) =
             (Some(link.output.clone()), 7, 2);
-        // Starts that have arrived, may have arrived (with and without at-most-once), were never
+        // Starts that have arrived, may have arrived (idempotent and at-most-once), were never
         // sent, and are confirmed.
         let runs = [
             (false, Delivery::Sent(2)),
--- a/crates/server/src/net/frontend/backlog.rs
+++ b/crates/server/src/net/frontend/backlog.rs
@@ -50,8 +50,8 @@
     }
 
     /// The time to answer the backlog if each connection yields its slot once all its replies are
-    /// acknowledged: one turnover of all slots for each round of connections in the backlog, and
-    /// one for the last requests.
+    /// acknowledged: one turnover of all slots for each round, which is as many connections of the
+    /// backlog as there are slots, and one turnover for the last requests.
     pub(crate) fn acknowledged_bound(&self) -> Duration {
         match self.waiting.div_ceil(self.slots.max(1)) {
             0 => Duration::ZERO,
--- a/crates/server/src/net/frontend/closing.rs
+++ b/crates/server/src/net/frontend/closing.rs
@@ -56,7 +56,7 @@
     } else if !state.is_readable {
         CloseStep::Drain
     } else if !state.is_closing || state.has_unhandled_input {
-        // A request that was read before the close is answered first.
+        // The unhandled input may hold a request, which is answered before the close.
         CloseStep::StayOpen
     } else {
         CloseStep::DrainUnacknowledged
--- a/crates/server/src/net/frontend/codec.rs
+++ b/crates/server/src/net/frontend/codec.rs
@@ -1,6 +1,6 @@
 //! The codec, without I/O, of the messages of edge nodes and the replies to them, in framed strict
-//! binary Thrift. It defines the method names and the keys of replies; `parse` defines the keys of
-//! requests.
+//! binary Thrift. It defines the method names and the keys of reply fields; `parse` defines the
+//! keys of request fields.
 
 use std::borrow::Cow;
 use std::sync::LazyLock;
@@ -122,7 +122,7 @@
 #[error("invalid frame length")]
 pub(super) struct InvalidFrameLength;
 
-/// A message whose sequence number could be read.
+/// A call or a one-way message whose head could be decoded.
 #[derive(Debug, PartialEq)]
 pub(super) struct Message {
     pub(super) method: String,
@@ -148,7 +148,8 @@
     Exception(&'a CallError),
 }
 
-/// The length of the first frame in bytes, or `None` while the input does not hold all of it.
+/// The length of the first frame in bytes, without its length field, or `None` while the input does
+/// not hold the whole frame.
 pub(super) fn frame_length(input: &[u8]) -> Result<Option<usize>, InvalidFrameLength> {
     let Some(header) = input.first_chunk::<FRAME_HEADER_BYTES>() else {
         return Ok(None);
@@ -161,7 +162,8 @@
     }
 }
 
-/// Decodes the message in a frame. Returns `None` if not even its sequence number can be decoded.
+/// Decodes the message in a frame. Returns `None` if its head, which contains the sequence number,
+/// cannot be decoded, or if it is a reply or an exception.
 pub(super) fn decode(frame: &[u8]) -> Option<Message> {
     let mut protocol = TBinaryInputProtocol::with_config(frame, true, LIMITS.clone());
     let head = protocol.read_message_begin().ok()?;
@@ -325,7 +327,7 @@
 type Output<'a> = TBinaryOutputProtocol<&'a mut Vec<u8>>;
 
 /// Encodes a message as one frame of Thrift's framed transport: the length of the message, and the
-/// message. `write` writes what follows the head of the message.
+/// message. `write` writes the rest of the message after its head.
 fn encode_frame(
     method: &str,
     kind: TMessageType,
--- a/crates/server/src/net/frontend/listener.rs
+++ b/crates/server/src/net/frontend/listener.rs
@@ -179,7 +179,8 @@
             return;
         };
         drop(file);
-        // A connection is in the backlog: the last accept failed for lack of a descriptor.
+        // The last accept failed for lack of a descriptor. The system reports this failure even if
+        // the backlog is empty; this accept then fails too, and no connection is closed.
         drop(listener.inner().accept());
         *self.spare_descriptor.lock() = open_spare_descriptor();
         if let Some(count) = REJECTED_CONNECTIONS.count_event() {
--- a/crates/server/src/net/frontend/mod.rs
+++ b/crates/server/src/net/frontend/mod.rs
@@ -63,7 +63,7 @@
 use crate::net::spawn;
 use crate::requests::RequestRegistry;
 
-/// Descriptors that are reserved for the executor, the log and the runtime.
+/// The number of descriptors that are reserved for the executor, the log and the runtime.
 pub(crate) const RESERVED_DESCRIPTORS: usize = 16;
 /// How long a connection may take to send its first message, and a message may take from its first
 /// byte to its last.
@@ -176,11 +176,11 @@
         })
     }
 
-    /// Closes the listener once every connection in its backlog is accepted, and sends drain
-    /// notifications to all edge nodes. New connections are refused before the notifications are
-    /// sent, because a notified edge node reconnects at once. Until the accepting coroutine is
-    /// scheduled, these connections would fill the backlog, and the system would drop the SYN
-    /// packets of other clients.
+    /// Starts the drain: the listener closes once every connection in its backlog is accepted, and
+    /// drain notifications are sent to all edge nodes. New connections are refused before the
+    /// notifications are sent, because a notified edge node reconnects at once. Otherwise these
+    /// connections would fill the backlog before the accepting coroutine is scheduled, and the
+    /// system would drop the SYN packets of other clients.
     pub(crate) fn close(&self) {
         self.acceptor.close();
         self.health_checks.start_drain();
--- a/crates/server/src/net/frontend/pending_reply.rs
+++ b/crates/server/src/net/frontend/pending_reply.rs
@@ -1,4 +1,5 @@
-//! The reply to a request, which is sent exactly once, even if the handler panics.
+//! The reply to a request, which is sent exactly once, even if the code that handles the request
+//! panics.
 
 use std::cell::Cell;
 use std::sync::Arc;
@@ -54,8 +55,8 @@
 }
 
 impl Drop for PendingReply {
-    /// Removes the request without a reply. If its handler panics, the caller gets a failure
-    /// instead, because it would otherwise wait until its timeout.
+    /// Removes the request if no reply was sent. During a panic, it also sends a failure to the
+    /// caller, which would otherwise wait until its timeout.
     fn drop(&mut self) {
         if !self.is_concluded.get() && std::thread::panicking() {
             self.send(&Reply::Failed { fields: &[] });
--- a/crates/server/src/net/frontend/request.rs
+++ b/crates/server/src/net/frontend/request.rs
@@ -68,7 +68,7 @@
 }
 
 impl RequestHandler {
-    /// A handler for the requests of `table`.
+    /// A handler for the requests on the connections of `table`.
     pub(super) fn new(
         services: Services,
         table: Arc<ConnectionTable>,
@@ -170,8 +170,8 @@
         connection.reply(codec::PROCESS, sequence, &reply);
     }
 
-    /// Registers a request and executes its commands: here if the request is answered on arrival,
-    /// otherwise in a new coroutine.
+    /// Registers a request and executes its commands: in the calling coroutine if the request is
+    /// answered on arrival, otherwise in a new coroutine.
     fn process(self: &Arc<Self>, connection: &Arc<Connection>, arrived: ArrivedRequest) {
         let ArrivedRequest {
             sequence,
@@ -188,7 +188,7 @@
         let is_at_most_once = self.registry.runs_at_most_once(incoming.handler);
         // If the clock was set back, the age is zero.
         incoming.age = unix_now().saturating_sub(arrived);
-        // The wait in the request counts from its arrival.
+        // The wait that the request states counts from its arrival at the machine.
         incoming.client_wait = incoming
             .client_wait
             .map(|wait| wait.saturating_sub(incoming.age));
--- a/crates/server/src/net/frontend/summary.rs
+++ b/crates/server/src/net/frontend/summary.rs
@@ -2,8 +2,9 @@
 
 use crate::log::LogLimit;
 
-/// Counts messages that could not be decoded or had invalid fields, and requests whose idempotency
-/// key was used before with another body. Each message counts once.
+/// Counts messages that could not be decoded or are invalid, for example because of their method, a
+/// field or a repeated id, and requests whose idempotency key was used before with another body.
+/// Each message counts once.
 pub(super) static MALFORMED_MESSAGES: LogLimit = LogLimit::new();
 /// Counts requests that were rejected because the limit on open requests was reached.
 pub(super) static REJECTED_WITHOUT_MEMORY: LogLimit = LogLimit::new();
--- a/crates/server/src/net/frontend/tests.rs
+++ b/crates/server/src/net/frontend/tests.rs
@@ -129,7 +129,7 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = new_stream(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
     let connection = Connection::new(ConnectionId(0), stream.output.clone());
-    // The value is odd while a reply is pending or queued.
+    // While the value is odd, the request is open or its reply is queued.
     let step = AtomicUsize::new(0);
     std::thread::scope(|scope| {
         scope.spawn(|| {
--- a/crates/server/src/net/mod.rs
+++ b/crates/server/src/net/mod.rs
@@ -13,9 +13,9 @@
 
 /// Starts a coroutine.
 pub(crate) fn spawn(body: impl FnOnce() + Send + 'static) {
-    // Safe if the body uses no thread-local storage across a switch and does not overflow its
-    // stack. All bodies in this program comply: buffers are on the heap, and the only recursion is
-    // the bounded skipping of unknown fields.
+    // Safe if the body uses no thread-local storage across a coroutine switch and does not overflow
+    // its stack. All bodies in this program comply: buffers are on the heap, and the only recursion
+    // is the bounded skipping of unknown fields.
     drop(unsafe { coroutine::spawn(body) });
 }
 
--- a/crates/server/src/net/registration.rs
+++ b/crates/server/src/net/registration.rs
@@ -16,8 +16,8 @@
 use crate::log::LogLimit;
 
 /// The interval of heartbeats. The service registry removes a backend 3 s after its last heartbeat.
-/// If a quarter of the datagrams are lost, the probability that all 19 within 3 s are lost is
-/// 10^-11; at an interval of 700 ms it would be 1 in 256.
+/// If a quarter of the datagrams are lost, the probability that all 19 within 3 s are lost is about
+/// 4 * 10^-12; at an interval of 700 ms it would be 1 in 256.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 /// How many times the deregistration is sent.
 const DEREGISTRATION_ATTEMPTS: usize = 3;
@@ -34,8 +34,9 @@
     Deregister,
 }
 
-/// Sends heartbeats while `registration` returns [`Registration::Serving`]. Deregisters this
-/// backend and returns when it returns [`Registration::Deregister`].
+/// Sends heartbeats while `registration` returns [`Registration::Serving`]. Once `registration`
+/// returns [`Registration::Deregister`], deregisters this backend and returns. Sends nothing while
+/// the address of the service registry is unknown.
 pub(crate) fn run(
     address: &CurrentAddress<Option<SocketAddr>>,
     name: &str,
--- a/crates/server/src/net/ring_buffer.rs
+++ b/crates/server/src/net/ring_buffer.rs
@@ -1,5 +1,5 @@
-//! The buffer of one direction of a connection. It grows as needed up to its bound, and frees its
-//! memory when it is empty.
+//! The buffer of one direction of a connection. It grows as needed up to its bound. When it is
+//! empty and larger than `MIN_CAPACITY`, it frees its memory.
 
 use std::io::{self, IoSlice, Read, Write};
 
--- a/crates/server/src/net/ring_buffer_tests.rs
+++ b/crates/server/src/net/ring_buffer_tests.rs
@@ -6,7 +6,7 @@
 
 quickcheck::quickcheck! {
     /// The ring buffer holds the same bytes in the same order as a plain queue, and never more than
-    /// its capacity.
+    /// its bound.
     fn a_ring_buffer_is_a_bounded_queue(steps: Vec<(u8, u16)>) -> bool {
         let (mut ring, mut queue, mut next) = (RingBuffer::new(9000), VecDeque::new(), 0u8);
         for (kind, size) in steps {
--- a/crates/server/src/net/store/mod.rs
+++ b/crates/server/src/net/store/mod.rs
@@ -34,7 +34,7 @@
     registry: Arc<RequestRegistry>,
     max_connections: usize,
     pool: Mutex<ConnectionPool>,
-    /// The number of consecutive refused connections.
+    /// The number of consecutive failed attempts to connect to the store.
     consecutive_refusals: AtomicU32,
     /// The prober of the zone reports that the store is down, so calls are not attempted.
     is_suspended: AtomicBool,
@@ -67,12 +67,12 @@
         self.address.get()
     }
 
-    /// The number of consecutive refused connections.
+    /// The number of consecutive failed attempts to connect to the store.
     pub(crate) fn consecutive_refusals(&self) -> u32 {
         self.consecutive_refusals.load(Ordering::Relaxed)
     }
 
-    /// Resets the count of refused connections after a successful connect or health check.
+    /// Resets the count of failed attempts to connect after a successful connect or health check.
     pub(crate) fn health_check_succeeded(&self) {
         self.consecutive_refusals.store(0, Ordering::Relaxed);
     }
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Makes a call of a request, whose position among the request's calls is `number`.
+    /// Makes call `number` of a request; the calls of a request are numbered from 1. The outcome is
+    /// reported to the registry.
     pub(crate) fn call(
         self: &Arc<Self>,
         id: &RequestId,
@@ -139,9 +140,9 @@
         spawn(move || client.run(address, connection));
     }
 
-    /// Abandons the call of a request with this number, and returns its outcome as far as it is
-    /// known. Closes the connection of the call: this cancels the call at the store, and a late
-    /// reply cannot be taken as the reply to another call.
+    /// Abandons call `number` of a request, and returns its outcome as far as it is known. Closes
+    /// the connection of the call: this cancels the call at the store, and a late reply cannot be
+    /// taken as the reply to another call.
     pub(crate) fn abandon_call(&self, id: &RequestId, number: usize) -> Outcome {
         let outcome = self.pool.lock().abandon_call(id, number);
         if outcome == pool::AbandonedCall::Unanswered
--- a/crates/server/src/net/store/pool.rs
+++ b/crates/server/src/net/store/pool.rs
@@ -13,8 +13,8 @@
 use crate::net::stream::{Output, SendOutcome};
 use crate::requests::{Outcome, RequestId};
 
-/// How long an idle connection is kept. The store closes connections that are idle for 10 s or
-/// less, and a call that crosses such a close is lost, so the pool closes them first.
+/// How long an idle connection is kept. The store closes a connection after at most 10 s without a
+/// call, and a call that crosses such a close is lost, so the pool closes idle connections first.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The id of a connection; ids are not reused.
@@ -36,7 +36,8 @@
     /// The request of its last call.
     last_request: Option<RequestId>,
     last_used: Instant,
-    /// The connection is to close: its call was abandoned, it was idle, or the store has moved.
+    /// The connection is to close: its call was abandoned or could not be sent, the connection was
+    /// idle, or the store has moved.
     is_closing: bool,
 }
 
@@ -172,7 +173,7 @@
         std::mem::take(&mut self.queued)
     }
 
-    /// Abandons the call of a request with this number, and closes its connection.
+    /// Abandons call `number` of a request, and closes its connection.
     pub(super) fn abandon_call(&mut self, request: &RequestId, number: usize) -> AbandonedCall {
         let is_this_call = |call: &Call| call.request == *request && call.number == number;
         if let Some(position) = self.queued.iter().position(is_this_call) {
@@ -234,8 +235,8 @@
         }
     }
 
-    /// Marks a connection as failed, so that it gets no further call. Returns whether it was idle;
-    /// the store may close an idle connection at any time.
+    /// Marks a connection as failed, so that it gets no further call. Returns whether it was idle:
+    /// the store may close an idle connection at any time, so this is not a failure.
     pub(super) fn mark_failed(&mut self, id: ConnectionId) -> bool {
         self.idle.retain(|&other| other != id);
         self.connections
--- a/crates/server/src/net/stream.rs
+++ b/crates/server/src/net/stream.rs
@@ -19,7 +19,8 @@
 pub(crate) const MAX_LINE_BUFFER_BYTES: usize = 256 * 1024;
 /// The interval at which a coroutine tries again to add to a full output buffer.
 pub(crate) const BUFFER_FULL_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// How many times a draining connection is checked for the close of its peer: 1 s in total.
+/// How many times a draining connection is checked at most, whatever its drain target: 1 s in
+/// total.
 const MAX_DRAIN_POLLS: usize = 200;
 /// The pause between two of these checks.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -227,8 +228,8 @@
         self.output_bytes(libc::TIOCOUTQ)
     }
 
-    /// The number of written bytes that the system has not sent because the peer has no room for
-    /// them, or `None` if the system does not report it.
+    /// The number of written bytes that the system has not sent yet, for example because the peer
+    /// has no room for them, or `None` if the system does not report it.
     fn unsent_bytes(&self) -> Option<libc::c_int> {
         self.output_bytes(SIOCOUTQNSD)
     }
@@ -251,9 +252,10 @@
         left.is_some_and(|bytes| bytes <= FIN_BYTES)
     }
 
-    /// Waits until the written bytes have reached `target`, before this side closes. Input of the
-    /// peer is read and dropped, because the system resets a connection that is closed with unread
-    /// input, and the reset drops replies in transit. `target` is called again after each pause.
+    /// Shuts down the write side, and waits for at most 1 s until the written bytes have reached
+    /// `target`. Input of the peer is read and dropped, because the system resets a connection that
+    /// is closed with unread input, and the reset drops replies in transit. `target` is called
+    /// again after each pause.
     pub(crate) fn drain_before_close(&mut self, target: impl Fn() -> DrainTarget) {
         let _ = self.stream.shutdown(Shutdown::Write);
         let mut reads = 0;
--- a/crates/server/src/requests/idempotency.rs
+++ b/crates/server/src/requests/idempotency.rs
@@ -42,7 +42,7 @@
 }
 
 /// The remembered keys. Every entry expires, so their number is bounded by the requests that the
-/// controller admits within a retention.
+/// controller admits within a retention and `max_read_delay`.
 pub(super) struct IdempotencyKeys {
     entries: HashMap<IdempotencyKey, KeyEntry>,
     /// The keys in the order of their expiry, so that `expire` visits only keys that are due.
--- a/crates/server/src/requests/messages.rs
+++ b/crates/server/src/requests/messages.rs
@@ -76,7 +76,7 @@
     },
     /// Resume the run without the call with this number.
     SkipCall {
-        /// The number of the call within the run.
+        /// The number of the call, which is unique among the calls of all runs.
         call: u64,
     },
     /// Send the final response to the caller.
@@ -106,7 +106,7 @@
         work: Option<Duration>,
     },
     CallReached {
-        /// The number of the call within the run.
+        /// The number of the call, which is unique among the calls of all runs.
         call: u64,
         body: Bytes,
     },
--- a/crates/server/src/requests/mod.rs
+++ b/crates/server/src/requests/mod.rs
@@ -1,8 +1,8 @@
 //! The open requests of this server. [`RequestRegistry`] hosts the overload controller: only the
 //! registry handles the controller's events and actions, and it knows no protocol. The controller
 //! decides whether a request is admitted, queued, run or rejected. The registry itself rejects only
-//! requests that must not reach the controller: a request whose id is open, or whose idempotency
-//! key was used with another body.
+//! requests that must not reach the controller: every request before the controller has started, a
+//! request whose id is open, and a request whose idempotency key was used with another body.
 //!
 //! A request is [registered](RequestRegistry::register) after it was read. Its coroutine then takes
 //! each [`Command`] from its [`Ticket`] and executes it, while the executor link and the store
--- a/crates/server/src/requests/open_request.rs
+++ b/crates/server/src/requests/open_request.rs
@@ -1,5 +1,6 @@
 //! The state of one open request: its progress, the commands for its coroutine and its trace
-//! record. The registry's state changes these only with the methods below.
+//! record. `RegistryState` sets the flags `is_caller_gone`, `is_released` and `is_detached` and
+//! takes the trace record; only the methods below change the rest.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -31,7 +32,7 @@
     pub(super) is_released: bool,
     /// The coroutine has ended before the request was released.
     pub(super) is_detached: bool,
-    /// The call that the run waits for: the number of the call within the run, and its body.
+    /// The call that the run waits for: the number of the call and its body.
     call: Option<(u64, Bytes)>,
     /// The call is in flight.
     is_calling: bool,
--- a/crates/server/src/requests/registry.rs
+++ b/crates/server/src/requests/registry.rs
@@ -41,11 +41,11 @@
         }
     }
 
-    /// Starts the controller, when the executor has been up for `uptime`. Only the first call has
-    /// an effect and returns true. With a cold executor, the controller's clock starts at the start
-    /// of the executor, so that the controller knows how far the executor has warmed up. With a
-    /// warm executor, the clock starts now, because the controller learns the speed of the machine
-    /// in its first seconds.
+    /// Starts the controller. `uptime` is the time since the start of the executor. Only the first
+    /// successful call has an effect and returns true. With a cold executor, the controller's clock
+    /// starts at the start of the executor, so that the controller knows how far the executor has
+    /// warmed up. With a warm executor, the clock starts now, because the controller learns the
+    /// speed of the machine in its first seconds.
     pub(crate) fn start(&self, starts_cold: bool, uptime: Duration) -> bool {
         let mut state = self.state.lock();
         if state.is_started() {
--- a/crates/server/src/requests/state/schedule.rs
+++ b/crates/server/src/requests/state/schedule.rs
@@ -33,7 +33,8 @@
             .map_or(Duration::ZERO, |running| running.started_at.elapsed())
     }
 
-    /// The time until the next timer is due; `None` before the controller has started.
+    /// The time until the next timer is due; `None` if no timer is set, which is the case before
+    /// the controller has started.
     pub(in crate::requests) fn until_next_timer(&self) -> Option<Duration> {
         self.timers.until_next(self.now())
     }
--- a/crates/server/src/requests/tests/model.rs
+++ b/crates/server/src/requests/tests/model.rs
@@ -167,9 +167,9 @@
                 if let Some(key) = request.key.as_ref().filter(|_| is_rejected) {
                     let has_never_run =
                         |id: &String| self.never_ran.contains(&(key.clone(), id.clone()));
-                    // An attempt that arrived before the one that ran was rejected earlier;
-                    // otherwise the other one would have been coalesced with it. It is not a
-                    // duplicate, and only its command is taken late.
+                    // An attempt that arrived before the one that ran was rejected before that one
+                    // arrived; otherwise the later attempt would have been coalesced with it. The
+                    // earlier attempt is not a duplicate; only its command is taken late.
                     let arrival_order = |id: &str| id[1..].parse::<usize>().unwrap();
                     let ran = self.ran.get(key).filter(|(_, id)| {
                         !has_never_run(id) && arrival_order(id) < arrival_order(&request.id)
