--- a/crates/server/src/net/executor/mod.rs
+++ b/crates/server/src/net/executor/mod.rs
@@ -164,7 +164,7 @@
         let bytes = command.encode(id);
         loop {
             // The command is sent under the lock, so that commands arrive in the order of their
-            // positions.
+            // positions (`LinkState::commands_sent`).
             let mut state = self.state.lock();
             match state
                 .output
--- a/crates/server/src/net/registration.rs
+++ b/crates/server/src/net/registration.rs
@@ -36,7 +36,7 @@
 
 /// Sends heartbeats while `registration` returns [`Registration::Serving`]. Once `registration`
 /// returns [`Registration::Deregister`], deregisters this backend and returns. Sends nothing while
-/// the address of the service registry is unknown.
+/// `address` is `None`.
 pub(crate) fn run(
     address: &CurrentAddress<Option<SocketAddr>>,
     name: &str,
--- a/crates/server/src/net/store/connection.rs
+++ b/crates/server/src/net/store/connection.rs
@@ -16,8 +16,8 @@
 use crate::net::stream::{BufferedStream, protocol_error};
 use crate::requests::Bytes;
 
-/// The buffer of a connection in each direction, in bytes: one call or one reply, and the same size
-/// again for stray replies.
+/// The size of the buffer of each direction of a connection, in bytes: one call or one reply, and
+/// the same size again for stray replies.
 const MAX_BUFFER_BYTES: usize = 2 * (MAX_LINE_BYTES + MAX_BODY_BYTES);
 /// The number of consecutive stray replies that are ignored; the next one closes the connection.
 const MAX_STRAY_REPLIES: usize = 8;
--- a/crates/server/src/net/store/pool.rs
+++ b/crates/server/src/net/store/pool.rs
@@ -217,7 +217,7 @@
         });
     }
 
-    /// Whether a connection is still wanted.
+    /// Whether a connection is in the pool and is not to close.
     pub(super) fn is_wanted(&self, id: ConnectionId) -> bool {
         self.connections
             .get(&id)
--- a/crates/server/src/net/stream.rs
+++ b/crates/server/src/net/stream.rs
@@ -15,7 +15,7 @@
 use super::ring_buffer::RingBuffer;
 use crate::clock;
 
-/// The buffer of a connection with a line protocol in each direction, in bytes.
+/// The size of the buffer of each direction of a connection with a line protocol, in bytes.
 pub(crate) const MAX_LINE_BUFFER_BYTES: usize = 256 * 1024;
 /// The interval at which a coroutine tries again to add to a full output buffer.
 pub(crate) const BUFFER_FULL_RETRY_INTERVAL: Duration = Duration::from_millis(5);
@@ -50,10 +50,11 @@
     pub(super) is_closed: AtomicBool,
 }
 
-/// How far the output of a connection has to get before its socket may be closed.
+/// How far the output of a connection has to get before its socket may be closed. After one second,
+/// the socket is closed in any case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DrainTarget {
-    /// The peer has closed its side, so its program has read everything, or one second has passed.
+    /// The peer has closed its side, so its program has read everything.
     PeerClosed,
     /// The peer's system has acknowledged everything. It keeps the bytes for its program, whatever
     /// arrives after them.
--- a/crates/server/src/requests/registry.rs
+++ b/crates/server/src/requests/registry.rs
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Fires the timers that are due, with the current gauges; if none is due, blocks until the
-    /// next one is.
+    /// Fires the timers that are due, with the current gauges. If none is due, blocks until the
+    /// next one is due, or for `START_POLL_INTERVAL` if no timer is set.
     pub(crate) fn tick(&self, gauges: impl FnOnce() -> Gauges) {
         let left = self
             .state
