--- a/crates/server/src/requests/registry.rs
+++ b/crates/server/src/requests/registry.rs
@@ -41,11 +41,11 @@
         }
     }
 
-    /// Starts the controller, when the executor has been up for `uptime`. Only the first call has
-    /// an effect and returns true. With a cold executor, the controller's clock starts at the start
-    /// of the executor, so that the controller knows how far the executor has warmed up. With a
-    /// warm executor, the clock starts now, because the controller learns the speed of the machine
-    /// in its first seconds.
+    /// Starts the controller. `uptime` is the time since the start of the executor. Only the first
+    /// successful call has an effect and returns true. With a cold executor, the controller's clock
+    /// starts at the start of the executor, so that the controller knows how far the executor has
+    /// warmed up. With a warm executor, the clock starts now, because the controller learns the
+    /// speed of the machine in its first seconds.
     pub(crate) fn start(&self, starts_cold: bool, uptime: Duration) -> bool {
         let mut state = self.state.lock();
         if state.is_started() {
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Fires the timers that are due, with the current gauges; if none is due, blocks until the
-    /// next one is.
+    /// Fires the timers that are due, with the current gauges. If none is due, blocks until the
+    /// next one is due, or for `START_POLL_INTERVAL` if no timer is set.
     pub(crate) fn tick(&self, gauges: impl FnOnce() -> Gauges) {
         let left = self
             .state
