--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -13,9 +13,9 @@
     /// shorter interval detects a failed leader sooner and sends more messages.
     pub tick_interval: Duration,
     /// The minimum number of ticks without a heartbeat before a follower campaigns. The timeout is
-    /// sampled from this number up to twice as many (Raft, section 5.2), so that two followers
-    /// rarely campaign at once. A restarted voter waits this many ticks for the replies of the
-    /// other voters before it votes.
+    /// sampled from this number up to less than twice as many (Raft, section 5.2), so that two
+    /// followers rarely campaign at once. A restarted voter waits at most this many ticks for the
+    /// replies of the other voters before it votes.
     pub election_ticks: u32,
     /// The maximum drift of a clock's rate, in thousandths. The leader extends every TTL by this
     /// fraction.
--- a/crates/consensus/src/durable_voter.rs
+++ b/crates/consensus/src/durable_voter.rs
@@ -17,8 +17,8 @@
 const IDENTITY_FILE: &str = "identity";
 
 /// A voter whose writes are durable before it returns any action that follows them. It owns both
-/// the voter and its log. After a failed write the host must not use it any more: the sent messages
-/// and the content of the disk may differ.
+/// the voter and its log. After a failed write the host must not use it any more: the state in
+/// memory and the content of the disk may differ.
 pub struct DurableVoter<D: Disk> {
     voter: Voter,
     log: WriteAheadLog<D>,
--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -80,8 +80,9 @@
         /// The result of the command.
         response: Response,
     },
-    /// Reject a proposal or a read. Either this voter does not lead, or it leads and is at a limit:
-    /// too many reads are pending, or too many bytes of entries are uncommitted.
+    /// Reject a proposal or a read. Either this voter does not lead, or it leads and can't accept
+    /// the request now: too many reads are pending, too many bytes of entries are uncommitted, or
+    /// the voter transfers leadership, during which it rejects proposals.
     RejectNotLeader {
         /// The process that sent it.
         to: Name,
--- a/crates/consensus/src/voter/membership_change.rs
+++ b/crates/consensus/src/voter/membership_change.rs
@@ -29,7 +29,7 @@
 }
 
 impl ChangeStep {
-    /// Whether the step removes this voter.
+    /// Whether the step removes the voter `id`.
     pub(super) fn removes(&self, id: VoterId) -> bool {
         self.kind == ConfChangeType::RemoveNode && self.id == id
     }
--- a/crates/consensus/src/voter/peers.rs
+++ b/crates/consensus/src/voter/peers.rs
@@ -1,5 +1,5 @@
-//! The other voters by their handshakes: the id of each name, and the voters that have replied
-//! since this voter was started.
+//! What handshakes tell this voter about the others: the id that each name has sent, and the voters
+//! that have replied since this voter was started.
 
 use std::collections::BTreeMap;
 
--- a/crates/consensus/src/voter/raft_node.rs
+++ b/crates/consensus/src/voter/raft_node.rs
@@ -17,7 +17,7 @@
 const MAX_MESSAGE_BYTES: u64 = 256 * 1024;
 /// The maximum number of messages with entries that are in flight to one follower.
 const MAX_IN_FLIGHT_MESSAGES: usize = 64;
-/// The interval between two heartbeats of a leader.
+/// The interval between two heartbeats of a leader, in ticks.
 const HEARTBEAT_TICKS: usize = 1;
 
 /// The parameters to start a node with.
@@ -106,8 +106,10 @@
         self.set_election_timeout();
     }
 
-    /// Proposes an entry. Returns whether the consensus accepted it: it does not if this voter does
-    /// not lead or [`MAX_UNCOMMITTED_BYTES`] are reached.
+    /// Proposes an entry. Returns whether the consensus accepted it. The consensus rejects it if no
+    /// leader is known, or if this voter leads and either has reached [`MAX_UNCOMMITTED_BYTES`] or
+    /// transfers leadership. If another voter leads, the consensus accepts the entry and forwards
+    /// it to that voter.
     pub(super) fn propose(&mut self, data: Vec<u8>) -> bool {
         self.raw.propose(Vec::new(), data).is_ok()
     }
--- a/crates/consensus/src/voter/tests/golden_transcripts.rs
+++ b/crates/consensus/src/voter/tests/golden_transcripts.rs
@@ -5,8 +5,7 @@
 //! Messages are lost, delayed, duplicated and blocked by partitions; voters restart from their
 //! directory, from an older copy of it or from an empty one; clients send commands of every kind
 //! and reads; operators transfer leadership and replace voters. All of this is sampled from the
-//! seed. The test compares the checksum of all actions with the one recorded when the test was
-//! written.
+//! seed. The test compares the checksum of all actions with the recorded one.
 
 #[path = "../../../../../tests/golden_transcripts/recorded_words.rs"]
 mod recorded_words;
--- a/crates/consensus/src/voter/tests/membership_change.rs
+++ b/crates/consensus/src/voter/tests/membership_change.rs
@@ -44,8 +44,8 @@
     assert!(!learner(0).has_caught_up());
     assert!(!learner(949).has_caught_up());
     assert!(learner(950).has_caught_up());
-    // A learner with an empty log has not caught up, even if few entries are committed: a learner
-    // that receives no entries would count for the majority.
+    // A learner with an empty log has not caught up, even if few entries are committed: as a voter
+    // that receives no entries, it would count for the majority and confirm nothing.
     let in_a_new_cluster = |matched_index| LearnerProgress {
         matched_index,
         committed_index: 50,
--- a/crates/consensus/src/voter/tests/reads_and_snapshots.rs
+++ b/crates/consensus/src/voter/tests/reads_and_snapshots.rs
@@ -107,7 +107,7 @@
         })
         .collect();
     assert_eq!(notified, ["m2".into()]);
-    // An owner that acquires a slot gets a response, so no owner is notified.
+    // An `Acquire` frees no slot, so no owner is notified.
     let command = acquire("x", "m3");
     leases.apply(&command);
     assert_eq!(slot_notifications(&leases, &command).count(), 0);
--- a/crates/leases/src/client.rs
+++ b/crates/leases/src/client.rs
@@ -1,7 +1,7 @@
 //! The client of one process: it requests leases from the voters, renews them in time, and issues
 //! guards.
 //!
-//! The client counts a TTL from before its request was sent, by this process's own clock, and
+//! The client counts a TTL from the sending of its request, by this process's own clock, and
 //! shortens it by the maximum clock drift. A lease therefore ends at its client before the voters
 //! grant the slot to another owner.
 //!
@@ -39,8 +39,8 @@
 /// Delay before a request is sent to the voter that a hint named as leader.
 const FOLLOW_HINT_DELAY: Duration = Duration::from_millis(10);
 /// Maximum number of consecutive `NotLeader` responses whose hint is followed after
-/// [`FOLLOW_HINT_DELAY`]. Without the limit, the client would ask two voters that name each other
-/// in turn without a longer pause.
+/// [`FOLLOW_HINT_DELAY`]. Without the limit, two voters that name each other as the leader would
+/// make the client alternate between them without a longer pause.
 const MAX_FOLLOWED_HINTS: u32 = 2;
 
 /// The leases that one process requests or holds. The client owns their state and reports changes
@@ -398,8 +398,9 @@
         }
     }
 
-    /// Releases the slot. If the lease was revoked and the host still wants it, the client requests
-    /// it again later and joins the end of the queue.
+    /// Releases the slot. If the host still wants the lease, because it was revoked or the host has
+    /// requested it anew, the client requests it again later; with `wait`, it joins the end of the
+    /// queue.
     fn finish_release(&mut self, lease: &Name, token: FencingToken, actions: &mut Vec<Action>) {
         let Some(wanted) = self.leases.remove(lease) else {
             return;
--- a/crates/leases/src/client/event.rs
+++ b/crates/leases/src/client/event.rs
@@ -26,7 +26,8 @@
         lease: Name,
         /// The TTL and capacity, on which all requests for the lease must agree.
         spec: LeaseSpec,
-        /// Maximum duration of an operation under a guard. Guards become stale that much earlier.
+        /// Maximum duration of an operation under a guard. Guards become stale this long before the
+        /// end of the TTL that the client may use.
         max_operation: Duration,
         /// Whether to queue if no slot is free.
         wait: bool,
@@ -46,7 +47,8 @@
         /// The result of the request.
         response: Response,
     },
-    /// A voter that does not lead rejected a request.
+    /// A voter rejected a request: it does not lead, or it leads and can't accept proposals now
+    /// (it has too many bytes of uncommitted entries, or it transfers leadership).
     NotLeader {
         /// The id of the request.
         request: RequestId,
@@ -108,7 +110,7 @@
 /// Why a lease ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossReason {
-    /// Its TTL is about to end, and no voter has renewed it.
+    /// No renewal was confirmed before its guards became stale, or a later grant replaced it.
     Expired,
     /// An operator or another process revoked it.
     Revoked,
--- a/crates/leases/src/client/renewal.rs
+++ b/crates/leases/src/client/renewal.rs
@@ -1,10 +1,11 @@
 //! The times at which a client requests, renews and retries, as fractions of the TTL, with jitter.
 //!
 //! A client renews a lease after a third of its usable TTL and retries after each sixth of the TTL,
-//! so three requests may fail before an owner that is alive loses its lease. The usable TTL is
-//! shorter than the TTL by the maximum clock drift, so that a lease ends at its client before it
-//! ends at the voters. Jitter spreads the requests of clients that were disconnected at the same
-//! time. The cost: a lease that is held needs three consensus commands per TTL.
+//! so three requests may fail before an owner that is alive loses its lease; fewer if
+//! `max_operation` is long. The usable TTL is shorter than the TTL by the maximum clock drift, so
+//! that a lease ends at its client before it ends at the voters. Jitter spreads the requests of
+//! clients that were disconnected at the same time. The cost: a lease that is held needs three
+//! consensus commands per TTL.
 
 use std::time::Duration;
 
@@ -63,8 +64,8 @@
         counted_from + self.usable_ttl(ttl) / RENEWALS_PER_TTL
     }
 
-    /// A random delay of a renewal, which spreads the renewals of many clients: up to the jitter's
-    /// fraction of the usable TTL divided by [`RETRIES_PER_TTL`].
+    /// A random delay of a renewal, which spreads the renewals of many clients: at most
+    /// [`Config::jitter_permille`] thousandths of a sixth of the usable TTL.
     pub(super) fn renewal_jitter(&mut self, ttl: Duration) -> Duration {
         let pause = self.usable_ttl(ttl) / RETRIES_PER_TTL;
         self.jitter(pause)
--- a/crates/leases/src/client/wanted_lease.rs
+++ b/crates/leases/src/client/wanted_lease.rs
@@ -48,7 +48,7 @@
     pub(super) sent_at: Duration,
 }
 
-/// A grant as a response reports it.
+/// A grant that a response reports, as the client evaluates it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Grant {
     pub(super) token: FencingToken,
--- a/crates/leases/src/expiry.rs
+++ b/crates/leases/src/expiry.rs
@@ -1,6 +1,6 @@
 //! Expiry of owners that did not renew: an owner loses its slot or queue place after its TTL has
-//! ended on every clock within the drift limit. Only the leader decides this, and proposes it as a
-//! command.
+//! ended, even if the leader's clock is fast by the maximum drift. Only the leader decides this,
+//! and proposes it as a command.
 //!
 //! If an expiry came too early, a second owner would be granted the slot while the former owner
 //! still acts, and two guards would be valid at the same time. Three rules make an expiry late
@@ -26,7 +26,7 @@
 
 /// Maximum time that is counted between two readings of the clock.
 const MAX_COUNTED_STEP: Duration = Duration::from_millis(500);
-/// Interval after which the leader proposes an expiry again that was not applied.
+/// Time after which the leader proposes an expiry again if it was not applied.
 const EXPIRE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A lease and one of its holders or queued owners.
@@ -36,12 +36,12 @@
     owner: Owner,
 }
 
-/// The end of an owner's TTL.
+/// When the leader proposes to expire an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Deadline {
     /// The number of the owner's latest request.
     renewal: RenewalNumber,
-    /// The end of the TTL in counted time.
+    /// The end of the TTL or, after an expiry was proposed, the time of its retry; in counted time.
     at: Duration,
 }
 
@@ -160,8 +160,8 @@
         Some(self.last_reading + remaining.min(MAX_COUNTED_STEP / 2))
     }
 
-    /// How long this clock must count until a TTL has ended on every clock: the owner's clock may
-    /// be slow and this one fast.
+    /// How long this clock must count until a TTL has passed in true time, even if this clock is
+    /// fast by the maximum drift. The client of the owner allows for a slow clock of the owner.
     fn longest_ttl(&self, ttl: Duration) -> Duration {
         if self.bug.is_on(InjectedBug::NoClockMargin) {
             return ttl;
--- a/crates/leases/src/lease.rs
+++ b/crates/leases/src/lease.rs
@@ -4,8 +4,8 @@
 //! it renews without interruption and gets a new token after any interruption. A resource that is
 //! accessed under the lease can then tell the operations of a former owner from those of the
 //! current one. This module has no notion of time: a command removes an owner whose TTL has ended.
-//! The command names the renewal whose TTL that was, and has no effect if a later renewal was
-//! applied in the meantime.
+//! The command names the owner's request from which that TTL was counted, and has no effect if a
+//! later request of the owner was applied in the meantime.
 
 use std::time::Duration;
 
@@ -32,7 +32,8 @@
 /// An owner that waits for a slot.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct QueuedOwner {
-    /// The queued owner. Incarnation zero stands for the first run that requests the lease.
+    /// The queued owner. Incarnation zero reserves the place for the process's next run that
+    /// requests the lease.
     pub owner: Owner,
     /// The number of the owner's latest request.
     pub renewal: RenewalNumber,
@@ -146,7 +147,7 @@
     }
 
     /// Releases the slot that the owner holds with `token`, or its place in the queue if there is
-    /// no token. Returns whether it had one.
+    /// no token. Returns whether the owner had that slot or place.
     pub(crate) fn release(&mut self, owner: &Owner, token: Option<FencingToken>) -> bool {
         let before = self.holders.len() + self.queue.len();
         match token {
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -7,13 +7,13 @@
 //!   [`Response`]. It grants slots, queues owners and issues fencing tokens. It has no notion of
 //!   time.
 //! - [`ExpiryTracker`] runs on the consensus leader. Input: the time and the applied commands;
-//!   output: [`Command::Expire`] for each owner whose TTL has ended on every clock within the drift
-//!   limit.
+//!   output: [`Command::Expire`] for each owner whose TTL has ended, even if the leader's clock is
+//!   fast by the maximum drift.
 //! - [`LeaseClient`] runs in each process that wants leases. Input: an [`Event`]; output:
 //!   [`Action`]s. It requests and renews, and issues a [`LeaseGuard`] only while a lease is
 //!   certainly valid.
 //!
-//! Times are durations since a start that each process chooses, read from a clock that keeps
+//! Times are durations since a moment that each process chooses, read from a clock that keeps
 //! running while the machine is suspended. The rate of a clock may be off by
 //! [`Config::max_clock_drift_permille`]. All randomness comes from the seed passed to
 //! [`LeaseClient::new`], so runs are reproducible.
--- a/crates/leases/src/protocol.rs
+++ b/crates/leases/src/protocol.rs
@@ -10,7 +10,7 @@
 /// The name of a process or a lease, shared without copying.
 pub type Name = Arc<str>;
 
-/// The denominator of rates that are given in thousandths.
+/// The denominator of fractions that are given in thousandths.
 pub(crate) const PERMILLE: u32 = 1000;
 /// Maximum length of a name in bytes. The minimum is one byte.
 pub const MAX_NAME_BYTES: usize = 64;
@@ -22,7 +22,8 @@
 pub const MAX_QUEUED_OWNERS: usize = 1024;
 /// Maximum number of leases that one client requests or holds at a time.
 pub const MAX_WANTED_LEASES: usize = 1024;
-/// Minimum TTL. A renewal needs a round trip and a write by a majority within a third of it.
+/// Minimum TTL. The round trip of a renewal and its write by a majority must fit into a third of
+/// the TTL.
 pub const MIN_LEASE_TTL: Duration = Duration::from_millis(200);
 /// Maximum TTL. The slot of a dead owner stays taken for about one TTL.
 pub const MAX_LEASE_TTL: Duration = Duration::from_secs(3600);
@@ -48,8 +49,8 @@
     }
 }
 
-/// The number of an applied request. An expiry names the request whose TTL has ended, and has no
-/// effect after a later renewal.
+/// The number of an applied [`Command::Acquire`] or [`Command::Transfer`]. An expiry names the
+/// request whose TTL has ended, and has no effect after a later renewal.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -125,7 +126,7 @@
         token: Option<FencingToken>,
     },
     /// Removes an owner from its slot or from the queue. The leader proposes it after the TTL has
-    /// ended on every clock within the drift limit.
+    /// ended, even if the leader's clock is fast by the maximum drift.
     Expire {
         /// The lease.
         lease: Name,
@@ -201,7 +202,7 @@
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, thiserror::Error,
 )]
 pub enum RejectReason {
-    /// No slot is free, and the request does not ask to be queued.
+    /// All slots are held or go to queued owners, and the request does not ask to be queued.
     #[error("all slots of the lease are held")]
     AtCapacity,
     /// See [`MAX_QUEUED_OWNERS`].
@@ -227,7 +228,7 @@
     /// The grant was revoked.
     #[error("the lease is being revoked")]
     Revoked,
-    /// No owner holds the lease with that token.
+    /// The command names a lease, a grant or a queue place that does not exist.
     #[error("nobody holds it with that token")]
     StaleToken,
     /// See [`MAX_WANTED_LEASES`].
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -44,8 +44,8 @@
     /// its probe interval, probe timeout and suspicion timeouts by its score plus one. With 0 the
     /// protocol is plain SWIM.
     pub max_awareness: u32,
-    /// How many times an update is sent, in multiples of the binary logarithm of the number of
-    /// members. From 1 to 100.
+    /// How many times an update is sent, in multiples of the binary logarithm of one more than the
+    /// number of live members. From 1 to 100.
     pub retransmit_mult: f64,
     /// The maximum number of updates in a message of the failure detector. From 1 to 1,000.
     pub max_updates_per_message: usize,
--- a/crates/membership/src/dependency_probe.rs
+++ b/crates/membership/src/dependency_probe.rs
@@ -1,5 +1,5 @@
 //! Probing of a dependency that all processes of a zone share, such as a store: one process detects
-//! that it is down and notifies the others.
+//! that the dependency is down and notifies the other processes.
 //!
 //! **Decision**: which process probes (by a lease), when it publishes that the dependency is down,
 //! and whether a process fails its calls without making them.
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -68,7 +68,7 @@
         self.degrade(REFUTATION_PENALTY);
     }
 
-    /// Records that a probe was answered in time.
+    /// Records that a probe was answered directly before the end of its protocol period.
     pub(crate) fn record_ack(&mut self) {
         self.score = self.score.saturating_sub(ACK_REWARD);
     }
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -282,7 +282,7 @@
                     self.send_push_pull(&sender, false);
                 }
             }
-            // Addressed to another node, or already handled before the updates.
+            // Addressed to another node, or already handled before the updates were applied.
             MessageBody::Ping { .. }
             | MessageBody::IndirectPing { .. }
             | MessageBody::PushPull { .. }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -36,7 +36,7 @@
     pub(crate) const NO_PROBE: Self = SequenceNumber(0);
 }
 
-/// The state of a member. At the same incarnation, a variant overrides those before it.
+/// The state of a member. At the same incarnation, a later variant overrides an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
     /// The member answers probes.
--- a/crates/membership/src/reachability.rs
+++ b/crates/membership/src/reachability.rs
@@ -69,7 +69,7 @@
     last_ack: Option<Duration>,
     /// When a message of any kind last arrived from it.
     last_message: Option<Duration>,
-    /// Whether its last probe by this node failed while a relay got an answer.
+    /// Whether the member answered a relay but not this node, and has not answered this node since.
     is_directly_unreachable: bool,
 }
 
@@ -92,7 +92,7 @@
         !std::mem::replace(&mut self.is_directly_unreachable, true)
     }
 
-    /// Whether the last probe of the member failed while a relay got an answer.
+    /// Whether the member answered a relay but not this node, and has not answered this node since.
     pub(crate) fn is_directly_unreachable(&self) -> bool {
         self.is_directly_unreachable
     }
--- a/crates/membership/src/refutation.rs
+++ b/crates/membership/src/refutation.rs
@@ -6,9 +6,9 @@
 //! **When it binds**: on an update with this node's name and its current or a later incarnation. An
 //! update about an earlier incarnation is ignored, unless another live process claims the name.
 //!
-//! **Failure it guards against**: a node in bad health probes rarely. Refutations that were only
-//! piggybacked on its probes arrived too late over slow links, and all other members declared slow
-//! members dead.
+//! **Failure it guards against**: a node in bad health probes rarely. Over slow links, a refutation
+//! that is only piggybacked on its probes arrives too late, and all other members declare the node
+//! dead although it is alive.
 //!
 //! **Why it holds**: the reporter receives the refutation directly, and a few other members
 //! disseminate it.
--- a/crates/membership/src/relayed_probes.rs
+++ b/crates/membership/src/relayed_probes.rs
@@ -13,7 +13,7 @@
 //! **Why it holds**: a requester has one probe in each period, so the number of relayed probes in
 //! flight is about the number of members.
 //!
-//! **Price**: one more message for each relay whose target is dead.
+//! **Price**: one more message from each relay if the target does not answer.
 
 use std::time::Duration;
 
--- a/crates/membership/src/tests/anti_entropy.rs
+++ b/crates/membership/src/tests/anti_entropy.rs
@@ -3,7 +3,7 @@
 use super::{TICK, address, names, recipient, seconds};
 use crate::anti_entropy::{Candidates, PushPullSchedule, choose_partners};
 
-/// This node, a live member, and two addresses at which no member is known.
+/// The addresses of this node and of a live member, and two at which no member is known.
 fn seeds() -> [SocketAddr; 4] {
     [1, 2, 8, 9].map(address)
 }
--- a/crates/membership/src/tests/mod.rs
+++ b/crates/membership/src/tests/mod.rs
@@ -40,7 +40,7 @@
     SocketAddr::from(([127, 0, 0, last_byte], 7100))
 }
 
-/// An update about a member at the address with this last byte.
+/// An update about a member whose IP address ends with `last_byte`.
 fn update(name: &str, last_byte: u8, incarnation: u64, state: MemberState) -> MemberUpdate {
     let node = Node {
         name: name.into(),
