--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -43,7 +43,7 @@
     /// Transfer leadership to another voter. Ignored unless this voter leads.
     TransferLeadership,
     /// An operator replaces a voter. Both names are the same if the voter lost its directory and
-    /// has a new one.
+    /// has a new one. Ignored if this voter has received no handshake from the new voter.
     ReplaceVoter {
         /// The voter that is removed.
         old: Name,
--- a/crates/leases/src/client/renewal.rs
+++ b/crates/leases/src/client/renewal.rs
@@ -1,8 +1,8 @@
 //! The times at which a client requests, renews and retries, as fractions of the TTL, with jitter.
 //!
 //! A client renews a lease after a third of its usable TTL and retries after each sixth of the TTL,
-//! so three requests may fail before an owner that is alive loses its lease; fewer if
-//! `max_operation` is long. The usable TTL is shorter than the TTL by the maximum clock drift, so
+//! so three requests (fewer if `max_operation` is long) may fail before an owner that is alive
+//! loses its lease. The usable TTL is shorter than the TTL by the maximum clock drift, so
 //! that a lease ends at its client before it ends at the voters. Jitter spreads the requests of
 //! clients that were disconnected at the same time. The cost: a lease that is held needs three
 //! consensus commands per TTL.
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -32,7 +32,9 @@
     /// How long this node waits for the answer to a direct probe before it asks relays; less than
     /// half of the probe interval.
     pub probe_timeout: Duration,
-    /// The number of members that are asked to probe a member that did not answer (SWIM's `k`).
+    /// The number of members that are asked to probe a member that did not answer (SWIM's `k`). It
+    /// is also the number of confirmations that reduces a suspicion to its shortest duration, and
+    /// the number of members besides the reporter that receive a refutation directly.
     pub indirect_checks: usize,
     /// The shortest duration of a suspicion, in probe intervals times the decimal logarithm of the
     /// number of members (at least 1). From 1 to 100.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -9,8 +9,8 @@
 //! It is responsible for:
 //!
 //! - **Failure detection**: [`Membership`] probes one member in each protocol period, directly and
-//!   then through relays. A member that answers neither is suspect; [`Membership`] declares it dead
-//!   if it does not refute the suspicion in time.
+//!   then through relays. A member that answers in neither way becomes suspect; [`Membership`]
+//!   declares it dead if it does not refute the suspicion in time.
 //! - **Dissemination**: updates about members are piggybacked on the messages of the failure
 //!   detector, and the complete state is exchanged with a random member at a longer interval
 //!   (push-pull).
--- a/crates/membership/src/reachability.rs
+++ b/crates/membership/src/reachability.rs
@@ -3,9 +3,9 @@
 //!
 //! **Decision**: how this node reaches another, and which members it publishes as unreachable.
 //!
-//! **When it binds**: a member whose last probe by this node was answered only to a relay is
-//! directly unreachable until it answers this node again. The mark stays while the member is
-//! suspect, and is cleared when it is dead or has left.
+//! **When it binds**: a member that answered a probe of this node only through a relay is directly
+//! unreachable until it answers this node again. The mark stays while the member is suspect, and is
+//! cleared when it is dead or has left.
 //!
 //! **Failure it guards against**: to each of two zones, a network partition between them looks like
 //! a crash of the other zone. The members would be declared dead while they serve requests.
