--- a/crates/leases/src/client/renewal.rs
+++ b/crates/leases/src/client/renewal.rs
@@ -2,10 +2,10 @@
 //!
 //! A client renews a lease after a third of its usable TTL and retries after each sixth of the TTL,
 //! so three requests (fewer if `max_operation` is long) may fail before an owner that is alive
-//! loses its lease. The usable TTL is shorter than the TTL by the maximum clock drift, so
-//! that a lease ends at its client before it ends at the voters. Jitter spreads the requests of
-//! clients that were disconnected at the same time. The cost: a lease that is held needs three
-//! consensus commands per TTL.
+//! loses its lease. The usable TTL is shorter than the TTL by the maximum clock drift, so that a
+//! lease ends at its client before it ends at the voters. Jitter spreads the requests of clients
+//! that were disconnected at the same time. The cost: a lease that is held needs three consensus
+//! commands per TTL.
 
 use std::time::Duration;
 
