--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -43,7 +43,7 @@
     /// Transfer leadership to another voter. Ignored unless this voter leads.
     TransferLeadership,
     /// An operator replaces a voter. Both names are the same if the voter lost its directory and
-    /// has a new one.
+    /// has a new one. Ignored if this voter has received no handshake from the new voter.
     ReplaceVoter {
         /// The voter that is removed.
         old: Name,
@@ -80,8 +80,9 @@
         /// The result of the command.
         response: Response,
     },
-    /// Reject a proposal or a read. Either this voter does not lead, or it leads and is at a limit:
-    /// too many reads are pending, or too many bytes of entries are uncommitted.
+    /// Reject a proposal or a read. Either this voter does not lead, or it leads and can't accept
+    /// the request now: too many reads are pending, too many bytes of entries are uncommitted, or
+    /// the voter transfers leadership, during which it rejects proposals.
     RejectNotLeader {
         /// The process that sent it.
         to: Name,
--- a/crates/membership/src/reachability.rs
+++ b/crates/membership/src/reachability.rs
@@ -3,9 +3,9 @@
 //!
 //! **Decision**: how this node reaches another, and which members it publishes as unreachable.
 //!
-//! **When it binds**: a member whose last probe by this node was answered only to a relay is
-//! directly unreachable until it answers this node again. The mark stays while the member is
-//! suspect, and is cleared when it is dead or has left.
+//! **When it binds**: a member that answered a probe of this node only through a relay is directly
+//! unreachable until it answers this node again. The mark stays while the member is suspect, and is
+//! cleared when it is dead or has left.
 //!
 //! **Failure it guards against**: to each of two zones, a network partition between them looks like
 //! a crash of the other zone. The members would be declared dead while they serve requests.
@@ -69,7 +69,7 @@
     last_ack: Option<Duration>,
     /// When a message of any kind last arrived from it.
     last_message: Option<Duration>,
-    /// Whether its last probe by this node failed while a relay got an answer.
+    /// Whether the member answered a relay but not this node, and has not answered this node since.
     is_directly_unreachable: bool,
 }
 
@@ -92,7 +92,7 @@
         !std::mem::replace(&mut self.is_directly_unreachable, true)
     }
 
-    /// Whether the last probe of the member failed while a relay got an answer.
+    /// Whether the member answered a relay but not this node, and has not answered this node since.
     pub(crate) fn is_directly_unreachable(&self) -> bool {
         self.is_directly_unreachable
     }
