--- a/crates/connection-limits/src/accept_pause.rs
+++ b/crates/connection-limits/src/accept_pause.rs
@@ -3,7 +3,7 @@
 //! Without a pause the listener would spin: the connection stays in the backlog, and the next
 //! `accept` fails immediately for the same lack of descriptors or memory. The pause is longer if
 //! the shortage may be caused by other processes, since closing connections of this server may not
-//! end it. The trade-off is that a new client waits for the pause.
+//! end it. The trade-off is that a new client waits until the pause is over.
 
 use std::time::Duration;
 
--- a/crates/connection-limits/src/config.rs
+++ b/crates/connection-limits/src/config.rs
@@ -5,7 +5,7 @@
 use crate::descriptor_owner::Reservation;
 use crate::network_prefix::NetworkPrefix;
 
-/// The limits of one size of network.
+/// The limits on the connections of one address or one network.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionLimit {
     /// The maximum number of open connections.
@@ -26,8 +26,7 @@
     pub wide_network: ConnectionLimit,
 }
 
-/// How a new connection is handled when all descriptors are taken by connections that may not be
-/// closed.
+/// How a new connection is handled when no descriptor is available for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FullPolicy {
     /// It waits in the backlog of the listener.
@@ -45,7 +44,7 @@
     pub reservations: Vec<Reservation>,
     /// The limits by network; `None` if connections are not limited by network.
     pub network_limits: Option<NetworkLimits>,
-    /// How a new connection is handled when all descriptors are taken.
+    /// How a new connection is handled when no descriptor is available for it.
     pub full_policy: FullPolicy,
     /// Networks whose clients are known from the start.
     pub trusted_networks: Vec<NetworkPrefix>,
--- a/crates/connection-limits/src/connection.rs
+++ b/crates/connection-limits/src/connection.rs
@@ -9,14 +9,15 @@
 /// An open connection. Owned by the limiter.
 pub(crate) struct Connection {
     pub(crate) address: IpAddr,
-    /// The owner of its descriptor, which records whether the client was known when it connected.
+    /// The owner of the connection's descriptor, which records whether the client was known when it
+    /// connected.
     pub(crate) owner: DescriptorOwner,
     pub(crate) accepted_at: Duration,
     pub(crate) last_used_at: Duration,
-    /// The time at which the client was asked to close it.
+    /// The time at which the client was asked to close the connection.
     pub(crate) close_requested_at: Option<Duration>,
-    /// The start of the message timeout, for the first message or for one that has started; `None`
-    /// if neither is expected.
+    /// The start of the message timeout, for the first message or for a message that has started;
+    /// `None` if no message is due.
     pub(crate) message_awaited_since: Option<Duration>,
     /// The time at which the incomplete message started, if there is one.
     pub(crate) partial_message_since: Option<Duration>,
@@ -26,10 +27,10 @@
     /// A message timed out while a request was in flight: the limiter closes the connection once no
     /// request is in flight.
     pub(crate) is_message_overdue: bool,
-    /// The client did not close it in time while a request was in flight: the limiter closes the
-    /// connection once no request is in flight.
+    /// The client did not close the connection in time while a request was in flight: the limiter
+    /// closes the connection once no request is in flight.
     pub(crate) is_close_overdue: bool,
-    /// The limiter has returned the action that closes it.
+    /// The limiter has returned the action that closes the connection.
     pub(crate) is_closing: bool,
 }
 
@@ -51,7 +52,8 @@
         }
     }
 
-    /// The reason for which the limiter closes it once no request is in flight, if it is overdue.
+    /// The reason for which the limiter closes the connection once no request is in flight; `None`
+    /// if the connection is not overdue.
     pub(crate) fn overdue(&self) -> Option<CloseReason> {
         if self.is_message_overdue {
             Some(CloseReason::MessageTimeout)
--- a/crates/connection-limits/src/descriptor_budget.rs
+++ b/crates/connection-limits/src/descriptor_budget.rs
@@ -52,7 +52,7 @@
         own + self.limit.saturating_sub(self.committed())
     }
 
-    /// Takes a descriptor, if one is available. Returns whether it did.
+    /// Takes a descriptor for the owner, if one is available. Returns whether one was taken.
     pub fn try_acquire(&mut self, owner: DescriptorOwner) -> bool {
         let is_available = self.available(owner) > 0;
         self.in_use[owner as usize] += usize::from(is_available);
--- a/crates/connection-limits/src/event.rs
+++ b/crates/connection-limits/src/event.rs
@@ -19,7 +19,8 @@
     OutOfMemory,
     /// `ECONNABORTED`: the client closed the connection before it was accepted.
     ConnectionAborted,
-    /// Any other error: it does not imply that a connection of this server is its cause.
+    /// Any other error. It does not show a shortage of descriptors or memory, so the limiter evicts
+    /// no connection.
     Other,
 }
 
@@ -93,7 +94,8 @@
     ShutdownNotice,
     /// The server drains: it asks clients to close all connections, including new ones.
     Drain,
-    /// The time of the last [`Action::SetTimer`] has come. An earlier event has no adverse effect.
+    /// The time of the last [`Action::SetTimer`] has come. If the host sends the event earlier, the
+    /// limiter returns the action again.
     TimerExpired,
 }
 
--- a/crates/connection-limits/src/eviction.rs
+++ b/crates/connection-limits/src/eviction.rs
@@ -8,18 +8,19 @@
 //! message. A connection with a request in flight has no class and is never evicted. The trade-off
 //! is that an idle client has to connect again.
 //!
-//! While a new connection waits in the backlog, the grace periods are shorter, and silent
-//! connections beyond [`MAX_DISPLACING_SILENT_CONNECTIONS`] cause no eviction of idle ones: a flood
-//! of connections that send nothing would otherwise evict a client whose first message is in
-//! transit, or one that was answered immediately before. The trade-off is that at most the capacity
-//! is newly accepted in each [`FIRST_MESSAGE_GRACE`].
+//! While a new connection waits in the backlog, the grace periods are shorter, and no idle
+//! connection is evicted while more than [`MAX_DISPLACING_SILENT_CONNECTIONS`] connections are
+//! silent: a flood of connections that send nothing would otherwise evict a client whose first
+//! message is in transit, or a client that was answered immediately before. The trade-off is that
+//! the number of connections that are accepted in each [`FIRST_MESSAGE_GRACE`] is at most the
+//! capacity.
 //!
-//! After the shutdown notice there is little time left to answer the requests in the backlog, and a
-//! request that is lost there was complete, while a partial message is not yet a request. So no
-//! grace period is longer than the transit of a message, and a connection in the backlog displaces
-//! an idle one regardless of the number of silent connections. During the drain there is no grace
-//! period. The trade-off is that a client whose message takes longer than the grace period has to
-//! send it again to another server.
+//! After the shutdown notice there is little time left to answer the requests in the backlog. A
+//! request in the backlog is complete and would be lost, while a partial message is not yet a
+//! request. So no grace period is longer than the transit of a message, and a connection in the
+//! backlog displaces an idle one regardless of the number of silent connections. During the drain
+//! there is no grace period. The trade-off is that a client whose message takes longer than the
+//! grace period has to send it again to another server.
 
 use std::time::Duration;
 
@@ -31,9 +32,10 @@
 
 /// How long a connection may be silent, or have an incomplete message, before it may be evicted.
 const SILENCE_GRACE: Duration = Duration::from_millis(500);
-/// How long a client has to close a connection while descriptors are short. The client resends a
-/// request that was in transit at that time on another connection. `DRAIN_CLOSE_TIMEOUT` in
-/// [`crate::timeouts`] is the same time during a drain.
+/// How long a client that was asked to close a connection has to do so before a gradual eviction
+/// closes the connection. If a request was in transit at that time, the client sends it again on
+/// another connection. `DRAIN_CLOSE_TIMEOUT` in [`crate::timeouts`] is the same time during a
+/// drain.
 const CLOSE_GRACE: Duration = Duration::from_millis(60);
 /// How long a silent connection is protected after it was accepted while others wait in the
 /// backlog: its first message may be in transit.
@@ -113,8 +115,8 @@
 /// How soon an eviction has to free a descriptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Urgency {
-    /// Immediately, as `accept` failed for lack of descriptors or memory: most grace periods are
-    /// skipped.
+    /// Immediately, as `accept` failed for lack of descriptors or memory: all grace periods except
+    /// that of a partial message are skipped.
     Immediate,
     /// Soon, as a connection waits in the backlog: the shorter grace periods apply.
     Backlog,
@@ -154,9 +156,9 @@
         }
     }
 
-    /// Moves a connection to the queue of its class, or removes it while it may not be evicted. A
-    /// connection whose class is unchanged keeps its position, unless the class is one of the idle
-    /// classes: the connection was used, so it moves to the back.
+    /// Moves a connection to the queue of its class, or removes it from its queue if it has no
+    /// class. A connection whose class is unchanged keeps its position, unless the class is one of
+    /// the idle classes: the connection was used, so it moves to the back.
     pub(crate) fn update(&mut self, id: ConnectionId, connection: &Connection) {
         let Some(class) = EvictionClass::of(connection) else {
             return self.remove(id);
--- a/crates/connection-limits/src/known_clients.rs
+++ b/crates/connection-limits/src/known_clients.rs
@@ -127,9 +127,9 @@
     }
 
     /// Replaces the client with the lowest reputation in a random sample, unless all sampled
-    /// clients are known. Thus a flood of addresses that earn little reputation each cannot
-    /// displace known clients. The trade-off is that a new client may not be stored while most
-    /// clients are known.
+    /// clients have at least [`KNOWN_REPUTATION`]. Thus a flood of addresses that earn little
+    /// reputation each cannot displace known clients. The trade-off is that a new client may not be
+    /// stored while most clients have that reputation.
     fn replace_unknown_client(&mut self, now: Duration, address: IpAddr) {
         let samples: Vec<usize> = (0..EVICTION_SAMPLES)
             .map(|_| self.rng.usize(..self.clients.len()))
--- a/crates/connection-limits/src/lib.rs
+++ b/crates/connection-limits/src/lib.rs
@@ -2,9 +2,10 @@
 //! closed when descriptors are short.
 //!
 //! The crate is a state machine without I/O and without a clock. The host passes a [`Limiter`] the
-//! [`Event`]s of its connections, each with the time since its start, and carries out the
-//! [`Action`]s that the limiter returns. The same events, in the same order and with the same seed,
-//! give the same actions. The cost of an event does not grow with the number of open connections.
+//! [`Event`]s of its connections, each with the time since the start of the host, and carries out
+//! the [`Action`]s that the limiter returns. The same events, in the same order and with the same
+//! seed, give the same actions. The cost of an event does not grow with the number of open
+//! connections, except for [`Event::Drain`] and for the deadlines that expire with the event.
 //!
 //! The limiter decides on:
 //!
--- a/crates/connection-limits/src/limiter/mod.rs
+++ b/crates/connection-limits/src/limiter/mod.rs
@@ -104,7 +104,8 @@
         &self.descriptors
     }
 
-    /// Whether another connection may be accepted without an eviction.
+    /// Whether another connection may be accepted without an eviction. Under [`FullPolicy::Reject`]
+    /// it always may, since a full server rejects the accepted connection.
     pub fn may_accept_at_once(&self) -> bool {
         let rejects_when_full = self.full_policy == FullPolicy::Reject;
         rejects_when_full || self.descriptors.available(DescriptorOwner::NewClients) > 0
@@ -155,9 +156,9 @@
         self.eviction_queues.has_silent()
     }
 
-    /// Handles an event and the deadlines that have expired at `now`, the time since a start that
-    /// the host selects. Appends the actions in the order in which the host must carry them out;
-    /// the caller may reuse the buffer.
+    /// Handles an event and the deadlines that have expired at `now`, the time since the start of
+    /// the host, at which the warm-up begins. Appends the actions in the order in which the host
+    /// must carry them out; the caller may reuse the buffer.
     pub fn handle_event(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Accepted {
--- a/crates/connection-limits/src/network_prefix.rs
+++ b/crates/connection-limits/src/network_prefix.rs
@@ -3,7 +3,7 @@
 use std::net::IpAddr;
 use std::str::FromStr;
 
-/// The number of bits in front of an IPv4 address in its IPv6-mapped form.
+/// The number of bits before the IPv4 address in an IPv4-mapped IPv6 address.
 const IPV4_MAPPED_BITS: u8 = 96;
 /// The number of bits of an IPv4 address.
 const IPV4_BITS: u8 = 32;
@@ -18,8 +18,8 @@
 /// The prefix length of a wider IPv6 network for which connections are counted: one site.
 const IPV6_WIDE_NETWORK_LENGTH: u8 = 48;
 
-/// A network: the first bits of an address. IPv4 is represented in its IPv6-mapped form, so that
-/// both forms of an address are equal.
+/// A network: the first bits of an address. An IPv4 address is stored as an IPv4-mapped IPv6
+/// address, so that both forms of an address are equal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct NetworkPrefix {
     /// The address; the bits after the prefix are zero.
--- a/crates/connection-limits/src/timeouts.rs
+++ b/crates/connection-limits/src/timeouts.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Gives clients less time to close from now on, as the process is about to end.
+    /// Gives clients less time to close connections from now on, as the process is about to end.
     pub(crate) fn start_drain(&mut self) {
         self.close = DRAIN_CLOSE_TIMEOUT;
         self.is_draining = true;
@@ -85,8 +85,9 @@
         }
     }
 
-    /// Whether a connection has exceeded the idle timeout. Its deadline is too late for this check
-    /// if the idle timeout was shortened after the deadline was set.
+    /// Whether a connection has exceeded the idle timeout. The check does not rely on the deadline
+    /// of the connection, which is too late if the idle timeout was shortened after the deadline
+    /// was set.
     pub(crate) fn is_idle_too_long(&self, connection: &Connection, now: Duration) -> bool {
         now.saturating_sub(connection.last_used_at) > self.idle
     }
--- a/crates/peer-protocol/src/frame.rs
+++ b/crates/peer-protocol/src/frame.rs
@@ -38,7 +38,8 @@
 /// Why a frame was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The bytes do not begin with a header, or the length of the body differs from the header.
+    /// The bytes do not begin with a header, or the length of the body differs from the length in
+    /// the header.
     #[error("it is malformed")]
     Malformed,
     /// The frame has another version of the protocol.
--- a/crates/peer-protocol/src/message.rs
+++ b/crates/peer-protocol/src/message.rs
@@ -30,11 +30,12 @@
         /// The result.
         response: Response,
     },
-    /// A request or a read was rejected, as the voter is not the leader.
+    /// The rejection of a request or a read by a process that does not lead the voters or cannot
+    /// accept it now.
     NotLeader {
         /// The id of the request.
         request: RequestId,
-        /// The leader, if the voter knows it.
+        /// The leader, if the rejecting process knows it.
         leader: Option<Name>,
     },
     /// Notifies a queued owner that it would be granted a slot if it requested one now.
@@ -68,7 +69,7 @@
 /// A message and its sender.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The sender.
+    /// The name of the sender.
     pub from: Name,
     /// The address of the sender.
     pub address: SocketAddr,
--- a/crates/server/src/cluster/admin.rs
+++ b/crates/server/src/cluster/admin.rs
@@ -29,7 +29,7 @@
 }
 
 impl Admin {
-    /// An instance without commands. Commands about leases go to `voters`.
+    /// An instance without waiting commands. Commands for the leader are sent to `voters`.
     pub(crate) fn new(voters: Vec<Name>, drain: Option<DrainLease>) -> Self {
         Admin {
             pending: PendingRequests::new(voters),
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Carries out a command. The result is sent to `reply`, at once or when a leader has
-    /// responded.
+    /// Carries out a command. The result is sent to `reply`: at once, or when a leader has
+    /// responded or the command has expired.
     pub(crate) fn handle_request(
         &mut self,
         node: &mut LocalNode,
--- a/crates/server/src/cluster/clock.rs
+++ b/crates/server/src/cluster/clock.rs
@@ -9,8 +9,8 @@
 /// The longest wait of a thread whose timers are due later or not set.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// The time since the process joined, including the time for which the machine was suspended,
-/// because the TTL of a lease also elapses in that time.
+/// A clock of the time since this process began to join the cluster. It includes the time for which
+/// the machine was suspended, because the TTL of a lease also elapses in that time.
 #[derive(Clone, Copy)]
 pub(crate) struct ClusterClock {
     start: Duration,
--- a/crates/server/src/cluster/control_protocol.rs
+++ b/crates/server/src/cluster/control_protocol.rs
@@ -1,5 +1,5 @@
-//! The requests and responses of the control socket. Operators' programs depend on the words of its
-//! JSON; only this module maps them to the names in the code.
+//! The requests and responses of the control socket. Operators' programs depend on the words in the
+//! JSON; only this module maps these words to the names in the code.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     Drain,
     /// Lists leases, by a linearizable read.
     Leases {
-        /// One lease, or all.
+        /// The lease to list; `None` for all leases.
         lease: Option<String>,
     },
     /// Acquires a lease for this process.
@@ -380,7 +380,7 @@
         MemberRow::new(update, "itself", None)
     }
 
-    /// The row of another member at that time.
+    /// The row of another member at `now`.
     pub(crate) fn remote(now: Duration, record: &MemberRecord) -> Self {
         let observation = Observation {
             suspected_by: record
--- a/crates/server/src/cluster/drain.rs
+++ b/crates/server/src/cluster/drain.rs
@@ -19,7 +19,7 @@
 #[derive(Clone)]
 pub(crate) struct DrainLease {
     name: String,
-    /// Processes of the zone that may drain at a time.
+    /// The number of processes of the zone that may drain at a time.
     capacity: u32,
 }
 
--- a/crates/server/src/cluster/event_loop.rs
+++ b/crates/server/src/cluster/event_loop.rs
@@ -24,7 +24,8 @@
 /// How long a shutdown waits for a transfer of the leadership to begin.
 const LEADERSHIP_TRANSFER_PAUSE: Duration = Duration::from_millis(150);
 
-/// The event loop. Its thread owns all state of the cluster except the voter's.
+/// The event loop. Its thread owns the state of the cluster, except the voter, which has a separate
+/// thread, and the lease client, which it shares with tasks.
 pub(crate) struct EventLoop {
     node: LocalNode,
     admin: Admin,
--- a/crates/server/src/cluster/input.rs
+++ b/crates/server/src/cluster/input.rs
@@ -7,7 +7,8 @@
 
 use super::control_protocol::{AdminRequest, AdminResult};
 
-/// The capacity of the event loop's queue of inputs, and of the voter's queue of events.
+/// The capacity of the event loop's queue of inputs, of the queue of received envelopes, and of the
+/// voter's queue of events.
 pub(crate) const MAX_QUEUED_INPUTS: usize = 4096;
 
 /// An entry of the metadata that a member publishes.
@@ -47,7 +48,7 @@
     },
     /// Transfers the leadership to another voter, if the voter of this process leads.
     TransferLeadership,
-    /// Leaves the cluster and ends the loop. The sender is notified once the messages to the other
-    /// members are queued.
+    /// Leaves the cluster and ends the loop. The event loop sends `()` to the given sender after it
+    /// has sent or queued its messages to the other members.
     Shutdown(SyncSender<()>),
 }
--- a/crates/server/src/cluster/lease_handle.rs
+++ b/crates/server/src/cluster/lease_handle.rs
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The clock of the TTLs.
+    /// The clock by which the TTLs of leases elapse.
     pub(crate) fn clock(&self) -> ClusterClock {
         self.clock
     }
--- a/crates/server/src/cluster/local_node.rs
+++ b/crates/server/src/cluster/local_node.rs
@@ -283,7 +283,7 @@
 }
 
 /// The first zone, by name, that has more than half of the voters, and the number of its voters.
-/// `None` if there is only one voter.
+/// `None` if no zone has more than half, or if there is only one voter.
 fn zone_with_majority(
     voters: &[Name],
     members: impl Iterator<Item = MemberUpdate>,
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -63,9 +63,10 @@
 use self::voter_thread::VoterHandle;
 use crate::net::store::StoreClient;
 
-/// Descriptors besides the streams: datagrams, listeners, the voter's files and the control socket.
+/// The number of descriptors besides those of streams: the datagram socket, the listeners, the
+/// voter's files and the control socket.
 const OTHER_DESCRIPTORS: usize = 8;
-/// Descriptors that are reserved for the cluster.
+/// The number of descriptors that are reserved for the cluster.
 pub(crate) const DESCRIPTORS: usize = MAX_STREAMS + OTHER_DESCRIPTORS;
 /// The random part of the lease client's pauses, in thousandths of a pause.
 const RETRY_JITTER_PERMILLE: u32 = 250;
--- a/crates/server/src/cluster/peer_links.rs
+++ b/crates/server/src/cluster/peer_links.rs
@@ -1,11 +1,11 @@
-//! Links to the other processes of a cluster: datagrams for messages that may be lost, streams for
-//! messages that must arrive or are long. Only the process that opened a stream sends messages on
-//! it.
+//! Links to the other processes of a cluster: streams for Raft messages and for messages that are
+//! too long for a datagram, datagrams for all others. Only the process that opened a stream sends
+//! messages on it.
 //!
 //! [`PeerLinks`] runs on dedicated threads: one for datagrams, one that accepts streams, and one
 //! for each open stream. The message router passes it the messages to send; received messages go to
-//! the event loop. The worker that serves requests runs none of these threads' work, and a slow
-//! peer fills only its own queue.
+//! the event loop. The worker thread that serves requests does none of this work, and a slow peer
+//! fills only its own queue.
 //!
 //! A link may fail at any time, and messages may be lost; their senders retry. A frame that is not
 //! authentic or not readable is logged as `peer frame rejected`, and a stream that cannot be opened
@@ -54,7 +54,7 @@
 const MAX_RECONNECT_BACKOFF: Duration = Duration::from_secs(2);
 /// The minimum pause after a stream has failed, as a fraction of the backoff.
 const MIN_PAUSE_FRACTION: f64 = 0.5;
-/// The number of datagrams that the thread reads before it yields to others.
+/// The number of datagrams that the thread reads before it yields to other threads.
 const DATAGRAMS_PER_YIELD: u32 = 32;
 /// The buffer for a datagram, in bytes: the longest that UDP allows.
 const DATAGRAM_BUFFER_BYTES: usize = 64 * 1024;
@@ -78,7 +78,7 @@
     pub(crate) local_name: Name,
     /// The incarnation of this process, which identifies its run.
     pub(crate) incarnation: Incarnation,
-    /// For fault injection: messages to the first address go to the second.
+    /// For fault injection: messages to an address that is a key are sent to its value instead.
     pub(crate) routes: HashMap<SocketAddr, SocketAddr>,
 }
 
@@ -145,8 +145,8 @@
         self.dropped_frames.load(Ordering::Relaxed)
     }
 
-    /// Sends a message to an address: on a stream if the network may not lose it or it is too long
-    /// for a datagram. A message on a stream may still be lost if the stream fails.
+    /// Sends a message to an address: on a stream if it is a Raft message or too long for a
+    /// datagram, otherwise in a datagram. A message on a stream is lost if the stream fails.
     pub(crate) fn send(self: &Arc<Self>, to: SocketAddr, message: Message) {
         let needs_stream = matches!(message, Message::Voter(PeerMessage::Raft(_)));
         let frame = self.config.codec.encode(&Envelope {
@@ -221,7 +221,8 @@
         }
     }
 
-    /// Reads frames until the stream ends, stalls or carries a frame that is rejected.
+    /// Reads frames until the stream ends, exceeds the idle or the stall timeout, or carries a
+    /// frame that is rejected.
     fn read_frames(
         &self,
         mut stream: TcpStream,
@@ -261,8 +262,8 @@
     Ok(header)
 }
 
-/// Writes the frames that are queued for one peer. Returns if no frame is queued for the idle
-/// timeout, or if the process ends.
+/// Writes the frames that are queued for one peer. Returns if no frame is queued within the idle
+/// timeout, or after the [`PeerLinks`] were dropped.
 fn write_frames(links: &Weak<PeerLinks>, to: SocketAddr, queue: &Receiver<Vec<u8>>) {
     let mut open_stream: Option<TcpStream> = None;
     let mut backoff = MIN_RECONNECT_BACKOFF;
--- a/crates/server/src/cluster/pending_requests.rs
+++ b/crates/server/src/cluster/pending_requests.rs
@@ -78,7 +78,8 @@
             .min()
     }
 
-    /// Sends a command to the voters, and the result to `reply`.
+    /// Sends a command to one voter after another until a leader responds, and sends the result to
+    /// `reply`.
     pub(crate) fn submit(
         &mut self,
         now: Duration,
--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -1,5 +1,6 @@
 //! The configuration file that `LB_CONFIG` names: the name of this backend, the addresses of its
-//! peers, its limits and its settings. Only the addresses may change while the backend runs.
+//! peers, its limits and its settings. Only the addresses of the peers may change while the backend
+//! runs.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -56,7 +57,7 @@
 pub(crate) struct CurrentAddress<T>(Mutex<T>);
 
 impl<T: Copy + PartialEq> CurrentAddress<T> {
-    /// Starts with the address that was read at the start.
+    /// Creates the holder with the address that the file contains at the start of the backend.
     pub(crate) fn new(address: T) -> Self {
         CurrentAddress(Mutex::new(address))
     }
--- a/crates/server/src/connection_limits.rs
+++ b/crates/server/src/connection_limits.rs
@@ -21,9 +21,9 @@
 /// The minimum of the default limit on new connections per second.
 const MIN_CONNECTIONS_PER_S: u32 = 8;
 
-/// The connection limits of this server. Without the block `admission`, connections beyond the
-/// descriptors wait in the backlog, and no limit applies to an address. Limits that the block omits
-/// are derived from the capacity and the number of callers.
+/// The connection limits of this server. Unless the block `admission` enables them, a connection
+/// without a free descriptor waits in the backlog, and no limit applies to an address. Limits that
+/// the block omits are derived from the capacity and the number of callers.
 pub(crate) fn limiter_config(
     config: &ServerConfig,
     store_connections: usize,
@@ -67,7 +67,8 @@
     admission: &ConnectionLimitsConfig,
     default: Config,
 ) -> Config {
-    // Twice the equal share of a caller, but never all of the capacity.
+    // Twice the equal share of a caller, but never all of a capacity of more than
+    // `MIN_CONNECTIONS_PER_ADDRESS` connections.
     let share =
         SHARE_FACTOR * client_descriptors / config.controller.callers.max(MIN_CALLERS) as usize;
     let all_but_one = client_descriptors.max(MIN_CONNECTIONS_PER_ADDRESS + 1) - 1;
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,7 +1,7 @@
 //! `tulipgapd` runs one backend. It reads the file that `LB_CONFIG` names, serves requests until
-//! SIGTERM, answers every request that it has read, and exits with 0. If it cannot start, it writes
-//! one line to standard error and exits with 2. On SIGHUP it reads the addresses of its peers
-//! again.
+//! SIGTERM or SIGINT, drains, and exits with 0. The drain answers every request that was read,
+//! unless the termination cuts it short. If the program cannot start, it writes one line to
+//! standard error and exits with 2. On SIGHUP it reads the addresses of its peers again.
 
 mod clock;
 mod cluster;
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -45,9 +45,9 @@
 /// [`Instant`].
 const MAX_TERMINATION: Duration = Duration::from_secs(365 * 24 * 3600);
 /// During this time before the end of a drain, the server checks connections for idleness and
-/// timeouts every [`DRAIN_POLL_INTERVAL`], so that it soon closes those that edge nodes leave open.
-/// Until then only the periodic sweep closes them, so that fewer requests cross a close and have to
-/// be sent again.
+/// timeouts every [`DRAIN_POLL_INTERVAL`], so that it soon closes the connections that edge nodes
+/// leave open. Until then only the periodic sweep closes them, so that fewer requests are in
+/// transit when their connection is closed and have to be sent again.
 const PROMPT_CLOSE_TIME: Duration = Duration::from_millis(200);
 /// How often a drain checks whether all requests are answered and all connections closed.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Logs the connections and requests that the termination cuts off.
+    /// Logs the numbers of connections and requests that are still open at the end of the drain.
     fn log_cut_short(&self) {
         ::log::warn!(
             "drain cut short waiting={} connections={} unfinished={} open_requests={}",
--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -46,7 +46,8 @@
             }
         });
         // Reading the file may take long, and blocks indefinitely on a pipe without a writer. On
-        // this thread, it would delay a shutdown notice.
+        // the thread that reads signals or the thread that waits for the shutdown notice, it would
+        // delay the shutdown.
         let (path, server) = (path.map(Path::to_owned), server.clone());
         std::thread::spawn(move || reload_on_request(&requested, &config, path, &server));
         first_notice.recv().unwrap_or_else(|_| Instant::now())
--- a/crates/server/src/trace.rs
+++ b/crates/server/src/trace.rs
@@ -1,6 +1,6 @@
-//! Records each request, if a recording is configured: it turns the registry's trace of a request
-//! into a record. Records that the recorder cannot write are dropped and counted; serving never
-//! waits for the disk.
+//! Records each request, if a recording is configured: this module turns the trace that the request
+//! registry keeps of a request into a record. Records that the recorder cannot write are dropped
+//! and counted; serving never waits for the disk.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
--- a/crates/write-ahead-log/src/fault_injection.rs
+++ b/crates/write-ahead-log/src/fault_injection.rs
@@ -18,12 +18,12 @@
     pub ignores_syncs: bool,
 }
 
-/// The number of operations on a [`FaultyDisk`].
+/// How much a [`FaultyDisk`] was used so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiskUsage {
     /// The number of syncs, including the syncs of replaced files.
     pub syncs: u64,
-    /// The number of bytes written.
+    /// The number of bytes passed to writes, including writes that failed.
     pub written_bytes: u64,
 }
 
--- a/crates/write-ahead-log/src/log.rs
+++ b/crates/write-ahead-log/src/log.rs
@@ -1,7 +1,7 @@
 //! The write-ahead log: opening and recovery, appending, snapshots.
 //!
-//! A directory holds `log-N` files with records and a snapshot in a file `state-N`, where N is the
-//! sequence number of the last record before the start of the file.
+//! A directory holds files `log-N` with the records after sequence number N, and a file `state-N`
+//! with the snapshot that replaces the records up to sequence number N.
 
 use std::io;
 
@@ -15,7 +15,7 @@
 const LOG_PREFIX: &str = "log-";
 /// The prefix of the names of snapshot files.
 const SNAPSHOT_PREFIX: &str = "state-";
-/// The sequence number in files of a single record, which do not belong to the sequence.
+/// The sequence number in files of a single record, which is not part of the sequence of records.
 const NO_SEQUENCE: u64 = 0;
 
 /// A bug that tests inject to verify that their checks detect it. Each one is a plausible mistake
@@ -168,8 +168,8 @@
         Ok(())
     }
 
-    /// Writes a small file next to the log, which replaces its previous content; it is durable when
-    /// this returns.
+    /// Writes a small file next to the log, and replaces the file's previous content; the new
+    /// content is durable when this returns.
     ///
     /// # Errors
     /// After an error the log is poisoned.
--- a/crates/write-ahead-log/src/recovery.rs
+++ b/crates/write-ahead-log/src/recovery.rs
@@ -20,7 +20,7 @@
     pub(crate) last_sequence: u64,
 }
 
-/// The records of a file after the snapshot.
+/// The records of a file that the snapshot does not cover.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct ScannedRecords {
     pub(crate) payloads: Vec<Vec<u8>>,
