--- a/crates/connection-limits/src/limiter/mod.rs
+++ b/crates/connection-limits/src/limiter/mod.rs
@@ -105,7 +105,7 @@
     }
 
     /// Whether another connection may be accepted without an eviction. Under [`FullPolicy::Reject`]
-    /// it always may, since a full server rejects the accepted connection.
+    /// one always may, since a full server rejects the connection after accepting it.
     pub fn may_accept_at_once(&self) -> bool {
         let rejects_when_full = self.full_policy == FullPolicy::Reject;
         rejects_when_full || self.descriptors.available(DescriptorOwner::NewClients) > 0
--- a/crates/connection-limits/src/network_limiter.rs
+++ b/crates/connection-limits/src/network_limiter.rs
@@ -1,7 +1,7 @@
 //! Limits on the connections of an address and of the networks around it.
 //!
 //! A new connection is rejected if its address, its network or its wider network has too many open
-//! connections, or has opened too many in the last seconds. This guards against one client, or a
+//! connections, or has opened too many within [`RATE_WINDOW`]. This guards against one client, or a
 //! few networks, that take all descriptors: without it other clients would find the server full
 //! although it serves few clients. All three levels are checked, so an attacker with many addresses
 //! reaches the limit of its network instead. The trade-off is that all clients of one address
--- a/crates/server/src/clock.rs
+++ b/crates/server/src/clock.rs
@@ -102,7 +102,8 @@
     let _ = waiter.park(None);
 }
 
-/// Blocks the coroutine for that duration.
+/// Blocks the coroutine for that duration. Returns at once if the duration is too long for an
+/// [`Instant`].
 pub(crate) fn sleep(duration: Duration) {
     let Some(end) = Instant::now().checked_add(duration) else {
         return;
--- a/crates/server/src/cluster/event_loop.rs
+++ b/crates/server/src/cluster/event_loop.rs
@@ -198,8 +198,9 @@
         }
     }
 
-    /// Releases all leases, transfers the leadership and leaves the cluster. Tasks no longer act
-    /// under leases, because the process is about to end.
+    /// Releases all leases, transfers the leadership and leaves the cluster, because the process is
+    /// about to end. All guards become stale, so tasks begin no further operation under a lease. A
+    /// lease with a guard keeps its slot until its TTL ends.
     fn shut_down(&mut self, done: &SyncSender<()>) {
         for (lease, _) in self.node.leases() {
             self.node.handle_lease_event(LeaseEvent::Release { lease });
--- a/crates/server/src/cluster/lease_handle.rs
+++ b/crates/server/src/cluster/lease_handle.rs
@@ -81,7 +81,8 @@
     }
 
     fn carry_out(&self, actions: Vec<Action>) {
-        // The send fails only if the event loop has ended; it has then released all leases.
+        // The send fails only if the event loop has ended. It has then released all leases without
+        // a guard; a lease that had a guard ends with its TTL.
         let _ = self.inputs.send(Input::LeaseActions(actions));
     }
 }
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -1,6 +1,6 @@
 //! This process as a member of a cluster: membership, leases and, where it is one of the voters,
-//! consensus. It is started only if the block `cluster` of the configuration enables it, and runs
-//! on dedicated threads.
+//! consensus. The process joins a cluster only if the block `cluster` of the configuration enables
+//! it, and runs this module on dedicated threads.
 //!
 //! The packages `membership`, `leases` and `consensus` make the decisions. This module hands them
 //! their input events and carries out their output actions:
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -27,7 +27,7 @@
 const STORE_DESCRIPTOR_DIVISOR: usize = 8;
 /// How often the server checks connections for idleness and timeouts.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// Sweeps between two summaries in the log.
+/// The number of sweeps between two summaries in the log.
 const SWEEPS_PER_SUMMARY: u32 = 300;
 /// The minimum time before the termination that edge nodes get to close their connections.
 const MIN_CLOSE_TIME: Duration = Duration::from_secs(1);
--- a/crates/server/src/trace.rs
+++ b/crates/server/src/trace.rs
@@ -43,7 +43,7 @@
     estimated_work: Option<Duration>,
     /// When the request was registered.
     registered: Instant,
-    /// The time from its arrival at the machine to its registration.
+    /// The time from the arrival of the request at the machine to its registration.
     age: Duration,
     pub(crate) admitted: Option<Instant>,
     pub(crate) started: Option<Instant>,
