--- a/crates/server/src/cluster/peer_links.rs
+++ b/crates/server/src/cluster/peer_links.rs
@@ -39,8 +39,8 @@
 const MAX_INCOMING_STREAMS: usize = 32;
 /// The maximum number of open streams, in both directions.
 pub(crate) const MAX_STREAMS: usize = MAX_OUTGOING_STREAMS + MAX_INCOMING_STREAMS;
-/// How long a stream without a frame is kept open. Streams between voters always carry heartbeats;
-/// other streams are used rarely.
+/// How long a stream without a frame is kept open. Streams between the leader and the other voters
+/// always carry heartbeats; other streams are used rarely.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a peer may pause in the middle of a frame before its stream is closed.
 const STALL_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/write-ahead-log/src/lib.rs
+++ b/crates/write-ahead-log/src/lib.rs
@@ -2,7 +2,7 @@
 //! replaces all records before it.
 //!
 //! On opening, the log interprets damaged files. A torn last record, which a crash cut short, was
-//! never acknowledged and is dropped. Any other damage affects an acknowledged record, so
+//! never acknowledged and is dropped. Any other damage may affect an acknowledged record, so
 //! [`WriteAheadLog::open`] fails and names the file and the byte. After a failed write or sync the
 //! log rejects all further writes: a second sync may succeed although the data of the first is
 //! lost.
--- a/crates/write-ahead-log/src/recovery.rs
+++ b/crates/write-ahead-log/src/recovery.rs
@@ -1,8 +1,8 @@
 //! The interpretation of damaged log files.
 //!
 //! A torn record, which a crash cut short, was never acknowledged, so it may be dropped; it can
-//! only be the last record of the last file. Any other damage affects an acknowledged record.
-//! Skipping it would silently lose a vote or a committed entry of a voter, and a lease could be
+//! only be the last record of the last file. Any other damage may affect an acknowledged record.
+//! Skipping it could silently lose a vote or a committed entry of a voter, and a lease could be
 //! granted twice, so the log does not open. The trade-off: a single flipped bit takes the voter out
 //! of service until an operator replaces it.
 
@@ -29,7 +29,7 @@
     pub(crate) torn_at: Option<usize>,
 }
 
-/// Damage of an acknowledged record.
+/// Damage that may affect an acknowledged record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Damage {
     /// The offset of the record, in bytes from the start of the file.
