--- a/crates/server/src/cluster/event_loop.rs
+++ b/crates/server/src/cluster/event_loop.rs
@@ -24,7 +24,8 @@
 /// How long a shutdown waits for a transfer of the leadership to begin.
 const LEADERSHIP_TRANSFER_PAUSE: Duration = Duration::from_millis(150);
 
-/// The event loop. Its thread owns all state of the cluster except the voter's.
+/// The event loop. Its thread owns the state of the cluster, except the voter, which has a separate
+/// thread, and the lease client, which it shares with tasks.
 pub(crate) struct EventLoop {
     node: LocalNode,
     admin: Admin,
@@ -197,8 +198,9 @@
         }
     }
 
-    /// Releases all leases, transfers the leadership and leaves the cluster. Tasks no longer act
-    /// under leases, because the process is about to end.
+    /// Releases all leases, transfers the leadership and leaves the cluster, because the process is
+    /// about to end. All guards become stale, so tasks begin no further operation under a lease. A
+    /// lease with a guard keeps its slot until its TTL ends.
     fn shut_down(&mut self, done: &SyncSender<()>) {
         for (lease, _) in self.node.leases() {
             self.node.handle_lease_event(LeaseEvent::Release { lease });
--- a/crates/server/src/trace.rs
+++ b/crates/server/src/trace.rs
@@ -1,6 +1,6 @@
-//! Records each request, if a recording is configured: it turns the registry's trace of a request
-//! into a record. Records that the recorder cannot write are dropped and counted; serving never
-//! waits for the disk.
+//! Records each request, if a recording is configured: this module turns the trace that the request
+//! registry keeps of a request into a record. Records that the recorder cannot write are dropped
+//! and counted; serving never waits for the disk.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -43,7 +43,7 @@
     estimated_work: Option<Duration>,
     /// When the request was registered.
     registered: Instant,
-    /// The time from its arrival at the machine to its registration.
+    /// The time from the arrival of the request at the machine to its registration.
     age: Duration,
     pub(crate) admitted: Option<Instant>,
     pub(crate) started: Option<Instant>,
