--- a/crates/server/tests/program/connection_close.rs
+++ b/crates/server/tests/program/connection_close.rs
@@ -66,7 +66,8 @@
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// Guards against the same fault at an idle close, which follows the drain notification by 2 s.
+/// Guards against a request that is run and not answered because it arrives in the milliseconds
+/// around an idle close, which follows the drain notification by 2 s.
 #[test]
 fn a_request_that_crosses_an_idle_close_is_answered_or_never_run() {
     let backend = start_backend_with_changes(&[(r#""idle":9000.0"#, r#""idle":100.0"#)]);
@@ -118,8 +119,9 @@
     }
 }
 
-/// A request is partly sent when the shutdown notice arrives. The backend answers it once the rest
-/// has arrived. Without the rest its connection ends, and no other caller loses an answer.
+/// Guards against a request that is lost because only a part of it has arrived at the shutdown
+/// notice. The backend answers it once the rest has arrived. Without the rest its connection ends,
+/// and no other caller loses an answer.
 #[test]
 fn half_a_request_at_the_shutdown_notice_costs_no_answer() {
     let mut backend =
@@ -161,8 +163,9 @@
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// A request is half sent at the drain notification of its idle connection or around its close. At
-/// the notification it is answered once; around the close it is answered once or never run.
+/// Guards against a request that is run and not answered because only half of it has arrived at the
+/// drain notification of its idle connection or around its close. At the notification it is
+/// answered once; around the close it is answered once or never run.
 #[test]
 fn half_a_request_at_an_idle_close_costs_no_answer() {
     let backend = start_backend_with_changes(&[(r#""idle":9000.0"#, r#""idle":100.0"#)]);
@@ -232,9 +235,9 @@
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// A caller resets its connection at the time of its answer: before the end of the run, after it,
-/// or at the same time. Only that answer may be lost; no other caller loses an answer or gets one
-/// twice.
+/// Guards against answers that other callers lose or get twice because a caller resets its
+/// connection at the time of its answer: before the end of the run, after it, or at the same time.
+/// Only the answer to the caller that resets its connection may be lost.
 #[test]
 fn an_answer_on_a_reset_connection_is_the_only_one_lost() {
     let backend = start_backend();
@@ -280,8 +283,9 @@
     );
 }
 
-/// Guards against a message that is cut off while it is being received: its connection has been
-/// asked to close, and other connections wait in the backlog.
+/// Guards against a request that is cut off because its connection is evicted while the request is
+/// being received: the backend has asked the connection to close, and other connections wait in the
+/// backlog.
 #[test]
 fn a_partly_received_message_is_read_while_connections_wait_in_the_backlog() {
     const MAX_CONNECTIONS: u32 = 96;
--- a/crates/server/tests/program/executor_link.rs
+++ b/crates/server/tests/program/executor_link.rs
@@ -82,8 +82,8 @@
     assert!(backend.executor().runs.is_empty(), "run again");
 }
 
-/// Guards against a controller that rejects other requests after failed ones: requests whose ids
-/// the executor reports as invalid fail, and all others are served.
+/// Guards against a controller that rejects valid requests because earlier requests failed:
+/// requests whose ids the executor reports as invalid fail, and all others are served.
 #[test]
 fn ids_unknown_to_the_executor_fail_only_their_own_requests() {
     let backend = start_backend();
@@ -108,9 +108,9 @@
     }
 }
 
-/// The backend closes the link after an invalid message or a line that is too long, and opens a new
-/// one. Valid messages that refer to nothing, and commands that the executor reports as invalid, do
-/// not end the link.
+/// Guards against a backend without an executor after a protocol violation: the backend closes the
+/// link after an invalid message or a line that is too long, and opens a new one. Valid messages
+/// that refer to nothing, and commands that the executor reports as invalid, do not end the link.
 #[test]
 fn an_executor_that_violates_its_protocol_is_connected_again() {
     let backend = start_backend();
@@ -140,8 +140,9 @@
     assert_eq!(backend.executor().link_count, links);
 }
 
-/// The executor's link breaks repeatedly and the store is down in between, with requests on four
-/// connections. Each request gets one answer with its own result and runs once.
+/// Guards against requests that are run twice, lost or answered with the result of another request:
+/// the link to the executor breaks repeatedly and the store is down in between, with requests on
+/// four connections. Each request gets one answer with its own result and runs once.
 #[test]
 fn each_request_is_answered_once_while_links_are_cut() {
     const REQUESTS_PER_CONNECTION: u32 = 150;
--- a/crates/server/tests/program/harness/executor.rs
+++ b/crates/server/tests/program/harness/executor.rs
@@ -16,7 +16,8 @@
 /// - `unknown` is reported as an invalid id.
 #[derive(Default)]
 pub(crate) struct ExecutorStub {
-    /// All notices sent so far; the first one has number 1.
+    /// All numbered notices so far, also notices for which the stub had no link. The first one has
+    /// number 1.
     pub(crate) notices: Vec<Vec<u8>>,
     /// Runs that have not ended, and how often each was started.
     pub(crate) runs: HashMap<String, u32>,
@@ -174,8 +175,8 @@
             link_number = executor.link_count;
             executor
                 .send_line("BOOTED steady 1000.0\r\nDMESG 0 a remark of no meaning\r\n".to_owned());
-            // The stub sends the last notice that the backend has read again. The backend must not
-            // handle it twice.
+            // The stub repeats the last notice that the backend has already read. The backend must
+            // not handle that notice twice.
             let from = last.parse::<usize>().unwrap().saturating_sub(1);
             let missed = executor.notices[from..].concat();
             let _ = executor.link.as_ref().unwrap().write_all(&missed);
--- a/crates/server/tests/program/leases.rs
+++ b/crates/server/tests/program/leases.rs
@@ -44,8 +44,9 @@
     );
 }
 
-/// Lease holders and the leader of the voters are partitioned, in one direction or in both, and one
-/// member is killed, with lossy links. Leases must be granted to reachable members.
+/// Guards against leases that stay with members that nobody can reach: lease holders and the leader
+/// of the voters are partitioned, in one direction or in both, and one member is killed, while
+/// links lose messages. Leases must be granted to reachable members.
 #[test]
 fn leases_move_to_reachable_members_after_partitions_and_a_crash() {
     let cut = |of: &str, at: u32, one_way: bool| {
@@ -62,9 +63,10 @@
     );
 }
 
-/// All voters are killed at the same time, then two of three. The grants are on their disks: after
-/// the restarts leases are held again, and the history checker finds no two holders and no token
-/// older than a previous one.
+/// Guards against voters that forget a grant when they are killed: first all voters are killed at
+/// the same time, then two of three. The grants are on their disks, so after the restarts leases
+/// are held again, and the history checker finds no two holders and no token older than a previous
+/// one.
 #[test]
 fn leases_survive_killed_voters_and_a_lost_quorum() {
     let kill = |of: &str, at: u32, back: u32| {
@@ -74,9 +76,9 @@
     run_until_operations_resume("killed", &(all + &kill("a-1", 9, 15) + &kill("b-1", 9, 16)));
 }
 
-/// Clocks run 5% fast and slow, a disk is full, a sync fails, and a voter loses its directory and
-/// is replaced. No two members may hold a lease of capacity one at any time, and operations resume
-/// after the last fault.
+/// Guards against two holders of a lease of capacity one, and against leases that stay without an
+/// owner: clocks run 5% fast and slow, a disk is full, a sync fails, and a voter loses its
+/// directory and is replaced. Operations must resume after the last fault.
 #[test]
 fn leases_survive_disk_faults_clock_drift_and_a_lost_directory() {
     let text = r#"
@@ -139,8 +141,8 @@
     serde_json::from_str(&line).unwrap()
 }
 
-/// Sends a revocation with a stale token, which is rejected, and then transfers the lease. Returns
-/// the new owner and the previous token, or `None` while the voters have no leader.
+/// Sends a revocation with a token that nobody holds, which is rejected, and then transfers the
+/// lease. Returns the new owner and the previous token, or `None` while the voters have no leader.
 fn transfer_lease(socket: &Path, held: &Value) -> Option<(&'static str, Value)> {
     let stale = r#"{"do":"revoke","lease":"one","token":999}"#;
     let rejected = send_control_command(socket, stale);
@@ -162,8 +164,9 @@
     Some((to, token.clone()))
 }
 
-/// Operators list leases and members, transfer a lease, acquire and release one, and drain members
-/// of a zone one at a time. A command with a stale token is rejected and changes nothing.
+/// Guards against operator commands that change the wrong lease or have no effect: operators list
+/// leases and members, transfer a lease, acquire and release one, and drain members of a zone one
+/// at a time. A command with a token that nobody holds is rejected and changes nothing.
 #[test]
 fn operators_list_transfer_and_release_leases() {
     let (plan, folder) = (plan(""), tempfile::tempdir().unwrap());
@@ -277,9 +280,10 @@
     }
 }
 
-/// Random bytes, frames of another cluster and truncated streams arrive at the peer port, and the
-/// member keeps running. At the start the program rejects a voter without a directory, a key that
-/// is too short, and a limit of descriptors that is too low for a cluster.
+/// Guards against a member that exits, or that accepts a foreign member, because random bytes,
+/// frames of another cluster and truncated streams arrive at its peer port. Guards also against a
+/// start with a voter without a directory, a key that is too short, or a limit of descriptors that
+/// is too low for a cluster: the program rejects each of them.
 #[test]
 fn malformed_frames_at_the_peer_port_are_ignored() {
     let host = unique_address();
@@ -345,8 +349,9 @@
     let _ = std::fs::remove_file(&file);
 }
 
-/// Three backends of a zone have a store that refuses connections. One of them probes it and
-/// publishes a verdict that all of them follow, and requests are answered throughout. When the
+/// Guards against requests that wait for a store that is down, and against calls that stay off once
+/// it is up. Three backends of a zone have a store that refuses connections. One of them probes it
+/// and publishes a verdict that all of them follow, and requests are answered throughout. When the
 /// store listens again, the verdict is withdrawn and all backends make their calls.
 #[test]
 fn one_member_of_a_zone_probes_a_store_that_is_down() {
--- a/crates/server/tests/program/peer_moves.rs
+++ b/crates/server/tests/program/peer_moves.rs
@@ -67,9 +67,10 @@
     }
 }
 
-/// SIGHUP moves executor, store and service registry to the addresses of the configuration. Runs
-/// continue, calls are sent to the new store and reports to the new registry, peers may also move
-/// during a drain, and a half-written file changes nothing.
+/// Guards against requests that are lost or run again because SIGHUP moves the executor, the store
+/// and the service registry to other addresses, also during a drain. Runs continue, calls are sent
+/// to the new store and reports to the new registry. A half-written configuration file changes
+/// nothing.
 #[test]
 fn peers_move_on_sighup() {
     let backend = start_backend();
--- a/crates/server/tests/program/soak/checks.rs
+++ b/crates/server/tests/program/soak/checks.rs
@@ -36,7 +36,8 @@
 /// A violation of one of the rules.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Violation {
-    /// No answer, and the connection ended later than a request in transit explains.
+    /// The request has no answer, and its connection ended so long after the request was sent that
+    /// the request was not in transit.
     Lost { id: String, waited: Duration },
     /// The request was run and not answered: a retry would run it twice.
     RunWithoutAnswer { id: String },
@@ -54,7 +55,7 @@
     Exit { code: Option<i32> },
     /// The log has a panic or a violated invariant, whatever the exit code.
     Logged { line: String },
-    /// The process had more descriptors than it may have.
+    /// The process had more open descriptors than the limit in its configuration.
     Descriptors { files: usize },
 }
 
--- a/crates/server/tests/program/soak/clients.rs
+++ b/crates/server/tests/program/soak/clients.rs
@@ -102,8 +102,8 @@
     /// How long the client may take to see the end of a connection: a slow reader first reads the
     /// answers that arrived before the end.
     pub(super) reading_delay: Duration,
-    /// Whether the client reset the connection before it had an answer, so that it is known to be
-    /// gone.
+    /// Whether the client reset the connection before the answer to this request arrived. Such a
+    /// request may stay unanswered.
     pub(super) is_caller_gone: bool,
 }
 
--- a/crates/server/tests/program/soak/mod.rs
+++ b/crates/server/tests/program/soak/mod.rs
@@ -29,7 +29,8 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// The first seed and the number of seeds of the long run: `SOAK_SEEDS=FIRST,COUNT`.
 const SEEDS_VARIABLE: &str = "SOAK_SEEDS";
-/// If set, the kill follows the drain grace by less time than the program reserves for it.
+/// If set, the kill follows the end of the drain grace by less than the 500 ms that the program
+/// reserves before the kill.
 const SHORT_MARGIN_VARIABLE: &str = "SOAK_CLOSE_KILL";
 /// The kind of the connection flood of each run, such as `RequestThenHalf`: `SOAK_CROWD=KIND`.
 const FLOOD_KIND_VARIABLE: &str = "SOAK_CROWD";
@@ -37,7 +38,7 @@
 const FLOOD_SEEDS: std::ops::Range<u64> = 40..54;
 /// Seeds of the runs with a connection flood and a short kill margin.
 const SHORT_MARGIN_FLOOD_SEEDS: [u64; 3] = [9011, 9029, 9032];
-/// Seeds of the wide runs in CI.
+/// Seeds of the runs that [`RunPlan::sample_wide`] samples in CI.
 const WIDE_SEEDS: std::ops::Range<u64> = 60..68;
 /// Number of calls to which a silent store does not reply.
 const UNANSWERED_CALLS: usize = 100;
@@ -240,21 +241,24 @@
         .map(|(seed, kind)| RunPlan::sample(seed, DEFAULT_MARGINS).with_flood(kind))
 }
 
-/// Guards against violations of the four rules in sampled runs up to the kill.
+/// Guards against lost requests, duplicate effects, a shutdown that is not graceful and too many
+/// descriptors, which come about when signals, clients, floods and a fault of a peer coincide in an
+/// order that no other test has.
 #[test]
 fn the_four_rules_hold_in_a_short_soak() {
     run_plans(sample_plans(CI_SEEDS, DEFAULT_MARGINS));
 }
 
-/// Guards against requests that are lost when the kill follows the drain grace by less time than
-/// the program reserves: it must have answered everything and exited by then.
+/// Guards against requests that are lost because the kill follows the end of the drain grace by
+/// less than the 500 ms that the program reserves. The program must have answered every request and
+/// exited by the kill.
 #[test]
 fn the_four_rules_hold_with_a_short_kill_margin() {
     run_plans(sample_plans(SHORT_MARGIN_SEEDS, SHORT_MARGINS));
 }
 
-/// Guards against connections that stay open at a shutdown while requests wait in the backlog,
-/// whatever the clients of these connections have sent or leave unread.
+/// Guards against requests in the backlog that are lost at a shutdown because the connections of a
+/// flood stay open and occupy the descriptors, whatever the clients of the flood have sent.
 #[test]
 fn the_four_rules_hold_during_each_kind_of_connection_flood() {
     run_plans(sample_flood_plans(|kind| {
@@ -262,8 +266,9 @@
     }));
 }
 
-/// Guards against the same fault with 24 unread replies on half of the connections: thousands of
-/// requests must be answered within the second of the shutdown.
+/// Guards against requests that are lost at a shutdown because half of the connections of a flood
+/// have 24 requests each and do not read the replies. The program must answer these thousands of
+/// requests before the kill.
 #[test]
 fn the_four_rules_hold_during_a_connection_flood_with_unread_replies() {
     run_plans(sample_flood_plans(|kind| {
@@ -280,13 +285,16 @@
     run_plans(plans.into_iter().map(with_flood));
 }
 
-/// Guards against lost requests under the faults that only the wide runs have.
+/// Guards against violations of the four rules under the faults that only [`RunPlan::sample_wide`]
+/// samples, such as connections that clients reset, a store that does not reply and an executor
+/// that listens late.
 #[test]
 fn the_four_rules_hold_in_a_wider_soak() {
     run_plans(WIDE_SEEDS.map(RunPlan::sample_wide));
 }
 
-/// Runs as many seeds as `SOAK_SEEDS` says. Started manually.
+/// Guards against violations of the four rules that the few seeds of CI do not meet. It runs as
+/// many seeds as `SOAK_SEEDS` says, and is started manually.
 #[test]
 #[ignore = "runs as many seeds as SOAK_SEEDS=FIRST,COUNT says"]
 fn the_four_rules_hold_in_a_long_soak() {
--- a/crates/server/tests/program/soak/plan.rs
+++ b/crates/server/tests/program/soak/plan.rs
@@ -8,8 +8,9 @@
 /// Number of connections of a flood in the runs that test floods.
 const FLOOD_CONNECTIONS: std::ops::Range<usize> = 300..900;
 
-/// Number of connections of a flood in the wide runs. The maximum fits into the backlog of the
-/// listener together with the lowest connection limit.
+/// Number of connections of a flood in the wide runs. The largest flood is smaller than the backlog
+/// of the listener and the lowest connection limit together, so every connection is accepted or
+/// waits in the backlog.
 const WIDE_FLOOD_CONNECTIONS: std::ops::Range<usize> = 100..1_000;
 /// How long the process is paused by SIGSTOP.
 const PROCESS_PAUSE: Duration = Duration::from_millis(100);
@@ -22,9 +23,10 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KillMargins(&'static [u64]);
 
-/// Margins longer than the 500 ms before the kill by which the program has answered every request.
+/// Margins longer than the 500 ms that the program reserves: 500 ms before the kill it has answered
+/// every request.
 pub(super) const DEFAULT_MARGINS: KillMargins = KillMargins(&[600, 700, 1000, 2000]);
-/// Margins shorter than those 500 ms.
+/// Margins shorter than the 500 ms that the program reserves.
 pub(super) const SHORT_MARGINS: KillMargins = KillMargins(&[100, 300, 450]);
 
 /// A fault of a peer of the backend.
--- a/crates/server/tests/program/soak/process_end.rs
+++ b/crates/server/tests/program/soak/process_end.rs
@@ -79,7 +79,8 @@
         watch_until_kill(&mut backend, Instant::now(), &signals, STOP)
     }
 
-    /// Guards against a soak that accepts a process that is still running at the time of the kill.
+    /// Guards against a soak that reports an exit in time for a process that still runs at the time
+    /// of the kill, here because SIGSTOP pauses it.
     #[test]
     fn a_process_paused_past_the_kill_is_reported_as_killed() {
         let end = end_with_signal("STOP", Duration::ZERO);
--- a/crates/server/tests/program/store_calls.rs
+++ b/crates/server/tests/program/store_calls.rs
@@ -15,8 +15,9 @@
 use crate::harness::store::StoreStub;
 use crate::harness::{LONG_TIMEOUT, STORE_PORT, unique_address, wait_until};
 
-/// While the store is down, requests are completed without the call, with the degraded result. Once
-/// the store is up, calls are made again without a restart.
+/// Guards against requests that fail because the store is down, and against calls that stay off
+/// until a restart. While the store is down, requests are completed without the call, with the
+/// degraded result; once it is up, calls are made again.
 #[test]
 fn calls_are_skipped_while_the_store_is_down() {
     let backend = start_backend();
@@ -45,9 +46,9 @@
     });
 }
 
-/// A call to which the store does not reply ends at its time limit: its request is completed
-/// without the call, and the backend closes the connection, because a late reply would be matched
-/// to the next call.
+/// Guards against a request that waits for a reply that the store never sends. The call ends at its
+/// time limit, and its request is completed without the call. The backend closes the connection,
+/// because a late reply would be matched to the next call.
 #[test]
 fn a_call_that_is_not_answered_times_out() {
     let backend = start_backend();
@@ -63,9 +64,10 @@
     });
 }
 
-/// The store replies with random bytes, an excessive length, a wrong length or a line that is too
-/// long. That call fails, and a call on another connection is not affected. The backend ignores a
-/// reply to an unknown call and a duplicate of a reply.
+/// Guards against a malformed reply that makes other calls fail: the store replies with random
+/// bytes, an excessive length, a wrong length or a line that is too long. The call fails, and a
+/// call on another connection is not affected. The backend ignores a reply to an unknown call and a
+/// duplicate of a reply.
 #[test]
 fn a_malformed_reply_costs_its_own_call_only() {
     let backend = start_backend();
@@ -127,9 +129,10 @@
     assert_eq!(backend.executor().replies.last().unwrap(), b"own");
 }
 
-/// The link to the executor breaks when the reply to a call is sent over it. The reply may have
-/// arrived, so the backend does not send it again. It sends a command that skips this call, which
-/// the executor ignores if it has received the reply.
+/// Guards against a run that waits for a reply to its call that is lost, or gets that reply twice:
+/// the link to the executor breaks when the reply is sent over it. The reply may have arrived, so
+/// the backend does not send it again. It sends a command that skips this call, which the executor
+/// ignores if it has received the reply.
 #[test]
 fn a_reply_lost_with_the_executor_link_becomes_a_skipped_call() {
     let backend = start_backend();
@@ -142,9 +145,10 @@
     );
 }
 
-/// The store closes each connection together with its reply, while the pool assigns the next call
-/// to it. 150 calls are made; each request ends once, no run gets the reply to another call, and
-/// more than 50 calls succeed.
+/// Guards against calls that fail or get the reply to another call because the store closes each
+/// connection together with its reply, while the pool assigns the next call to that connection. Of
+/// 150 requests each ends once, no run gets the reply to another call, and more than 50 calls
+/// succeed.
 #[test]
 fn a_pooled_connection_that_closes_as_it_is_assigned_costs_one_call_at_most() {
     let host = unique_address();
@@ -187,8 +191,9 @@
     assert!(executor.ends.values().all(|&ends| ends == 1));
 }
 
-/// A reply is in the receive buffer and its connection is closed or reset before the backend reads.
-/// The backend reads the reply first and uses it.
+/// Guards against a reply that is lost although it was received: the reply is in the receive
+/// buffer, and its connection is closed or reset before the backend reads. The backend reads the
+/// reply first and uses it.
 #[test]
 fn a_store_reply_received_before_a_reset_is_used() {
     let (backend, calls) = start_backend_with_test_store();
@@ -262,8 +267,9 @@
     (backend, calls)
 }
 
-/// Replies are truncated after each number of bytes in turn, by a normal close or a reset. The call
-/// fails, its request is answered once, and no run gets a part of a reply.
+/// Guards against a part of a reply that is passed to a run: replies are truncated after each
+/// number of bytes in turn, by a normal close or a reset. The call fails, its request is answered
+/// once, and no run gets a part of a reply.
 #[test]
 fn a_truncated_store_reply_is_never_used_as_a_reply() {
     const BODY: &str = "a reply";
