--- a/crates/fault-injection/src/fault_schedule.rs
+++ b/crates/fault-injection/src/fault_schedule.rs
@@ -24,7 +24,8 @@
     },
 }
 
-/// An action, the member whose process it applies to, and its time in seconds since the start.
+/// An action, the member whose process it applies to, and its time in seconds since the start of
+/// the run.
 pub(crate) struct ScheduledAction {
     pub(crate) at: f64,
     pub(crate) member: MemberIndex,
@@ -33,7 +34,7 @@
 
 /// An action and its time.
 struct TimedAction {
-    /// The time in seconds since the start.
+    /// The time in seconds since the start of the run.
     at: f64,
     action: FaultAction,
 }
@@ -54,7 +55,8 @@
 }
 
 impl DefaultDiskFault {
-    /// The time of the repair of a disk fault that begins at `at`, in seconds since the start.
+    /// The time of the repair of a disk fault that begins at `at`. Both times are in seconds since
+    /// the start of the run.
     fn repaired_at(self, at: f64) -> Option<f64> {
         match self {
             DefaultDiskFault::UntilEndOfRun => None,
@@ -86,7 +88,8 @@
         .collect()
 }
 
-/// Returns `None` for link and clock faults.
+/// Returns the effect of a fault on its members; `None` for link and clock faults, which cause no
+/// actions.
 fn effect_of(fault: &Fault, default_disk_fault: DefaultDiskFault) -> Option<FaultEffect<'_>> {
     let (target, at, begin, end_at, end) = match fault {
         Fault::Crash {
--- a/crates/fault-injection/src/history_checker.rs
+++ b/crates/fault-injection/src/history_checker.rs
@@ -11,7 +11,8 @@
 /// Why the beginning or the end of an operation was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OperationError {
-    /// A newer token was seen, or no operation with this token is in progress.
+    /// The plan has no such lease, a newer token was seen, other operations use up the capacity of
+    /// the lease, or no operation with this token is in progress.
     #[error("its token is stale")]
     StaleToken,
     /// More operations are in progress than the lease has capacity for. This violates what leases
@@ -37,7 +38,7 @@
 struct LeaseHistory {
     capacity: u32,
     newest_token: FencingToken,
-    /// The tokens of the operations that have begun and not ended.
+    /// The tokens of the operations that have begun, have not ended and were not fenced off.
     under_way: BTreeSet<FencingToken>,
 }
 
--- a/crates/fault-injection/src/invariants.rs
+++ b/crates/fault-injection/src/invariants.rs
@@ -56,7 +56,8 @@
     pub observer: String,
     /// The member of which the view was wrong.
     pub subject: String,
-    /// How long the view had been wrong at that time.
+    /// How long the view had been wrong at that time. For [`MembershipInvariant::Convergence`] it
+    /// is the time since the last fault.
     pub duration: Duration,
 }
 
@@ -83,7 +84,7 @@
     pub false_death: Duration,
     /// How long a live member did not detect a dead member.
     pub death_detection: Duration,
-    /// How long a view was wrong after the last fault.
+    /// The time from the last fault to the last check at which a view was wrong.
     pub convergence: Duration,
 }
 
@@ -194,8 +195,8 @@
         }
     }
 
-    /// Resets the durations of an observer that was paused or has restarted, because its view is
-    /// out of date after the pause.
+    /// Resets the durations of an observer that is paused, dead, resumed or restarted, because its
+    /// view is out of date or empty.
     pub(crate) fn reset_observer(&mut self, observer: MemberIndex) {
         self.false_death_since.retain(|pair, _| pair.0 != observer);
         self.undetected_since.retain(|pair, _| pair.0 != observer);
--- a/crates/fault-injection/src/lease_simulation/clients.rs
+++ b/crates/fault-injection/src/lease_simulation/clients.rs
@@ -60,7 +60,7 @@
     operation: Option<FencingToken>,
 }
 
-/// The result of a step of the operations under a lease.
+/// The result of [`HostedClient::step_operation`].
 pub(super) enum OperationStep {
     /// The operation in progress has ended.
     Ended { token: FencingToken },
--- a/crates/fault-injection/src/lease_simulation/outcome.rs
+++ b/crates/fault-injection/src/lease_simulation/outcome.rs
@@ -12,13 +12,14 @@
     OneLeaderPerTerm,
     /// Each new leader knows every token that an owner was notified of.
     GrantsSurvive,
-    /// The tokens of a lease only increase.
+    /// The tokens of a lease with capacity 1 only increase, and each token belongs to one owner.
     TokensIncrease,
     /// By true time, no more owners may act than the lease has capacity for.
     CapacityRespected,
     /// No more operations are in progress at the same time than the lease has capacity for.
     OperationsDoNotOverlap,
-    /// A read returns every grant that an owner was notified of before the read began.
+    /// A read of a lease with capacity 1 returns no holder that is older than a grant that an owner
+    /// was notified of before the read began.
     ReadsAreLinearizable,
     /// After the last fault, a wanted lease has a holder within a bound while a majority of voters
     /// votes.
@@ -89,8 +90,8 @@
     pub written_bytes: u64,
     /// The number of times that a voter became the leader.
     pub elections: u64,
-    /// The number of times that a voter stopped voting because its disk failed or its directory was
-    /// rolled back.
+    /// The number of times that a voter stopped voting or did not start, because its disk failed,
+    /// its data was invalid or its directory was rolled back.
     pub stopped_voters: u64,
     /// A hash of the run. Equal runs have equal fingerprints.
     pub fingerprint: u64,
--- a/crates/fault-injection/src/plan/fault.rs
+++ b/crates/fault-injection/src/plan/fault.rs
@@ -24,7 +24,8 @@
     }
 }
 
-/// The contents of a killed process's directory when it restarts.
+/// The contents of a killed process's directory when it restarts. For a real process this applies
+/// only to the directory of the voter's log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DirectoryAfterCrash {
--- a/crates/fault-injection/src/plan/file.rs
+++ b/crates/fault-injection/src/plan/file.rs
@@ -1,5 +1,6 @@
-//! The plan file: its HCL blocks and keys, which docs/chaos.md lists. Apart from `hcl_output`,
-//! which writes faults, only this file spells the words of the format.
+//! The plan file: its HCL blocks and keys, which docs/chaos.md lists. Words of the format are also
+//! in the `serde` attributes and the `keyword` functions of the plan's types, and in `hcl_output`,
+//! which writes faults.
 
 use std::time::Duration;
 
--- a/crates/fault-injection/src/plan/mod.rs
+++ b/crates/fault-injection/src/plan/mod.rs
@@ -145,7 +145,7 @@
     pub bounds: Bounds,
     /// The configuration of the membership.
     pub membership: Config,
-    /// The names of the members that vote on leases.
+    /// The names of the members that are voters at the start of the run.
     pub voters: Vec<String>,
     /// The leases that members want.
     pub leases: Vec<PlannedLease>,
--- a/crates/fault-injection/src/processes/history/tests.rs
+++ b/crates/fault-injection/src/processes/history/tests.rs
@@ -101,8 +101,8 @@
     assert_eq!(history.recorder.outcome.rejected_while_running, 0);
 }
 
-/// Guards against the same false violation if the report is read only after the process was
-/// resumed.
+/// Guards against a false violation: a process sends its report and is paused, the report is read
+/// only after the process was resumed, and its operation counts as one of a running process.
 #[test]
 fn begin_report_sent_before_a_pause_and_read_after_it_is_fenced_off() {
     let mut history = ScriptedHistory::new();
@@ -122,6 +122,9 @@
     assert_eq!(history.violation(), None);
 }
 
+/// Guards against a false violation: a process is paused during its operation, the lease is granted
+/// to another member, and the operations count as overlapping. The end of the paused operation must
+/// be rejected.
 #[test]
 fn an_operation_that_a_pause_interrupts_is_fenced_off() {
     let mut history = ScriptedHistory::new();
@@ -135,7 +138,8 @@
     assert_eq!(history.violation(), None);
 }
 
-/// A pause does not excuse operations whose lease was checked after it.
+/// Guards against an overlap that is not detected because one of the members was paused earlier: a
+/// pause does not excuse operations whose lease was checked after it.
 #[test]
 fn operations_that_overlap_after_a_pause_are_a_violation() {
     let mut history = ScriptedHistory::new();
@@ -150,7 +154,8 @@
     assert!(violation.contains("tokens 1, 2"), "{violation}");
 }
 
-/// A pause of another member does not excuse an overlap.
+/// Guards against an overlap that is not detected because a third member is paused: a pause excuses
+/// only operations of the paused member.
 #[test]
 fn operations_of_running_members_that_overlap_are_a_violation() {
     let mut history = ScriptedHistory::new();
@@ -160,8 +165,9 @@
     assert!(history.violation().is_some());
 }
 
-/// A lease with capacity 2 has no newest token that fences off all others. An operation that was
-/// checked before a pause is rejected if and only if both slots are in use, whatever their tokens.
+/// Guards against a false violation under a lease with capacity 2, which has no newest token that
+/// fences off all others. An operation that was checked before a pause is rejected if and only if
+/// both slots are in use, whatever their tokens.
 #[test]
 fn full_lease_rejects_an_operation_checked_before_a_pause() {
     let mut history = ScriptedHistory::new();
@@ -179,9 +185,9 @@
     );
 }
 
-/// With capacity 1 a newer token is granted only after the older one is lost. An operation with the
-/// older token that runs after that is a violation, although the owner of the newer token was
-/// paused.
+/// Guards against an overlap that is not detected because the owner of the newer token was paused.
+/// With capacity 1 a newer token is granted only after the older one is lost, so an operation with
+/// the older token that runs after that is a violation.
 #[test]
 fn pause_of_the_newer_owner_does_not_excuse_an_overlap() {
     let mut history = ScriptedHistory::new();
--- a/crates/fault-injection/src/processes/mod.rs
+++ b/crates/fault-injection/src/processes/mod.rs
@@ -119,7 +119,7 @@
     pub violation: Option<RunViolation>,
     /// The number of operations that began under a lease.
     pub operations: u64,
-    /// The number of reports rejected because of their token.
+    /// The number of reports that the history checker rejected.
     pub rejected: u64,
     /// The number of rejected reports whose process had not been paused since it checked the lease.
     pub rejected_while_running: u64,
@@ -130,7 +130,7 @@
     pub longest_idle: BTreeMap<String, Duration>,
     /// The worst durations of the membership's invariants.
     pub worst: WorstDurations,
-    /// Whether all views were correct at the last poll.
+    /// Whether the views of all running members were correct at the last poll.
     pub is_converged: bool,
     /// How often a member started to consider a live, reachable member dead.
     pub false_deaths: u64,
--- a/crates/fault-injection/src/processes/views.rs
+++ b/crates/fault-injection/src/processes/views.rs
@@ -157,7 +157,7 @@
     }
 }
 
-/// Requests the states of the other members by name from a process's control socket.
+/// Requests the states of all members, by name, from a process's control socket.
 fn request_view(control_socket: &Path) -> io::Result<BTreeMap<String, MemberState>> {
     let mut stream = UnixStream::connect(control_socket)?;
     stream.set_read_timeout(Some(POLL_TIMEOUT))?;
--- a/crates/fault-injection/src/scheduler.rs
+++ b/crates/fault-injection/src/scheduler.rs
@@ -17,9 +17,8 @@
     }
 }
 
-/// The simulated time and the queued events, each of which has one member. Events with the same
-/// time are handled in the order in which they were scheduled. Only the scheduler advances the
-/// time.
+/// The simulated time and the queued events. Each event belongs to one member. Events with the same
+/// time are handled in the order in which they were scheduled.
 pub(crate) struct Scheduler<E> {
     now: Duration,
     sequence: u64,
@@ -92,7 +91,8 @@
     }
 }
 
-/// A hash of the events of a run (FNV-1a over 64-bit values). Equal runs have equal fingerprints.
+/// A hash of the events of a run that the simulation mixes in (FNV-1a over 64-bit values). Equal
+/// runs have equal fingerprints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Fingerprint(u64);
 
--- a/crates/server/tests/program/address_limits.rs
+++ b/crates/server/tests/program/address_limits.rs
@@ -136,8 +136,9 @@
     assert!(files <= 128, "{files} descriptors");
 }
 
-/// The backend closes connections beyond the limit of an address immediately, so that the client
-/// does not wait. Other addresses are not affected.
+/// Guards against a client that waits, or that takes the connections of other clients, because it
+/// opens more connections than the limit of its address. The backend closes connections beyond that
+/// limit immediately. Other addresses are not affected.
 #[test]
 fn an_address_beyond_its_connection_limit_is_rejected_at_once() {
     let (_folder, file) = settings("  address {\n    open = 5\n    rate = 1000\n  }");
--- a/crates/server/tests/program/configuration.rs
+++ b/crates/server/tests/program/configuration.rs
@@ -14,8 +14,8 @@
 /// Minimum time for which requests are sent to find a feedback value.
 const MIN_FEEDBACK_TIME: Duration = Duration::from_secs(1);
 
-/// The program exits with code 2 after an invalid configuration and writes one line that names the
-/// problem.
+/// Guards against a program that starts with an invalid configuration, or that exits without naming
+/// the problem: it exits with code 2 and writes one line that names the problem.
 #[test]
 fn an_invalid_configuration_is_reported_in_one_line() {
     let host = unique_address();
@@ -66,10 +66,10 @@
     })
 }
 
-/// The settings of the sites regina-main and nairobi-calc: the endpoint list follows health,
-/// callers get no feedback value, and a handler writes. The same build serves them without other
-/// changes. A write that is declared idempotent could run twice, so the program rejects it at the
-/// start with the key.
+/// Guards against a build that cannot serve the settings of the sites regina-main and nairobi-calc,
+/// in which the endpoint list follows health, callers get no feedback value, and a handler writes.
+/// Guards also against a write that runs twice because it is declared idempotent: the program
+/// rejects such settings at the start, and names the key.
 #[test]
 fn settings_with_writes_are_served_and_an_idempotent_write_is_rejected() {
     let changed_config = |host: &str| {
--- a/crates/server/tests/program/connection_floods.rs
+++ b/crates/server/tests/program/connection_floods.rs
@@ -14,9 +14,10 @@
 };
 use crate::harness::{MAX_ANSWER_TIME, wait_until};
 
-/// A thousand connections are opened at a limit of 64 descriptors. The backend closes idle and
-/// silent connections, its descriptors stay within the limit, a connected client is served promptly
-/// during the flood, and a new client is served after it.
+/// Guards against clients that are not served because a flood takes all descriptors: a thousand
+/// connections are opened at a limit of 64 descriptors. The backend closes idle and silent
+/// connections, its descriptors stay within the limit, a connected client is served promptly during
+/// the flood, and a new client is served after it.
 #[test]
 fn a_connection_flood_does_not_delay_connected_clients() {
     let backend = start_backend_with_sockets(64);
@@ -50,8 +51,9 @@
     assert!(begin.elapsed() < MAX_ANSWER_TIME, "{:?}", begin.elapsed());
 }
 
-/// One connection sends 3,000 requests without waiting, and 32 may be open at a time. Each is
-/// answered once, and a client on another connection is served promptly during the flood.
+/// Guards against clients that wait for the requests of another client: one connection sends 3,000
+/// requests without waiting, and 32 may be open at a time. Each is answered once, and a client on
+/// another connection is served promptly during the flood.
 #[test]
 fn a_request_flood_on_one_connection_does_not_delay_other_clients() {
     const REQUESTS: u32 = 3000;
@@ -84,9 +86,10 @@
     );
 }
 
-/// More connections than descriptors stay open after one request or never send anything. The
-/// backend closes the oldest idle ones, so that a new client is served, and every connection that
-/// sends no complete message.
+/// Guards against a new client that is not served because connections without open requests take
+/// all descriptors: more connections than descriptors stay open after one request or never send
+/// anything. The backend closes the oldest idle ones, so that a new client is served, and every
+/// connection that sends no complete message.
 #[test]
 fn silent_connections_are_closed_to_admit_new_ones() {
     let backend = start_backend_with_sockets(48);
@@ -115,7 +118,8 @@
     }
 }
 
-/// Every connection within the limit has an open request, so the backend can close none of them. A
+/// Guards against a connection that is lost, or an open request that is cut off, because every
+/// connection within the limit has an open request and the backend can close none of them. A
 /// further connection waits in the backlog, and is served once a request is answered and its
 /// connection can be closed.
 #[test]
--- a/crates/server/tests/program/cost.rs
+++ b/crates/server/tests/program/cost.rs
@@ -108,6 +108,7 @@
     }
 }
 
+/// Compares a backend with a recording to a backend without one.
 #[test]
 #[ignore = "a measurement"]
 fn cost_of_a_recording() {
--- a/crates/server/tests/program/deployment.rs
+++ b/crates/server/tests/program/deployment.rs
@@ -74,8 +74,9 @@
     }
 }
 
-/// The deploy file's `run` starts one program by exec and without a settings file, so recordings,
-/// which need a lasting disk, and all other features of that file are off.
+/// Guards against a deployment that starts a second process or enables a feature: the deploy file's
+/// `run` starts one program by exec and without a settings file, so recordings, which need a
+/// lasting disk, and all other features of that file are off.
 #[test]
 fn the_run_command_is_one_process_by_exec_with_nothing_enabled() {
     assert_eq!(deploy_entry("run"), "exec target/release/tulipgapd");
@@ -188,9 +189,9 @@
     }
 }
 
-/// The fleet test refuses some system calls and child processes. The backend, started with the
-/// deploy file's command, must serve under that filter as one process with one listening socket and
-/// without a cluster.
+/// Guards against a build that fails only in the fleet test, which refuses some system calls and
+/// child processes. The backend, started with the deploy file's command, must serve under that
+/// filter as one process with one listening socket and without a cluster.
 #[test]
 fn the_backend_serves_as_one_process_under_the_system_call_filter() {
     let mut backend = start_as_deployed();
--- a/crates/server/tests/program/docs.rs
+++ b/crates/server/tests/program/docs.rs
@@ -93,6 +93,8 @@
     joined
 }
 
+/// Guards against an on-call page that quotes a log line which the program no longer writes,
+/// because the line was changed in the code alone.
 #[test]
 fn each_log_line_in_the_on_call_page_exists_in_the_code() {
     let mut text = String::new();
@@ -127,6 +129,8 @@
     page.split('`').skip(1).step_by(2).filter(is_name).collect()
 }
 
+/// Guards against a page of races that names a test which no longer exists, because the test was
+/// renamed or removed in the code alone.
 #[test]
 fn each_test_named_in_the_races_page_exists() {
     let mut text = String::new();
@@ -149,6 +153,8 @@
     );
 }
 
+/// Guards against a check of the on-call page that finds nothing, because it reads no line from the
+/// table or searches for a part of the line that is a placeholder.
 #[test]
 fn a_log_line_that_the_code_does_not_have_is_found() {
     let page = "| line | meaning |\n| --- | --- |\n| `gone from the code count=N` | x |\n\n| other |\n| `not a log line` |\n";
--- a/crates/server/tests/program/graceful_shutdown.rs
+++ b/crates/server/tests/program/graceful_shutdown.rs
@@ -99,9 +99,9 @@
     assert_eq!(backend.wait_for_exit().code(), Some(0));
 }
 
-/// A caller sends a request before it has read the drain notification. The request must be
-/// answered, because it was sent on an open connection, and must not run, because it arrived after
-/// the drain grace.
+/// Guards against a request that is lost, or run after the drain grace, because its caller sends it
+/// before it has read the drain notification. The request must be answered, because it was sent on
+/// an open connection, and must not run, because it arrived after the drain grace.
 #[test]
 fn a_request_that_crosses_the_drain_notification_is_answered_and_not_run() {
     let mut backend = start_backend();
--- a/crates/server/tests/program/idempotency.rs
+++ b/crates/server/tests/program/idempotency.rs
@@ -6,9 +6,10 @@
 use crate::harness::edge_node::{AnswerKind, request_fields, request_fields_with};
 use crate::harness::wait_until;
 
-/// Duplicates of a keyed request arrive within, at the end of and after a retention window of 1.5
-/// s. The window applies to the arrival at the machine, not to the time at which the request is
-/// read. A duplicate within it gets the first result; one after it is run.
+/// Guards against a duplicate that is run within the retention window of 1.5 s, because the time at
+/// which the request is read counts in place of the time of its arrival at the machine. Duplicates
+/// of a keyed request arrive within, at the end of and after the window. One within it gets the
+/// first result; one after it is run.
 #[test]
 fn a_keyed_duplicate_is_recognised_by_its_arrival_within_the_window() {
     const WINDOW_MS: u64 = 1500;
--- a/crates/server/tests/program/load.rs
+++ b/crates/server/tests/program/load.rs
@@ -132,9 +132,10 @@
           back = 14
         }"#;
 
-/// Five real members serve requests while links are partitioned and degraded, one member is killed
-/// and one is paused. Requests have side effects, so none may run twice, and each is answered
-/// unless its member was killed.
+/// Guards against requests that are lost or run twice because the faults of a cluster disturb the
+/// serving: five real members serve requests while links are partitioned and degraded, one member
+/// is killed and one is paused. Requests have side effects, so none may run twice, and each is
+/// answered unless its member was killed.
 #[test]
 fn each_request_is_answered_and_run_once_while_links_break_and_processes_die() {
     let plan = Plan::parse(PLAN).unwrap_or_else(|error| panic!("{error}"));
--- a/crates/server/tests/program/malformed_messages.rs
+++ b/crates/server/tests/program/malformed_messages.rs
@@ -59,7 +59,8 @@
     assert!(other.read_answer().is_none(), "closed");
 }
 
-/// Clients send invalid fields, reused ids and sequences, unknown methods, excessive lengths and
+/// Guards against malformed messages that end the process or lose the requests of other clients:
+/// clients send invalid fields, reused ids and sequences, unknown methods, excessive lengths and
 /// malformed bytes. Each message is answered with an exception or closes its own connection. Open
 /// requests are answered, also on that connection.
 #[test]
@@ -69,8 +70,9 @@
     edge.send_request(1, "00000000000000d1", b"hang");
     send_invalid_requests(&mut edge);
     reuse_ids_and_sequences(&backend);
-    // These settings do not announce cancellations, and a one-way message cannot be answered. The
-    // requests before it have a field that is out of range.
+    // Each of these requests has a field that is out of range. The one-way message after them
+    // closes its connection: it cannot be answered, and these settings do not announce
+    // cancellations.
     let mut other = backend.connect();
     for (name, value) in [
         ("need", "2000"),
--- a/crates/server/tests/program/membership.rs
+++ b/crates/server/tests/program/membership.rs
@@ -37,8 +37,9 @@
     format!("crash {{\n at = {at}\n of = \"{of}\"\n back = {back}\n}}\n")
 }
 
-/// A zone is partitioned from the others while members on both sides crash and restart. Each side
-/// must consider the other dead within the bounds, and all views must agree after the last fault.
+/// Guards against views that stay wrong after a partition: a zone is partitioned from the others
+/// while members on both sides crash and restart. Each side must consider the other dead within the
+/// bounds, and all views must agree after the last fault.
 #[test]
 fn views_converge_after_a_zone_partition_with_crashes_on_both_sides() {
     let cuts = cut("north", "west", 5, 17, "") + &cut("north", "south", 5, 17, "");
@@ -51,8 +52,9 @@
     );
 }
 
-/// Three members of two zones crash within a second and restart. The others must learn of each
-/// death within the bound, and all views must agree after the restarts.
+/// Guards against deaths that other members do not learn of: three members, one in each zone, crash
+/// within a second and restart. The others must learn of each death within the bound, and all views
+/// must agree after the restarts.
 #[test]
 fn views_converge_after_three_crashes_within_a_second() {
     assert_views_converge(
@@ -61,8 +63,9 @@
     );
 }
 
-/// One member is paused, one link works in one direction only, one flaps, and the links of one
-/// member are slow. No live member that can be reached may stay dead in a view.
+/// Guards against live members that stay dead in a view because a fault is partial: one member is
+/// paused, one link works in one direction only, one flaps, and the links of one member are slow.
+/// No live member that can be reached may stay dead in a view.
 #[test]
 fn views_converge_after_a_pause_a_one_way_cut_and_degraded_links() {
     let pause = "stop {\n at = 5\n of = \"west-2\"\n back = 13\n}\n";
--- a/crates/server/tests/program/recording.rs
+++ b/crates/server/tests/program/recording.rs
@@ -79,8 +79,9 @@
     }
 }
 
-/// Each outcome of a request is recorded once, with its times in order, its reason, its work and
-/// its calls, and no record is lost at shutdown.
+/// Guards against a recording that lacks a request, has it twice or has a wrong field, because each
+/// outcome is recorded at another place. Each outcome is recorded once, with its times in order,
+/// its reason, its work and its calls, and no record is lost at shutdown.
 #[test]
 fn each_outcome_of_a_request_is_recorded_once() {
     let (folder, settings) = recording_settings("200ms");
@@ -162,9 +163,9 @@
     assert!(record(1).feedback.is_some());
 }
 
-/// The process is killed under load and restarted with the same directory. The files must have
-/// every record that was on disk before a kill, none of them twice, and the reader must report that
-/// the end of each file is missing.
+/// Guards against records that are lost or duplicated because the process is killed under load and
+/// restarted with the same directory. The files must have every record that was on disk before a
+/// kill, none of them twice, and the reader must report that the end of each file is missing.
 #[test]
 fn recorded_requests_survive_a_kill() {
     let (folder, settings) = recording_settings("200ms");
@@ -230,8 +231,8 @@
     );
 }
 
-/// The directory of the recording is not writable. Requests are served as without a recording, and
-/// the log has the number of missing records.
+/// Guards against requests that fail because the directory of the recording is not writable.
+/// Requests are served as without a recording, and the log has the number of missing records.
 #[test]
 fn an_unwritable_recording_folder_harms_no_request() {
     let (folder, settings) = recording_settings("200ms");
@@ -252,9 +253,9 @@
     );
 }
 
-/// With an unknown key in the settings file the program exits with code 2 and an error that names
-/// the file, line, column and the most similar key. `--help` and `--version` work, and an unknown
-/// option exits with code 2.
+/// Guards against a typing error in the settings file that is ignored: with an unknown key the
+/// program exits with code 2 and an error that names the file, line, column and the most similar
+/// key. `--help` and `--version` work, and an unknown option exits with code 2.
 #[test]
 fn an_invalid_configuration_is_reported_and_exits_with_2() {
     let folder = tempfile::tempdir().unwrap();
--- a/crates/server/tests/program/registration.rs
+++ b/crates/server/tests/program/registration.rs
@@ -3,9 +3,11 @@
 use crate::harness::backend::start_backend;
 use crate::harness::{LONG_TIMEOUT, REGISTRY_PORT};
 
-/// The service registry is down when the backend starts, and again for a while later. The backend
-/// repeats its report, so it is registered as soon as the registry listens. It sends the
-/// deregistration several times, because each datagram may be lost, and no report after it.
+/// Guards against a backend that stays unregistered because the service registry is down when the
+/// backend starts, and again for a while later. The backend repeats its report, so it is registered
+/// as soon as the registry listens. Guards also against a backend that stays registered after its
+/// shutdown: it sends the deregistration several times, because each datagram may be lost, and no
+/// report after it.
 #[test]
 fn a_backend_is_registered_whenever_the_service_registry_listens() {
     let mut backend = start_backend();
--- a/crates/server/tests/program/serving.rs
+++ b/crates/server/tests/program/serving.rs
@@ -4,9 +4,9 @@
 use crate::harness::backend::start_backend;
 use crate::harness::edge_node::{AnswerKind, EdgeConnection, request_fields, request_fields_with};
 
-/// The normal operation of a backend: results are sent unchanged and in any order, a call is made
-/// to the store, a request that cannot end in time is rejected, and requests that were read before
-/// the shutdown notice are answered before the process exits.
+/// Guards against a fault of the normal operation: a result that is changed, a call that is not
+/// made, a request that is admitted although it cannot end in time, and a request that is lost at a
+/// shutdown although it was read before the shutdown notice.
 #[test]
 fn a_backend_serves_calls_the_store_rejects_and_drains() {
     let mut backend = start_backend();
--- a/crates/server/tests/program/shutdown_backlog.rs
+++ b/crates/server/tests/program/shutdown_backlog.rs
@@ -99,8 +99,9 @@
     }
 }
 
-/// Guards against the same fault with connections whose clients do not read their replies, which
-/// stay open for a second. They have 6,000 requests, and the bound includes no time for these.
+/// Guards against requests in the backlog that wait at a shutdown because the clients of the open
+/// connections do not read their replies, so that these connections stay open for a second. The
+/// open connections have 6,000 requests, and the bound includes no time for these.
 #[test]
 fn a_backlog_with_thousands_of_requests_is_answered_within_its_bound_at_a_shutdown() {
     assert_backlog_answered_within_bound(FloodKind::RepliesNeverRead);
--- a/crates/server/tests/program/shutdown_time.rs
+++ b/crates/server/tests/program/shutdown_time.rs
@@ -177,8 +177,9 @@
     }
 }
 
-/// Guards against complete requests that were read and are handled as half a message, because an
-/// unread reply of more than 4 KiB before them ends the handling of input in that turn.
+/// Guards against complete requests that are lost because they are handled as half a message: an
+/// unread reply of more than 4 KiB to a message before them makes the backend stop handling the
+/// input of the connection, although it has read the requests.
 #[test]
 fn requests_after_a_long_reply_are_answered_at_a_shutdown() {
     let backend = start_with_connection_limit();
--- a/crates/server/tests/program/slow_clients.rs
+++ b/crates/server/tests/program/slow_clients.rs
@@ -11,9 +11,9 @@
 };
 use crate::harness::executor::large_result;
 
-/// A hundred connections send one byte every 100 ms. The backend closes each one 2 s after its
-/// first byte, because it has sent no complete message, and another client is answered promptly at
-/// the same time.
+/// Guards against a client that waits because a hundred other connections send one byte every 100
+/// ms. The backend closes each of these 2 s after its first byte, because it has sent no complete
+/// message, and the client is answered promptly at the same time.
 #[test]
 fn a_hundred_slow_senders_delay_no_other_client() {
     let backend = start_backend();
@@ -49,9 +49,10 @@
     assert!((0u32..100).all(|at| !backend.was_run(&format!("000000000b01{at:04x}"))));
 }
 
-/// A hundred connections read nothing for a while, and then slowly. Each gets every answer once and
-/// complete, because the backend does not read from a connection with too much unread output, and
-/// another client is answered promptly at the same time.
+/// Guards against answers that are lost or cut short, and against another client that waits,
+/// because a hundred connections read nothing for a while, and then slowly. Each gets every answer
+/// once and complete, because the backend does not read from a connection with too much unread
+/// output, and the other client is answered promptly at the same time.
 #[test]
 fn a_hundred_slow_readers_get_their_answers_and_delay_no_other_client() {
     const REQUESTS: u32 = 12;
@@ -97,8 +98,9 @@
     }
 }
 
-/// One connection sends hundreds of requests and reads no answer until all are sent. Another client
-/// is answered in between, and the slow reader then gets each of its answers once.
+/// Guards against a client that waits because another connection sends hundreds of requests and
+/// reads no answer until all are sent. The client is answered in between, and the slow reader then
+/// gets each of its answers once.
 #[test]
 fn a_slow_reader_delays_no_other_client() {
     let backend = start_backend();
--- a/crates/server/tests/program/startup.rs
+++ b/crates/server/tests/program/startup.rs
@@ -38,9 +38,9 @@
     first_served: Option<Duration>,
 }
 
-/// A backend must answer soon after its start in each state of its peers; it rejects requests until
-/// the executor is up. Each case has five starts, with one of executor, store and service registry
-/// absent, slow or present.
+/// Guards against a start that waits for a peer: a backend must answer soon after its start in each
+/// state of its peers, and it rejects requests until the executor is up. Each case has five starts,
+/// with one of executor, store and service registry absent, slow or present.
 #[test]
 fn the_first_answer_is_in_time_with_each_peer_absent_slow_and_present() {
     const STARTS: usize = 5;
