--- a/crates/fault-injection/src/lease_simulation/outcome.rs
+++ b/crates/fault-injection/src/lease_simulation/outcome.rs
@@ -18,8 +18,8 @@
     CapacityRespected,
     /// No more operations are in progress at the same time than the lease has capacity for.
     OperationsDoNotOverlap,
-    /// A read of a lease with capacity 1 returns no holder that is older than a grant that an owner
-    /// was notified of before the read began.
+    /// A read of a lease with capacity 1 returns no holder whose token is older than the newest
+    /// token that an owner was notified of before the read began.
     ReadsAreLinearizable,
     /// After the last fault, a wanted lease has a holder within a bound while a majority of voters
     /// votes.
--- a/crates/fault-injection/src/lease_simulation/reads.rs
+++ b/crates/fault-injection/src/lease_simulation/reads.rs
@@ -1,5 +1,5 @@
-//! Reads of a lease's holder. Each read must reflect every grant that an owner was notified of
-//! before the read began.
+//! Reads of a lease's holder. A read must return no holder whose token is older than the newest
+//! token that an owner was notified of before the read began.
 
 use std::collections::BTreeMap;
 
--- a/crates/fault-injection/src/lease_simulation/voters.rs
+++ b/crates/fault-injection/src/lease_simulation/voters.rs
@@ -15,7 +15,7 @@
     pub(super) state_hash: u64,
 }
 
-/// The result of an event.
+/// The result of [`HostedVoter::handle_event`].
 pub(super) struct VoterProgress {
     /// The voter's copy of the leases, if the voter applied entries.
     pub(super) replica: Option<ReplicaState>,
--- a/crates/fault-injection/src/membership_simulation/injected_bugs.rs
+++ b/crates/fault-injection/src/membership_simulation/injected_bugs.rs
@@ -28,7 +28,8 @@
         self == MembershipBug::MuteMember && from == MUTE_MEMBER && now >= MUTE_FROM
     }
 
-    /// Removes the forwarded updates of a message, if this bug does.
+    /// Removes the updates about other members from a message, if this bug is
+    /// [`MembershipBug::NoDissemination`].
     pub(super) fn strip_updates(self, message: &mut Message) {
         if self == MembershipBug::NoDissemination {
             message
@@ -37,7 +38,8 @@
         }
     }
 
-    /// Returns the answer to a ping in the name of a dead member, if this bug sends one.
+    /// Returns the answer to a ping in the name of a dead member, if this bug is
+    /// [`MembershipBug::DeadMemberAnswers`].
     pub(super) fn answer_for_dead_member(self, dead: &str, message: &Message) -> Option<Message> {
         let MessageBody::Ping { sequence_number } = message.body else {
             return None;
--- a/crates/fault-injection/src/plan/fault.rs
+++ b/crates/fault-injection/src/plan/fault.rs
@@ -34,7 +34,7 @@
     Kept,
     /// No data.
     Emptied,
-    /// The data that was durable half a second after the start of the run.
+    /// The data that the directory had half a second after the start of the run.
     #[serde(rename = "older")]
     RolledBack,
 }
--- a/crates/fault-injection/src/plan/hcl_output.rs
+++ b/crates/fault-injection/src/plan/hcl_output.rs
@@ -111,7 +111,8 @@
 }
 
 impl Plan {
-    /// Returns the faults as blocks of a plan file. A plan with these blocks gives the same run.
+    /// Returns the faults as blocks of a plan file. If these blocks replace the faults of the plan
+    /// file, a simulation with the same seed gives the same run.
     pub fn faults_to_hcl(&self) -> String {
         self.faults.iter().map(Fault::to_hcl).collect()
     }
--- a/crates/fault-injection/src/processes/process.rs
+++ b/crates/fault-injection/src/processes/process.rs
@@ -26,7 +26,7 @@
 const SETTINGS_FILE: &str = "settings.hcl";
 /// While this file exists, the process's disk is full.
 const DISK_FULL_FILE: &str = "full";
-/// While this file exists, the next sync of the process's disk fails.
+/// If this file exists, the next sync of the process's disk removes the file and fails.
 const SYNC_FAILS_FILE: &str = "fails";
 /// The process pauses itself at the step that this file names, and removes the file.
 const PAUSE_STEP_FILE: &str = "pause_at";
@@ -41,7 +41,7 @@
 pub(super) struct MemberProcess {
     pub(super) member: Member,
     pub(super) directory: PathBuf,
-    /// The standard error output of all runs of the process.
+    /// The standard error output of all starts of the process.
     pub(super) log_file: PathBuf,
     /// The seconds that the process's clock shows for each true second.
     pub(super) clock_rate: f64,
@@ -96,7 +96,7 @@
         self.is_alive() && self.pause != PauseState::Paused
     }
 
-    /// Returns the status of a process that exited by itself.
+    /// Returns the exit status if the process exited by itself; `None` if it runs or was killed.
     pub(super) fn exit_status(&mut self) -> io::Result<Option<ExitStatus>> {
         self.child.as_mut().map_or(Ok(None), Child::try_wait)
     }
--- a/crates/server/tests/program/harness/executor.rs
+++ b/crates/server/tests/program/harness/executor.rs
@@ -29,13 +29,13 @@
     pub(crate) link_count: u32,
     /// The stub closes the link when the next reply to a call arrives, and drops the reply.
     pub(crate) should_lose_link_at_reply: bool,
-    /// The stub closes the link when the next run starts. The run ends right after the first reply
-    /// to a query of the gauges on the next link, and its notice is sent only when the next command
-    /// arrives.
+    /// The stub closes the link when the next run with the body `hang` starts. The run ends right
+    /// after the first reply to a query of the gauges on the next link, and the notice of its end
+    /// is sent only when the next command arrives.
     pub(crate) should_cut_link_at_start: bool,
     /// The stub does not reply to queries of the gauges.
     pub(crate) should_ignore_queries: bool,
-    /// The run that ends after the next reply to a query of the gauges.
+    /// The id of the run that ends after the next reply to a query of the gauges.
     pub(crate) ending_run: Option<String>,
     /// The notice that is delayed until the next command.
     pub(crate) delayed_notice: Vec<u8>,
--- a/crates/server/tests/program/leases.rs
+++ b/crates/server/tests/program/leases.rs
@@ -349,10 +349,11 @@
     let _ = std::fs::remove_file(&file);
 }
 
-/// Guards against requests that wait for a store that is down, and against calls that stay off once
-/// it is up. Three backends of a zone have a store that refuses connections. One of them probes it
-/// and publishes a verdict that all of them follow, and requests are answered throughout. When the
-/// store listens again, the verdict is withdrawn and all backends make their calls.
+/// Guards against members that each keep calling a store that is down, and against calls that stay
+/// off once the store is up. Three backends of a zone have a store that refuses connections. One of
+/// them probes it and publishes a verdict that all of them follow, and requests are answered
+/// throughout. When the store listens again, the verdict is withdrawn and all backends make their
+/// calls.
 #[test]
 fn one_member_of_a_zone_probes_a_store_that_is_down() {
     let (hosts, store_host) = (
--- a/crates/server/tests/program/recording.rs
+++ b/crates/server/tests/program/recording.rs
@@ -79,9 +79,9 @@
     }
 }
 
-/// Guards against a recording that lacks a request, has it twice or has a wrong field, because each
-/// outcome is recorded at another place. Each outcome is recorded once, with its times in order,
-/// its reason, its work and its calls, and no record is lost at shutdown.
+/// Guards against a request that is missing from the recording, is recorded twice or has a wrong
+/// outcome, for each way in which a request can end. Each outcome is recorded once, with its times
+/// in order, its reason, its work and its calls, and no record is lost at shutdown.
 #[test]
 fn each_outcome_of_a_request_is_recorded_once() {
     let (folder, settings) = recording_settings("200ms");
--- a/crates/server/tests/program/shutdown_time.rs
+++ b/crates/server/tests/program/shutdown_time.rs
@@ -178,7 +178,7 @@
 }
 
 /// Guards against complete requests that are lost because they are handled as half a message: an
-/// unread reply of more than 4 KiB to a message before them makes the backend stop handling the
+/// unwritten reply of more than 4 KiB to a message before them makes the backend stop handling the
 /// input of the connection, although it has read the requests.
 #[test]
 fn requests_after_a_long_reply_are_answered_at_a_shutdown() {
@@ -188,7 +188,7 @@
     let mut edge = backend.connect();
     let _connections_after = connect_all(&backend, 2 * MAX_CONNECTIONS);
     // The exception contains the name of the method, which alone is longer than the 4 KiB of
-    // replies that may be unread.
+    // unwritten replies at which the backend stops reading requests.
     let unknown_method = "x".repeat(4200);
     edge.send_call(REQUESTS + 1, &unknown_method, b"\0");
     for sequence in 1..=REQUESTS {
--- a/crates/server/tests/program/slow_clients.rs
+++ b/crates/server/tests/program/slow_clients.rs
@@ -51,7 +51,7 @@
 
 /// Guards against answers that are lost or cut short, and against another client that waits,
 /// because a hundred connections read nothing for a while, and then slowly. Each gets every answer
-/// once and complete, because the backend does not read from a connection with too much unread
+/// once and complete, because the backend does not read from a connection with too much unwritten
 /// output, and the other client is answered promptly at the same time.
 #[test]
 fn a_hundred_slow_readers_get_their_answers_and_delay_no_other_client() {
--- a/crates/server/tests/program/soak/connection_flood.rs
+++ b/crates/server/tests/program/soak/connection_flood.rs
@@ -1,6 +1,6 @@
-//! Connection floods of the soak: more connections than the program may have descriptors. Every
-//! other connection acts as the kind of the flood says, the rest are silent; the connections of the
-//! clients wait after them in the backlog.
+//! Connection floods of the soak: hundreds of connections, usually more than the program may have
+//! descriptors. Every other connection acts as the kind of the flood says, and the rest are silent.
+//! The clients connect after the flood, so their connections wait in the backlog of a full server.
 
 use std::io::Write;
 use std::net::TcpStream;
