--- a/crates/fault-injection/src/scheduler.rs
+++ b/crates/fault-injection/src/scheduler.rs
@@ -18,7 +18,7 @@
 }
 
 /// The simulated time and the queued events. Each event belongs to one member. Events with the same
-/// time are handled in the order in which they were scheduled.
+/// time are handled in the order in which they were scheduled. Only this module advances the time.
 pub(crate) struct Scheduler<E> {
     now: Duration,
     sequence: u64,
--- a/crates/server/tests/program/recording.rs
+++ b/crates/server/tests/program/recording.rs
@@ -64,7 +64,8 @@
     files.iter().map(|file| file.records.len()).sum()
 }
 
-/// Asserts that the times of each record are in order, and that its other fields are as sent.
+/// Asserts that the times of each record are in order, and that its caller and its tenant are as
+/// sent.
 fn assert_times_in_order(records: &[Record]) {
     for record in records {
         let times = [record.read, record.answered, record.released].map(Option::unwrap);
