--- a/crates/server/tests/program/cost.rs
+++ b/crates/server/tests/program/cost.rs
@@ -146,8 +146,9 @@
     compare_in_pairs(&settings(0), 5);
 }
 
-/// Sends as many requests as an hour has at 190 per second, as fast as possible: the recording must
-/// have each of them.
+/// Guards against records that are lost because requests arrive faster than the recording writes
+/// them: sends as many requests as an hour has at 190 per second, as fast as possible. The
+/// recording must have each of them.
 #[test]
 #[ignore = "a measurement"]
 fn an_hour_of_requests() {
