--- a/crates/fault-injection/src/plan/fault.rs
+++ b/crates/fault-injection/src/plan/fault.rs
@@ -24,7 +24,8 @@
     }
 }
 
-/// The contents of a killed process's directory when it restarts.
+/// The contents of a killed process's directory when it restarts. For a real process this applies
+/// only to the directory of the voter's log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DirectoryAfterCrash {
@@ -33,7 +34,7 @@
     Kept,
     /// No data.
     Emptied,
-    /// The data that was durable half a second after the start of the run.
+    /// The data that the directory had half a second after the start of the run.
     #[serde(rename = "older")]
     RolledBack,
 }
--- a/crates/server/tests/program/harness/executor.rs
+++ b/crates/server/tests/program/harness/executor.rs
@@ -16,7 +16,8 @@
 /// - `unknown` is reported as an invalid id.
 #[derive(Default)]
 pub(crate) struct ExecutorStub {
-    /// All notices sent so far; the first one has number 1.
+    /// All numbered notices so far, also notices for which the stub had no link. The first one has
+    /// number 1.
     pub(crate) notices: Vec<Vec<u8>>,
     /// Runs that have not ended, and how often each was started.
     pub(crate) runs: HashMap<String, u32>,
@@ -28,13 +29,13 @@
     pub(crate) link_count: u32,
     /// The stub closes the link when the next reply to a call arrives, and drops the reply.
     pub(crate) should_lose_link_at_reply: bool,
-    /// The stub closes the link when the next run starts. The run ends right after the first reply
-    /// to a query of the gauges on the next link, and its notice is sent only when the next command
-    /// arrives.
+    /// The stub closes the link when the next run with the body `hang` starts. The run ends right
+    /// after the first reply to a query of the gauges on the next link, and the notice of its end
+    /// is sent only when the next command arrives.
     pub(crate) should_cut_link_at_start: bool,
     /// The stub does not reply to queries of the gauges.
     pub(crate) should_ignore_queries: bool,
-    /// The run that ends after the next reply to a query of the gauges.
+    /// The id of the run that ends after the next reply to a query of the gauges.
     pub(crate) ending_run: Option<String>,
     /// The notice that is delayed until the next command.
     pub(crate) delayed_notice: Vec<u8>,
@@ -174,8 +175,8 @@
             link_number = executor.link_count;
             executor
                 .send_line("BOOTED steady 1000.0\r\nDMESG 0 a remark of no meaning\r\n".to_owned());
-            // The stub sends the last notice that the backend has read again. The backend must not
-            // handle it twice.
+            // The stub repeats the last notice that the backend has already read. The backend must
+            // not handle that notice twice.
             let from = last.parse::<usize>().unwrap().saturating_sub(1);
             let missed = executor.notices[from..].concat();
             let _ = executor.link.as_ref().unwrap().write_all(&missed);
--- a/crates/server/tests/program/recording.rs
+++ b/crates/server/tests/program/recording.rs
@@ -64,7 +64,8 @@
     files.iter().map(|file| file.records.len()).sum()
 }
 
-/// Asserts that the times of each record are in order, and that its other fields are as sent.
+/// Asserts that the times of each record are in order, and that its caller and its tenant are as
+/// sent.
 fn assert_times_in_order(records: &[Record]) {
     for record in records {
         let times = [record.read, record.answered, record.released].map(Option::unwrap);
@@ -79,8 +80,9 @@
     }
 }
 
-/// Each outcome of a request is recorded once, with its times in order, its reason, its work and
-/// its calls, and no record is lost at shutdown.
+/// Guards against a request that is missing from the recording, is recorded twice or has a wrong
+/// outcome, for each way in which a request can end. Each outcome is recorded once, with its times
+/// in order, its reason, its work and its calls, and no record is lost at shutdown.
 #[test]
 fn each_outcome_of_a_request_is_recorded_once() {
     let (folder, settings) = recording_settings("200ms");
@@ -162,9 +164,9 @@
     assert!(record(1).feedback.is_some());
 }
 
-/// The process is killed under load and restarted with the same directory. The files must have
-/// every record that was on disk before a kill, none of them twice, and the reader must report that
-/// the end of each file is missing.
+/// Guards against records that are lost or duplicated because the process is killed under load and
+/// restarted with the same directory. The files must have every record that was on disk before a
+/// kill, none of them twice, and the reader must report that the end of each file is missing.
 #[test]
 fn recorded_requests_survive_a_kill() {
     let (folder, settings) = recording_settings("200ms");
@@ -230,8 +232,8 @@
     );
 }
 
-/// The directory of the recording is not writable. Requests are served as without a recording, and
-/// the log has the number of missing records.
+/// Guards against requests that fail because the directory of the recording is not writable.
+/// Requests are served as without a recording, and the log has the number of missing records.
 #[test]
 fn an_unwritable_recording_folder_harms_no_request() {
     let (folder, settings) = recording_settings("200ms");
@@ -252,9 +254,9 @@
     );
 }
 
-/// With an unknown key in the settings file the program exits with code 2 and an error that names
-/// the file, line, column and the most similar key. `--help` and `--version` work, and an unknown
-/// option exits with code 2.
+/// Guards against a typing error in the settings file that is ignored: with an unknown key the
+/// program exits with code 2 and an error that names the file, line, column and the most similar
+/// key. `--help` and `--version` work, and an unknown option exits with code 2.
 #[test]
 fn an_invalid_configuration_is_reported_and_exits_with_2() {
     let folder = tempfile::tempdir().unwrap();
