--- a/crates/server/tests/program/lease_pauses.rs
+++ b/crates/server/tests/program/lease_pauses.rs
@@ -37,32 +37,37 @@
 
 /// Guards against an operation that takes effect because its lease was valid at the check: the
 /// owner is paused after the check and before it reports the beginning of the operation, and the
-/// lease is granted to another member. The newer token must fence the operation off.
+/// lease is granted to another member. No more operations may overlap than the lease has capacity
+/// for, except that a newer token may fence off the operation of the paused owner. Operations must
+/// resume.
 #[test]
-fn an_owner_paused_between_check_and_operation_is_rejected() {
+fn an_owner_paused_between_check_and_operation_violates_no_invariant() {
     pause_members_at(OperationStep::Checked);
 }
 
 /// Guards against an operation that takes effect because its beginning was reported in time: the
 /// owner is paused before it reads the response to that report, and the lease is granted to another
-/// member. The newer token must fence the operation off.
+/// member. No more operations may overlap than the lease has capacity for, except that a newer
+/// token may fence off the operation of the paused owner. Operations must resume.
 #[test]
-fn an_owner_paused_while_its_begin_is_in_transit_is_rejected() {
+fn an_owner_paused_while_its_begin_is_in_transit_violates_no_invariant() {
     pause_members_at(OperationStep::BeginSent);
 }
 
 /// Guards against two operations that take effect at the same time: the owner is paused while its
-/// operation is in progress, and the lease is granted to another member. The newer token must fence
-/// the operation of the paused owner off.
+/// operation is in progress, and the lease is granted to another member. No more operations may
+/// overlap than the lease has capacity for, except that a newer token may fence off the operation
+/// of the paused owner. Operations must resume.
 #[test]
-fn an_owner_paused_in_the_middle_of_an_operation_is_rejected() {
+fn an_owner_paused_in_the_middle_of_an_operation_violates_no_invariant() {
     pause_members_at(OperationStep::UnderWay);
 }
 
 /// Guards against an operation that ends under a newer token: the owner is paused after the
-/// operation is done and before it reports its end, and the lease is granted to another member. The
-/// newer token must fence the operation off.
+/// operation is done and before it reports its end, and the lease is granted to another member. No
+/// more operations may overlap than the lease has capacity for, except that a newer token may fence
+/// off the operation of the paused owner. Operations must resume.
 #[test]
-fn an_owner_paused_before_it_reports_the_end_is_rejected() {
+fn an_owner_paused_before_it_reports_the_end_violates_no_invariant() {
     pause_members_at(OperationStep::BeforeEnd);
 }
--- a/crates/server/tests/program/leases.rs
+++ b/crates/server/tests/program/leases.rs
@@ -20,12 +20,13 @@
 use crate::harness::{unique_address, wait_until};
 
 /// Guards against an operation that takes effect after its lease was granted to another member:
-/// each member in turn is paused for longer than the TTL during an operation. When it resumes, its
-/// operation is rejected, because its fencing token is older than the newest one. A pause is longer
-/// than the 8 s within which a lease has an owner again (docs/design-leases.md), and no two voters
-/// are paused at the same time.
+/// each member in turn is paused for longer than the TTL during an operation. No more operations
+/// may overlap than the lease has capacity for, except that a newer token may fence off the
+/// operation of the paused owner. Lease `one` must be granted again, and operations must resume. A
+/// pause is longer than the 8 s within which a lease has an owner again (docs/design-leases.md),
+/// and no two voters are paused at the same time.
 #[test]
-fn an_owner_paused_during_an_operation_is_rejected_after_it_resumes() {
+fn an_owner_paused_during_an_operation_violates_no_invariant() {
     const PAUSE_SECONDS: u32 = 9;
     let pause = |of: &str, at: u32| {
         let back = at + PAUSE_SECONDS;
