--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -373,8 +373,8 @@
         node.step(message);
     }
 
-    /// Stops the voter: its directory is an older copy, since another voter has observed the
-    /// position `observed` of its log.
+    /// Stops the voter because its directory is an older copy: another voter has observed the later
+    /// position `observed` of this voter's log.
     fn stop_after_rollback(&mut self, observed: LogPosition, actions: &mut Vec<Action>) {
         let own = self.node.as_ref().map(RaftNode::position);
         let own = own.unwrap_or_default();
--- a/crates/consensus/src/voter/tests/membership_change.rs
+++ b/crates/consensus/src/voter/tests/membership_change.rs
@@ -33,8 +33,8 @@
     assert!(!replace(&state, "b", "c", VoterId(3)));
 }
 
-/// If a voter with an empty log voted immediately, it would count for the majority, and one more
-/// failure would leave no quorum until it has caught up.
+/// If a learner with an empty log became a voter immediately, it would count for the majority, and
+/// one more failure would leave no quorum until it has caught up.
 #[test]
 fn a_learner_votes_once_its_log_is_near_the_committed_entries() {
     let learner = |matched_index| LearnerProgress {
--- a/crates/fault-injection/src/lease_simulation/clients.rs
+++ b/crates/fault-injection/src/lease_simulation/clients.rs
@@ -19,7 +19,7 @@
 pub(super) const REACQUIRE_DELAY: Duration = Duration::from_millis(10);
 /// The maximum deviation of a clock's rate that the clients assume, in thousandths.
 const MAX_CLOCK_DRIFT_PERMILLE: u32 = 50;
-/// The jitter of the clients' pauses between attempts, in thousandths of a pause.
+/// The maximum random extension of a client's pause between attempts, in thousandths of the pause.
 const JITTER_PERMILLE: u32 = 250;
 
 fn sample(rng: &mut fastrand::Rng, range: Range<f64>) -> f64 {
--- a/crates/server/src/cluster/control_protocol.rs
+++ b/crates/server/src/cluster/control_protocol.rs
@@ -359,7 +359,7 @@
     /// How this process reaches the member: see [`reachability_word`].
     #[serde(rename = "reach")]
     reachability: &'static str,
-    /// Absent for this process itself.
+    /// The observations of this process about the member; absent in the row of this process itself.
     #[serde(flatten)]
     observation: Option<Observation>,
 }
--- a/crates/server/tests/program/executor_link.rs
+++ b/crates/server/tests/program/executor_link.rs
@@ -129,7 +129,8 @@
         edge.send_request(sequence, &format!("{sequence:016x}"), b"run");
         edge.expect_answer(sequence, AnswerKind::Answer);
     }
-    // Messages that refer to nothing and a rejected command do not end the link.
+    // A reply to an unknown query, and commands that the executor reports as invalid, do not end
+    // the link.
     edge.send_request(9, "00000000000000f9", b"hang");
     wait_until("the request runs", || !backend.executor().runs.is_empty());
     let links = backend.executor().link_count;
--- a/crates/server/tests/program/soak/plan.rs
+++ b/crates/server/tests/program/soak/plan.rs
@@ -26,7 +26,7 @@
 /// Margins longer than the 500 ms that the program reserves: 500 ms before the kill it has answered
 /// every request.
 pub(super) const DEFAULT_MARGINS: KillMargins = KillMargins(&[600, 700, 1000, 2000]);
-/// Margins shorter than the 500 ms that the program reserves.
+/// Margins shorter than the 500 ms that the program reserves before the kill.
 pub(super) const SHORT_MARGINS: KillMargins = KillMargins(&[100, 300, 450]);
 
 /// A fault of a peer of the backend.
--- a/src/dependency/call_budget.rs
+++ b/src/dependency/call_budget.rs
@@ -25,7 +25,8 @@
 use crate::handlers::HandlerProfile;
 use crate::limits::USABLE_LIMIT_FRACTION;
 
-/// Maximum number of calls in flight per core, if the dependency states no share.
+/// Maximum number of calls in flight per core, if the configuration states no share of the
+/// dependency for this server.
 const MAX_CALLS_PER_CORE: f64 = 4.0;
 
 /// Number of calls with the longest timeout that fit into the budget, so that one call cannot spend
