--- a/crates/fault-injection/src/fault_schedule.rs
+++ b/crates/fault-injection/src/fault_schedule.rs
@@ -49,18 +49,18 @@
 
 /// The duration of a disk fault for which the plan has no end.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum DefaultDiskFault {
+pub(crate) enum DefaultDiskFaultDuration {
     UntilEndOfRun,
     Seconds(f64),
 }
 
-impl DefaultDiskFault {
+impl DefaultDiskFaultDuration {
     /// The time of the repair of a disk fault that begins at `at`. Both times are in seconds since
     /// the start of the run.
     fn repaired_at(self, at: f64) -> Option<f64> {
         match self {
-            DefaultDiskFault::UntilEndOfRun => None,
-            DefaultDiskFault::Seconds(seconds) => Some(at + seconds),
+            DefaultDiskFaultDuration::UntilEndOfRun => None,
+            DefaultDiskFaultDuration::Seconds(seconds) => Some(at + seconds),
         }
     }
 }
@@ -70,9 +70,10 @@
 pub(crate) fn scheduled_actions(
     fault: &Fault,
     members: &[Member],
-    default_disk_fault: DefaultDiskFault,
+    default_disk_fault_duration: DefaultDiskFaultDuration,
 ) -> Vec<ScheduledAction> {
-    let Some(FaultEffect { target, begin, end }) = effect_of(fault, default_disk_fault) else {
+    let Some(FaultEffect { target, begin, end }) = effect_of(fault, default_disk_fault_duration)
+    else {
         return Vec::new();
     };
     let ends = [Some(begin), end];
@@ -90,7 +91,10 @@
 
 /// Returns the effect of a fault on its members; `None` for link and clock faults, which cause no
 /// actions.
-fn effect_of(fault: &Fault, default_disk_fault: DefaultDiskFault) -> Option<FaultEffect<'_>> {
+fn effect_of(
+    fault: &Fault,
+    default_disk_fault_duration: DefaultDiskFaultDuration,
+) -> Option<FaultEffect<'_>> {
     let (target, at, begin, end_at, end) = match fault {
         Fault::Crash {
             at,
@@ -117,7 +121,7 @@
             repaired_at,
             fault,
         } => {
-            let repaired_at = repaired_at.or_else(|| default_disk_fault.repaired_at(*at));
+            let repaired_at = repaired_at.or_else(|| default_disk_fault_duration.repaired_at(*at));
             let begin = FaultAction::InjectDiskFault(*fault);
             (
                 target,
--- a/crates/fault-injection/src/lease_simulation/mod.rs
+++ b/crates/fault-injection/src/lease_simulation/mod.rs
@@ -20,7 +20,7 @@
 use tulipgap_leases::Name;
 use tulipgap_write_ahead_log::DiskUsage;
 
-use crate::fault_schedule::{DefaultDiskFault, ScheduledAction, scheduled_actions};
+use crate::fault_schedule::{DefaultDiskFaultDuration, ScheduledAction, scheduled_actions};
 use crate::plan::{BACKUP_AT, DirectoryAfterCrash, Fault, MemberIndex, Plan};
 use crate::scheduler::{Fingerprint, Scheduler, Simulation, run_simulation};
 use crate::simulated_network::{SimulatedNetwork, sample_start_time};
@@ -36,7 +36,8 @@
 /// The interval between checks of the invariants, in simulated time.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The duration of a disk fault for which the plan has no end.
-const DEFAULT_DISK_FAULT: DefaultDiskFault = DefaultDiskFault::Seconds(5.0);
+const DEFAULT_DISK_FAULT_DURATION: DefaultDiskFaultDuration =
+    DefaultDiskFaultDuration::Seconds(5.0);
 /// The interval between reads of a lease's holder, in simulated time.
 const READ_INTERVAL: Duration = Duration::from_millis(700);
 
@@ -144,7 +145,7 @@
     fn schedule_fault(&mut self, fault: &Fault) {
         let members = self.network.members();
         for ScheduledAction { at, member, action } in
-            scheduled_actions(fault, members, DEFAULT_DISK_FAULT)
+            scheduled_actions(fault, members, DEFAULT_DISK_FAULT_DURATION)
         {
             self.scheduler
                 .schedule(Duration::from_secs_f64(at), member, action.into());
--- a/crates/fault-injection/src/membership_simulation/mod.rs
+++ b/crates/fault-injection/src/membership_simulation/mod.rs
@@ -14,7 +14,9 @@
 
 use tulipgap_membership::Message;
 
-use crate::fault_schedule::{DefaultDiskFault, FaultAction, ScheduledAction, scheduled_actions};
+use crate::fault_schedule::{
+    DefaultDiskFaultDuration, FaultAction, ScheduledAction, scheduled_actions,
+};
 use crate::invariants::{MembershipChecker, Observation};
 use crate::plan::{MemberIndex, Plan};
 use crate::scheduler::{Fingerprint, ProcessGeneration, Scheduler, Simulation, run_simulation};
@@ -158,7 +160,8 @@
 
     fn schedule_faults(&mut self) {
         let members = self.network.members();
-        let actions = |fault| scheduled_actions(fault, members, DefaultDiskFault::UntilEndOfRun);
+        let actions =
+            |fault| scheduled_actions(fault, members, DefaultDiskFaultDuration::UntilEndOfRun);
         for ScheduledAction { at, member, action } in self.plan.faults.iter().flat_map(actions) {
             let event = match action {
                 FaultAction::Kill => SimulationEvent::Crash,
--- a/crates/fault-injection/src/processes/schedule.rs
+++ b/crates/fault-injection/src/processes/schedule.rs
@@ -1,6 +1,8 @@
 //! The schedule of a run: the time at which each fault begins and ends, and its process.
 
-use crate::fault_schedule::{DefaultDiskFault, FaultAction, ScheduledAction, scheduled_actions};
+use crate::fault_schedule::{
+    DefaultDiskFaultDuration, FaultAction, ScheduledAction, scheduled_actions,
+};
 use crate::plan::{BACKUP_AT, Member, Plan};
 
 /// The pending actions of a run, ordered by time.
@@ -15,10 +17,9 @@
             member,
             action: FaultAction::BackUpJournal,
         });
-        let faults = plan
-            .faults
-            .iter()
-            .flat_map(|fault| scheduled_actions(fault, members, DefaultDiskFault::UntilEndOfRun));
+        let faults = plan.faults.iter().flat_map(|fault| {
+            scheduled_actions(fault, members, DefaultDiskFaultDuration::UntilEndOfRun)
+        });
         let mut actions: Vec<ScheduledAction> = backups.chain(faults).collect();
         actions.sort_by(|a, b| a.at.total_cmp(&b.at));
         Schedule {
